--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -88,7 +88,7 @@
         Err(error) => return fail(&format!("no signals: {error}")),
     };
     let line = among.copies.is_some().then(copies::Line::default);
-    let front = match Front::start_kept(settings, line.as_ref().map(copies::Line::teller)) {
+    let front = match Front::start_replicated(settings, line.as_ref().map(copies::Line::teller)) {
         Ok(front) => front,
         Err(error) => return fail(&error.to_string()),
     };
@@ -138,7 +138,7 @@
     fn start(&self, front: Option<&Front>, line: Option<copies::Line>) -> Result<Others, String> {
         let teller = line.as_ref().map(copies::Line::teller);
         let stands = front.map(|front| {
-            let (stands, copies) = (front.stands(), teller.clone());
+            let (stands, copies) = (front.coordination_sink(), teller.clone());
             Box::new(move |stand: Stand| {
                 if let Some(copies) = &copies {
                     copies.stands(&stand);
@@ -155,12 +155,17 @@
         let accord = self.accord.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
         let copies = match (line, front, &accord, &self.copies) {
             (Some(line), Some(front), Some(accord), Some(settings)) => {
-                let started = line.start(settings, front.life(), accord.teller(), Box::new(front.kept()));
+                let started = line.start(
+                    settings,
+                    front.incarnation(),
+                    accord.teller(),
+                    Box::new(front.replication_sink()),
+                );
                 Some(started.map_err(|e| e.to_string())?)
             }
             _ => None,
         };
-        let others = front.map(Front::others);
+        let others = front.map(Front::peers_sink);
         let listener = accord.as_ref().map(|running| {
             let running = running.teller();
             Box::new(move |known: Vec<Known>| {
--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -8,7 +8,7 @@
 
 use rig::{head, script, wait, Heard, Rig, Viewer};
 use salttally_front::settings::Settings;
-use salttally_front::{Asked, Front};
+use salttally_front::{Front, SessionRequest};
 use salttally_standin::players::{Line, Silence};
 use salttally_standin::siege::frame_of as frame;
 use serde_json::{json, Value};
@@ -174,7 +174,7 @@
     let begun = Instant::now();
     assert_eq!(ask("GET / HTTP/1.1\r\n"), "", "it never ends its head");
     assert!(begun.elapsed() < SECOND, "and is not waited for");
-    wait(SECOND, || rig.front(0).look().clients == 0, || "somebody is left".into());
+    wait(SECOND, || rig.front(0).status().clients == 0, || "somebody is left".into());
     rig.end();
 }
 
@@ -301,13 +301,13 @@
         );
         let front = Front::start(Settings::parse("crooked.kdl", &text).expect("holds")).expect("starts");
         std::thread::sleep(Duration::from_millis(200));
-        let asked = Asked {
+        let asked = SessionRequest {
             viewer: "v".into(),
             title: "a".into(),
             class: "paid".into(),
             top_rung: 1,
             patience_ms: 1000,
-            ..Asked::default()
+            ..SessionRequest::default()
         };
         let session = front.open(&asked).expect("accepted");
         let answer = format!("{:?}", session.answer(SECOND * 2).expect("answered"));
@@ -340,7 +340,7 @@
         });
         let (front, answer) = crooked.paid();
         assert!(answer.starts_with("Failed"), "{answer}");
-        let counts = front.look().counts;
+        let counts = front.status().counts;
         assert_eq!((counts.attempts, counts.failed), (1, 1), "{counts:?}");
         front.shut_down(SECOND);
     }
@@ -380,11 +380,11 @@
     });
     let (front, answer) = crooked.paid_within("box-events-at-once 1000; box-events-per-s 100");
     assert!(answer.starts_with("Plays"), "{answer}");
-    wait(SECOND, || front.look().counts.faults >= 1, || "it is not cut off".into());
+    wait(SECOND, || front.status().counts.faults >= 1, || "it is not cut off".into());
     std::thread::sleep(Duration::from_millis(500));
     let tries = asked.load(std::sync::atomic::Ordering::Relaxed);
     assert!(tries <= 2, "listened to {tries} times in half a second");
-    assert_eq!(front.look().counts.lost, 0);
+    assert_eq!(front.status().counts.lost, 0);
     front.shut_down(SECOND * 5);
 }
 
@@ -408,7 +408,7 @@
     assert!(answer.starts_with("Plays"), "{answer}");
     assert!(begun.elapsed() < SECOND * 2, "{:?}", begun.elapsed());
     // Each time that it was told ready a stream was opened there; few were.
-    let faults = front.look();
+    let faults = front.status();
     assert!(faults.connections.iter().sum::<usize>() < 20, "{faults:?}");
     front.shut_down(SECOND * 5);
 }
@@ -438,13 +438,13 @@
         let (front, answer) = crooked.paid();
         assert!(answer.starts_with("Refused"), "no box is known from such a list: {answer}");
         std::thread::sleep(Duration::from_millis(600));
-        let asked = Asked {
+        let asked = SessionRequest {
             viewer: "w".into(),
             title: "a".into(),
             class: "paid".into(),
             top_rung: 1,
             patience_ms: 1000,
-            ..Asked::default()
+            ..SessionRequest::default()
         };
         let session = front.open(&asked).expect("accepted");
         let answer = format!("{:?}", session.answer(SECOND * 2));
--- a/crates/daemon/tests/doors.rs
+++ b/crates/daemon/tests/doors.rs
@@ -158,7 +158,7 @@
         let _ = drip.set_read_timeout(Some(SECOND * 2));
         assert!(matches!(drip.read(&mut [0; 64]), Ok(0) | Err(_)), "nothing is said to a drip");
     }
-    let door = rig.front(0).look().door;
+    let door = rig.front(0).status().door;
     assert!(door.turned.values().sum::<u64>() >= 5, "{door:?}");
     rig.end();
 }
@@ -187,13 +187,13 @@
     );
     let Err(Silence::Cut(why)) = newcomer.next(Instant::now() + SECOND * 2) else { panic!("it stays") };
     assert!(why.contains("1013") || why.contains("again"), "{why}");
-    assert_eq!(rig.front(0).look().playing, 3);
+    assert_eq!(rig.front(0).status().playing, 3);
     // Born again, the front is stormed by newcomers and finds places for its viewers all the same.
     rig.down(0);
     rig.day.log.write(salttally_judge::record::What::FrontUp { front: "f0".into() });
     let settings = rig.day.settings(0).to_owned();
     salttally_standin::day::Fronts::start(&mut rig.fronts, 0, &settings).expect("starts");
-    wait(SECOND * 3, || rig.front(0).look().playing == 3, || "the sessions are not found".into());
+    wait(SECOND * 3, || rig.front(0).status().playing == 3, || "the sessions are not found".into());
     let _storm: Vec<Option<Dumb>> = (0..12).map(|_| Dumb::connect(rig.address(0))).collect();
     for (at, (_, session)) in house.iter().enumerate() {
         let mut line = Line::connect(rig.address(0), SECOND).expect("let in");
--- a/crates/daemon/tests/hard_cases.rs
+++ b/crates/daemon/tests/hard_cases.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rig::{head, script, wait, Heard, Rig, Viewer};
-use salttally_front::Asked;
+use salttally_front::SessionRequest;
 use salttally_judge::record::{SetUpEnd, What};
 use salttally_standin::list::State;
 use serde_json::json;
@@ -226,7 +226,11 @@
             break;
         }
     }
-    wait(SECOND * 20, || cut || rig.front(0).look().clients == 0, || "the deaf player is still there".into());
+    wait(
+        SECOND * 20,
+        || cut || rig.front(0).status().clients == 0,
+        || "the deaf player is still there".into(),
+    );
     let mut other = Viewer::connect(&rig, 0, "other");
     assert!(other.open("title-0", "clip", 1000).is_plays());
     other.close();
@@ -251,7 +255,7 @@
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(rig.held(), 6, "they play on at the boxes");
     rig.up(0);
-    wait(SECOND * 3, || rig.front(0).look().counts.resumed == 6, || format!("{:?}", rig.front(0).look()));
+    wait(SECOND * 3, || rig.front(0).status().counts.resumed == 6, || format!("{:?}", rig.front(0).status()));
     let mut thief = Viewer::connect(&rig, 0, "thief");
     let status = |viewer: &mut Viewer<'_>, session: &str, name: &str| {
         let params = json!({"session": session, "viewer": name});
@@ -272,13 +276,13 @@
 #[test]
 fn a_caller_that_drops_its_session_leaves_nothing_unanswered_and_nothing_playing() {
     let rig = Rig::start(script(&head(2, 60), ""));
-    let asked = Asked {
+    let asked = SessionRequest {
         viewer: "caller".into(),
         title: "title-0".into(),
         class: "clip".into(),
         top_rung: 2,
         patience_ms: 2000,
-        ..Asked::default()
+        ..SessionRequest::default()
     };
     let front = rig.front(0);
     drop(front.open(&asked).expect("accepted"));
@@ -288,7 +292,7 @@
     let out = front.open(&asked).expect("accepted");
     std::thread::sleep(Duration::from_millis(20));
     drop(out);
-    wait(SECOND * 3, || front.look().sessions == 0, || format!("{:?}", front.look()));
+    wait(SECOND * 3, || front.status().sessions == 0, || format!("{:?}", front.status()));
     rig.wait_held(0);
     rig.end();
 }
@@ -336,7 +340,7 @@
     }
     // A crowd for the one title fills its box, until one of the others makes way.
     let mut crowd = Vec::new();
-    while rig.front(0).look().counts.moved == 0 {
+    while rig.front(0).status().counts.moved == 0 {
         assert!(crowd.len() < 80, "nobody ever moves");
         let mut viewer = Viewer::connect(&rig, 0, &format!("crowd-{}", crowd.len()));
         viewer.open("title-0", "clip", 1000);
@@ -365,10 +369,10 @@
     let rig = Rig::edited(script(&head(3, 5), ""), |settings| format!("{settings}\nprices probe=0.001\n"));
     // The fleet has been quiet for a while.
     std::thread::sleep(Duration::from_millis(2_200));
-    let before = rig.front(0).look().counts.probes;
+    let before = rig.front(0).status().counts.probes;
     let mut viewer = Viewer::connect(&rig, 0, "probed");
     assert!(viewer.open("title-0", "clip", 2000).is_plays());
-    assert!(rig.front(0).look().counts.probes > before, "{:?}", rig.front(0).look());
+    assert!(rig.front(0).status().counts.probes > before, "{:?}", rig.front(0).status());
     viewer.close();
     rig.end();
 }
--- a/crates/daemon/tests/suite.rs
+++ b/crates/daemon/tests/suite.rs
@@ -14,7 +14,7 @@
 use salttally_front::record::lines::{Done, Line as RecordLine, Told};
 use salttally_front::record::replay;
 use salttally_front::settings::Settings;
-use salttally_front::{Asked, Front, Session, ToCaller};
+use salttally_front::{CallerMessage, Front, Session, SessionRequest};
 use salttally_standin::day::Day;
 use salttally_standin::list::{Line as ListLine, State};
 use salttally_standin::players::Line;
@@ -65,13 +65,13 @@
 
 impl Door for Handle {
     fn ask(&mut self, viewer: &str, title: &str, class: &str) {
-        let asked = Asked {
+        let asked = SessionRequest {
             viewer: viewer.into(),
             title: title.into(),
             class: class.into(),
             top_rung: 2,
             patience_ms: 2000,
-            ..Asked::default()
+            ..SessionRequest::default()
         };
         let session = self.front.as_ref().expect("runs").open(&asked).expect("accepted");
         self.sessions.push((Some(session), String::new()));
@@ -100,10 +100,10 @@
     fn ended(&mut self, place: usize) -> Said {
         let session = self.sessions[place].0.as_ref().expect("there");
         match session.next(SECOND * 5) {
-            Some(ToCaller::News(salttally_front::core::News::Ended(_, reason))) => {
+            Some(CallerMessage::Notification(salttally_front::core::Notification::Ended(_, reason))) => {
                 format!("ended: {reason:?}").to_lowercase()
             }
-            Some(ToCaller::Reply(Reply::Unknown)) | Some(_) | None => "nothing".into(),
+            Some(CallerMessage::Reply(Reply::Unknown)) | Some(_) | None => "nothing".into(),
         }
     }
 
--- a/crates/explore/src/canon.rs
+++ b/crates/explore/src/canon.rs
@@ -13,7 +13,7 @@
 pub const PAST: u64 = 60_000_000;
 
 /// Names before a number that is only counted up.
-const COUNTED: [&str; 5] = ["ConnId(", "serial: ", "try_no: ", "Slow(", "last: "];
+const COUNTED: [&str; 5] = ["ConnId(", "serial: ", "try_no: ", "RequestTimeout(", "last: "];
 
 /// Frees a text of what cannot decide anything, at this time.
 pub fn canon(text: &str, now: u64) -> String {
--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -8,7 +8,7 @@
 
 use salttally::brain::Brain;
 use salttally::interface::*;
-use salttally_front::core::timers::Due;
+use salttally_front::core::timers::Deadline;
 use salttally_front::core::*;
 use serde::{Deserialize, Serialize};
 
@@ -399,18 +399,18 @@
 /// No time of the explored world reaches these: silence, idle connections and claims would only add waiting.
 const LIMITS: Limits = Limits {
     answer_slack: SLACK,
-    silent_after: 600_000 * MS,
-    lost_after: 700 * MS,
-    claim_within: 1_500 * MS,
-    silent_kept: 1_500 * MS,
-    adopted_kept: 1_500 * MS,
-    per_connection: 64,
-    per_viewer: 64,
-    moved_kept: 5_000 * MS,
-    ask_within: 600 * MS,
-    idle_kept: 500_000 * MS,
+    silence_timeout: 600_000 * MS,
+    lost_timeout: 700 * MS,
+    claim_timeout: 1_500 * MS,
+    lost_client_retention: 1_500 * MS,
+    takeover_retention: 1_500 * MS,
+    sessions_per_connection: 64,
+    sessions_per_viewer: 64,
+    moved_retention: 5_000 * MS,
+    request_timeout: 600 * MS,
+    idle_timeout: 500_000 * MS,
     clock_skew: 0,
-    connections: 8,
+    connections_per_box: 8,
 };
 
 impl World {
@@ -462,15 +462,15 @@
         }
     }
 
-    fn line(&self, server: u32, state: u8, started: Option<Micros>) -> Listed {
+    fn line(&self, server: u32, state: u8, started: Option<Micros>) -> ListEntry {
         let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(state.min(2))];
         let server_id = ServerId(server);
         let entry =
             ServerEntry { server: server_id, cell: server, state, units: 1.0, started, ..Default::default() };
-        Listed { entry, address: address(server) }
+        ListEntry { entry, address: address(server) }
     }
 
-    fn whole(&self) -> Vec<Listed> {
+    fn whole(&self) -> Vec<ListEntry> {
         let sims = (0..self.bounds.boxes).zip(&self.boxes).filter(|(_, sim)| sim.listed < 2);
         sims.map(|(id, sim)| self.line(id, sim.listed, sim.started)).collect()
     }
@@ -519,29 +519,29 @@
                 self.fronts[at as usize].dials.insert(conn, server);
             }
             Output::Exchange(conn, request) => {
-                if let BoxRequest::SetUp { session, attempt, rung, opening, .. } = &request {
+                if let BoxRequest::SetUp { session, attempt, rung, open_request: opening, .. } = &request {
                     self.set_up_written(at, conn, session, (opening.viewer.0 as u32, *attempt, *rung));
                 }
                 let front = &mut self.fronts[at as usize];
                 let server = front.stands.get(&conn).copied().unwrap_or_default();
                 front.exchanges.insert(conn, (server, request, Flight::Sent));
             }
-            Output::Hang(conn) => self.hung(at, conn),
-            Output::Listen(server, number, _) => {
+            Output::CloseConn(conn) => self.hung(at, conn),
+            Output::OpenStream(server, number, _) => {
                 self.fronts[at as usize].streams.insert(server, (number, false));
             }
-            Output::StopListening(server, number) => {
+            Output::CloseStream(server, number) => {
                 let streams = &mut self.fronts[at as usize].streams;
                 if streams.get(&server).is_some_and(|(of, _)| *of == number) {
                     streams.remove(&server);
                 }
             }
-            Output::Tell(client, news) => {
+            Output::Notify(client, news) => {
                 let Some(viewer) = self.viewers.get_mut(client.0 as usize) else { return };
                 match news {
-                    News::Move(session) => *viewer = Viewer::Turned { moved: Some((at, session)) },
-                    News::Ended(..) => *viewer = Viewer::Turned { moved: None },
-                    News::Rung(..) => {}
+                    Notification::Move(session) => *viewer = Viewer::Turned { moved: Some((at, session)) },
+                    Notification::Ended(..) => *viewer = Viewer::Turned { moved: None },
+                    Notification::RungChanged(..) => {}
                 }
             }
             // Back for what it watched: it has it again, or is told that it is over.
@@ -556,7 +556,10 @@
             }
             Output::FollowList | Output::Log(..) | Output::Finished => {}
             // Nothing is copied here.
-            Output::Keep(..) | Output::Forget(_) | Output::Lives(_) | Output::Found(_) => {}
+            Output::StoreRecord(..)
+            | Output::DeleteRecord(_)
+            | Output::IncarnationChanged(_)
+            | Output::OrphanFound(_) => {}
         }
     }
 
@@ -701,7 +704,7 @@
             Viewer::Watching { front, session: of } => *front == at && of == session,
             // Its seat is kept for as long as it may come back.
             Viewer::Silent { front, session: of } => {
-                *front == at && of == session && self.fronts[at as usize].ledger.knows(session)
+                *front == at && of == session && self.fronts[at as usize].ledger.contains(session)
             }
             _ => false,
         };
@@ -882,7 +885,7 @@
             Viewer::Watching { front, session } => Some((*front, session.clone())),
             Viewer::Asked { front, ticket, .. } => {
                 let ledger = &self.fronts[*front as usize].ledger;
-                ledger.session_of(ClientId(u64::from(viewer)), Ticket(*ticket)).map(|id| (*front, id))
+                ledger.session_of_call(ClientId(u64::from(viewer)), Ticket(*ticket)).map(|id| (*front, id))
             }
             _ => None,
         }
@@ -963,15 +966,17 @@
             // Time passes while something is in flight: late answers are a trouble like any other.
             return late;
         }
-        asked || self.fronts.iter().any(|f| f.up && f.ledger.held().0 > f.ledger.held().1)
+        asked || self.fronts.iter().any(|f| f.up && f.ledger.session_counts().0 > f.ledger.session_counts().1)
     }
 
     /// When something is due that matters: the module's regular look is taken on the way.
     fn next_due(&self) -> Option<Micros> {
         let due = |front: &Front| {
-            let mut entries = front.ledger.due_list();
+            let mut entries = front.ledger.deadlines();
             entries
-                .find(|(_, due)| !matches!(due, Due::Wake(0) | Due::Moved(_) | Due::Idle(_)))
+                .find(|(_, due)| {
+                    !matches!(due, Deadline::Wake(0) | Deadline::MovedExpiry(_) | Deadline::IdleTimeout(_))
+                })
                 .map(|(at, _)| *at)
         };
         self.fronts.iter().filter(|front| front.up).filter_map(due).min()
@@ -979,7 +984,7 @@
 
     fn wait_until(&mut self, until: Micros) {
         loop {
-            let looks = |front: &Front| front.ledger.next_due().filter(|at| *at <= until);
+            let looks = |front: &Front| front.ledger.next_deadline().filter(|at| *at <= until);
             let next = self.fronts.iter().enumerate().filter(|(_, front)| front.up);
             let next = next.filter_map(|(at, front)| looks(front).map(|due| (due, at as u32))).min();
             let Some((due, at)) = next else { break };
@@ -1006,7 +1011,7 @@
                 self.troubles += 1;
                 let state = std::mem::replace(&mut self.viewers[viewer as usize], Viewer::Done);
                 if let Viewer::Asked { front, .. } | Viewer::Watching { front, .. } = state {
-                    self.give(front, Input::ClientGone(ClientId(u64::from(viewer))));
+                    self.give(front, Input::ClientClosed(ClientId(u64::from(viewer))));
                 }
             }
             Move::Vanish { viewer } => {
@@ -1065,7 +1070,7 @@
                     let held = self.held(session, attempt, rung);
                     let stream = self.fronts[front as usize].streams.get(&id).copied();
                     if let Some((number, true)) = stream.filter(|_| self.fronts[front as usize].up) {
-                        self.give(front, Input::Stream(id, number, StreamNews::Began(held)));
+                        self.give(front, Input::Stream(id, number, StreamEvent::Began(held)));
                     }
                 }
             }
@@ -1080,9 +1085,9 @@
                 // This try is over; the front asks for another.
                 self.fronts[front as usize].streams.remove(&id);
                 let news = if up || !dead {
-                    StreamNews::Broken
+                    StreamEvent::Broken
                 } else {
-                    StreamNews::NoConnection(DialError::Refused)
+                    StreamEvent::NoConnection(DialError::Refused)
                 };
                 self.give(front, Input::Stream(id, number, news));
             }
@@ -1094,7 +1099,7 @@
                 let id = ServerId(server);
                 let stream = self.fronts[front as usize].streams.get(&id).copied();
                 if let Some((number, true)) = stream.filter(|_| self.fronts[front as usize].up) {
-                    self.give(front, Input::Stream(id, number, StreamNews::Ended(key.0, key.1)));
+                    self.give(front, Input::Stream(id, number, StreamEvent::Ended(key.0, key.1)));
                 }
             }
             Move::Die { server } => {
@@ -1194,7 +1199,7 @@
         self.troubles += u32::from(returned && moved_from.is_none());
         self.tickets += 1;
         let ticket = self.tickets;
-        let opening = Opening { returned, moved_from, ..self.opening(viewer) };
+        let opening = OpenRequest { returned, moved_from, ..self.opening(viewer) };
         let until = self.now + PATIENCE;
         self.viewers[viewer as usize] = Viewer::Asked { front, ticket, until };
         let now = self.now;
@@ -1291,27 +1296,27 @@
     }
 
     /// What a viewer asks for when it first comes.
-    fn opening(&self, viewer: u32) -> Opening {
-        Opening {
+    fn opening(&self, viewer: u32) -> OpenRequest {
+        OpenRequest {
             viewer: ViewerId(u64::from(viewer)),
-            firm: None,
+            tenant: None,
             title: TitleId(1),
             class: self.class_of(viewer),
             first_cell: 0,
             cell_count: self.bounds.boxes,
             top_rung: 2,
             patience: PATIENCE,
-            length: None,
+            length_hint: None,
             returned: false,
             moved_from: None,
         }
     }
 
     /// A session as its box tells of it.
-    fn held(&self, session: SessionId, attempt: u32, rung: usize) -> Held {
+    fn held(&self, session: SessionId, attempt: u32, rung: usize) -> HeldSession {
         let viewer = self.seen.get(&session).map_or(0, |seen| seen.viewer);
         let opening = self.opening(viewer);
-        Held { session, attempt, rung, opening: Some(opening) }
+        HeldSession { session, attempt, rung, open_request: Some(opening) }
     }
 
     fn arrive(&mut self, front: u32, conn: ConnId, draw: usize) {
@@ -1324,7 +1329,7 @@
             Said::Full => BoxAnswer::Full,
             Said::Error => BoxAnswer::Error,
         };
-        let end = ExchangeEnd::Answered { answer, report: Vec::new(), keep: true };
+        let end = ExchangeEnd::Answered { answer, report: Vec::new(), keep_alive: true };
         self.end_exchange(front, conn, end, said != Said::Full, draw);
     }
 
@@ -1364,7 +1369,7 @@
         self.fronts[front as usize].streams.insert(id, (number, true));
         let held = self.boxes[server as usize].held.iter().filter(|(_, (of, _))| *of == front);
         let held = held.map(|((session, attempt), (_, rung))| self.held(session.clone(), *attempt, *rung));
-        let news = StreamNews::Up(held.collect());
+        let news = StreamEvent::Up(held.collect());
         self.give(front, Input::Stream(id, number, news));
     }
 
@@ -1392,7 +1397,7 @@
         // The list as this front had it: what it has not heard is still to come.
         let told = old.told.clone();
         let pending = old.list.clone();
-        let lines: Vec<Listed> = (0..self.bounds.boxes)
+        let lines: Vec<ListEntry> = (0..self.bounds.boxes)
             .filter(|id| !told.contains_key(id))
             .map(|id| self.line(id, 0, None))
             .collect();
@@ -1431,8 +1436,8 @@
             let left = |front: &Front| {
                 let busy = front.ledger.connections();
                 front.up
-                    && (front.ledger.held().0 > 0
-                        || front.ledger.releasing() > 0
+                    && (front.ledger.session_counts().0 > 0
+                        || front.ledger.pending_releases() > 0
                         || busy[0] + busy[1] + busy[3] > 0)
             };
             if !owed && !world.fronts.iter().any(left) {
@@ -1448,7 +1453,8 @@
         }
         for (at, front) in world.fronts.iter().enumerate() {
             let [dialing, busy, _, waiting] = front.ledger.connections();
-            let left = (front.ledger.held(), front.ledger.releasing(), dialing + busy + waiting);
+            let left =
+                (front.ledger.session_counts(), front.ledger.pending_releases(), dialing + busy + waiting);
             if front.up && left != ((0, 0), 0, 0) {
                 return Err(format!("front {at} keeps sessions, releases and connections {left:?}"));
             }
--- a/crates/front/src/box_list/core/damping.rs
+++ b/crates/front/src/box_list/core/damping.rs
@@ -13,7 +13,7 @@
 
 use salttally::interface::{ListKind, Micros, ServerId, ServerState};
 
-use crate::core::Listed;
+use crate::core::ListEntry;
 
 /// What a box is charged each time that it leaves its place (RFC 2439 section 4.2, in thousandths).
 const CHARGE: u64 = 1_000;
@@ -33,9 +33,9 @@
     charge: u64,
     at: Micros,
     /// What the front was told last.
-    told: Listed,
+    told: ListEntry,
     /// What the list says, where that was not told.
-    kept: Option<Listed>,
+    kept: Option<ListEntry>,
     /// Only bad news pass.
     held: bool,
 }
@@ -75,7 +75,7 @@
     }
 }
 
-fn told_as(line: &Listed, state: ServerState) -> Listed {
+fn told_as(line: &ListEntry, state: ServerState) -> ListEntry {
     let mut line = line.clone();
     line.entry.state = state;
     line
@@ -88,7 +88,7 @@
     }
 
     /// Lines of the list have come: what is told of them now.
-    pub fn pass(&mut self, now: Micros, kind: ListKind, lines: Vec<Listed>) -> Vec<Listed> {
+    pub fn pass(&mut self, now: Micros, kind: ListKind, lines: Vec<ListEntry>) -> Vec<ListEntry> {
         let named: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
         if kind != ListKind::Changes {
             // A whole list: what it does not name is gone.
@@ -100,7 +100,7 @@
             }
         }
         let whole = kind != ListKind::Changes;
-        let told = |line: Listed| {
+        let told = |line: ListEntry| {
             let id = line.entry.server;
             // In a whole list what is not named is gone: a box that only drains for the front is named as that.
             let drains = |boxes: &BTreeMap<ServerId, Account>| {
@@ -113,7 +113,7 @@
     }
 
     /// One line: what is told of it, if anything; in a whole list also what is known.
-    fn line(&mut self, now: Micros, line: Listed, whole: bool) -> Option<Listed> {
+    fn line(&mut self, now: Micros, line: ListEntry, whole: bool) -> Option<ListEntry> {
         let id = line.entry.server;
         let Some(account) = self.boxes.get_mut(&id) else {
             let account = Account { charge: 0, at: now, told: line.clone(), kept: None, held: false };
@@ -150,7 +150,7 @@
     }
 
     /// Boxes that have settled: what the list says of them is told now.
-    pub fn settled(&mut self, now: Micros) -> Vec<Listed> {
+    pub fn settled(&mut self, now: Micros) -> Vec<ListEntry> {
         let mut told = Vec::new();
         for id in self.keeping.clone() {
             let Some(account) = self.boxes.get_mut(&id) else { continue };
@@ -190,13 +190,13 @@
     const READY: ServerState = ServerState::Ready;
     const GONE: ServerState = ServerState::Gone;
 
-    fn line(id: u32, state: ServerState, started: Option<Micros>) -> Listed {
+    fn line(id: u32, state: ServerState, started: Option<Micros>) -> ListEntry {
         let entry =
             ServerEntry { server: ServerId(id), state, units: 1.0, started, ..ServerEntry::default() };
-        Listed { entry, address: SocketAddr::from(([127, 0, 0, 1], id as u16 + 1)) }
+        ListEntry { entry, address: SocketAddr::from(([127, 0, 0, 1], id as u16 + 1)) }
     }
 
-    fn states(lines: &[Listed]) -> Vec<ServerState> {
+    fn states(lines: &[ListEntry]) -> Vec<ServerState> {
         lines.iter().map(|line| line.entry.state).collect()
     }
 
@@ -261,9 +261,9 @@
         ) {
             let mut damping = Damping::new();
             let mut now = 0;
-            let mut is: BTreeMap<u32, Listed> = BTreeMap::new();
-            let mut told: BTreeMap<u32, Listed> = BTreeMap::new();
-            let take = |told: &mut BTreeMap<u32, Listed>, lines: Vec<Listed>| {
+            let mut is: BTreeMap<u32, ListEntry> = BTreeMap::new();
+            let mut told: BTreeMap<u32, ListEntry> = BTreeMap::new();
+            let take = |told: &mut BTreeMap<u32, ListEntry>, lines: Vec<ListEntry>| {
                 lines.into_iter().for_each(|line| { told.insert(line.entry.server.0, line); });
             };
             for (id, state, started, pause) in steps {
--- a/crates/front/src/box_list/core/mod.rs
+++ b/crates/front/src/box_list/core/mod.rs
@@ -17,7 +17,7 @@
 use salttally::interface::{ListKind, Micros, ServerId, ServerState};
 use thiserror::Error;
 
-use crate::core::Listed;
+use crate::core::ListEntry;
 
 /// Why a message of the list is not applied.
 #[derive(Debug, Error, PartialEq)]
@@ -48,7 +48,7 @@
 /// The list as it is held.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    boxes: BTreeMap<ServerId, Listed>,
+    boxes: BTreeMap<ServerId, ListEntry>,
     /// The boxes by their addresses.
     addresses: BTreeMap<SocketAddr, ServerId>,
     /// Revision of the last message, once a whole list has come on this connection.
@@ -60,7 +60,7 @@
 }
 
 /// What the module is told.
-pub type Told = (ListKind, Vec<Listed>);
+pub type Told = (ListKind, Vec<ListEntry>);
 
 impl Listing {
     /// The list of a front that started at this time, on clocks that differ by no more than `skew`.
@@ -70,7 +70,7 @@
 
     /// A list that is remembered from before a restart: boxes, but no place in the row of messages. Returns what
     /// the module is told.
-    pub fn remember(&mut self, lines: Vec<Listed>) -> Vec<Listed> {
+    pub fn remember(&mut self, lines: Vec<ListEntry>) -> Vec<ListEntry> {
         self.boxes = lines.into_iter().map(|line| (line.entry.server, line)).collect();
         self.addresses = self.boxes.iter().map(|(id, line)| (line.address, *id)).collect();
         self.revision = None;
@@ -78,8 +78,8 @@
     }
 
     /// The boxes without what an old list cannot tell of them: since when they run.
-    fn old(&self) -> Vec<Listed> {
-        let old = |line: &Listed| {
+    fn old(&self) -> Vec<ListEntry> {
+        let old = |line: &ListEntry| {
             let mut line = line.clone();
             line.entry.started = None;
             line
@@ -103,7 +103,7 @@
         kind: ListKind,
         revision: u64,
         as_of: Micros,
-        lines: Vec<Listed>,
+        lines: Vec<ListEntry>,
     ) -> Result<Option<Told>, BadList> {
         let mut places = BTreeMap::new();
         for (at, line) in lines.iter().enumerate() {
@@ -128,7 +128,7 @@
             self.addresses.clear();
         }
         // First those that go, so that a successor in the same message may have the address of one of them.
-        let known: Vec<Option<Listed>> = lines.iter().map(|line| self.take(line.entry.server)).collect();
+        let known: Vec<Option<ListEntry>> = lines.iter().map(|line| self.take(line.entry.server)).collect();
         let mut told = Vec::new();
         for (line, known) in lines.into_iter().zip(known) {
             // A box that nobody knew of is gone already: there is nothing to tell.
@@ -154,7 +154,7 @@
         Ok((whole || !told.is_empty()).then_some((kind, told)))
     }
 
-    fn take(&mut self, id: ServerId) -> Option<Listed> {
+    fn take(&mut self, id: ServerId) -> Option<ListEntry> {
         let known = self.boxes.remove(&id)?;
         self.addresses.remove(&known.address);
         Some(known)
@@ -162,7 +162,7 @@
 
     /// A successor may have the address of a box that goes, but not of one that runs. Only what the message touches
     /// is looked at: a list that changes without end must not cost its length each time.
-    fn one_address_each(&self, whole: bool, lines: &[Listed]) -> Result<(), BadList> {
+    fn one_address_each(&self, whole: bool, lines: &[ListEntry]) -> Result<(), BadList> {
         let touched: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
         let mut addresses: BTreeMap<SocketAddr, ServerId> = BTreeMap::new();
         for line in lines.iter().filter(|line| line.entry.state != ServerState::Gone) {
@@ -186,7 +186,7 @@
     }
 
     /// Boxes that are not gone, in the order of their numbers.
-    pub fn boxes(&self) -> impl Iterator<Item = &Listed> {
+    pub fn boxes(&self) -> impl Iterator<Item = &ListEntry> {
         self.boxes.values()
     }
 }
@@ -196,9 +196,9 @@
     use super::*;
     use salttally::interface::ServerEntry;
 
-    fn line(id: u32, port: u16, state: ServerState) -> Listed {
+    fn line(id: u32, port: u16, state: ServerState) -> ListEntry {
         let entry = ServerEntry { server: ServerId(id), state, units: 1.0, ..ServerEntry::default() };
-        Listed { entry, address: SocketAddr::from(([127, 0, 0, 1], port)) }
+        ListEntry { entry, address: SocketAddr::from(([127, 0, 0, 1], port)) }
     }
 
     const READY: ServerState = ServerState::Ready;
@@ -211,7 +211,7 @@
         list
     }
 
-    fn change(list: &mut Listing, revision: u64, lines: Vec<Listed>) -> Result<Vec<Listed>, BadList> {
+    fn change(list: &mut Listing, revision: u64, lines: Vec<ListEntry>) -> Result<Vec<ListEntry>, BadList> {
         list.apply(ListKind::Changes, revision, START, lines)
             .map(|told| told.map_or(vec![], |(_, lines)| lines))
     }
--- a/crates/front/src/box_list/lines.rs
+++ b/crates/front/src/box_list/lines.rs
@@ -5,7 +5,7 @@
 use salttally::interface::{Micros, ServerEntry, ServerId, ServerState};
 use serde::{Deserialize, Serialize};
 
-use crate::core::Listed;
+use crate::core::ListEntry;
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
@@ -53,13 +53,13 @@
     /// Time of which it speaks, us since the Unix epoch.
     pub as_of: Micros,
     /// Its lines; none in a sign of life.
-    pub lines: Vec<Listed>,
+    pub lines: Vec<ListEntry>,
 }
 
 /// Reads a message of the list.
 pub fn read(text: &str) -> serde_json::Result<Message> {
     let list: List = serde_json::from_str(text)?;
-    let listed = |line: Line| Listed {
+    let listed = |line: Line| ListEntry {
         entry: ServerEntry {
             server: ServerId(line.id),
             zone: line.zone,
@@ -81,8 +81,8 @@
 }
 
 /// Writes a list.
-pub fn write<'a>(lines: impl Iterator<Item = &'a Listed>) -> String {
-    let line = |line: &Listed| Line {
+pub fn write<'a>(lines: impl Iterator<Item = &'a ListEntry>) -> String {
+    let line = |line: &ListEntry| Line {
         id: line.entry.server.0,
         address: line.address,
         zone: line.entry.zone,
--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -16,16 +16,16 @@
 use self::core::damping::Damping;
 use self::core::{Listing, Told};
 use crate::clock::Clock;
-use crate::core::{Input, Listed};
-use crate::inside::follow::follow;
-use crate::inside::messages::Msg;
-use crate::inside::socket::{spawn, Socket};
+use crate::common::event_stream::follow;
+use crate::common::messages::EngineMessage;
+use crate::common::socket::{spawn, Socket};
+use crate::core::{Input, ListEntry};
 use crate::settings::Settings;
 
 /// Follows the list while it is told to.
 pub struct Follower {
     settings: Arc<Settings>,
-    engine: Sender<Msg>,
+    engine: Sender<EngineMessage>,
     following: Arc<AtomicBool>,
     socket: Arc<Mutex<Arc<Socket>>>,
     known: Arc<Mutex<Known>>,
@@ -46,7 +46,12 @@
 
 impl Follower {
     /// Follows nothing yet.
-    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock, started: Micros) -> Follower {
+    pub fn new(
+        settings: Arc<Settings>,
+        engine: Sender<EngineMessage>,
+        clock: Clock,
+        started: Micros,
+    ) -> Follower {
         let list = Listing::new(started, settings.limits.clock_skew);
         let known = Known { list, damping: Damping::new(), unsaved: false, saved: 0 };
         Follower {
@@ -60,7 +65,7 @@
     }
 
     /// The list as it was remembered over a restart, empty where there is none; it may be old.
-    pub fn remembered(&self) -> Vec<Listed> {
+    pub fn remembered(&self) -> Vec<ListEntry> {
         let Some(path) = &self.settings.remember else { return Vec::new() };
         let Ok(text) = fs::read_to_string(path) else { return Vec::new() };
         match lines::read(&text) {
@@ -97,15 +102,15 @@
     }
 }
 
-fn lost(following: &AtomicBool, engine: &Sender<Msg>) {
+fn lost(following: &AtomicBool, engine: &Sender<EngineMessage>) {
     // First free to be followed again: the loss has the module ask for that.
     following.store(false, Ordering::Release);
-    let _ = engine.send(Msg::Core(Input::List(ListKind::Lost, Vec::new())));
+    let _ = engine.send(EngineMessage::Input(Input::List(ListKind::Lost, Vec::new())));
 }
 
 struct Run {
     settings: Arc<Settings>,
-    engine: Sender<Msg>,
+    engine: Sender<EngineMessage>,
     following: Arc<AtomicBool>,
     socket: Arc<Socket>,
     known: Arc<Mutex<Known>>,
@@ -120,7 +125,7 @@
     fn run(self) {
         if let Ok(mut stream) = self.socket.connect(self.settings.box_list, &self.settings) {
             // Signs of life come on this stream too: without any, the list is not followed.
-            let patience = std::time::Duration::from_micros(self.settings.limits.silent_after.max(1));
+            let patience = std::time::Duration::from_micros(self.settings.limits.silence_timeout.max(1));
             let _ = stream.set_read_timeout(Some(patience));
             let ended = follow(&mut stream, "/boxes", &self.settings, |event, _| {
                 let told = match event {
@@ -193,7 +198,7 @@
         if let Some((kind, lines)) =
             told.filter(|(kind, lines)| *kind != ListKind::Changes || !lines.is_empty())
         {
-            let _ = self.engine.send(Msg::Core(Input::List(kind, lines)));
+            let _ = self.engine.send(EngineMessage::Input(Input::List(kind, lines)));
         }
     }
 }
--- a/crates/front/src/boxes/core.rs
+++ b/crates/front/src/boxes/core.rs
@@ -8,7 +8,7 @@
 
 use salttally::interface::Micros;
 
-use crate::core::StreamNews;
+use crate::core::StreamEvent;
 
 /// What one box may cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,14 +54,14 @@
 const SCALE: u64 = 1_000_000;
 
 /// What news cost the front's thread, in signs of life.
-pub fn weight(news: &StreamNews) -> u64 {
+pub fn weight(news: &StreamEvent) -> u64 {
     match news {
         // Each session named is looked for, and one that nobody knows is released.
-        StreamNews::Up(held) => 4 + 4 * held.len() as u64,
-        StreamNews::Began(_) | StreamNews::Ended(..) => 4,
-        StreamNews::Note(..) => 2,
-        StreamNews::Beat => 1,
-        StreamNews::NoConnection(_) | StreamNews::Broken | StreamNews::CutOff(_) => 0,
+        StreamEvent::Up(held) => 4 + 4 * held.len() as u64,
+        StreamEvent::Began(_) | StreamEvent::Ended(..) => 4,
+        StreamEvent::Note(..) => 2,
+        StreamEvent::Heartbeat => 1,
+        StreamEvent::NoConnection(_) | StreamEvent::Broken | StreamEvent::CutOff(_) => 0,
     }
 }
 
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// They are more than the box may send: they are not to be handed on.
-    pub fn take(&mut self, now: Micros, news: &[StreamNews]) -> Result<(), Over> {
+    pub fn take(&mut self, now: Micros, news: &[StreamEvent]) -> Result<(), Over> {
         let since = now.saturating_sub(self.at);
         self.at = self.at.max(now);
         let earned = since.saturating_mul(self.limits.per_s);
@@ -114,7 +114,7 @@
         let mut meter = Meter::new(LIMITS, 0);
         // 500 notes of their link and 400 of what was delivered a second, for a minute.
         let busy = (0..60_000u64).all(|ms| {
-            let note = (ms % 10 < 9).then_some(StreamNews::Note(
+            let note = (ms % 10 < 9).then_some(StreamEvent::Note(
                 salttally::interface::SessionId("s".into()),
                 salttally::interface::Note::Link(0.5),
             ));
@@ -122,7 +122,8 @@
         });
         assert!(busy);
         let mut meter = Meter::new(LIMITS, 0);
-        let beats = (0..100_000u64).take_while(|us| meter.take(*us, &[StreamNews::Beat]).is_ok()).count();
+        let beats =
+            (0..100_000u64).take_while(|us| meter.take(*us, &[StreamEvent::Heartbeat]).is_ok()).count();
         assert!((8_000..8_300).contains(&beats), "{beats} of 100,000 in a tenth of a second");
     }
 
@@ -143,7 +144,7 @@
             let (mut now, mut taken) = (0, 0);
             for (pause, beats) in steps {
                 now += pause;
-                if meter.take(now, &vec![StreamNews::Beat; beats]).is_ok() {
+                if meter.take(now, &vec![StreamEvent::Heartbeat; beats]).is_ok() {
                     taken += beats as u64;
                 }
                 prop_assert!(taken <= 8_000 + now * 2_000 / 1_000_000 + 1);
--- a/crates/front/src/boxes/link.rs
+++ b/crates/front/src/boxes/link.rs
@@ -11,21 +11,21 @@
 use super::core::Meter;
 use super::{http, wire};
 use crate::clock::Clock;
-use crate::core::{BoxRequest, ConnId, DialError, ExchangeEnd, Input, StreamNews, Writ};
-use crate::inside::follow::follow;
-use crate::inside::messages::Msg;
-use crate::inside::socket::Socket;
+use crate::common::event_stream::follow;
+use crate::common::messages::EngineMessage;
+use crate::common::socket::Socket;
+use crate::core::{BoxRequest, ConnId, DialError, ExchangeEnd, Input, StreamEvent, WriteAuthority};
 use crate::settings::Settings;
 
 /// Tells that a connection had no thread: nothing was sent, and the box is not to blame.
-pub fn no_thread(engine: &Sender<Msg>, id: ConnId) {
-    let _ = engine.send(Msg::Core(Input::Dialed(id, Err(DialError::TimedOut))));
+pub fn no_thread(engine: &Sender<EngineMessage>, id: ConnId) {
+    let _ = engine.send(EngineMessage::Input(Input::Dialed(id, Err(DialError::TimedOut))));
 }
 
 /// Tells that a stream had no thread; the box is not to blame, so this is no refusal.
-pub fn no_stream(engine: &Sender<Msg>, server: ServerId, number: u64) {
-    let news = StreamNews::NoConnection(DialError::TimedOut);
-    let _ = engine.send(Msg::Core(Input::Stream(server, number, news)));
+pub fn no_stream(engine: &Sender<EngineMessage>, server: ServerId, number: u64) {
+    let news = StreamEvent::NoConnection(DialError::TimedOut);
+    let _ = engine.send(EngineMessage::Input(Input::Stream(server, number, news)));
 }
 
 /// A connection that carries requests.
@@ -34,35 +34,35 @@
     pub server: ServerId,
     pub address: SocketAddr,
     pub settings: Arc<Settings>,
-    pub engine: Sender<Msg>,
+    pub engine: Sender<EngineMessage>,
     pub socket: Arc<Socket>,
 }
 
 impl Exchanger {
     /// Connects, then carries requests until it is hung up.
-    pub fn run(self, requests: &Receiver<(BoxRequest, Writ)>) {
+    pub fn run(self, requests: &Receiver<(BoxRequest, WriteAuthority)>) {
         let stream = self.socket.connect(self.address, &self.settings);
         let result = stream.as_ref().map(|_| ()).map_err(|error| *error);
-        if self.engine.send(Msg::Core(Input::Dialed(self.id, result))).is_err() {
+        if self.engine.send(EngineMessage::Input(Input::Dialed(self.id, result))).is_err() {
             return;
         }
         let Ok(mut stream) = stream else { return };
         while let Ok((request, writ)) = requests.recv() {
             let end = self.exchange(&mut stream, &request, writ);
             tracing::trace!(server = self.server.0, conn = self.id.0, ?end, "exchange");
-            if self.engine.send(Msg::Core(Input::Exchanged(self.id, end))).is_err() {
+            if self.engine.send(EngineMessage::Input(Input::Exchanged(self.id, end))).is_err() {
                 return;
             }
         }
     }
 
-    fn exchange(&self, stream: &mut TcpStream, request: &BoxRequest, writ: Writ) -> ExchangeEnd {
+    fn exchange(&self, stream: &mut TcpStream, request: &BoxRequest, writ: WriteAuthority) -> ExchangeEnd {
         if !still_open(stream) {
             return ExchangeEnd::Stale;
         }
         let bytes = wire::request(request, writ.epoch, &self.settings);
         // Danger: the process was stopped since this was decided, and its lease has run out.
-        if writ.until.is_some_and(|until| salttally_accord::edge::now() >= until) {
+        if writ.valid_until.is_some_and(|until| salttally_accord::edge::now() >= until) {
             return ExchangeEnd::Unwritten;
         }
         // All of it or an incomplete request, which the box must not run (RFC 9112 section 8).
@@ -78,7 +78,7 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(_) => return ExchangeEnd::Broken,
             }
-            match http::response(&bytes) {
+            match http::parse_response(&bytes) {
                 Ok(None) => {}
                 Ok(Some(response)) => return wire::answer(request, &response, &self.settings),
                 Err(error) => return ExchangeEnd::Malformed(error.to_string()),
@@ -105,7 +105,7 @@
     pub number: u64,
     pub address: SocketAddr,
     pub settings: Arc<Settings>,
-    pub engine: Sender<Msg>,
+    pub engine: Sender<EngineMessage>,
     pub socket: Arc<Socket>,
     pub clock: Clock,
 }
@@ -114,13 +114,13 @@
     /// Connects and tells what comes until it ends.
     pub fn run(self) {
         let last = match self.socket.connect(self.address, &self.settings) {
-            Err(error) => StreamNews::NoConnection(error),
+            Err(error) => StreamEvent::NoConnection(error),
             Ok(mut stream) => {
                 let mut meter = Meter::new(self.settings.edges.meter, self.clock.now());
                 let mut over = None;
                 let ended = follow(&mut stream, "/events", &self.settings, |event, begun| {
                     let all = match event {
-                        None => vec![StreamNews::Beat],
+                        None => vec![StreamEvent::Heartbeat],
                         Some(event) => wire::news(event, &self.settings)?,
                     };
                     let now = self.clock.now();
@@ -133,12 +133,12 @@
                 });
                 match (over, ended) {
                     // The ledger tells that once, however often it happens.
-                    (Some(why), _) => StreamNews::CutOff(why.to_string()),
+                    (Some(why), _) => StreamEvent::CutOff(why.to_string()),
                     (None, reason) => {
                         if let Some(reason) = reason {
                             tracing::warn!(server = self.server.0, "event stream: {reason}");
                         }
-                        StreamNews::Broken
+                        StreamEvent::Broken
                     }
                 }
             }
@@ -148,7 +148,7 @@
         self.tell(last);
     }
 
-    fn tell(&self, news: StreamNews) {
-        let _ = self.engine.send(Msg::Core(Input::Stream(self.server, self.number, news)));
+    fn tell(&self, news: StreamEvent) {
+        let _ = self.engine.send(EngineMessage::Input(Input::Stream(self.server, self.number, news)));
     }
 }
--- a/crates/front/src/boxes/mod.rs
+++ b/crates/front/src/boxes/mod.rs
@@ -8,7 +8,7 @@
 mod link;
 pub mod wire;
 
-pub use crate::inside::{events, http};
+pub use crate::common::{events, http};
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,15 +18,15 @@
 use salttally::interface::ServerId;
 
 use crate::clock::Clock;
-use crate::core::{BoxRequest, ConnId, Writ};
-use crate::inside::messages::Msg;
-use crate::inside::socket::{spawn, Socket};
+use crate::common::messages::EngineMessage;
+use crate::common::socket::{spawn, Socket};
+use crate::core::{BoxRequest, ConnId, WriteAuthority};
 use crate::settings::Settings;
 
 /// Connections and streams to boxes.
 pub struct Boxes {
     settings: Arc<Settings>,
-    engine: Sender<Msg>,
+    engine: Sender<EngineMessage>,
     conns: BTreeMap<ConnId, Conn>,
     streams: BTreeMap<u64, Arc<Socket>>,
     clock: Clock,
@@ -34,12 +34,12 @@
 
 struct Conn {
     socket: Arc<Socket>,
-    requests: Sender<(BoxRequest, Writ)>,
+    requests: Sender<(BoxRequest, WriteAuthority)>,
 }
 
 impl Boxes {
     /// No connection yet.
-    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock) -> Boxes {
+    pub fn new(settings: Arc<Settings>, engine: Sender<EngineMessage>, clock: Clock) -> Boxes {
         Boxes { settings, engine, conns: BTreeMap::new(), streams: BTreeMap::new(), clock }
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// Sends a request on a connection that stands, by this right.
-    pub fn exchange(&mut self, id: ConnId, request: &BoxRequest, writ: Writ) {
+    pub fn exchange(&mut self, id: ConnId, request: &BoxRequest, writ: WriteAuthority) {
         if let Some(conn) = self.conns.get(&id) {
             // A thread that has ended has told so.
             let _ = conn.requests.send((request.clone(), writ));
--- a/crates/front/src/boxes/wire.rs
+++ b/crates/front/src/boxes/wire.rs
@@ -8,7 +8,7 @@
 
 use super::events::Event;
 use super::http::Response;
-use crate::core::{BoxAnswer, BoxRequest, ExchangeEnd, Held, Opening, StreamNews};
+use crate::core::{BoxAnswer, BoxRequest, ExchangeEnd, HeldSession, OpenRequest, StreamEvent};
 use crate::settings::Settings;
 
 /// What a box keeps of a session for the front that set it up, and gives back after the front's restart.
@@ -29,21 +29,21 @@
         write(method, path, epoch, settings, body)
     };
     match request {
-        BoxRequest::SetUp { session, attempt, rung, opening, time_out } => {
-            let class = settings.classes.get(opening.class).map_or("", String::as_str);
-            let title = settings.title(opening.title);
+        BoxRequest::SetUp { session, attempt, rung, open_request, time_out } => {
+            let class = settings.classes.get(open_request.class).map_or("", String::as_str);
+            let title = settings.title(open_request.title);
             let context = Context {
                 // The hash does as the viewer's name: the box hands it back and nothing else.
-                viewer: format!("{:016x}", opening.viewer.0),
+                viewer: format!("{:016x}", open_request.viewer.0),
                 title: title.to_owned(),
                 class: class.to_owned(),
-                top_rung: opening.top_rung,
-                patience_ms: opening.patience / 1000,
-                length_hint_s: opening.length.map(|length| length as f64 / 1e6),
+                top_rung: open_request.top_rung,
+                patience_ms: open_request.patience / 1000,
+                length_hint_s: open_request.length_hint.map(|length| length as f64 / 1e6),
             };
             let body = json!({
                 "session": &*session.0, "attempt": attempt, "title": title, "class": class, "rung": rung,
-                "rate_kb": settings.rate(opening.class, *rung), "time_out_ms": time_out / 1000,
+                "rate_kb": settings.rate(open_request.class, *rung), "time_out_ms": time_out / 1000,
                 "context": context
             });
             write("POST", "/sessions", settings, Some(&body))
@@ -56,7 +56,7 @@
         BoxRequest::Release { session, attempt } => {
             write("DELETE", &format!("/sessions/{}/{attempt}", session.0), settings, None)
         }
-        BoxRequest::Claim { life, epoch } => {
+        BoxRequest::Claim { incarnation: life, epoch } => {
             write("PUT", &format!("/lives/{life}"), settings, Some(&json!({"epoch": epoch})))
         }
         BoxRequest::Probe => write("GET", "/load", settings, None),
@@ -106,7 +106,7 @@
             Err(error) => return malformed(format!("sessions of a life that cannot be read: {error}")),
         };
         let held = held.into_iter().map(|held| self::held(held, settings)).collect();
-        return ExchangeEnd::Claimed { held, keep: response.keep };
+        return ExchangeEnd::Claimed { held, keep_alive: response.keep_alive };
     }
     let answer = match (request, response.status) {
         (BoxRequest::SetUp { session, attempt, .. }, 201) => {
@@ -119,12 +119,12 @@
         (BoxRequest::SetUp { .. }, 503) => BoxAnswer::Full,
         (BoxRequest::SetUp { .. }, _) => BoxAnswer::Error,
         (BoxRequest::Claim { .. }, status) if status != 409 => BoxAnswer::Error,
-        (_, 409) => BoxAnswer::Replaced,
+        (_, 409) => BoxAnswer::Superseded,
         (_, 200) => BoxAnswer::Done,
         (_, 404) => BoxAnswer::Unknown,
         _ => BoxAnswer::Error,
     };
-    ExchangeEnd::Answered { answer, report, keep: response.keep }
+    ExchangeEnd::Answered { answer, report, keep_alive: response.keep_alive }
 }
 
 /// A load report, in the order of the settings; a figure that is missing leaves the whole out.
@@ -158,7 +158,7 @@
 }
 
 /// What an event of a box says; nothing for one of a kind that is not known, which a newer box may send.
-pub fn news(event: &Event, settings: &Settings) -> Result<Vec<StreamNews>, String> {
+pub fn news(event: &Event, settings: &Settings) -> Result<Vec<StreamEvent>, String> {
     let bad = |error: serde_json::Error| format!("event `{}`: {error}", event.name);
     let data: Value = serde_json::from_str(&event.data).map_err(bad)?;
     let session = || {
@@ -171,48 +171,53 @@
         "held" => {
             let sessions = data.get("sessions").cloned().unwrap_or(Value::Null);
             let sessions: Vec<HeldBody> = serde_json::from_value(sessions).map_err(bad)?;
-            vec![StreamNews::Up(sessions.into_iter().map(|held| self::held(held, settings)).collect())]
+            vec![StreamEvent::Up(sessions.into_iter().map(|held| self::held(held, settings)).collect())]
         }
         "began" => {
             let body: HeldBody = serde_json::from_value(data).map_err(bad)?;
-            vec![StreamNews::Began(held(body, settings))]
+            vec![StreamEvent::Began(held(body, settings))]
         }
         "delivered" => {
             let share = figure("share").ok_or_else(|| missing("share"))?;
-            vec![StreamNews::Note(session()?, Note::Delivered(share))]
+            vec![StreamEvent::Note(session()?, Note::Delivered(share))]
         }
         "link" => {
             let link = figure("link").ok_or_else(|| missing("link"))?;
-            let mut notes = vec![StreamNews::Note(session()?, Note::Link(link))];
+            let mut notes = vec![StreamEvent::Note(session()?, Note::Link(link))];
             if let Some(uplink) = figure("uplink") {
-                notes.push(StreamNews::Note(session()?, Note::Uplink(uplink)));
+                notes.push(StreamEvent::Note(session()?, Note::Uplink(uplink)));
             }
             notes
         }
         "ended" => {
             let attempt = data.get("attempt").and_then(Value::as_u64).ok_or_else(|| missing("attempt"))?;
-            vec![StreamNews::Ended(session()?, u32::try_from(attempt).unwrap_or(u32::MAX))]
+            vec![StreamEvent::Ended(session()?, u32::try_from(attempt).unwrap_or(u32::MAX))]
         }
-        _ => vec![StreamNews::Beat],
+        _ => vec![StreamEvent::Heartbeat],
     })
 }
 
-fn held(body: HeldBody, settings: &Settings) -> Held {
-    let opening = serde_json::from_value::<Context>(body.context).ok().and_then(|context| {
+fn held(body: HeldBody, settings: &Settings) -> HeldSession {
+    let open_request = serde_json::from_value::<Context>(body.context).ok().and_then(|context| {
         let title = settings.titles.get(&context.title)?;
-        Some(Opening {
+        Some(OpenRequest {
             viewer: ViewerId(u64::from_str_radix(&context.viewer, 16).ok()?),
-            firm: None,
+            tenant: None,
             title: title.id,
             class: settings.class(&context.class)?,
             first_cell: title.first_cell,
             cell_count: title.cells,
             top_rung: context.top_rung,
             patience: context.patience_ms * 1000,
-            length: context.length_hint_s.map(|hint| (hint.clamp(0.0, 1e6) * 1e6) as u64),
+            length_hint: context.length_hint_s.map(|hint| (hint.clamp(0.0, 1e6) * 1e6) as u64),
             returned: false,
             moved_from: None,
         })
     });
-    Held { session: SessionId(Arc::from(body.session)), attempt: body.attempt, rung: body.rung, opening }
+    HeldSession {
+        session: SessionId(Arc::from(body.session)),
+        attempt: body.attempt,
+        rung: body.rung,
+        open_request,
+    }
 }
--- a/crates/front/src/clock.rs
+++ b/crates/front/src/clock.rs
@@ -28,7 +28,7 @@
     }
 
     /// This moment, to measure from.
-    pub fn moment_now(&self) -> Instant {
+    pub fn instant_now(&self) -> Instant {
         Instant::now()
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// The moment of this time, for a wait; one that is past is now.
-    pub fn moment(&self, at: Micros) -> Instant {
+    pub fn instant_at(&self, at: Micros) -> Instant {
         self.started + Duration::from_micros(at.saturating_sub(self.base))
     }
 }
--- a/crates/front/src/inside/follow.rs
+++ b/crates/front/src/common/event_stream.rs
@@ -36,7 +36,7 @@
             Err(_) => return None,
         }
         if decoder.is_none() {
-            match http::head(&bytes) {
+            match http::parse_head(&bytes) {
                 Ok(None) => continue,
                 Err(error) => return Some(error.to_string()),
                 Ok(Some(head)) if head.status != 200 || head.kind.as_deref() != Some("text/event-stream") => {
--- a/crates/front/src/inside/events.rs
+++ b/crates/front/src/common/events.rs
@@ -3,12 +3,12 @@
 use thiserror::Error;
 
 /// Longest event, bytes: the list of what a box holds is the longest.
-pub const EVENT_MOST: usize = 4 * 1024 * 1024;
+pub const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
 /// An event longer than any may be.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("an event of over {EVENT_MOST} bytes")]
-pub struct TooLong;
+#[error("an event of over {MAX_EVENT_BYTES} bytes")]
+pub struct EventTooLong;
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 
 impl Decoder {
     /// Takes in bytes. Comments are no events, but show that the peer lives.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, TooLong> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         let mut events = Vec::new();
         for byte in bytes {
             let after_return = std::mem::replace(&mut self.after_return, *byte == b'\r');
@@ -41,8 +41,8 @@
                 b'\n' | b'\r' => events.extend(self.line_done()),
                 _ => {
                     self.size += 1;
-                    if self.size > EVENT_MOST {
-                        return Err(TooLong);
+                    if self.size > MAX_EVENT_BYTES {
+                        return Err(EventTooLong);
                     }
                     self.line.push(*byte);
                 }
--- a/crates/front/src/inside/messages.rs
+++ b/crates/front/src/common/messages.rs
@@ -5,7 +5,7 @@
 use crossbeam_channel::Sender;
 use serde_json::Value;
 
-use crate::core::{Answer, ClientId, Counts, Input, News, Reply, Ticket};
+use crate::core::{Answer, ClientId, Counts, Input, Notification, Reply, Ticket};
 use crate::session_api::core::calls::Calls;
 use crate::session_api::core::door::DoorCounts;
 use crate::session_api::core::share::{Charge, Share};
@@ -13,25 +13,25 @@
 use crate::session_api::rpc::Message;
 
 /// What the engine is told.
-pub enum Msg {
+pub enum EngineMessage {
     /// A client begins.
-    Attach(ClientId, Port),
+    Attach(ClientId, ClientSink),
     /// A message of a player that has its turn.
-    Calls(Taken),
+    Calls(ReceivedMessage),
     /// A message of a player over its share of the front's thread.
-    Over(Taken),
+    DeferredCalls(ReceivedMessage),
     /// Anything else for the ledger.
-    Core(Input),
+    Input(Input),
     /// How the front stands.
-    Look(Sender<Look>),
+    Status(Sender<FrontStatus>),
     /// End in order; told when all is done.
     ShutDown(Sender<Counts>),
     /// End at once, as a process that is killed.
-    Die,
+    Kill,
 }
 
 /// A message of a player on its way to the front's thread.
-pub struct Taken {
+pub struct ReceivedMessage {
     /// Whose.
     pub client: ClientId,
     /// What it says.
@@ -42,7 +42,7 @@
 
 /// How a front stands.
 #[derive(Clone, Debug, Default)]
-pub struct Look {
+pub struct FrontStatus {
     /// What it has done.
     pub counts: Counts,
     /// Sessions in the ledger.
@@ -58,20 +58,20 @@
 }
 
 /// The way to a client.
-pub enum Port {
+pub enum ClientSink {
     /// A player's connection.
     Socket(Box<Socket>),
     /// A caller of the library.
-    Caller(Sender<ToCaller>),
+    Caller(Sender<CallerMessage>),
 }
 
 /// What a caller of the library is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ToCaller {
+pub enum CallerMessage {
     /// The one answer.
     Answer(Answer),
     /// News.
-    News(News),
+    Notification(Notification),
     /// The answer to another call.
     Reply(Reply),
 }
@@ -88,10 +88,10 @@
     pub holds: bool,
 }
 
-impl Port {
+impl ClientSink {
     /// The port of a player's connection.
-    pub fn socket(outbox: Arc<Outbox>, calls: Calls, share: Arc<Mutex<Share>>) -> Port {
-        Port::Socket(Box::new(Socket { outbox, calls, share, holds: false }))
+    pub fn socket(outbox: Arc<Outbox>, calls: Calls, share: Arc<Mutex<Share>>) -> ClientSink {
+        ClientSink::Socket(Box::new(Socket { outbox, calls, share, holds: false }))
     }
 }
 
--- a/crates/front/src/inside/mod.rs
+++ b/crates/front/src/common/mod.rs
@@ -2,8 +2,8 @@
 //! `session_api` do not point at each other: messages to the front's own thread, sockets and their threads, HTTP heads
 //! and event streams.
 
+pub mod event_stream;
 pub mod events;
-pub mod follow;
 pub mod http;
 pub mod messages;
 pub mod socket;
--- a/crates/front/src/core/terms.rs
+++ b/crates/front/src/core/agreed_rules.rs
@@ -9,11 +9,11 @@
 use salttally_accord::core::rules::{Limit, Order, Refusal, Rules, Who};
 use salttally_accord::core::stand::Stand;
 
-use super::{Micros, Opening};
+use super::{Micros, OpenRequest};
 
 /// What rules name, as the settings have it.
 #[derive(Clone, Debug, Default)]
-pub struct Names {
+pub struct SettingsNames {
     /// Classes in the settings' order.
     pub classes: Vec<String>,
     /// Titles.
@@ -39,7 +39,7 @@
 }
 
 impl Fitted {
-    fn new(rules: &Rules, names: &Names) -> Fitted {
+    fn new(rules: &Rules, names: &SettingsNames) -> Fitted {
         let number = |name: &str| names.viewer.map(|viewer| viewer(name));
         let whos = |firms: bool| {
             let one = move |who: &Who| match who {
@@ -78,7 +78,7 @@
 }
 
 /// How many sessions are held: of all, of a class, of a viewer; asked only where a rule counts them.
-pub trait Holds {
+pub trait SessionCounts {
     /// All of this front.
     fn all(&self) -> usize;
     /// Of the class at this place.
@@ -89,8 +89,8 @@
 
 /// What this front may do by the rules that are agreed on.
 #[derive(Clone, Debug)]
-pub struct Terms {
-    names: Arc<Names>,
+pub struct AgreedRules {
+    names: Arc<SettingsNames>,
     /// Nothing, until the front has been told for the first time.
     stand: Option<Stand>,
     agreed: Fitted,
@@ -99,20 +99,20 @@
     now: Micros,
 }
 
-impl Terms {
+impl AgreedRules {
     /// Of a front that has not been told anything yet: it takes no session.
-    pub fn new(names: Names) -> Terms {
+    pub fn new(names: SettingsNames) -> AgreedRules {
         let (agreed, meet) = (Fitted::default(), Fitted::default());
-        Terms { names: Arc::new(names), stand: None, agreed, meet, now: 0 }
+        AgreedRules { names: Arc::new(names), stand: None, agreed, meet, now: 0 }
     }
 
     /// The time by the clock of leases.
-    pub fn at(&mut self, now: Micros) {
+    pub fn set_lease_time(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
     /// What the front stands on has changed; returns whether the rules have.
-    pub fn stands(&mut self, stand: Stand) -> bool {
+    pub fn update(&mut self, stand: Stand) -> bool {
         let same = |old: &Stand| old.agreed == stand.agreed && old.meet == stand.meet;
         let changed = !self.stand.as_ref().is_some_and(same);
         if changed {
@@ -124,12 +124,12 @@
     }
 
     /// Until when what may be done now may be done, by the clock of leases, if nothing else is told.
-    pub fn until(&self) -> Micros {
+    pub fn valid_until(&self) -> Micros {
         self.stand.as_ref().map_or(0, |stand| if self.now < stand.until { stand.until } else { stand.alone })
     }
 
     /// What rules name, as the settings have it.
-    pub fn names(&self) -> Arc<Names> {
+    pub fn names(&self) -> Arc<SettingsNames> {
         Arc::clone(&self.names)
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Who goes on with whose promises.
-    pub fn heirs(&self) -> Arc<Heirs> {
+    pub fn successors(&self) -> Arc<Heirs> {
         self.stand.as_ref().map(|stand| Arc::clone(&stand.heirs)).unwrap_or_default()
     }
 
@@ -155,8 +155,8 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn may(&self, opening: &Opening, held: &impl Holds) -> Result<(), Refusal> {
-        self.allows(opening)?;
+    pub fn check_new(&self, opening: &OpenRequest, held: &impl SessionCounts) -> Result<(), Refusal> {
+        self.check_accepted(opening)?;
         let fitted = self.in_force()?;
         let seats = fitted.seats.get(opening.class).copied().unwrap_or(u32::MAX);
         let over = |most: u32, held: &dyn Fn() -> usize| most != u32::MAX && held() >= most as usize;
@@ -172,9 +172,9 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn allows(&self, opening: &Opening) -> Result<(), Refusal> {
+    pub fn check_accepted(&self, opening: &OpenRequest) -> Result<(), Refusal> {
         let fitted = self.in_force()?;
-        let firm = opening.firm.is_some_and(|firm| fitted.firms.contains(&firm));
+        let firm = opening.tenant.is_some_and(|firm| fitted.firms.contains(&firm));
         if firm || fitted.refused.contains(&opening.viewer) {
             return Err(Refusal::Who);
         }
@@ -189,7 +189,7 @@
 
     /// Narrows an opening to what the rules leave of it: its highest rung, and the longest row of cells. `cells` is how
     /// many the fleet has.
-    pub fn narrow(&self, opening: &mut Opening, cells: u32) {
+    pub fn restrict(&self, opening: &mut OpenRequest, cells: u32) {
         let Ok(fitted) = self.in_force() else { return };
         let top = fitted.top.get(opening.class).copied().unwrap_or(usize::MAX);
         opening.top_rung = opening.top_rung.min(top);
@@ -199,7 +199,7 @@
     }
 
     /// The longest row of an opening's cells that are left.
-    fn cells(&self, opening: &Opening, cells: u32) -> Option<(u32, u32)> {
+    fn cells(&self, opening: &OpenRequest, cells: u32) -> Option<(u32, u32)> {
         let fitted = self.in_force().ok()?;
         let (mut best, mut row) = (None, (opening.first_cell, 0));
         for step in 0..opening.cell_count {
@@ -218,19 +218,19 @@
     }
 
     /// Whether what plays in this class is to end.
-    pub fn ends(&self, class: usize) -> bool {
+    pub fn ends_playing(&self, class: usize) -> bool {
         let of = |which: &Vec<bool>| which.get(class).copied().unwrap_or(false);
         // Only what is agreed on ends sessions, with or without a lease.
         !self.agreed.open.get(class).copied().unwrap_or(true) && of(&self.agreed.ends)
     }
 
     /// Whether an operator has ordered that nothing new is set up at this box.
-    pub fn held(&self, server: ServerId) -> bool {
+    pub fn box_held(&self, server: ServerId) -> bool {
         self.agreed.boxes.contains_key(&server) || self.meet.boxes.contains_key(&server)
     }
 
     /// A line of the box list as an operator has overruled it.
-    pub fn overrule(&self, entry: &mut ServerEntry) {
+    pub fn apply_box_order(&self, entry: &mut ServerEntry) {
         let drains = self.agreed.boxes.get(&entry.server) == Some(&Order::Drain);
         if drains && entry.state == ServerState::Ready {
             entry.state = ServerState::Draining;
--- a/crates/front/src/core/ledger/decided.rs
+++ b/crates/front/src/core/ledger/actions.rs
@@ -43,7 +43,7 @@
                 }
             },
             Action::FollowList => out.push(Output::FollowList),
-            Action::WakeAt(tag, at) => self.timers.set(at, Due::Wake(tag)),
+            Action::WakeAt(tag, at) => self.timers.set(at, Deadline::Wake(tag)),
             Action::Log(text) => out.push(Output::Log(Level::Info, text)),
         }
     }
@@ -66,16 +66,16 @@
         };
         let next = session.next_attempt(self.now, &self.settings);
         let (number, address) = match (next, address) {
-            (Err(Stop::TooMany), _) => {
+            (Err(SetUpDenied::TooManyAttempts), _) => {
                 self.counts.stopped_attempts += 1;
                 return self.stopped("an attempt too many", id, out);
             }
             (Ok(number), Some(address)) => (number, Ok(address)),
-            (Ok(number), None) | (Err(Stop::Terms(number)), _) => {
+            (Ok(number), None) | (Err(SetUpDenied::RungNotAllowed(number)), _) => {
                 (number, Err(&mut self.counts.stopped_others))
             }
-            (Err(Stop::NotHeld(number)), _) => (number, Err(&mut self.counts.stopped_attempts)),
-            (Err(Stop::MayHaveRun(number)), _) => (number, Err(&mut self.counts.stopped_effects)),
+            (Err(SetUpDenied::NotWaiting(number)), _) => (number, Err(&mut self.counts.stopped_attempts)),
+            (Err(SetUpDenied::MayHaveRun(number)), _) => (number, Err(&mut self.counts.stopped_effects)),
         };
         let address = match address {
             Ok(address) => address,
@@ -86,7 +86,7 @@
                     attempt: number,
                     server,
                     outcome: Outcome::NotSent,
-                    last: !session.owed(),
+                    last: !session.answer_pending(),
                     report: Vec::new(),
                 };
                 self.events.push_back(ended);
@@ -118,43 +118,52 @@
         let whole = session.deadline - self.now;
         let time_out = if time_out == 0 { whole } else { time_out.min(whole) };
         let expires = self.now + time_out;
-        let rung = session.wanted;
-        let attempt = Attempt { number, wire: number, server, address, sent: self.now, expires, rung };
-        session.stage = Stage::Trying(attempt);
-        let opening = session.opening.clone();
+        let rung = session.target_rung;
+        let attempt = Attempt {
+            number,
+            wire_number: number,
+            server,
+            address,
+            sent_at: self.now,
+            expires_at: expires,
+            rung,
+        };
+        session.stage = Stage::Attempting(attempt);
+        let opening = session.open_request.clone();
         self.counts.attempts += 1;
-        self.timers.set(expires, Due::Expire(id.clone(), number));
-        let request = BoxRequest::SetUp { session: id.clone(), attempt: number, rung, opening, time_out };
+        self.timers.set(expires, Deadline::AttemptTimeout(id.clone(), number));
+        let request =
+            BoxRequest::SetUp { session: id.clone(), attempt: number, rung, open_request: opening, time_out };
         self.send_set_up((server, address), request, out);
     }
 
     pub(super) fn set_rung(&mut self, id: &SessionId, rung: usize, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        if !session.in_terms(rung, self.settings.classes.get(session.opening.class)) {
+        if !session.allows_rung(rung, self.settings.classes.get(session.open_request.class)) {
             self.counts.stopped_others += 1;
             return self.stopped("a rung outside the terms", id, out);
         }
-        session.wanted = rung;
+        session.target_rung = rung;
         self.change_rung(id, out);
     }
 
     /// Has the box told of the rung that is wanted; one change at a time is under way for a session.
     pub(super) fn change_rung(&mut self, id: &SessionId, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        let (wanted, class) = (session.wanted, session.opening.class);
+        let (wanted, class) = (session.target_rung, session.open_request.class);
         let Stage::Playing(playing) = &mut session.stage else { return };
-        if playing.changing.is_some() || playing.attempt.rung == wanted {
+        if playing.pending_rung.is_some() || playing.attempt.rung == wanted {
             return;
         }
-        playing.changing = Some(wanted);
+        playing.pending_rung = Some(wanted);
         let to = (playing.attempt.server, playing.attempt.address);
-        let attempt = playing.attempt.wire;
+        let attempt = playing.attempt.wire_number;
         self.ask(to, BoxRequest::SetRung { session: id.clone(), attempt, rung: wanted, class }, out);
     }
 
     pub(super) fn move_away(&mut self, id: &SessionId, out: &mut Vec<Output>) {
         let playing = self.sessions.get(id).filter(|session| session.playing().is_some());
-        let Some((client, viewer)) = playing.map(|s| (s.client, s.opening.viewer)) else {
+        let Some((client, viewer)) = playing.map(|s| (s.client, s.open_request.viewer)) else {
             // Several sessions end by one input, and the module hears of them one by one: it may choose one whose end it
             // is about to hear of. That is no fault of its.
             let ends =
@@ -167,19 +176,19 @@
         };
         self.counts.moved += 1;
         if self.keeping.is_some() {
-            let promise = keeping::Promise::Moved(viewer.0, self.limits.moved_kept);
-            self.promise(keeping::moved(id), &promise, false);
+            let promise = session_records::Promise::Moved(viewer.0, self.limits.moved_retention);
+            self.promise(session_records::moved(id), &promise, false);
         }
         self.moved.insert(id.clone(), viewer);
-        self.timers.set(self.now + self.limits.moved_kept, Due::Moved(id.clone()));
+        self.timers.set(self.now + self.limits.moved_retention, Deadline::MovedExpiry(id.clone()));
         if let Some((client, _)) = client {
-            out.push(Output::Tell(client, News::Move(id.clone())));
+            out.push(Output::Notify(client, Notification::Move(id.clone())));
         }
         self.stop_playing(id, Outcome::Withdrawn, true, out);
     }
 
     pub(super) fn refuse(&mut self, id: &SessionId, hold_off: Micros, out: &mut Vec<Output>) {
-        let answer = if self.sessions.get(id).is_some_and(Session::not_to_refuse) {
+        let answer = if self.sessions.get(id).is_some_and(Session::must_not_refuse) {
             self.counts.stopped_effects += 1;
             self.stopped("a refusal of what may have run", id, out);
             Answer::Failed(id.clone(), FailReason::GivenUp)
--- a/crates/front/src/core/ledger/boxes.rs
+++ b/crates/front/src/core/ledger/boxes.rs
@@ -3,12 +3,12 @@
 use salttally_copies::core::{life_of, Life};
 
 use super::*;
-use crate::core::keeping::Place;
+use crate::core::session_records::Place;
 
 impl<D: Decider> Ledger<D> {
-    pub(super) fn list(&mut self, kind: ListKind, lines: Vec<Listed>, out: &mut Vec<Output>) {
+    pub(super) fn list(&mut self, kind: ListKind, lines: Vec<ListEntry>, out: &mut Vec<Output>) {
         if kind != ListKind::Lost {
-            let gone = gone(kind, &lines, self.boxes.keys());
+            let gone = removed_servers(kind, &lines, self.boxes.keys());
             for line in &lines {
                 let id = line.entry.server;
                 if line.entry.state != ServerState::Gone {
@@ -23,7 +23,7 @@
                 self.boxes.remove(&id);
                 // What was found there and waits for a fresh list counts too: it is about to be taken up.
                 let in_use = self.found.iter().any(|(server, _)| *server == id)
-                    || self.sessions.values().any(|s| s.at().is_some_and(|a| a.server == id));
+                    || self.sessions.values().any(|s| s.current_attempt().is_some_and(|a| a.server == id));
                 self.streams.unlisted(id, in_use, out);
                 self.pool.forget(id, &mut self.timers, out);
             }
@@ -37,35 +37,35 @@
         }
     }
 
-    pub(super) fn stream(&mut self, server: ServerId, number: u64, news: StreamNews, out: &mut Vec<Output>) {
+    pub(super) fn stream(&mut self, server: ServerId, number: u64, news: StreamEvent, out: &mut Vec<Output>) {
         let asked = self.streams.asked(server);
         if !self.streams.heard(self.now, server, number) {
             return;
         }
-        let lost_after = self.limits.lost_after;
+        let lost_after = self.limits.lost_timeout;
         let why = match news {
-            StreamNews::Beat => return,
-            StreamNews::Up(held) => {
+            StreamEvent::Heartbeat => return,
+            StreamEvent::Up(held) => {
                 self.streams.up(self.now, server, &mut self.timers);
                 return self.compare(server, asked.unwrap_or(self.now), held, out);
             }
-            StreamNews::Note(session, note) => {
+            StreamEvent::Note(session, note) => {
                 let plays = self.sessions.get(&session).and_then(Session::playing);
                 if plays.is_some_and(|playing| playing.attempt.server == server) {
                     self.events.push_back(Event::Note { session, server, note });
                 }
                 return;
             }
-            StreamNews::Began(held) => return self.found(server, held, out),
-            StreamNews::Ended(session, wire) => {
+            StreamEvent::Began(held) => return self.found(server, held, out),
+            StreamEvent::Ended(session, wire) => {
                 let plays = self.sessions.get(&session).and_then(Session::playing);
-                if plays.is_some_and(|p| p.attempt.server == server && p.attempt.wire == wire) {
+                if plays.is_some_and(|p| p.attempt.server == server && p.attempt.wire_number == wire) {
                     self.ended_by_itself(&session, EndReason::Box, Outcome::Broken, out);
                 }
                 self.ended_untold(server, Some((&session, wire)));
                 return;
             }
-            StreamNews::CutOff(reason) => {
+            StreamEvent::CutOff(reason) => {
                 self.counts.faults += 1;
                 if self.streams.cut_off(self.now, server, &mut self.timers) {
                     let text = format!("box {} is cut off now and then: {reason}", server.0);
@@ -73,8 +73,8 @@
                 }
                 return;
             }
-            StreamNews::NoConnection(error) => Some(error),
-            StreamNews::Broken => None,
+            StreamEvent::NoConnection(error) => Some(error),
+            StreamEvent::Broken => None,
         };
         let verdict = self.streams.broke(self.now, server, why, lost_after, &mut self.timers, out);
         self.judge_stream(server, verdict, out);
@@ -103,7 +103,7 @@
     ) {
         self.counts.lost += u64::from(why == EndReason::Lost);
         if let Some((client, _)) = self.sessions.get(id).and_then(|session| session.client) {
-            out.push(Output::Tell(client, News::Ended(id.clone(), why)));
+            out.push(Output::Notify(client, Notification::Ended(id.clone(), why)));
         }
         self.stop_playing(id, outcome, why != EndReason::Box, out);
     }
@@ -113,17 +113,17 @@
         &mut self,
         server: ServerId,
         asked: Micros,
-        held: Vec<Held>,
+        held: Vec<HeldSession>,
         out: &mut Vec<Output>,
     ) {
         let named: BTreeMap<&SessionId, u32> = held.iter().map(|h| (&h.session, h.attempt)).collect();
         // What was sent after the stream was asked for may have begun after the box wrote its list.
         let missing = |id: &SessionId, s: &Session| {
             s.playing().is_some_and(|p| {
-                let told = named.get(id) == Some(&p.attempt.wire);
+                let told = named.get(id) == Some(&p.attempt.wire_number);
                 // What was another front's is not in this one's list until the box has been asked for it.
                 let unsure = self.keeping.as_ref().is_some_and(|keeping| keeping.unsure.contains(id));
-                p.attempt.server == server && p.attempt.sent < asked && !told && !unsure
+                p.attempt.server == server && p.attempt.sent_at < asked && !told && !unsure
             })
         };
         let lost: Vec<SessionId> =
@@ -137,9 +137,9 @@
     }
 
     /// A box says that it holds this session.
-    pub(super) fn found(&mut self, server: ServerId, held: Held, out: &mut Vec<Output>) {
-        let at = self.sessions.get(&held.session).and_then(Session::at);
-        if at.is_some_and(|a| a.server == server && a.wire == held.attempt) {
+    pub(super) fn found(&mut self, server: ServerId, held: HeldSession, out: &mut Vec<Output>) {
+        let at = self.sessions.get(&held.session).and_then(Session::current_attempt);
+        if at.is_some_and(|a| a.server == server && a.wire_number == held.attempt) {
             return;
         }
         if self.fresh {
@@ -151,7 +151,7 @@
 
     /// A session that a box holds and the ledger does not know: one of this front's earlier life goes on and
     /// waits for its viewer; anything else plays for nobody and is released.
-    pub(super) fn resume(&mut self, server: ServerId, held: Held, out: &mut Vec<Output>) {
+    pub(super) fn resume(&mut self, server: ServerId, held: HeldSession, out: &mut Vec<Output>) {
         let Some(address) = self.streams.address(server) else { return };
         let life = life_of(&held.session.0).map(Life::from);
         let adopted = life.filter(|life| self.keeping.as_ref().is_some_and(|k| k.epochs.contains_key(life)));
@@ -169,14 +169,14 @@
         let known = self.sessions.contains_key(&held.session);
         if earlier && self.keeping.is_some() {
             // Another front may be about to go on with it, or does already: nothing is taken from what is found.
-            let until = self.now + 2 * self.limits.claim_within;
-            return self.timers.set(until, Due::Stray(server, held.session, held.attempt));
+            let until = self.now + 2 * self.limits.claim_timeout;
+            return self.timers.set(until, Deadline::OrphanSession(server, held.session, held.attempt));
         }
-        let opening = held.opening.filter(|_| earlier && !known && !self.ending);
+        let opening = held.open_request.filter(|_| earlier && !known && !self.ending);
         let Some(opening) = opening else {
             return self.release_unknown((server, address), held.session, held.attempt, out);
         };
         let place = Place { server: server.0, address, attempt: held.attempt };
-        self.plays_on(held.session, place, held.rung, opening, self.limits.claim_within);
+        self.plays_on(held.session, place, held.rung, opening, self.limits.claim_timeout);
     }
 }
--- a/crates/front/src/core/ledger/clients.rs
+++ b/crates/front/src/core/ledger/clients.rs
@@ -7,17 +7,17 @@
         &mut self,
         client: ClientId,
         ticket: Ticket,
-        mut opening: Opening,
+        mut opening: OpenRequest,
         only_back: bool,
         out: &mut Vec<Output>,
     ) {
         let moved = opening.moved_from.as_ref().filter(|old| self.moved.get(*old) == Some(&opening.viewer));
         if only_back && moved.is_none() {
-            out.push(Output::Reply(client, ticket, Reply::OnlyBack(self.settings.max_hold_off)));
+            out.push(Output::Reply(client, ticket, Reply::ReturnsOnly(self.settings.max_hold_off)));
             return;
         }
         if let Some((most, by)) = self.over(client, opening.viewer) {
-            out.push(Output::Reply(client, ticket, Reply::Over(most, by)));
+            out.push(Output::Reply(client, ticket, Reply::TooManySessions(most, by)));
             return;
         }
         self.opened += 1;
@@ -32,57 +32,58 @@
         }
         let moved = moved.cloned();
         if let Some(terms) = &self.terms {
-            if let Err(why) = terms.may(&opening, &Counted { ledger: self }) {
+            if let Err(why) = terms.check_new(&opening, &Counted { ledger: self }) {
                 self.counts.refused += 1;
                 let answer = Answer::Refused(id, self.come_back(why));
                 out.push(Output::Answer(client, ticket, answer));
                 return;
             }
-            terms.narrow(&mut opening, self.settings.cells);
+            terms.restrict(&mut opening, self.settings.cells);
         }
         // A move counts as one only for the viewer and the session that it was done to, and once.
         let moved = moved.is_some_and(|old| {
-            self.forget(keeping::moved(&old));
+            self.forget(session_records::moved(&old));
             self.moved.remove(&old).is_some()
         });
-        let request = opening.request(&id, moved);
+        let request = opening.to_request(&id, moved);
         let class = self.settings.classes.get(opening.class);
         let (effect, floor) = class.map_or((Effect::Safe, 0), |class| (class.effect, class.floor));
         let session = Session::new(Some((client, ticket)), opening, effect, floor, self.now);
-        self.timers.set(session.overdue_at(self.limits.answer_slack), Due::Overdue(id.clone()));
+        self.timers.set(session.overdue_at(self.limits.answer_slack), Deadline::AnswerOverdue(id.clone()));
         self.insert(id.clone(), session);
         self.by_client.entry(client).or_default().insert(id);
         self.events.push_back(Event::Request(request));
     }
 
     /// Whose sessions are as many as they may be, if a further one of this client and viewer is asked for.
-    pub(super) fn over(&self, client: ClientId, viewer: ViewerId) -> Option<(usize, HeldBy)> {
+    pub(super) fn over(&self, client: ClientId, viewer: ViewerId) -> Option<(usize, LimitScope)> {
         let own = self.by_client.get(&client).map_or(0, BTreeSet::len);
         let of_viewer = self.by_viewer.get(&viewer).copied().unwrap_or(0);
         let limits = &self.limits;
-        if own >= limits.per_connection {
-            Some((limits.per_connection, HeldBy::Connection))
-        } else if of_viewer >= limits.per_viewer {
-            Some((limits.per_viewer, HeldBy::Viewer))
+        if own >= limits.sessions_per_connection {
+            Some((limits.sessions_per_connection, LimitScope::Connection))
+        } else if of_viewer >= limits.sessions_per_viewer {
+            Some((limits.sessions_per_viewer, LimitScope::Viewer))
         } else {
             None
         }
     }
 
     pub(super) fn insert(&mut self, id: SessionId, session: Session) {
-        *self.by_viewer.entry(session.opening.viewer).or_insert(0) += 1;
+        *self.by_viewer.entry(session.open_request.viewer).or_insert(0) += 1;
         self.sessions.insert(id, session);
     }
 
     /// Whether this client has sessions, or opens that wait for their answers.
-    pub fn holds(&self, client: ClientId) -> bool {
+    pub fn has_sessions(&self, client: ClientId) -> bool {
         self.by_client.contains_key(&client)
     }
 
     pub(super) fn cancel(&mut self, client: ClientId, ticket: Ticket, open: Ticket, out: &mut Vec<Output>) {
         let by = Some((client, open));
         let own = self.by_client.get(&client).into_iter().flatten();
-        let mut found = own.filter(|id| self.sessions.get(*id).is_some_and(|s| s.client == by && s.owed()));
+        let mut found =
+            own.filter(|id| self.sessions.get(*id).is_some_and(|s| s.client == by && s.answer_pending()));
         let Some(id) = found.next().cloned() else {
             // The answer has crossed the cancellation: there is nothing to give up, the client may close it.
             out.push(Output::Reply(client, ticket, Reply::Unknown));
@@ -98,7 +99,7 @@
         let plays = self.sessions.get(id).is_some_and(|s| s.playing().is_some());
         if own && plays && !self.ours(id) {
             // It would play on where nobody may end it.
-            out.push(Output::Reply(client, ticket, Reply::Wait(kept::ASK_AGAIN)));
+            out.push(Output::Reply(client, ticket, Reply::RetryAfter(takeover::ASK_AGAIN)));
             return;
         }
         if !(own && plays) {
@@ -121,22 +122,22 @@
         if self.sessions.get(id).is_some_and(|session| session.client.is_none()) && !self.ours(id) {
             // Danger: a front that was stopped gives away what is another's, and takes it back as that player goes; found
             // by the trial.
-            out.push(Output::Reply(client, ticket, Reply::Wait(kept::ASK_AGAIN)));
+            out.push(Output::Reply(client, ticket, Reply::RetryAfter(takeover::ASK_AGAIN)));
             return;
         }
         if let Some(session) = self.sessions.get_mut(id) {
-            if session.client.is_none() && viewer == Some(session.opening.viewer) {
+            if session.client.is_none() && viewer == Some(session.open_request.viewer) {
                 // Found at a box after a restart of this front, or left without a word: its viewer is back for it.
                 session.client = Some((client, ticket));
-                session.claimed = Some(self.now);
+                session.claimed_at = Some(self.now);
                 if let Some(at) = session.claim_by.take() {
-                    self.timers.unset(at, Due::Claim(id.clone()));
+                    self.timers.cancel(at, Deadline::ClaimTimeout(id.clone()));
                 }
                 self.by_client.entry(client).or_default().insert(id.clone());
             }
             if session.client.is_some_and(|(of, _)| of == client) {
                 let playing = session.playing().map(|p| (p.attempt.server, p.attempt.rung));
-                let class = session.opening.class;
+                let class = session.open_request.class;
                 let playing = playing.map(|(at, rung)| (at, rung, self.rate(class, rung)));
                 reply = Reply::Status { session: id.clone(), playing };
             }
@@ -152,7 +153,7 @@
         for id in self.by_client.remove(&client).unwrap_or_default() {
             let Some(session) = self.sessions.get_mut(&id) else { continue };
             session.client = None;
-            if session.owed() {
+            if session.answer_pending() {
                 self.settled(&id);
                 self.untold(&id, out);
                 self.events.push_back(Event::Left(id));
@@ -175,21 +176,21 @@
     /// elsewhere, which is no close. Found by the trial.
     pub(super) fn keep_unsure(&mut self, client: ClientId) {
         let now = self.now;
-        let lately = |session: &Session| session.claimed.is_some_and(|at| at + CLAIMED > now);
+        let lately = |session: &Session| session.claimed_at.is_some_and(|at| at + CLAIMED > now);
         self.keep_for_viewer(client, |ledger, id| {
             !ledger.ours(id) || ledger.sessions.get(id).is_some_and(lately)
         });
     }
 
     fn keep_for_viewer(&mut self, client: ClientId, which: impl Fn(&Self, &SessionId) -> bool) {
-        let until = self.now + self.limits.silent_kept;
+        let until = self.now + self.limits.lost_client_retention;
         let own = self.by_client.get(&client).cloned().unwrap_or_default();
         for id in own {
             let kept = which(self, &id);
             let Some(session) = self.sessions.get_mut(&id) else { continue };
             if kept && session.playing().is_some() {
                 (session.client, session.claim_by) = (None, Some(until));
-                self.timers.set(until, Due::Claim(id.clone()));
+                self.timers.set(until, Deadline::ClaimTimeout(id.clone()));
                 if let Some(own) = self.by_client.get_mut(&client) {
                     own.remove(&id);
                 }
@@ -199,7 +200,9 @@
 
     /// Gives the one answer, if it is still owed; returns whether it was.
     pub(super) fn answer(&mut self, id: &SessionId, answer: Answer, out: &mut Vec<Output>) -> bool {
-        let Some(session) = self.sessions.get(id).filter(|session| session.owed()) else { return false };
+        let Some(session) = self.sessions.get(id).filter(|session| session.answer_pending()) else {
+            return false;
+        };
         match answer {
             Answer::Plays { .. } => self.counts.played += 1,
             Answer::Refused(..) => self.counts.refused += 1,
@@ -217,23 +220,23 @@
     pub(super) fn settled(&mut self, id: &SessionId) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let at = session.overdue_at(self.limits.answer_slack);
-        self.timers.unset(at, Due::Overdue(id.clone()));
-        if session.settled() {
+        self.timers.cancel(at, Deadline::AnswerOverdue(id.clone()));
+        if session.settle_answer() {
             self.drop_session(id);
         }
     }
 
     pub(super) fn drop_session(&mut self, id: &SessionId) {
         let Some(session) = self.sessions.remove(id) else { return };
-        self.forget(keeping::key(id));
-        if let Some(count) = self.by_viewer.get_mut(&session.opening.viewer) {
+        self.forget(session_records::key(id));
+        if let Some(count) = self.by_viewer.get_mut(&session.open_request.viewer) {
             *count -= 1;
             if *count == 0 {
-                self.by_viewer.remove(&session.opening.viewer);
+                self.by_viewer.remove(&session.open_request.viewer);
             }
         }
         if let Some(at) = session.claim_by {
-            self.timers.unset(at, Due::Claim(id.clone()));
+            self.timers.cancel(at, Deadline::ClaimTimeout(id.clone()));
         }
         let Some((client, _)) = session.client else { return };
         if let Some(own) = self.by_client.get_mut(&client) {
--- a/crates/front/src/core/ledger/mod.rs
+++ b/crates/front/src/core/ledger/mod.rs
@@ -1,14 +1,14 @@
 //! The ledger of sessions and attempts: told what happens, it asks the decider and carries out the answer, and
 //! keeps the one answer and the one attempt whatever the decider says.
 
-mod agreed;
+mod actions;
 mod boxes;
 mod clients;
-mod decided;
-mod kept;
+mod deadlines;
 mod releases;
 mod requests;
-mod time;
+mod rule_checks;
+mod takeover;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -18,12 +18,12 @@
 use salttally::interface::*;
 use salttally_accord::core::rules::Refusal;
 
-use super::keeping::Keeping;
+use super::agreed_rules::{AgreedRules, SessionCounts};
 use super::pool::{End, Pool, Proof};
-use super::session::{Attempt, Playing, Session, Stage, Stop};
+use super::session::{Attempt, Playing, Session, SetUpDenied, Stage};
+use super::session_records::Keeping;
 use super::streams::{Streams, Verdict};
-use super::terms::{Holds, Terms};
-use super::timers::{Due, Timers};
+use super::timers::{Deadline, Timers};
 use super::*;
 
 /// Releases of one attempt that are tried before it is left to the box's own account of what it holds.
@@ -108,16 +108,16 @@
     streams: Streams,
     timers: Timers,
     /// Sessions found at boxes before the list was known to be fresh.
-    found: Vec<(ServerId, Held)>,
+    found: Vec<(ServerId, HeldSession)>,
     fresh: bool,
     ending: bool,
     finished: bool,
     events: VecDeque<Event>,
     counts: Counts,
     /// Rules that are agreed on; nothing where the front acts on its own file alone.
-    terms: Option<Terms>,
+    terms: Option<AgreedRules>,
     /// The last list, before operators overruled it; kept only under rules.
-    listed: BTreeMap<ServerId, Listed>,
+    listed: BTreeMap<ServerId, ListEntry>,
     /// Promises and their copies; nothing where the front keeps all alone.
     keeping: Option<Keeping>,
     /// What is said of promises by this input.
@@ -141,13 +141,13 @@
     ledger: &'a Ledger<D>,
 }
 
-impl<D> Holds for Counted<'_, D> {
+impl<D> SessionCounts for Counted<'_, D> {
     fn all(&self) -> usize {
         self.ledger.sessions.len()
     }
 
     fn of_class(&self, class: usize) -> usize {
-        self.ledger.sessions.values().filter(|session| session.opening.class == class).count()
+        self.ledger.sessions.values().filter(|session| session.open_request.class == class).count()
     }
 
     fn of_viewer(&self, viewer: ViewerId) -> usize {
@@ -204,7 +204,7 @@
     /// The ledger of a front that has just started. `name` is the front's own, the same at each start; `boot`
     /// differs between its starts, so that no id of a session is used again.
     pub fn new(decider: D, settings: Settings, limits: Limits, name: &str, boot: u32) -> Self {
-        let streams = Streams::new(limits.silent_after);
+        let streams = Streams::new(limits.silence_timeout);
         Ledger {
             decider,
             settings: Arc::new(settings),
@@ -239,20 +239,20 @@
     }
 
     /// Acts on rules that are agreed on.
-    pub fn under(mut self, terms: Terms) -> Self {
+    pub fn with_rules(mut self, terms: AgreedRules) -> Self {
         self.terms = Some(terms);
         self
     }
 
     /// The time by the clock of leases, ahead of each input; nothing where the front acts on its own file alone.
-    pub fn lease_clock(&mut self, now: impl FnOnce() -> Micros) {
+    pub fn set_lease_time(&mut self, now: impl FnOnce() -> Micros) {
         if let Some(terms) = &mut self.terms {
-            terms.at(now());
+            terms.set_lease_time(now());
         }
     }
 
     /// Has every event and its actions told to `tap`.
-    pub fn tapped(mut self, tap: Tap) -> Self {
+    pub fn with_tap(mut self, tap: Tap) -> Self {
         self.tap = Some(tap);
         self
     }
@@ -263,13 +263,13 @@
     }
 
     /// What is due and when, the earliest first.
-    pub fn due_list(&self) -> impl Iterator<Item = &(Micros, Due)> {
+    pub fn deadlines(&self) -> impl Iterator<Item = &(Micros, Deadline)> {
         self.timers.entries()
     }
 
     /// When something is due next; the edge then hands in [`Input::Tick`].
-    pub fn next_due(&self) -> Option<Micros> {
-        self.timers.next().map(|at| at.max(self.held_until))
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.timers.next_at().map(|at| at.max(self.held_until))
     }
 
     /// What was done so far.
@@ -278,17 +278,17 @@
     }
 
     /// Number of sessions in the ledger, and of those that play.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn session_counts(&self) -> (usize, usize) {
         (self.sessions.len(), self.sessions.values().filter(|s| s.playing().is_some()).count())
     }
 
     /// Whether this session is in the ledger.
-    pub fn knows(&self, id: &SessionId) -> bool {
+    pub fn contains(&self, id: &SessionId) -> bool {
         self.sessions.contains_key(id)
     }
 
     /// Releases that no box has confirmed yet.
-    pub fn releasing(&self) -> usize {
+    pub fn pending_releases(&self) -> usize {
         self.releases.len()
     }
 
@@ -298,7 +298,7 @@
     }
 
     /// The session that this call of this client opened, while it is in the ledger.
-    pub fn session_of(&self, client: ClientId, ticket: Ticket) -> Option<SessionId> {
+    pub fn session_of_call(&self, client: ClientId, ticket: Ticket) -> Option<SessionId> {
         let own = self.by_client.get(&client)?;
         own.iter()
             .find(|id| self.sessions.get(*id).is_some_and(|s| s.client == Some((client, ticket))))
@@ -321,38 +321,38 @@
         self.now = self.now.max(now);
         match input {
             Input::Open(client, ticket, opening) => self.open(client, ticket, opening, false, out),
-            Input::Return(client, ticket, opening) => self.open(client, ticket, opening, true, out),
+            Input::Reopen(client, ticket, opening) => self.open(client, ticket, opening, true, out),
             Input::Cancel(client, ticket, open) => self.cancel(client, ticket, open, out),
             Input::Close(client, ticket, session) => self.close(client, ticket, &session, out),
             Input::Status(client, ticket, session, viewer) => {
                 self.status(client, ticket, &session, viewer, out);
             }
-            Input::ClientGone(client) => self.client_gone(client, out),
+            Input::ClientClosed(client) => self.client_gone(client, out),
             Input::ClientLost(client) => self.client_lost(client, out),
             Input::List(kind, lines) => self.list(kind, lines, out),
             Input::Dialed(conn, result) => {
-                let kept = self.limits.idle_kept;
+                let kept = self.limits.idle_timeout;
                 let ended = self.pool.dialed(self.now, conn, result, kept, &mut self.timers, out);
                 self.request_ended(ended, out);
             }
             Input::Exchanged(conn, end) => {
-                let kept = self.limits.idle_kept;
+                let kept = self.limits.idle_timeout;
                 let ended = self.pool.exchanged(self.now, conn, end, kept, &mut self.timers, out);
                 self.request_ended(ended, out);
             }
             Input::Stream(server, number, news) => self.stream(server, number, news, out),
-            Input::Stand(stand) => self.stands(*stand, out),
+            Input::Coordination(stand) => self.stands(*stand, out),
             Input::ShutDown => self.shut_down(out),
-            Input::Kept(key, kept) => self.is_kept(&key, kept, out),
-            Input::Adopt(life, epoch, promises) => self.adopt(&life, epoch, &promises, out),
-            Input::Replaced(life) => self.replaced(&life, out),
-            Input::Gone(life) => self.give_up(&life, out),
-            Input::Others(others) => {
+            Input::RecordStored(key, kept) => self.is_kept(&key, kept, out),
+            Input::TakeOver(life, epoch, promises) => self.adopt(&life, epoch, &promises, out),
+            Input::TakenOver(life) => self.replaced(&life, out),
+            Input::TakeoverSuperseded(life) => self.give_up(&life, out),
+            Input::Peers(others) => {
                 if let Some(keeping) = self.keeping.as_mut().filter(|keeping| keeping.others != others) {
                     (keeping.others, keeping.moved_at) = (others, self.now);
                 }
             }
-            Input::Woke => {
+            Input::ProcessResumed => {
                 self.streams.woke(self.now);
                 self.held_until = self.now + WAKES;
             }
--- a/crates/front/src/core/ledger/releases.rs
+++ b/crates/front/src/core/ledger/releases.rs
@@ -15,7 +15,7 @@
         let Some(attempt) = playing.map(|playing| playing.attempt.clone()) else { return };
         self.drop_session(id);
         if release {
-            self.release((attempt.server, attempt.address), id, attempt.wire, out);
+            self.release((attempt.server, attempt.address), id, attempt.wire_number, out);
         }
         let (session, server) = (id.clone(), attempt.server);
         let report = Vec::new();
@@ -32,8 +32,8 @@
     ) {
         self.releases.entry((to.0, id.clone(), wire)).or_insert(0);
         if self.keeping.is_some() {
-            let place = keeping::Place { server: to.0 .0, address: to.1, attempt: wire };
-            self.promise(keeping::owed(id, wire), &keeping::Promise::Owes(place), false);
+            let place = session_records::Place { server: to.0 .0, address: to.1, attempt: wire };
+            self.promise(session_records::owed(id, wire), &session_records::Promise::Owes(place), false);
         }
         self.ask(to, BoxRequest::Release { session: id.clone(), attempt: wire }, out);
     }
@@ -83,21 +83,25 @@
         if !done && !self.ours(&id) && self.releases.contains_key(&key) {
             // Danger: without a lease nothing is written, the tries are used up, and it plays on for nobody; found by the
             // trial. It waits until this front may act again, or another has the life.
-            return self.timers.set(self.now + WITHHELD, Due::Release(server, id, wire));
+            return self.timers.set(self.now + WITHHELD, Deadline::RetryRelease(server, id, wire));
         }
         let Some(tries) = self.releases.get_mut(&key) else { return };
         *tries += 1;
         if done || *tries >= RELEASES {
             self.releases.remove(&key);
-            self.forget(keeping::owed(&id, wire));
+            self.forget(session_records::owed(&id, wire));
             return;
         }
         let pause = RELEASE_PAUSE << (*tries - 1);
-        self.timers.set(self.now + pause, Due::Release(server, id, wire));
+        self.timers.set(self.now + pause, Deadline::RetryRelease(server, id, wire));
     }
 
     pub(super) fn expire(&mut self, id: &SessionId, number: u32, out: &mut Vec<Output>) {
-        let out_now = self.sessions.get(id).and_then(Session::out).filter(|attempt| attempt.number == number);
+        let out_now = self
+            .sessions
+            .get(id)
+            .and_then(Session::pending_attempt)
+            .filter(|attempt| attempt.number == number);
         let Some(attempt) = out_now.cloned() else { return };
         if self.unsent(id, number) {
             return self.attempt_ended(attempt.server, id, number, Outcome::NotSent, Vec::new(), out);
@@ -106,7 +110,7 @@
             Proof::Unsent => Outcome::NoConnection,
             Proof::MayHaveRun => {
                 // It may begin yet, or play: the box is told that nobody waits for it.
-                self.release((attempt.server, attempt.address), id, attempt.wire, out);
+                self.release((attempt.server, attempt.address), id, attempt.wire_number, out);
                 Outcome::TimedOut
             }
         };
--- a/crates/front/src/core/ledger/requests.rs
+++ b/crates/front/src/core/ledger/requests.rs
@@ -5,8 +5,8 @@
 impl<D: Decider> Ledger<D> {
     /// Asks a box for something other than a set-up.
     pub(super) fn ask(&mut self, to: (ServerId, SocketAddr), request: BoxRequest, out: &mut Vec<Output>) {
-        let until = Some(self.now + self.limits.ask_within);
-        self.pool.send(to, request, until, self.limits.connections, &mut self.timers, out);
+        let until = Some(self.now + self.limits.request_timeout);
+        self.pool.send(to, request, until, self.limits.connections_per_box, &mut self.timers, out);
     }
 
     pub(super) fn request_ended(
@@ -32,14 +32,14 @@
                     end,
                     End::NoConnection(DialError::Refused)
                         | End::Exchange(ExchangeEnd::Answered {
-                            answer: BoxAnswer::Done | BoxAnswer::Unknown | BoxAnswer::Replaced,
+                            answer: BoxAnswer::Done | BoxAnswer::Unknown | BoxAnswer::Superseded,
                             ..
                         })
                 );
                 self.release_ended(server, session, attempt, done);
                 self.next_unknown(server, out);
             }
-            BoxRequest::Claim { life, epoch } => self.claimed(server, &life, epoch, end, out),
+            BoxRequest::Claim { incarnation: life, epoch } => self.claimed(server, &life, epoch, end, out),
             BoxRequest::Probe => {
                 let (outcome, report) = outcome_of(end);
                 self.events.push_back(Event::Probed { server, outcome, report });
@@ -55,37 +55,41 @@
         end: End,
         out: &mut Vec<Output>,
     ) {
-        let out_now = self.sessions.get(id).and_then(Session::out).filter(|attempt| attempt.number == number);
+        let out_now = self
+            .sessions
+            .get(id)
+            .and_then(Session::pending_attempt)
+            .filter(|attempt| attempt.number == number);
         let Some(attempt) = out_now.cloned() else { return };
-        self.timers.unset(attempt.expires, Due::Expire(id.clone(), number));
+        self.timers.cancel(attempt.expires_at, Deadline::AttemptTimeout(id.clone(), number));
         let (outcome, report) = outcome_of(end);
         if outcome != Outcome::Ok {
             if !outcome.never_ran() {
                 // Danger: it plays for nobody, found by the exploration. The answer was lost, and the box is told.
-                self.release((server, attempt.address), id, attempt.wire, out);
+                self.release((server, attempt.address), id, attempt.wire_number, out);
             }
             return self.attempt_ended(server, id, number, outcome, report, out);
         }
         let slack = self.limits.answer_slack;
-        if self.sessions.get(id).is_some_and(|s| s.owed() && s.overdue_at(slack) <= self.now) {
+        if self.sessions.get(id).is_some_and(|s| s.answer_pending() && s.overdue_at(slack) <= self.now) {
             // It lay unread past its viewer's time: nobody may be told that it plays.
-            self.due(Due::Overdue(id.clone()), out);
+            self.due(Deadline::AnswerOverdue(id.clone()), out);
         }
         let Some(session) = self.sessions.get_mut(id) else { return };
         session.may_have_run = true;
         if let Stage::Abandoned(_) = session.stage {
             // The viewer gave up while it was set up: nobody watches.
-            self.release((server, attempt.address), id, attempt.wire, out);
+            self.release((server, attempt.address), id, attempt.wire_number, out);
             return self.attempt_ended(server, id, number, Outcome::Withdrawn, report, out);
         }
         if let Some(Forbidden::All(why)) = self.forbidden(id, server) {
             // It was set up while it might be, and nobody may be told now that it plays.
-            self.release((server, attempt.address), id, attempt.wire, out);
+            self.release((server, attempt.address), id, attempt.wire_number, out);
             let after = self.come_back(why);
             self.refuse(id, after, out);
             return self.attempt_ended(server, id, number, Outcome::Withdrawn, report, out);
         }
-        let took = self.now - attempt.sent;
+        let took = self.now - attempt.sent_at;
         if !self.waits_to_play(id, took, &report) {
             self.plays(id, attempt, took, &report, out);
         }
@@ -101,7 +105,7 @@
         out: &mut Vec<Output>,
     ) {
         let Some(session) = self.sessions.get(id) else { return };
-        let (server, class, rung) = (attempt.server, session.opening.class, attempt.rung);
+        let (server, class, rung) = (attempt.server, session.open_request.class, attempt.rung);
         let answer = Answer::Plays {
             session: id.clone(),
             server,
@@ -116,8 +120,8 @@
         }
         if let Some(session) = self.sessions.get_mut(id) {
             let at = session.overdue_at(self.limits.answer_slack);
-            self.timers.unset(at, Due::Overdue(id.clone()));
-            session.stage = Stage::Playing(Playing { attempt, changing: None, missed: 0 });
+            self.timers.cancel(at, Deadline::AnswerOverdue(id.clone()));
+            session.stage = Stage::Playing(Playing { attempt, pending_rung: None, failed_rung_changes: 0 });
         }
         self.events.push_back(Event::Started { session: id.clone(), server, took });
         self.told_at_set_up(id, server, report);
@@ -164,25 +168,25 @@
         out: &mut Vec<Output>,
     ) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        let (class, client, wanted) = (session.opening.class, session.client, session.wanted);
+        let (class, client, wanted) = (session.open_request.class, session.client, session.target_rung);
         let Stage::Playing(playing) = &mut session.stage else { return };
-        if playing.attempt.wire != wire || playing.changing != Some(rung) {
+        if playing.attempt.wire_number != wire || playing.pending_rung != Some(rung) {
             return;
         }
-        playing.changing = None;
+        playing.pending_rung = None;
         let (server, in_force) = (playing.attempt.server, playing.attempt.rung);
         if let End::Exchange(ExchangeEnd::Answered { answer: BoxAnswer::Done, .. }) = end {
-            (playing.attempt.rung, playing.missed) = (rung, 0);
+            (playing.attempt.rung, playing.failed_rung_changes) = (rung, 0);
             self.promise_rung(id);
             let rate = self.rate(class, rung);
             if let Some((client, _)) = client {
-                out.push(Output::Tell(client, News::Rung(id.clone(), rung, rate)));
+                out.push(Output::Notify(client, Notification::RungChanged(id.clone(), rung, rate)));
             }
         } else {
-            playing.missed += 1;
-            if playing.missed > RUNG_MISSES {
+            playing.failed_rung_changes += 1;
+            if playing.failed_rung_changes > RUNG_MISSES {
                 // The module's account must not hold a rung that the box was never told.
-                (playing.missed, session.wanted) = (0, in_force);
+                (playing.failed_rung_changes, session.target_rung) = (0, in_force);
                 let note = Note::Rung(in_force);
                 self.events.push_back(Event::Note { session: id.clone(), server, note });
                 return;
@@ -208,7 +212,7 @@
         End::Exchange(ExchangeEnd::Answered { answer, report, .. }) => match answer {
             BoxAnswer::Done => (Outcome::Ok, report),
             BoxAnswer::Full => (Outcome::Full, report),
-            BoxAnswer::Error | BoxAnswer::Unknown | BoxAnswer::Replaced => (Outcome::Failed, report),
+            BoxAnswer::Error | BoxAnswer::Unknown | BoxAnswer::Superseded => (Outcome::Failed, report),
         },
     }
 }
--- a/crates/front/src/core/ledger/kept.rs
+++ b/crates/front/src/core/ledger/takeover.rs
@@ -3,7 +3,7 @@
 use salttally_copies::core::{life_of, of_life, Bytes, Key, Life, Name};
 
 use super::*;
-use crate::core::keeping::{self, Keeping, Other, Place, Promise, Waits};
+use crate::core::session_records::{self, Keeping, PeerFront, Place, Promise, Waits};
 
 /// Pause before a box is asked again what it holds of a life; it doubles a few times.
 const CLAIM_PAUSE: Micros = 200_000;
@@ -21,11 +21,11 @@
 
 impl<D: Decider> Ledger<D> {
     /// Has its promises copied, and goes on with others'. Wants rules that are agreed on: see [`Ledger::under`].
-    pub fn keeping(mut self) -> Self {
-        let life = self.life();
-        let names = self.terms.as_ref().map(Terms::names).unwrap_or_default();
+    pub fn with_replication(mut self) -> Self {
+        let life = self.incarnation();
+        let names = self.terms.as_ref().map(AgreedRules::names).unwrap_or_default();
         self.keeping = Some(Keeping::new(names, life));
-        self.timers.set(LOOK, Due::Lease);
+        self.timers.set(LOOK, Deadline::CheckLease);
         self
     }
 
@@ -35,16 +35,16 @@
     }
 
     /// What its own sessions' ids begin with.
-    pub fn life(&self) -> Life {
+    pub fn incarnation(&self) -> Life {
         Life::from(format!("{}-{:08x}", self.name, self.boot))
     }
 
     /// By what right a request goes out: until when, by the clock of leases, and by which epoch.
-    pub fn writ(&self, request: &BoxRequest) -> Writ {
-        let until = self.terms.as_ref().map(Terms::until);
+    pub fn write_authority(&self, request: &BoxRequest) -> WriteAuthority {
+        let until = self.terms.as_ref().map(AgreedRules::valid_until);
         let Some(keeping) = &self.keeping else {
-            return Writ {
-                until: until.filter(|_| matches!(request, BoxRequest::SetUp { .. })),
+            return WriteAuthority {
+                valid_until: until.filter(|_| matches!(request, BoxRequest::SetUp { .. })),
                 epoch: None,
             };
         };
@@ -53,13 +53,13 @@
             | BoxRequest::SetRung { session, .. }
             | BoxRequest::Release { session, .. } => keeping.epoch(session).or_else(|| {
                 // What is left at a box of a life that is over: no earlier epoch ends it there.
-                let heirs = self.terms.as_ref()?.heirs();
+                let heirs = self.terms.as_ref()?.successors();
                 heirs.over.get(life_of(&session.0)?).map(|(_, epoch)| *epoch)
             }),
             BoxRequest::Claim { epoch, .. } => Some(*epoch),
             BoxRequest::Probe => None,
         };
-        Writ { until: until.filter(|_| epoch.is_some()), epoch }
+        WriteAuthority { valid_until: until.filter(|_| epoch.is_some()), epoch }
     }
 
     /// Whether an act for this session may be written now. Without copies, always.
@@ -68,7 +68,7 @@
         let Some(life) = life_of(&id.0) else { return false };
         // Of a life of its own that is over nobody else has anything.
         let left = life.rsplit_once('-').is_some_and(|(name, _)| name == self.name)
-            && terms.heirs().over.contains_key(life);
+            && terms.successors().over.contains_key(life);
         terms.epoch(&keeping.own, life).is_some() || self.leased() && left
     }
 
@@ -79,12 +79,12 @@
     }
 
     pub(super) fn promise(&mut self, key: Key, promise: &Promise, waits: bool) {
-        self.notes.push(Output::Keep(key, keeping::encode(promise), waits));
+        self.notes.push(Output::StoreRecord(key, session_records::encode(promise), waits));
     }
 
     pub(super) fn forget(&mut self, key: Key) {
         if self.keeping.is_some() {
-            self.notes.push(Output::Forget(key));
+            self.notes.push(Output::DeleteRecord(key));
         }
     }
 
@@ -95,19 +95,19 @@
         request: BoxRequest,
         out: &mut Vec<Output>,
     ) {
-        let most = self.limits.connections;
+        let most = self.limits.connections_per_box;
         let wish = match (&self.keeping, &request) {
-            (Some(keeping), BoxRequest::SetUp { opening, .. }) => keeping.wish(opening),
+            (Some(keeping), BoxRequest::SetUp { open_request: opening, .. }) => keeping.wish(opening),
             _ => None,
         };
-        let BoxRequest::SetUp { session: id, attempt, opening, .. } = &request else { return };
+        let BoxRequest::SetUp { session: id, attempt, open_request: opening, .. } = &request else { return };
         let once = self.settings.classes.get(opening.class).is_some_and(|class| class.effect == Effect::Once);
         let (Some(wish), true) = (wish, once) else {
             return self.pool.send(to, request, None, most, &mut self.timers, out);
         };
         let (id, attempt) = (id.clone(), *attempt);
         let place = Place { server: to.0 .0, address: to.1, attempt };
-        self.promise(keeping::key(&id), &Promise::Intends(place, wish), true);
+        self.promise(session_records::key(&id), &Promise::Intends(place, wish), true);
         if let Some(keeping) = &mut self.keeping {
             keeping.waits.insert(id, Waits::SetUp(attempt, Box::new((to.0, to.1, request))));
         }
@@ -127,12 +127,13 @@
     pub(super) fn waits_to_play(&mut self, id: &SessionId, took: Micros, report: &[f64]) -> bool {
         let Some(keeping) = &mut self.keeping else { return false };
         let Some(session) = self.sessions.get(id) else { return false };
-        let (Some(attempt), Some(wish)) = (session.out(), keeping.wish(&session.opening)) else {
+        let (Some(attempt), Some(wish)) = (session.pending_attempt(), keeping.wish(&session.open_request))
+        else {
             return false;
         };
         let promise = Promise::Plays(Place::of(attempt), attempt.rung as u32, wish);
         keeping.waits.insert(id.clone(), Waits::Answer(attempt.number, took, report.to_vec(), false));
-        self.promise(keeping::key(id), &promise, true);
+        self.promise(session_records::key(id), &promise, true);
         true
     }
 
@@ -143,8 +144,8 @@
             return;
         }
         keeping.waits.remove(id);
-        let Some(attempt) = self.sessions.get(id).and_then(Session::out).cloned() else { return };
-        self.release((attempt.server, attempt.address), id, attempt.wire, out);
+        let Some(attempt) = self.sessions.get(id).and_then(Session::pending_attempt).cloned() else { return };
+        self.release((attempt.server, attempt.address), id, attempt.wire_number, out);
         self.attempt_ended(attempt.server, id, attempt.number, Outcome::Withdrawn, Vec::new(), out);
     }
 
@@ -153,9 +154,10 @@
         let Some(keeping) = &mut self.keeping else { return };
         let sessions = &self.sessions;
         for (id, waits) in &mut keeping.waits {
-            let at = sessions.get(id).and_then(Session::out);
+            let at = sessions.get(id).and_then(Session::pending_attempt);
             let meant = at.is_some_and(|at| {
-                at.server == server && of.is_none_or(|(session, wire)| session == id && at.wire == wire)
+                at.server == server
+                    && of.is_none_or(|(session, wire)| session == id && at.wire_number == wire)
             });
             if let Waits::Answer(_, _, _, ended) = waits {
                 *ended |= meant;
@@ -165,22 +167,22 @@
 
     /// A promise counts, or does not.
     pub(super) fn is_kept(&mut self, key: &Key, kept: bool, out: &mut Vec<Output>) {
-        let id = keeping::session(key);
+        let id = session_records::session(key);
         let Some(waits) = self.keeping.as_mut().and_then(|keeping| keeping.waits.remove(&id)) else { return };
-        let out_now = self.sessions.get(&id).and_then(Session::out).cloned();
+        let out_now = self.sessions.get(&id).and_then(Session::pending_attempt).cloned();
         match (waits, out_now) {
             (Waits::SetUp(number, sent), Some(attempt)) if attempt.number == number => {
                 let (server, address, request) = *sent;
-                if kept && self.sessions.get(&id).is_some_and(Session::owed) {
-                    let most = self.limits.connections;
+                if kept && self.sessions.get(&id).is_some_and(Session::answer_pending) {
+                    let most = self.limits.connections_per_box;
                     return self.pool.send((server, address), request, None, most, &mut self.timers, out);
                 }
-                self.timers.unset(attempt.expires, Due::Expire(id.clone(), number));
-                if self.sessions.get(&id).is_some_and(Session::owed) {
+                self.timers.cancel(attempt.expires_at, Deadline::AttemptTimeout(id.clone(), number));
+                if self.sessions.get(&id).is_some_and(Session::answer_pending) {
                     // Nothing was sent, so it may be told so: there are too few fronts to promise it.
                     let after = self.settings.max_hold_off.min(COME_BACK);
                     if let Some(session) = self.sessions.get_mut(&id) {
-                        session.stage = Stage::Held;
+                        session.stage = Stage::Waiting;
                     }
                     self.refuse(&id, after, out);
                     self.events.push_back(Event::Ended {
@@ -202,7 +204,7 @@
                     return self.plays(&id, attempt, took, &report, out);
                 }
                 if !ended {
-                    self.release((attempt.server, attempt.address), &id, attempt.wire, out);
+                    self.release((attempt.server, attempt.address), &id, attempt.wire_number, out);
                 }
                 self.answer(&id, Answer::Failed(id.clone(), FailReason::GivenUp), out);
                 let outcome = if ended { Outcome::Broken } else { Outcome::Withdrawn };
@@ -216,9 +218,11 @@
     pub(super) fn promise_rung(&mut self, id: &SessionId) {
         let Some(keeping) = &self.keeping else { return };
         let Some(session) = self.sessions.get(id) else { return };
-        let (Some(playing), Some(wish)) = (session.playing(), keeping.wish(&session.opening)) else { return };
+        let (Some(playing), Some(wish)) = (session.playing(), keeping.wish(&session.open_request)) else {
+            return;
+        };
         let promise = Promise::Plays(Place::of(&playing.attempt), playing.attempt.rung as u32, wish);
-        self.promise(keeping::key(id), &promise, false);
+        self.promise(session_records::key(id), &promise, false);
     }
 
     // ---- Going on ----
@@ -239,8 +243,8 @@
         keeping.adopted.insert(Life::clone(life), self.now);
         let mut boxes: BTreeMap<ServerId, SocketAddr> = self.boxes.clone();
         for (key, bytes) in promises {
-            let id = keeping::session(key);
-            let Some(promise) = keeping::decode(bytes) else {
+            let id = session_records::session(key);
+            let Some(promise) = session_records::decode(bytes) else {
                 self.counts.faults += 1;
                 out.push(Output::Log(Level::Warn, format!("a promise for {} cannot be read", id.0)));
                 continue;
@@ -263,13 +267,13 @@
                     keeping.unsure.insert(id.clone());
                     let listed = self.boxes.get(&ServerId(place.server)).copied();
                     let place = Place { address: listed.unwrap_or(place.address), ..place };
-                    self.plays_on(id, place, rung as usize, opening, self.limits.adopted_kept);
+                    self.plays_on(id, place, rung as usize, opening, self.limits.takeover_retention);
                 }
                 Some(_) => {}
                 None => {
                     // No class or title of that name here: its box is asked to end it.
                     let to = (ServerId(place.server), place.address);
-                    self.forget(keeping::key(&id));
+                    self.forget(session_records::key(&id));
                     self.release(to, &id, place.attempt, out);
                 }
             },
@@ -280,7 +284,7 @@
             Promise::Intends(place, wish) => match keeping.opening(&wish) {
                 Some(opening) => drop(keeping.fates.insert(id, (place, opening))),
                 None => {
-                    self.forget(keeping::key(&id));
+                    self.forget(session_records::key(&id));
                     self.release((ServerId(place.server), place.address), &id, place.attempt, out);
                 }
             },
@@ -290,7 +294,7 @@
             }
             Promise::Moved(viewer, left) => {
                 self.moved.insert(id.clone(), ViewerId(viewer));
-                self.timers.set(self.now + left.min(self.limits.moved_kept), Due::Moved(id));
+                self.timers.set(self.now + left.min(self.limits.moved_retention), Deadline::MovedExpiry(id));
             }
         }
     }
@@ -301,20 +305,28 @@
         id: SessionId,
         place: Place,
         rung: usize,
-        opening: Opening,
+        opening: OpenRequest,
         within: Micros,
     ) {
         let (server, address) = (ServerId(place.server), place.address);
         self.counts.resumed += 1;
-        let request = opening.request(&id, false);
+        let request = opening.to_request(&id, false);
         let effect = self.settings.classes.get(opening.class).map_or(Effect::Safe, |class| class.effect);
         let mut session = Session::new(None, opening, effect, rung, self.now);
-        let (number, wire, now) = (0, place.attempt, self.now);
-        session.plays_already(Attempt { number, wire, server, address, sent: now, expires: now, rung });
+        let (number, wire_number, now) = (0, place.attempt, self.now);
+        session.resume_playing(Attempt {
+            number,
+            wire_number,
+            server,
+            address,
+            sent_at: now,
+            expires_at: now,
+            rung,
+        });
         let until = now + within;
         session.claim_by = Some(until);
         self.insert(id.clone(), session);
-        self.timers.set(until, Due::Claim(id.clone()));
+        self.timers.set(until, Deadline::ClaimTimeout(id.clone()));
         self.events.push_back(Event::Resumed(request, server));
         self.events.push_back(Event::Note { session: id, server, note: Note::Rung(rung) });
     }
@@ -324,7 +336,7 @@
         let Some(keeping) = &mut self.keeping else { return };
         let Some(epoch) = keeping.epochs.get(life).copied() else { return };
         keeping.claims.entry((Life::clone(life), to.0)).or_insert(0);
-        self.ask(to, BoxRequest::Claim { life: Life::clone(life), epoch }, out);
+        self.ask(to, BoxRequest::Claim { incarnation: Life::clone(life), epoch }, out);
     }
 
     /// A box that has just come is asked of all lives that this front goes on with.
@@ -353,7 +365,7 @@
                 keeping.claims.remove(&at);
                 self.compare_life(server, life, held, out);
             }
-            End::Exchange(ExchangeEnd::Answered { answer: BoxAnswer::Replaced, .. }) => {
+            End::Exchange(ExchangeEnd::Answered { answer: BoxAnswer::Superseded, .. }) => {
                 // A later heir was here: accord's word of it is on its way.
                 keeping.claims.remove(&at);
                 self.give_up(life, out);
@@ -368,7 +380,7 @@
                     return self.compare_life(server, life, Vec::new(), out);
                 }
                 let pause = CLAIM_PAUSE << (*tries - 1).min(3);
-                self.timers.set(self.now + pause, Due::AskLife(server, Life::clone(life)));
+                self.timers.set(self.now + pause, Deadline::RetryClaim(server, Life::clone(life)));
             }
         }
     }
@@ -376,7 +388,8 @@
     /// It is time to ask a box again.
     pub(super) fn claim_again(&mut self, server: ServerId, life: &Life, out: &mut Vec<Output>) {
         let known = self.boxes.get(&server).copied().or_else(|| self.streams.address(server));
-        let promised = self.sessions.values().filter_map(Session::at).find(|at| at.server == server);
+        let promised =
+            self.sessions.values().filter_map(Session::current_attempt).find(|at| at.server == server);
         let address = known.or_else(|| promised.map(|at| at.address));
         let waits =
             self.keeping.as_ref().is_some_and(|k| k.claims.contains_key(&(Life::clone(life), server)));
@@ -396,11 +409,11 @@
     /// | may have been set up there | it plays | it plays on for its viewer |
     /// | may have been set up there | nothing | it is over, and can't begin any more: the box takes no earlier epoch |
     /// | nothing, or plays elsewhere | it plays | promised to nobody: it waits a while for its viewer, or is released |
-    fn compare_life(&mut self, server: ServerId, life: &Life, held: Vec<Held>, out: &mut Vec<Output>) {
+    fn compare_life(&mut self, server: ServerId, life: &Life, held: Vec<HeldSession>, out: &mut Vec<Output>) {
         let named: BTreeMap<SessionId, u32> = held.iter().map(|h| (h.session.clone(), h.attempt)).collect();
         let missing = |id: &SessionId, s: &Session| {
             let there = s.playing().filter(|p| p.attempt.server == server);
-            of_life(&id.0, life) && there.is_some_and(|p| named.get(id) != Some(&p.attempt.wire))
+            of_life(&id.0, life) && there.is_some_and(|p| named.get(id) != Some(&p.attempt.wire_number))
         };
         let lost: Vec<SessionId> =
             self.sessions.iter().filter(|(id, s)| missing(id, s)).map(|(id, _)| id.clone()).collect();
@@ -430,11 +443,17 @@
             if let Some(keeping) = &mut self.keeping {
                 keeping.fates.remove(&id);
             }
-            self.forget(keeping::key(&id));
+            self.forget(session_records::key(&id));
         }
     }
 
-    pub(super) fn held_of(&mut self, server: ServerId, life: &Life, held: Held, out: &mut Vec<Output>) {
+    pub(super) fn held_of(
+        &mut self,
+        server: ServerId,
+        life: &Life,
+        held: HeldSession,
+        out: &mut Vec<Output>,
+    ) {
         let Some(keeping) = &mut self.keeping else { return };
         let Some(address) = self.boxes.get(&server).copied().or_else(|| self.streams.address(server)) else {
             return;
@@ -444,14 +463,14 @@
             return;
         }
         let place = Place { server: server.0, address, attempt: held.attempt };
-        let same = |p: &Playing| p.attempt.server == server && p.attempt.wire == held.attempt;
+        let same = |p: &Playing| p.attempt.server == server && p.attempt.wire_number == held.attempt;
         match self.sessions.get_mut(&id) {
             Some(session) if session.playing().is_some_and(same) => {
                 keeping.unsure.remove(&id);
                 let rung = held.rung;
                 if let Stage::Playing(playing) = &mut session.stage {
-                    if playing.attempt.rung != rung && playing.changing.is_none() {
-                        (playing.attempt.rung, session.wanted) = (rung, rung);
+                    if playing.attempt.rung != rung && playing.pending_rung.is_none() {
+                        (playing.attempt.rung, session.target_rung) = (rung, rung);
                         self.events.push_back(Event::Note {
                             session: id.clone(),
                             server,
@@ -465,11 +484,11 @@
             None => {
                 let fate =
                     keeping.fates.get(&id).filter(|(at, _)| *at == place || at.attempt == held.attempt);
-                let opening = fate.map(|(_, opening)| opening.clone()).or(held.opening);
+                let opening = fate.map(|(_, opening)| opening.clone()).or(held.open_request);
                 keeping.fates.remove(&id);
                 match opening.filter(|_| !self.ending) {
                     Some(opening) => {
-                        self.plays_on(id.clone(), place, held.rung, opening, self.limits.adopted_kept);
+                        self.plays_on(id.clone(), place, held.rung, opening, self.limits.takeover_retention);
                         self.promise_rung(&id);
                     }
                     None => self.release_unknown((server, address), id, held.attempt, out),
@@ -491,11 +510,11 @@
             .collect();
         lives.iter().for_each(|life| self.give_up(life, out));
         self.boot = self.boot.wrapping_add(1);
-        let own = self.life();
+        let own = self.incarnation();
         if let Some(keeping) = &mut self.keeping {
             keeping.own = Life::clone(&own);
         }
-        self.notes.push(Output::Lives(own));
+        self.notes.push(Output::IncarnationChanged(own));
     }
 
     /// All sessions of a life are another's: nothing is said to their boxes.
@@ -504,19 +523,20 @@
             self.sessions.keys().filter(|id| of_life(&id.0, life)).cloned().collect();
         for id in theirs {
             let Some(session) = self.sessions.get(&id) else { continue };
-            let (client, at, owed) = (session.client, session.at().cloned(), session.owed());
+            let (client, at, owed) =
+                (session.client, session.current_attempt().cloned(), session.answer_pending());
             if let Some(keeping) = &mut self.keeping {
                 keeping.waits.remove(&id);
                 keeping.unsure.remove(&id);
             }
             if let Some(attempt) = &at {
-                self.timers.unset(attempt.expires, Due::Expire(id.clone(), attempt.number));
+                self.timers.cancel(attempt.expires_at, Deadline::AttemptTimeout(id.clone(), attempt.number));
                 self.pool.withdraw(&id, attempt.number, out);
             }
             if owed {
                 self.answer(&id, Answer::Failed(id.clone(), FailReason::GivenUp), out);
             } else if let Some((client, _)) = client {
-                out.push(Output::Tell(client, News::Ended(id.clone(), EndReason::Elsewhere)));
+                out.push(Output::Notify(client, Notification::Ended(id.clone(), EndReason::TakenOver)));
             }
             self.drop_session(&id);
             match at {
@@ -540,14 +560,14 @@
             keeping.claims.retain(|(of, _), _| of != life);
         }
         // Whoever goes on has these promises: to end them here would end them there.
-        self.notes.retain(|note| !matches!(note, Output::Forget(key) if of_life(key, life)));
+        self.notes.retain(|note| !matches!(note, Output::DeleteRecord(key) if of_life(key, life)));
     }
 
     /// Has this front a lease? Without one for long, its players are to look for whoever has.
     pub(super) fn look_at_lease(&mut self, out: &mut Vec<Output>) {
         let leased = self.leased();
         let Some(keeping) = &mut self.keeping else { return };
-        self.timers.set(self.now + LOOK, Due::Lease);
+        self.timers.set(self.now + LOOK, Deadline::CheckLease);
         if leased {
             keeping.leased = self.now;
             return;
@@ -560,7 +580,7 @@
             let own = self.by_client.get(&client).cloned().unwrap_or_default();
             let playing = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.playing().is_some());
             for id in own.into_iter().filter(playing) {
-                out.push(Output::Tell(client, News::Ended(id, EndReason::Elsewhere)));
+                out.push(Output::Notify(client, Notification::Ended(id, EndReason::TakenOver)));
             }
             self.keep_unsure(client);
         }
@@ -571,15 +591,15 @@
         let (Some(keeping), Some(terms), Some(life)) = (&self.keeping, &self.terms, life_of(&id.0)) else {
             return Reply::Unknown;
         };
-        let heirs = terms.heirs();
-        let wait = Reply::Wait(ASK_AGAIN);
+        let heirs = terms.successors();
+        let wait = Reply::RetryAfter(ASK_AGAIN);
         if let Some(heir) = heirs.last(life) {
             let here = heir.name.as_ref() == self.name.as_str();
             // Danger: a copy that was stopped comes a moment after the others, and its session was said to be unknown; found by
             // the trial.
             let whole = keeping.adopted.get(life).is_some_and(|at| at + SETTLES <= self.now);
             return match (here, whole) {
-                (false, _) => Reply::Elsewhere(Name::clone(&heir.name), heir.serves),
+                (false, _) => Reply::AtOtherFront(Name::clone(&heir.name), heir.serves),
                 // It was here, and is over; without a lease it may be at the next heir's.
                 (true, true) if terms.epoch(&keeping.own, life).is_some() => Reply::Unknown,
                 (true, _) => wait,
@@ -593,7 +613,7 @@
             return Reply::Unknown;
         }
         let Some((name, _)) = life.rsplit_once('-') else { return Reply::Unknown };
-        if !keeping.others.get(self.name.as_str()).is_some_and(|own| own.here) {
+        if !keeping.others.get(self.name.as_str()).is_some_and(|own| own.in_view) {
             // Danger: a front that has just started knows no other, and says that there is no such session; found by the
             // trial.
             return wait;
@@ -603,7 +623,9 @@
             return wait;
         }
         match keeping.others.get(name) {
-            Some(Other { here: true, serves }) => Reply::Elsewhere(Name::from(name), *serves),
+            Some(PeerFront { in_view: true, client_address }) => {
+                Reply::AtOtherFront(Name::from(name), *client_address)
+            }
             Some(_) => wait,
             // Two views that come together after a split know each other's fronts only after a moment.
             None if keeping.moved_at + SETTLES > self.now => wait,
@@ -618,7 +640,7 @@
         let (Some(keeping), Some(terms), Some(life)) = (&self.keeping, &self.terms, life_of(&id.0)) else {
             return;
         };
-        let heirs = terms.heirs();
+        let heirs = terms.successors();
         if heirs.of.contains_key(life) || keeping.epochs.contains_key(life) {
             return;
         }
@@ -629,9 +651,9 @@
             return;
         }
         if self.leased() {
-            self.notes.push(Output::Found(Life::from(life)));
+            self.notes.push(Output::OrphanFound(Life::from(life)));
         }
-        let until = self.now + self.limits.claim_within;
-        self.timers.set(until, Due::Stray(server, id, wire));
+        let until = self.now + self.limits.claim_timeout;
+        self.timers.set(until, Deadline::OrphanSession(server, id, wire));
     }
 }
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -10,18 +10,18 @@
 //! - [`session`]: the stages of one session; a wrong order does not compile or is told.
 //! - [`pool`]: keep-alive connections to boxes: which to use, dial, keep, hang up.
 //! - [`streams`]: the event stream from each box: when a box counts as lost, when to try again.
-//! - [`room`]: what of the process's files and threads is whose.
-//! - [`terms`]: rules that fronts agree on.
-//! - [`keeping`]: promises in the form in which other fronts keep copies of them.
+//! - [`process_limits`]: what of the process's files and threads is whose.
+//! - [`agreed_rules`]: rules that fronts agree on.
+//! - [`session_records`]: promises in the form in which other fronts keep copies of them.
 //! - [`timers`]: one queue of all that is due.
 
-pub mod keeping;
+pub mod agreed_rules;
 mod ledger;
 pub mod pool;
-pub mod room;
+pub mod process_limits;
 pub mod session;
+pub mod session_records;
 pub mod streams;
-pub mod terms;
 pub mod timers;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,11 +60,11 @@
 
 /// What a viewer asks for, in the settings' places.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Opening {
+pub struct OpenRequest {
     /// Who watches.
     pub viewer: ViewerId,
     /// Its firm's number, where its name has one.
-    pub firm: Option<ViewerId>,
+    pub tenant: Option<ViewerId>,
     /// What is watched.
     pub title: TitleId,
     /// Place of the class in the settings.
@@ -78,23 +78,23 @@
     /// Time before the viewer gives up.
     pub patience: Micros,
     /// A guess of how long it is watched.
-    pub length: Option<Micros>,
+    pub length_hint: Option<Micros>,
     /// Not the viewer's first try.
     pub returned: bool,
     /// The session that this front moved and that is opened anew by this.
     pub moved_from: Option<SessionId>,
 }
 
-impl Opening {
+impl OpenRequest {
     /// The module's request for it.
-    pub fn request(&self, session: &SessionId, moved: bool) -> Request {
+    pub fn to_request(&self, session: &SessionId, moved: bool) -> Request {
         Request {
             session: session.clone(),
             class: self.class,
             viewer: self.viewer,
             title: self.title,
             patience: self.patience,
-            length: self.length,
+            length: self.length_hint,
             first_cell: self.first_cell,
             cell_count: self.cell_count,
             top_rung: self.top_rung,
@@ -106,7 +106,7 @@
 
 /// A line of the box list with the box's address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ListEntry {
     /// What the module is told.
     pub entry: ServerEntry,
     /// Where the box listens.
@@ -114,9 +114,9 @@
 }
 
 /// The boxes that a list takes away: those that it calls gone, and those that a whole one no longer names.
-pub fn gone<'a>(
+pub fn removed_servers<'a>(
     kind: ListKind,
-    lines: &[Listed],
+    lines: &[ListEntry],
     known: impl Iterator<Item = &'a ServerId>,
 ) -> Vec<ServerId> {
     let named: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
@@ -127,7 +127,7 @@
 
 /// A session that a box holds for this front.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct HeldSession {
     /// Its id.
     pub session: SessionId,
     /// Number of the attempt by which it was set up.
@@ -135,17 +135,17 @@
     /// Rung in force.
     pub rung: usize,
     /// What it was opened with, if the box kept that and it still means something here.
-    pub opening: Option<Opening>,
+    pub open_request: Option<OpenRequest>,
 }
 
 /// What a front hears.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// `session.open`; accepted from here on.
-    Open(ClientId, Ticket, Opening),
+    Open(ClientId, Ticket, OpenRequest),
     /// The same of a client that may only return to a session: accepted only if this front moved it, and not
     /// answered by the one answer otherwise.
-    Return(ClientId, Ticket, Opening),
+    Reopen(ClientId, Ticket, OpenRequest),
     /// `session.cancel` of an unanswered open: the viewer gives up.
     Cancel(ClientId, Ticket, Ticket),
     /// `session.cancel` or `session.close` by session.
@@ -153,33 +153,33 @@
     /// `session.status`; a viewer may claim a resumed session by it.
     Status(ClientId, Ticket, SessionId, Option<ViewerId>),
     /// The connection is gone, or the caller dropped its handle.
-    ClientGone(ClientId),
+    ClientClosed(ClientId),
     /// The client is gone without a word: it may come back for what it has.
     ClientLost(ClientId),
     /// News of the box list.
-    List(ListKind, Vec<Listed>),
+    List(ListKind, Vec<ListEntry>),
     /// A dial ended.
     Dialed(ConnId, Result<(), DialError>),
     /// An exchange ended.
     Exchanged(ConnId, ExchangeEnd),
     /// News of the event stream of a box; the number tells which try.
-    Stream(ServerId, u64, StreamNews),
+    Stream(ServerId, u64, StreamEvent),
     /// The front is to end: all that is owed is answered, all that plays is released.
     ShutDown,
     /// What this front stands on, by rules that are agreed on.
-    Stand(Box<Stand>),
+    Coordination(Box<Stand>),
     /// A promise counts, or does not.
-    Kept(Key, bool),
+    RecordStored(Key, bool),
     /// This front goes on with what another promised, by this epoch.
-    Adopt(Life, u64, Vec<(Key, Bytes)>),
+    TakeOver(Life, u64, Vec<(Key, Bytes)>),
     /// Another front goes on with this one's own life.
-    Replaced(Life),
+    TakenOver(Life),
     /// Another front goes on with a life that this one went on with.
-    Gone(Life),
+    TakeoverSuperseded(Life),
     /// Which other fronts there are, or were.
-    Others(BTreeMap<Name, keeping::Other>),
+    Peers(BTreeMap<Name, session_records::PeerFront>),
     /// The process was not running for a while, and runs again.
-    Woke,
+    ProcessResumed,
     /// Something may be due.
     Tick,
 }
@@ -213,14 +213,14 @@
         /// The load report with it, in the order of the settings.
         report: Vec<f64>,
         /// The connection stays open.
-        keep: bool,
+        keep_alive: bool,
     },
     /// What a box holds of a life: all of it, and nothing of it is taken by earlier epochs any more.
     Claimed {
         /// What plays there.
-        held: Vec<Held>,
+        held: Vec<HeldSession>,
         /// The connection stays open.
-        keep: bool,
+        keep_alive: bool,
     },
 }
 
@@ -234,22 +234,22 @@
     /// The box knows no such session, or has ended it.
     Unknown,
     /// Another front goes on with the session: this one has no say any more.
-    Replaced,
+    Superseded,
     /// An error; it may have run.
     Error,
 }
 
 /// News of a box's event stream.
 #[derive(Clone, Debug, PartialEq)]
-pub enum StreamNews {
+pub enum StreamEvent {
     /// It stands, and these sessions are held there.
-    Up(Vec<Held>),
+    Up(Vec<HeldSession>),
     /// A sign of life.
-    Beat,
+    Heartbeat,
     /// A note on a playing session.
     Note(SessionId, Note),
     /// A session began whose answer could not be given: whoever asked for it has gone.
-    Began(Held),
+    Began(HeldSession),
     /// A session ended at the box.
     Ended(SessionId, u32),
     /// The connection could not be made.
@@ -272,7 +272,7 @@
         /// Rung to begin at.
         rung: usize,
         /// What the viewer asked for.
-        opening: Opening,
+        open_request: OpenRequest,
         /// After this long nobody waits for it.
         time_out: Micros,
     },
@@ -297,7 +297,7 @@
     /// What is held of a life that this front goes on with; nothing of it is to be taken by earlier epochs any more.
     Claim {
         /// Which life.
-        life: Life,
+        incarnation: Life,
         /// By which epoch.
         epoch: u64,
     },
@@ -307,9 +307,9 @@
 
 /// By what right a request is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Writ {
+pub struct WriteAuthority {
     /// Not after this, by the clock of leases.
-    pub until: Option<Micros>,
+    pub valid_until: Option<Micros>,
     /// By this epoch; the box is told.
     pub epoch: Option<u64>,
 }
@@ -366,18 +366,18 @@
     /// No session or open call of that name is this client's.
     Unknown,
     /// The session is at this front, where players reach it so.
-    Elsewhere(Name, Option<SocketAddr>),
+    AtOtherFront(Name, Option<SocketAddr>),
     /// The session is between two fronts: ask again after this long.
-    Wait(Micros),
+    RetryAfter(Micros),
     /// The open is not accepted: there are as many sessions as there may be.
-    Over(usize, HeldBy),
+    TooManySessions(usize, LimitScope),
     /// The open is not accepted: the front is full, and this is no return to a session. Ask again after this long.
-    OnlyBack(Micros),
+    ReturnsOnly(Micros),
 }
 
 /// Whose sessions are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldBy {
+pub enum LimitScope {
     /// Those of one connection.
     Connection,
     /// Those of one viewer.
@@ -386,9 +386,9 @@
 
 /// What a client is told of its session without asking.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News {
+pub enum Notification {
     /// The rung has changed, and with it the rate in kB a second.
-    Rung(SessionId, usize, f64),
+    RungChanged(SessionId, usize, f64),
     /// The session was taken off its box: open it again at this front, with `moved_from`.
     Move(SessionId),
     /// The session is over though the viewer did not close it.
@@ -407,7 +407,7 @@
     /// By rules that are agreed on.
     Rules,
     /// It goes on at another front.
-    Elsewhere,
+    TakenOver,
 }
 
 /// What the edge is to do.
@@ -418,27 +418,27 @@
     /// Give a client the answer to another call.
     Reply(ClientId, Ticket, Reply),
     /// Tell a client news.
-    Tell(ClientId, News),
+    Notify(ClientId, Notification),
     /// Connect to this box.
     Dial(ConnId, ServerId, SocketAddr),
     /// Write a request on a connection and await the response.
     Exchange(ConnId, BoxRequest),
     /// Close a connection, whatever is under way on it.
-    Hang(ConnId),
+    CloseConn(ConnId),
     /// Open the event stream of a box; news of it carry this number.
-    Listen(ServerId, u64, SocketAddr),
+    OpenStream(ServerId, u64, SocketAddr),
     /// Close the event stream of this number.
-    StopListening(ServerId, u64),
+    CloseStream(ServerId, u64),
     /// Follow the box list.
     FollowList,
-    /// Have this promise copied; whether [`Input::Kept`] is awaited.
-    Keep(Key, Vec<u8>, bool),
+    /// Have this promise copied; whether [`Input::RecordStored`] is awaited.
+    StoreRecord(Key, Vec<u8>, bool),
     /// It is no more.
-    Forget(Key),
+    DeleteRecord(Key),
     /// A box holds sessions of this earlier life of the front, and nobody has taken it over.
-    Found(Life),
+    OrphanFound(Life),
     /// Sessions' ids begin with this from now on.
-    Lives(Life),
+    IncarnationChanged(Life),
     /// A line for the operators' log.
     Log(Level, String),
     /// All that was owed at a shut-down is done.
@@ -462,30 +462,30 @@
     /// An answer may come so long after the viewer's patience.
     pub answer_slack: Micros,
     /// A stream on which nothing came for this long is taken to be silent.
-    pub silent_after: Micros,
+    pub silence_timeout: Micros,
     /// A box whose stream cannot be made again for this long is lost, and its sessions with it.
-    pub lost_after: Micros,
+    pub lost_timeout: Micros,
     /// A session found at a box after a restart of the front waits so long for its viewer.
-    pub claim_within: Micros,
+    pub claim_timeout: Micros,
     /// A session of a player that is gone without a word waits so long for its viewer.
-    pub silent_kept: Micros,
+    pub lost_client_retention: Micros,
     /// A session that another front promised waits so long for its viewer here: longer than that front may have been
     /// stopped with its players connected to it.
-    pub adopted_kept: Micros,
+    pub takeover_retention: Micros,
     /// Sessions of one connection at most, those that wait for an answer counted.
-    pub per_connection: usize,
+    pub sessions_per_connection: usize,
     /// Sessions of one viewer at most, likewise.
-    pub per_viewer: usize,
+    pub sessions_per_viewer: usize,
     /// A moved session may be opened again for this long.
-    pub moved_kept: Micros,
+    pub moved_retention: Micros,
     /// A request to a box other than a set-up is waited for so long.
-    pub ask_within: Micros,
+    pub request_timeout: Micros,
     /// An idle connection is kept this long; shorter than any box keeps it.
-    pub idle_kept: Micros,
+    pub idle_timeout: Micros,
     /// Clocks of this machine and of the list differ by no more than this.
     pub clock_skew: Micros,
     /// Connections to one box at most.
-    pub connections: usize,
+    pub connections_per_box: usize,
 }
 
 #[cfg(test)]
--- a/crates/front/src/core/pool.rs
+++ b/crates/front/src/core/pool.rs
@@ -8,7 +8,7 @@
 
 use salttally::interface::{Micros, ServerId, SessionId};
 
-use super::timers::{Due, Timers};
+use super::timers::{Deadline, Timers};
 use super::{BoxRequest, ConnId, DialError, ExchangeEnd, Output};
 
 /// A request and its place in the row of all requests.
@@ -82,7 +82,7 @@
         self.serial += 1;
         let job = Job { serial: self.serial, request };
         if let Some(until) = until {
-            timers.set(until, Due::Slow(job.serial));
+            timers.set(until, Deadline::RequestTimeout(job.serial));
         }
         // The one used last is the likeliest to stand, and those that are not needed grow old and are closed.
         let idle = |conn: &Conn| match conn.state {
@@ -91,7 +91,7 @@
         };
         let free = self.conns.iter().filter_map(|(id, conn)| idle(conn).map(|until| (until, *id))).max();
         if let Some((until, id)) = free {
-            timers.unset(until, Due::Idle(id));
+            timers.cancel(until, Deadline::IdleTimeout(id));
             out.push(Output::Exchange(id, job.request.clone()));
             self.conns.entry(id).and_modify(|conn| conn.state = State::Busy(job));
         } else if self.conns.values().filter(|conn| conn.server == server).count() < most {
@@ -146,12 +146,14 @@
         let conn = self.conns.get_mut(&id)?;
         let (server, address) = (conn.server, conn.address);
         let State::Busy(job) = std::mem::replace(&mut conn.state, State::Dialing(None)) else { return None };
-        if let ExchangeEnd::Answered { keep: true, .. } | ExchangeEnd::Claimed { keep: true, .. } = end {
+        if let ExchangeEnd::Answered { keep_alive: true, .. }
+        | ExchangeEnd::Claimed { keep_alive: true, .. } = end
+        {
             self.free(now, id, idle_kept, timers, out);
             return Some((server, job.request, End::Exchange(end)));
         }
         self.conns.remove(&id);
-        out.push(Output::Hang(id));
+        out.push(Output::CloseConn(id));
         if end == ExchangeEnd::Stale {
             // The others are as old: each would cost a further round. Danger: a set-up written into one of them
             // just as the box closes it counts as one that may have run.
@@ -201,7 +203,7 @@
             return job.take().map(|job| (Proof::Unsent, server, job));
         }
         let State::Busy(job) = self.conns.remove(&id)?.state else { return None };
-        out.push(Output::Hang(id));
+        out.push(Output::CloseConn(id));
         self.next(server, out);
         Some((Proof::MayHaveRun, server, job))
     }
@@ -210,8 +212,8 @@
     pub fn forget(&mut self, server: ServerId, timers: &mut Timers, out: &mut Vec<Output>) {
         self.conns.retain(|id, conn| match conn.state {
             State::Idle(until) if conn.server == server => {
-                timers.unset(until, Due::Idle(*id));
-                out.push(Output::Hang(*id));
+                timers.cancel(until, Deadline::IdleTimeout(*id));
+                out.push(Output::CloseConn(*id));
                 false
             }
             _ => true,
@@ -222,7 +224,7 @@
     pub fn too_old(&mut self, id: ConnId, out: &mut Vec<Output>) {
         if self.conns.get(&id).is_some_and(|conn| matches!(conn.state, State::Idle(_))) {
             self.conns.remove(&id);
-            out.push(Output::Hang(id));
+            out.push(Output::CloseConn(id));
         }
     }
 
@@ -248,7 +250,7 @@
 
     /// Hangs up everything.
     pub fn stop(&mut self, out: &mut Vec<Output>) {
-        out.extend(std::mem::take(&mut self.conns).into_keys().map(Output::Hang));
+        out.extend(std::mem::take(&mut self.conns).into_keys().map(Output::CloseConn));
         self.queues.clear();
     }
 
@@ -278,7 +280,7 @@
             // The moment stands in the entry and in the timer, so that a used connection's timer can be found.
             let until = now + idle_kept;
             conn.state = State::Idle(until);
-            timers.set(until, Due::Idle(id));
+            timers.set(until, Deadline::IdleTimeout(id));
         }
     }
 
--- a/crates/front/src/core/room.rs
+++ b/crates/front/src/core/process_limits.rs
@@ -17,7 +17,7 @@
 
 /// What the process may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct ProcessLimits {
     /// Open files at most (`RLIMIT_NOFILE`).
     pub files: u64,
     /// Memory maps at most (`vm.max_map_count`).
@@ -26,7 +26,7 @@
 
 /// There is no room for so many.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum NoRoom {
+pub enum ProcessLimitError {
     /// Of files.
     #[error("{0} files are needed, and this process may open {1}")]
     Files(u64, u64),
@@ -35,14 +35,14 @@
     Threads(u64, u64),
 }
 
-impl Room {
+impl ProcessLimits {
     /// Threads that this room allows for.
     pub fn threads(&self) -> u64 {
         self.maps.saturating_sub(MAPS_ASIDE) / MAPS_A_THREAD
     }
 
     /// Connections of players for which there is room beside so many to boxes.
-    pub fn players(&self, to_boxes: usize) -> u64 {
+    pub fn max_players(&self, to_boxes: usize) -> u64 {
         let to_boxes = to_boxes as u64;
         let files = self.files.saturating_sub(OWN + FILES_A_BOX * to_boxes);
         files.min(self.threads().saturating_sub(OWN + to_boxes))
@@ -52,15 +52,15 @@
     ///
     /// # Errors
     /// What there is too little of.
-    pub fn holds(&self, players: usize, to_boxes: usize) -> Result<(), NoRoom> {
+    pub fn check(&self, players: usize, to_boxes: usize) -> Result<(), ProcessLimitError> {
         let (players, to_boxes) = (players as u64, to_boxes as u64);
         let files = OWN + players + FILES_A_BOX * to_boxes;
         if files > self.files {
-            return Err(NoRoom::Files(files, self.files));
+            return Err(ProcessLimitError::Files(files, self.files));
         }
         let threads = OWN + players + to_boxes;
         if threads > self.threads() {
-            return Err(NoRoom::Threads(threads, self.threads()));
+            return Err(ProcessLimitError::Threads(threads, self.threads()));
         }
         Ok(())
     }
@@ -72,15 +72,17 @@
 
     #[test]
     fn there_is_room_for_as_many_players_as_is_said_and_for_no_more() {
-        for room in [Room { files: 1_024, maps: 65_530 }, Room { files: 1_000_000, maps: 65_530 }] {
+        for room in
+            [ProcessLimits { files: 1_024, maps: 65_530 }, ProcessLimits { files: 1_000_000, maps: 65_530 }]
+        {
             for to_boxes in [0, 100, 400] {
-                let players = usize::try_from(room.players(to_boxes)).unwrap();
-                assert_eq!(room.holds(players, to_boxes), Ok(()));
-                assert!(room.holds(players + 1, to_boxes).is_err());
+                let players = usize::try_from(room.max_players(to_boxes)).unwrap();
+                assert_eq!(room.check(players, to_boxes), Ok(()));
+                assert!(room.check(players + 1, to_boxes).is_err());
             }
         }
-        let small = Room { files: 256, maps: 65_530 };
-        assert_eq!(small.players(2_048), 0);
-        assert_eq!(small.holds(1, 2_048), Err(NoRoom::Files(4_161, 256)));
+        let small = ProcessLimits { files: 256, maps: 65_530 };
+        assert_eq!(small.max_players(2_048), 0);
+        assert_eq!(small.check(1, 2_048), Err(ProcessLimitError::Files(4_161, 256)));
     }
 }
--- a/crates/front/src/core/keeping.rs
+++ b/crates/front/src/core/session_records.rs
@@ -10,9 +10,9 @@
 use salttally_copies::core::{life_of, Key, Life, Name};
 use serde::{Deserialize, Serialize};
 
+use super::agreed_rules::SettingsNames;
 use super::session::Attempt;
-use super::terms::Names;
-use super::{BoxRequest, Opening};
+use super::{BoxRequest, OpenRequest};
 
 /// Where something is, or is to be, at a box.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
@@ -28,7 +28,7 @@
 impl Place {
     /// Of an attempt.
     pub fn of(attempt: &Attempt) -> Place {
-        Place { server: attempt.server.0, address: attempt.address, attempt: attempt.wire }
+        Place { server: attempt.server.0, address: attempt.address, attempt: attempt.wire_number }
     }
 }
 
@@ -70,17 +70,17 @@
 
 /// A front among those that may be asked for a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Other {
+pub struct PeerFront {
     /// It is in the view.
-    pub here: bool,
+    pub in_view: bool,
     /// Where players reach it.
-    pub serves: Option<SocketAddr>,
+    pub client_address: Option<SocketAddr>,
 }
 
 /// What a ledger keeps of its promises, where they are copied.
 #[derive(Clone, Debug)]
 pub struct Keeping {
-    names: Arc<Names>,
+    names: Arc<SettingsNames>,
     /// This front's own life.
     pub own: Life,
     /// Lives that it goes on with, and by which epoch.
@@ -92,7 +92,7 @@
     /// Sessions that play for all that is known, until their boxes have said so.
     pub unsure: BTreeSet<SessionId>,
     /// Set-ups of others of which nothing is known but that they may have run.
-    pub fates: BTreeMap<SessionId, (Place, Opening)>,
+    pub fates: BTreeMap<SessionId, (Place, OpenRequest)>,
     /// Boxes that are asked what they hold of a life, and how often in vain.
     pub claims: BTreeMap<(Life, ServerId), u32>,
     /// When this front last had a lease.
@@ -100,12 +100,12 @@
     /// When what is known of other fronts last changed.
     pub moved_at: Micros,
     /// Other fronts.
-    pub others: BTreeMap<Name, Other>,
+    pub others: BTreeMap<Name, PeerFront>,
 }
 
 impl Keeping {
     /// Of a front that lives so.
-    pub fn new(names: Arc<Names>, own: Life) -> Keeping {
+    pub fn new(names: Arc<SettingsNames>, own: Life) -> Keeping {
         Keeping {
             names,
             own,
@@ -131,33 +131,33 @@
     }
 
     /// What was asked for, by names; nothing where the settings have none for it.
-    pub fn wish(&self, opening: &Opening) -> Option<Wish> {
+    pub fn wish(&self, opening: &OpenRequest) -> Option<Wish> {
         Some(Wish {
             viewer: opening.viewer.0,
-            firm: opening.firm.map(|firm| firm.0),
+            firm: opening.tenant.map(|firm| firm.0),
             title: self.names.titles.get(&opening.title)?.clone(),
             class: self.names.classes.get(opening.class)?.clone(),
             cells: (opening.first_cell, opening.cell_count),
             top_rung: u32::try_from(opening.top_rung).unwrap_or(u32::MAX),
             patience: opening.patience,
-            length: opening.length,
+            length: opening.length_hint,
         })
     }
 
     /// The same in the places of this front's settings; nothing where they know no such class or title.
-    pub fn opening(&self, wish: &Wish) -> Option<Opening> {
+    pub fn opening(&self, wish: &Wish) -> Option<OpenRequest> {
         let title: TitleId =
             self.names.titles.iter().find(|(_, name)| **name == wish.title).map(|(id, _)| *id)?;
-        Some(Opening {
+        Some(OpenRequest {
             viewer: ViewerId(wish.viewer),
-            firm: wish.firm.map(ViewerId),
+            tenant: wish.firm.map(ViewerId),
             title,
             class: self.names.classes.iter().position(|name| *name == wish.class)?,
             first_cell: wish.cells.0,
             cell_count: wish.cells.1,
             top_rung: wish.top_rung as usize,
             patience: wish.patience,
-            length: wish.length,
+            length_hint: wish.length,
             returned: false,
             moved_from: None,
         })
--- a/crates/front/src/core/streams.rs
+++ b/crates/front/src/core/streams.rs
@@ -9,7 +9,7 @@
 
 use salttally::interface::{Micros, ServerId};
 
-use super::timers::{Due, Timers};
+use super::timers::{Deadline, Timers};
 use super::{DialError, Output};
 
 /// First pause before a stream is tried again; it doubles.
@@ -46,7 +46,7 @@
     /// It is no longer waited for to stand.
     fn not_awaited(&self, id: ServerId, silent_after: Micros, timers: &mut Timers) {
         if let State::Opening(asked) = self.state {
-            timers.unset(asked + silent_after, Due::Silent(id, self.try_no));
+            timers.cancel(asked + silent_after, Deadline::StreamSilence(id, self.try_no));
         }
     }
 }
@@ -100,7 +100,7 @@
                 return;
             }
             stream.not_awaited(id, self.silent_after, timers);
-            out.push(Output::StopListening(id, stream.try_no));
+            out.push(Output::CloseStream(id, stream.try_no));
         }
         let state = State::Opening(now);
         let stream = Stream {
@@ -123,7 +123,7 @@
         let Some(stream) = self.streams.get_mut(&id) else { return };
         stream.listed = false;
         if !in_use && matches!(stream.state, State::Up(_)) {
-            out.push(Output::StopListening(id, stream.try_no));
+            out.push(Output::CloseStream(id, stream.try_no));
             self.streams.remove(&id);
         }
     }
@@ -160,7 +160,7 @@
         let Some(stream) = self.streams.get_mut(&id) else { return };
         stream.not_awaited(id, silent_after, timers);
         (stream.state, stream.down, stream.pause) = (State::Up(now), None, PAUSE_FIRST);
-        timers.set(now + silent_after, Due::Silent(id, stream.try_no));
+        timers.set(now + silent_after, Deadline::StreamSilence(id, stream.try_no));
     }
 
     /// A stream broke or could not be made.
@@ -190,7 +190,7 @@
             return Verdict::Lost;
         }
         stream.state = State::Pausing;
-        timers.set(now + stream.pause, Due::Listen(id, stream.try_no));
+        timers.set(now + stream.pause, Deadline::ReopenStream(id, stream.try_no));
         stream.pause = (stream.pause * 2).min(PAUSE_MOST);
         if lost {
             // Said once for each time that it is down; a later try begins anew.
@@ -220,7 +220,7 @@
         let Some(stream) = self.streams.get_mut(&id) else { return false };
         stream.not_awaited(id, self.silent_after, timers);
         (stream.state, stream.down) = (State::Pausing, None);
-        timers.set(now + PAUSE_MOST, Due::Listen(id, stream.try_no));
+        timers.set(now + PAUSE_MOST, Deadline::ReopenStream(id, stream.try_no));
         !std::mem::replace(&mut stream.greedy, true)
     }
 
@@ -239,12 +239,12 @@
         let (State::Up(heard) | State::Opening(heard)) = stream.state else { return false };
         let heard = heard.max(woke);
         if heard + silent_after > now {
-            timers.set(heard + silent_after, Due::Silent(id, number));
+            timers.set(heard + silent_after, Deadline::StreamSilence(id, number));
             return false;
         }
         // It has been down since it was last heard, or for as long as it could not be made.
         stream.down = Some(stream.down.map_or(heard, |down| down.min(heard)));
-        out.push(Output::StopListening(id, number));
+        out.push(Output::CloseStream(id, number));
         true
     }
 
@@ -256,7 +256,7 @@
     /// Stops listening to all boxes.
     pub fn stop(&mut self, out: &mut Vec<Output>) {
         for (id, stream) in std::mem::take(&mut self.streams) {
-            out.push(Output::StopListening(id, stream.try_no));
+            out.push(Output::CloseStream(id, stream.try_no));
         }
     }
 
@@ -264,8 +264,8 @@
         self.last += 1;
         let Some(stream) = self.streams.get_mut(&id) else { return };
         (stream.try_no, stream.state) = (self.last, State::Opening(now));
-        timers.set(now + self.silent_after, Due::Silent(id, stream.try_no));
-        out.push(Output::Listen(id, stream.try_no, stream.address));
+        timers.set(now + self.silent_after, Deadline::StreamSilence(id, stream.try_no));
+        out.push(Output::OpenStream(id, stream.try_no, stream.address));
     }
 }
 
--- a/crates/front/src/core/tests.rs
+++ b/crates/front/src/core/tests.rs
@@ -23,25 +23,25 @@
     SocketAddr::from(([127, 0, 0, 1], 9000 + id as u16))
 }
 
-fn listed(id: u32, state: ServerState, started: Option<Micros>) -> Listed {
+fn listed(id: u32, state: ServerState, started: Option<Micros>) -> ListEntry {
     let server = ServerId(id);
-    Listed {
+    ListEntry {
         entry: ServerEntry { server, cell: id, state, units: 1.0, started, ..Default::default() },
         address: address(id),
     }
 }
 
-fn opening(viewer: u64, class: usize) -> Opening {
-    Opening {
+fn opening(viewer: u64, class: usize) -> OpenRequest {
+    OpenRequest {
         viewer: ViewerId(viewer),
-        firm: None,
+        tenant: None,
         title: TitleId(1),
         class,
         first_cell: 0,
         cell_count: 4,
         top_rung: 2,
         patience: 1_000 * MS,
-        length: None,
+        length_hint: None,
         returned: false,
         moved_from: None,
     }
@@ -171,7 +171,7 @@
             }
             Output::Dial(conn, ..) => self.dials.push(*conn),
             Output::Exchange(conn, request) => {
-                if let BoxRequest::SetUp { session, opening, rung, .. } = request {
+                if let BoxRequest::SetUp { session, open_request: opening, rung, .. } = request {
                     let seen = self.seen.entry(session.clone()).or_default();
                     seen.class = opening.class;
                     assert!(seen.out.is_empty(), "two attempts out for {session:?}");
@@ -184,7 +184,7 @@
                     "two requests on one connection"
                 );
             }
-            Output::Hang(conn) => {
+            Output::CloseConn(conn) => {
                 self.dials.retain(|dial| dial != conn);
                 if let Some(BoxRequest::SetUp { session, .. }) = self.exchanges.remove(conn) {
                     let seen = self.seen.entry(session).or_default();
@@ -192,20 +192,23 @@
                     seen.ran |= seen.out.remove(conn);
                 }
             }
-            Output::Listen(server, number, _) => {
+            Output::OpenStream(server, number, _) => {
                 self.streams.insert(*server, *number);
             }
-            Output::StopListening(server, number) => {
+            Output::CloseStream(server, number) => {
                 if self.streams.get(server) == Some(number) {
                     self.streams.remove(server);
                 }
             }
-            Output::Tell(_, News::Move(session) | News::Ended(session, _)) => {
+            Output::Notify(_, Notification::Move(session) | Notification::Ended(session, _)) => {
                 self.playing.remove(session);
             }
             Output::Finished => self.finished = true,
-            Output::Reply(..) | Output::Tell(..) | Output::FollowList | Output::Log(..) => {}
-            Output::Keep(..) | Output::Forget(_) | Output::Lives(_) | Output::Found(_) => {}
+            Output::Reply(..) | Output::Notify(..) | Output::FollowList | Output::Log(..) => {}
+            Output::StoreRecord(..)
+            | Output::DeleteRecord(_)
+            | Output::IncarnationChanged(_)
+            | Output::OrphanFound(_) => {}
         }
     }
 
@@ -249,7 +252,7 @@
                 self.gone.insert(client);
                 self.playing.retain(|_, (of, ..)| *of != client);
                 let lost = self.below(2) == 0;
-                self.give(if lost { Input::ClientLost(client) } else { Input::ClientGone(client) });
+                self.give(if lost { Input::ClientLost(client) } else { Input::ClientClosed(client) });
             }
             5 => {
                 let id = self.below(4) as u32;
@@ -276,30 +279,30 @@
         let all: Vec<_> = self.streams.iter().map(|(server, number)| (*server, *number)).collect();
         let Some((server, number)) = all.get(self.below(all.len())).copied() else { return };
         let held = self.held.iter().filter(|((at, ..), _)| *at == server);
-        let held: Vec<Held> = held
-            .map(|((_, session, attempt), rung)| Held {
+        let held: Vec<HeldSession> = held
+            .map(|((_, session, attempt), rung)| HeldSession {
                 session: session.clone(),
                 attempt: *attempt,
                 rung: *rung,
-                opening: Some(opening(1, CLIP)),
+                open_request: Some(opening(1, CLIP)),
             })
             .collect();
         let news = match self.below(9) {
-            8 => StreamNews::CutOff("greedy".into()),
-            0 => StreamNews::NoConnection(DialError::Refused),
-            1 => StreamNews::NoConnection(DialError::TimedOut),
-            2 => StreamNews::Broken,
+            8 => StreamEvent::CutOff("greedy".into()),
+            0 => StreamEvent::NoConnection(DialError::Refused),
+            1 => StreamEvent::NoConnection(DialError::TimedOut),
+            2 => StreamEvent::Broken,
             3 => match held.first() {
-                Some(held) => StreamNews::Ended(held.session.clone(), held.attempt),
-                None => StreamNews::Beat,
+                Some(held) => StreamEvent::Ended(held.session.clone(), held.attempt),
+                None => StreamEvent::Heartbeat,
             },
             4 => match held.first() {
-                Some(held) => StreamNews::Note(held.session.clone(), Note::Link(0.5)),
-                None => StreamNews::Beat,
+                Some(held) => StreamEvent::Note(held.session.clone(), Note::Link(0.5)),
+                None => StreamEvent::Heartbeat,
             },
-            _ => StreamNews::Up(held),
+            _ => StreamEvent::Up(held),
         };
-        if let StreamNews::Ended(session, attempt) = &news {
+        if let StreamEvent::Ended(session, attempt) = &news {
             self.held.remove(&(server, session.clone(), *attempt));
         }
         self.give(Input::Stream(server, number, news));
@@ -323,8 +326,11 @@
 
     fn end_exchange(&mut self, conn: ConnId, draw: usize) {
         let Some(request) = self.exchanges.remove(&conn) else { return };
-        let answered =
-            |answer| ExchangeEnd::Answered { answer, report: vec![3.0, 0.4], keep: draw.is_multiple_of(2) };
+        let answered = |answer| ExchangeEnd::Answered {
+            answer,
+            report: vec![3.0, 0.4],
+            keep_alive: draw.is_multiple_of(2),
+        };
         let end = match draw {
             0 => ExchangeEnd::Stale,
             1 => ExchangeEnd::Unwritten,
@@ -389,10 +395,10 @@
         assert!(
             self.finished,
             "the shut-down never ends: {:?} {:?}",
-            self.ledger.held(),
+            self.ledger.session_counts(),
             self.ledger.connections()
         );
-        assert_eq!(self.ledger.held(), (0, 0));
+        assert_eq!(self.ledger.session_counts(), (0, 0));
         assert_eq!(self.ledger.connections(), [0; 4]);
     }
 }
@@ -501,13 +507,13 @@
     let (by, _) = stage.world.opens.first_key_value().map(|(by, a)| (*by, a.clone())).unwrap();
     stage.world.give(Input::Cancel(by.0, Ticket(99), by.1));
     assert_eq!(stage.answers(), [Answer::Failed(id.clone(), FailReason::Cancelled)]);
-    let ended = ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![], keep: true };
+    let ended = ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![], keep_alive: true };
     stage.world.exchanges.remove(&conn);
     let out = stage.world.give(Input::Exchanged(conn, ended));
     let release = BoxRequest::Release { session: id, attempt: 0 };
     assert!(out.contains(&Output::Exchange(conn, release)), "{out:?}");
     assert_eq!(stage.outcomes(), [Outcome::Withdrawn]);
-    assert_eq!(stage.world.ledger.held(), (0, 0));
+    assert_eq!(stage.world.ledger.session_counts(), (0, 0));
 }
 
 #[test]
@@ -517,7 +523,7 @@
     let by = *stage.world.opens.first_key_value().unwrap().0;
     let out = stage.world.give(Input::Cancel(by.0, Ticket(99), by.1));
     assert_eq!(out, [Output::Reply(VIEWER, Ticket(99), Reply::Unknown)]);
-    assert_eq!(stage.world.ledger.held(), (1, 1));
+    assert_eq!(stage.world.ledger.session_counts(), (1, 1));
 }
 
 #[test]
@@ -529,10 +535,10 @@
     let told = stage.told.clone();
     told.borrow_mut().clear();
     let out = stage.world.give(Input::Tick);
-    assert_eq!(out[0], Output::Hang(conn), "its connection is closed first: {out:?}");
+    assert_eq!(out[0], Output::CloseConn(conn), "its connection is closed first: {out:?}");
     assert!(matches!(out[1], Output::Dial(..)), "the release goes on a new one: {out:?}");
     assert_eq!(stage.outcomes(), [Outcome::TimedOut]);
-    assert!(stage.world.ledger.held().0 == 1, "{id:?} is held: its answer is still owed");
+    assert!(stage.world.ledger.session_counts().0 == 1, "{id:?} is held: its answer is still owed");
 }
 
 #[test]
@@ -555,7 +561,7 @@
     stage.world.exchanges.remove(&conn);
     stage.world.seen.get_mut(&second).unwrap().out.clear();
     let out = stage.world.give(Input::Exchanged(conn, ExchangeEnd::Stale));
-    assert!(matches!(out[..], [Output::Hang(_), Output::Dial(..)]), "{out:?}");
+    assert!(matches!(out[..], [Output::CloseConn(_), Output::Dial(..)]), "{out:?}");
     assert!(stage.outcomes().is_empty(), "no attempt has ended: {first:?} plays, {second:?} is tried");
 }
 
@@ -608,17 +614,17 @@
     let server = ServerId(0);
     let number = stage.world.streams[&server];
     stage.world.now += MS;
-    stage.world.give(Input::Stream(server, number, StreamNews::Up(vec![])));
+    stage.world.give(Input::Stream(server, number, StreamEvent::Up(vec![])));
     assert_eq!(
-        stage.world.ledger.held().1,
+        stage.world.ledger.session_counts().1,
         1,
         "set up after the stream was asked for: its list may be older"
     );
-    let out = stage.world.give(Input::Stream(server, number, StreamNews::Broken));
-    assert!(matches!(out[..], [Output::Listen(..)]), "one try at once tells which it is: {out:?}");
+    let out = stage.world.give(Input::Stream(server, number, StreamEvent::Broken));
+    assert!(matches!(out[..], [Output::OpenStream(..)]), "one try at once tells which it is: {out:?}");
     let number = stage.world.streams[&server];
-    let out = stage.world.give(Input::Stream(server, number, StreamNews::NoConnection(DialError::Refused)));
-    assert!(out.contains(&Output::Tell(VIEWER, News::Ended(id, EndReason::Lost))), "{out:?}");
+    let out = stage.world.give(Input::Stream(server, number, StreamEvent::NoConnection(DialError::Refused)));
+    assert!(out.contains(&Output::Notify(VIEWER, Notification::Ended(id, EndReason::Lost))), "{out:?}");
     assert_eq!(stage.outcomes(), [Outcome::Broken]);
 }
 
@@ -629,11 +635,11 @@
     let server = ServerId(0);
     stage.world.now += MS;
     let number = stage.world.streams[&server];
-    stage.world.give(Input::Stream(server, number, StreamNews::Up(vec![])));
-    stage.world.give(Input::Stream(server, number, StreamNews::Broken));
+    stage.world.give(Input::Stream(server, number, StreamEvent::Up(vec![])));
+    stage.world.give(Input::Stream(server, number, StreamEvent::Broken));
     let number = stage.world.streams[&server];
-    let out = stage.world.give(Input::Stream(server, number, StreamNews::Up(vec![])));
-    assert!(out.contains(&Output::Tell(VIEWER, News::Ended(id, EndReason::Lost))), "{out:?}");
+    let out = stage.world.give(Input::Stream(server, number, StreamEvent::Up(vec![])));
+    assert!(out.contains(&Output::Notify(VIEWER, Notification::Ended(id, EndReason::Lost))), "{out:?}");
 }
 
 #[test]
@@ -641,40 +647,47 @@
     let mut stage = Stage::new();
     let (id, _) = stage.play();
     let number = stage.world.streams[&ServerId(0)];
-    stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Up(vec![])));
+    stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Up(vec![])));
     let limits = settings().limits;
     let mut told = Vec::new();
-    let until = stage.world.now + limits.silent_after + limits.lost_after + 3_000 * MS;
+    let until = stage.world.now + limits.silence_timeout + limits.lost_timeout + 3_000 * MS;
     while stage.world.now < until && told.is_empty() {
         stage.world.now += 20 * MS;
         for output in stage.world.give(Input::Tick) {
-            if let Output::Listen(server, number, _) = output {
+            if let Output::OpenStream(server, number, _) = output {
                 // Nobody answers: neither refused nor made.
-                let news = StreamNews::NoConnection(DialError::TimedOut);
+                let news = StreamEvent::NoConnection(DialError::TimedOut);
                 let out = stage.world.give(Input::Stream(server, number, news));
-                told.extend(out.into_iter().filter(|o| matches!(o, Output::Tell(_, News::Ended(..)))));
-            } else if matches!(output, Output::Tell(_, News::Ended(..))) {
+                told.extend(
+                    out.into_iter().filter(|o| matches!(o, Output::Notify(_, Notification::Ended(..)))),
+                );
+            } else if matches!(output, Output::Notify(_, Notification::Ended(..))) {
                 told.push(output);
             }
         }
     }
-    assert_eq!(told, [Output::Tell(VIEWER, News::Ended(id, EndReason::Lost))]);
+    assert_eq!(told, [Output::Notify(VIEWER, Notification::Ended(id, EndReason::Lost))]);
 }
 
 #[test]
 fn a_front_born_again_finds_its_sessions_and_hands_them_to_their_viewers_alone() {
     let mut stage = Stage::new();
     let old = |n: u32| SessionId(format!("f0-00000000-{n:010}").into());
-    let held = |session: SessionId| Held { session, attempt: 2, rung: 1, opening: Some(opening(7, CLIP)) };
-    let strange = Held { session: SessionId("f9-00000000-0000000001".into()), ..held(old(1)) };
+    let held = |session: SessionId| HeldSession {
+        session,
+        attempt: 2,
+        rung: 1,
+        open_request: Some(opening(7, CLIP)),
+    };
+    let strange = HeldSession { session: SessionId("f9-00000000-0000000001".into()), ..held(old(1)) };
     let number = stage.world.streams[&ServerId(0)];
     stage.told.borrow_mut().clear();
     stage.world.give(Input::Stream(
         ServerId(0),
         number,
-        StreamNews::Up(vec![held(old(1)), held(old(2)), strange]),
+        StreamEvent::Up(vec![held(old(1)), held(old(2)), strange]),
     ));
-    assert_eq!(stage.world.ledger.held(), (2, 2), "another front's session is left alone");
+    assert_eq!(stage.world.ledger.session_counts(), (2, 2), "another front's session is left alone");
     let resumed = stage.told.borrow().iter().filter(|e| matches!(e, Event::Resumed(..))).count();
     assert_eq!(resumed, 2);
     let thief = stage.world.give(Input::Status(ClientId(5), Ticket(1), old(1), Some(ViewerId(8))));
@@ -682,9 +695,9 @@
     let owner = stage.world.give(Input::Status(ClientId(6), Ticket(1), old(1), Some(ViewerId(7))));
     assert!(matches!(owner[..], [Output::Reply(_, _, Reply::Status { playing: Some(_), .. })]), "{owner:?}");
     // Nobody comes for the other one.
-    stage.world.now += settings().limits.claim_within;
-    stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Beat));
-    assert_eq!(stage.world.ledger.held(), (1, 1));
+    stage.world.now += settings().limits.claim_timeout;
+    stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Heartbeat));
+    assert_eq!(stage.world.ledger.session_counts(), (1, 1));
     let asked =
         |r: &BoxRequest| matches!(r, BoxRequest::Release { session, attempt: 2 } if *session == old(2));
     for conn in std::mem::take(&mut stage.world.dials) {
@@ -702,10 +715,10 @@
     let mut out = Vec::new();
     let list = vec![listed(0, ServerState::Ready, None)];
     ledger.handle(1, Input::List(ListKind::Remembered, list.clone()), &mut out);
-    let Some(Output::Listen(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
+    let Some(Output::OpenStream(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
     let session = SessionId("f0-00000000-0000000001".into());
-    let held = Held { session, attempt: 0, rung: 1, opening: Some(opening(7, CLIP)) };
-    ledger.handle(2, Input::Stream(server, number, StreamNews::Up(vec![held])), &mut out);
+    let held = HeldSession { session, attempt: 0, rung: 1, open_request: Some(opening(7, CLIP)) };
+    ledger.handle(2, Input::Stream(server, number, StreamEvent::Up(vec![held])), &mut out);
     // The module takes a resumed session for a sign that its list is fresh; an old one must not pass for that.
     assert!(!told.borrow().iter().any(|event| matches!(event, Event::Resumed(..))));
     ledger.handle(3, Input::List(ListKind::Whole, list), &mut out);
@@ -722,7 +735,7 @@
     for (viewer, marked) in [(9, false), (1, true), (1, false)] {
         stage.told.borrow_mut().clear();
         stage.world.opens.insert((VIEWER, Ticket(50)), None);
-        let opening = Opening { moved_from: Some(id.clone()), ..opening(viewer, CLIP) };
+        let opening = OpenRequest { moved_from: Some(id.clone()), ..opening(viewer, CLIP) };
         stage.world.give(Input::Open(VIEWER, Ticket(50), opening));
         let told = stage.told.borrow();
         let Event::Request(request) = &told[0] else { panic!("{told:?}") };
@@ -770,9 +783,9 @@
     let mut stage = Stage::new();
     let (id, _) = stage.play();
     stage.world.give(Input::Close(VIEWER, Ticket(70), id));
-    stage.world.now += settings().limits.ask_within;
+    stage.world.now += settings().limits.request_timeout;
     let out = stage.world.give(Input::Tick);
-    assert!(matches!(out[..], [Output::Hang(_)]), "{out:?}");
+    assert!(matches!(out[..], [Output::CloseConn(_)]), "{out:?}");
 }
 
 #[test]
@@ -789,7 +802,7 @@
 #[test]
 fn requests_beyond_a_boxs_connections_wait_for_one() {
     let mut stage = Stage::new();
-    let most = settings().limits.connections;
+    let most = settings().limits.connections_per_box;
     for _ in 0..most + 5 {
         stage.set_up_without_dial();
     }
@@ -821,7 +834,7 @@
     stage.world.seen.values_mut().for_each(|seen| seen.out.clear());
     let out = stage.world.give(Input::Exchanged(conn, ExchangeEnd::Stale));
     let other = if conn == first { second } else { first };
-    assert!(out.contains(&Output::Hang(other)), "as old as the closed one: {out:?}");
+    assert!(out.contains(&Output::CloseConn(other)), "as old as the closed one: {out:?}");
 }
 
 #[test]
@@ -829,12 +842,13 @@
     let mut stage = Stage::new();
     let number = stage.world.streams[&ServerId(0)];
     let out = stage.world.give(Input::List(ListKind::Changes, vec![listed(0, ServerState::Gone, None)]));
-    assert!(!out.contains(&Output::StopListening(ServerId(0), number)), "{out:?}");
+    assert!(!out.contains(&Output::CloseStream(ServerId(0), number)), "{out:?}");
     let session = SessionId("f0-00000000-0000000001".into());
-    let held = Held { session: session.clone(), attempt: 0, rung: 1, opening: Some(opening(7, CLIP)) };
-    stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Up(vec![held])));
-    stage.world.now += settings().limits.claim_within;
-    stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Beat));
+    let held =
+        HeldSession { session: session.clone(), attempt: 0, rung: 1, open_request: Some(opening(7, CLIP)) };
+    stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Up(vec![held])));
+    stage.world.now += settings().limits.claim_timeout;
+    stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Heartbeat));
     for conn in std::mem::take(&mut stage.world.dials) {
         stage.world.give(Input::Dialed(conn, Ok(())));
     }
@@ -845,18 +859,19 @@
 #[test]
 fn sessions_found_at_a_box_that_the_first_fresh_list_no_longer_names_are_not_forgotten() {
     let settings = settings();
-    let (claim_within, limits) = (settings.limits.claim_within, settings.limits);
+    let (claim_within, limits) = (settings.limits.claim_timeout, settings.limits);
     let mut ledger = Ledger::new(Puppet::default(), settings.module, limits, "f0", 1);
     let mut out = Vec::new();
     ledger.handle(1, Input::List(ListKind::Remembered, vec![listed(0, ServerState::Ready, None)]), &mut out);
-    let Some(Output::Listen(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
+    let Some(Output::OpenStream(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
     let session = SessionId("f0-00000000-0000000001".into());
-    let held = Held { session: session.clone(), attempt: 0, rung: 1, opening: Some(opening(7, CLIP)) };
-    ledger.handle(2, Input::Stream(server, number, StreamNews::Up(vec![held])), &mut out);
+    let held =
+        HeldSession { session: session.clone(), attempt: 0, rung: 1, open_request: Some(opening(7, CLIP)) };
+    ledger.handle(2, Input::Stream(server, number, StreamEvent::Up(vec![held])), &mut out);
     ledger.handle(3, Input::List(ListKind::Whole, Vec::new()), &mut out);
-    assert_eq!(ledger.held(), (1, 1));
+    assert_eq!(ledger.session_counts(), (1, 1));
     out.clear();
-    ledger.handle(3 + claim_within, Input::Stream(server, number, StreamNews::Beat), &mut out);
+    ledger.handle(3 + claim_within, Input::Stream(server, number, StreamEvent::Heartbeat), &mut out);
     let Some(Output::Dial(conn, ..)) = out.first().cloned() else { panic!("{out:?}") };
     ledger.handle(4 + claim_within, Input::Dialed(conn, Ok(())), &mut out);
     assert!(out.contains(&Output::Exchange(conn, BoxRequest::Release { session, attempt: 0 })), "{out:?}");
