--- a/crates/front/src/core/tests/doors.rs
+++ b/crates/front/src/core/tests/doors.rs
@@ -19,7 +19,7 @@
     while stage.world.now < until {
         stage.world.now = until.min(stage.world.now + 500 * MS);
         if let Some(number) = stage.world.streams.get(&ServerId(0)).copied() {
-            out.extend(stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Beat)));
+            out.extend(stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Heartbeat)));
         }
         out.extend(stage.world.give(Input::Tick));
     }
@@ -31,7 +31,7 @@
     let mut stage = Stage::new();
     let (id, _) = stage.play();
     let number = stage.world.streams[&ServerId(0)];
-    stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Up(vec![])));
+    stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Up(vec![])));
     (stage, id)
 }
 
@@ -39,19 +39,19 @@
 fn a_viewer_that_vanished_must_not_keep_its_place_and_one_that_is_back_in_time_finds_its_session() {
     let (mut stage, id) = plays();
     stage.world.give(Input::ClientLost(VIEWER));
-    assert_eq!(stage.world.ledger.held(), (1, 1), "it plays on for a while");
-    assert!(!stage.world.ledger.holds(VIEWER));
-    later(&mut stage, limits().silent_kept - MS);
+    assert_eq!(stage.world.ledger.session_counts(), (1, 1), "it plays on for a while");
+    assert!(!stage.world.ledger.has_sessions(VIEWER));
+    later(&mut stage, limits().lost_client_retention - MS);
     assert!(!status(&mut stage, 5, &id, 8), "not for another viewer");
     assert!(status(&mut stage, 6, &id, 1), "found again");
-    later(&mut stage, limits().silent_kept);
-    assert_eq!(stage.world.ledger.held(), (1, 1), "it is claimed: the old grace ends nothing");
+    later(&mut stage, limits().lost_client_retention);
+    assert_eq!(stage.world.ledger.session_counts(), (1, 1), "it is claimed: the old grace ends nothing");
     stage.world.give(Input::ClientLost(ClientId(6)));
-    later(&mut stage, limits().silent_kept - MS);
-    assert_eq!(stage.world.ledger.held().1, 1, "and a second loss has a grace of its own");
+    later(&mut stage, limits().lost_client_retention - MS);
+    assert_eq!(stage.world.ledger.session_counts().1, 1, "and a second loss has a grace of its own");
     later(&mut stage, MS);
-    assert_eq!(stage.world.ledger.held(), (0, 0));
-    assert_eq!(stage.world.ledger.releasing(), 1, "its box is told");
+    assert_eq!(stage.world.ledger.session_counts(), (0, 0));
+    assert_eq!(stage.world.ledger.pending_releases(), 1, "its box is told");
     assert!(!status(&mut stage, 7, &id, 1), "a word that comes after the grace finds nothing");
 }
 
@@ -60,14 +60,14 @@
     for claim_first in [true, false] {
         let (mut stage, id) = plays();
         stage.world.give(Input::ClientLost(VIEWER));
-        later(&mut stage, limits().silent_kept - MS);
+        later(&mut stage, limits().lost_client_retention - MS);
         stage.world.now += MS;
         if !claim_first {
             stage.world.give(Input::Tick);
         }
         let found = status(&mut stage, 6, &id, 1);
         assert_eq!(found, claim_first);
-        assert_eq!(stage.world.ledger.held().1, usize::from(found), "what was told is so");
+        assert_eq!(stage.world.ledger.session_counts().1, usize::from(found), "what was told is so");
     }
 }
 
@@ -79,13 +79,13 @@
     stage.world.end_exchange(conn, 8);
     assert_eq!(stage.answers(), []);
     stage.world.quiet();
-    assert_eq!(stage.world.ledger.held(), (0, 0));
+    assert_eq!(stage.world.ledger.session_counts(), (0, 0));
 }
 
 #[test]
 fn one_connection_and_one_viewer_have_so_many_sessions_and_no_more() {
     let mut limits = limits();
-    (limits.per_connection, limits.per_viewer) = (3, 2);
+    (limits.sessions_per_connection, limits.sessions_per_viewer) = (3, 2);
     let puppet = Puppet::default();
     let mut ledger = Ledger::new(puppet, settings().module, limits, "f0", 1);
     let mut tickets = 0;
@@ -95,15 +95,15 @@
         let opening = opening(viewer, CLIP);
         ledger.handle(1_000_000, Input::Open(ClientId(client), Ticket(tickets), opening), &mut out);
         let over = out.iter().find_map(|output| match output {
-            Output::Reply(_, _, Reply::Over(_, by)) => Some(*by),
+            Output::Reply(_, _, Reply::TooManySessions(_, by)) => Some(*by),
             _ => None,
         });
         over.map_or(Ok(tickets), Err)
     };
     assert!(open(&mut ledger, 1, 7).is_ok() && open(&mut ledger, 1, 7).is_ok());
-    assert_eq!(open(&mut ledger, 2, 7), Err(HeldBy::Viewer), "on another connection too");
+    assert_eq!(open(&mut ledger, 2, 7), Err(LimitScope::Viewer), "on another connection too");
     let third = open(&mut ledger, 1, 8).expect("as many as it may");
-    assert_eq!(open(&mut ledger, 1, 9), Err(HeldBy::Connection));
+    assert_eq!(open(&mut ledger, 1, 9), Err(LimitScope::Connection));
     assert_eq!(ledger.counts().accepted, 3, "what is told so was never accepted");
     let mut out = Vec::new();
     ledger.handle(1_000_000, Input::Cancel(ClientId(1), Ticket(99), Ticket(third)), &mut out);
@@ -117,31 +117,31 @@
     stage.todo.borrow_mut().push(Action::Move(id.clone()));
     stage.world.give(Input::List(ListKind::Changes, vec![listed(3, ServerState::Gone, None)]));
     let back = |viewer: u64, from: Option<SessionId>| {
-        let opening = Opening { moved_from: from, ..opening(viewer, CLIP) };
-        Input::Return(ClientId(4), Ticket(50), opening)
+        let opening = OpenRequest { moved_from: from, ..opening(viewer, CLIP) };
+        Input::Reopen(ClientId(4), Ticket(50), opening)
     };
     stage.world.opens.insert((ClientId(4), Ticket(50)), None);
     for wrong in [back(1, None), back(2, Some(id.clone())), back(1, Some(SessionId("f0-x".into())))] {
         let out = stage.world.give(wrong);
-        assert!(matches!(out[..], [Output::Reply(_, _, Reply::OnlyBack(after))] if after > 0), "{out:?}");
+        assert!(matches!(out[..], [Output::Reply(_, _, Reply::ReturnsOnly(after))] if after > 0), "{out:?}");
     }
     assert_eq!(stage.world.ledger.counts().accepted, 1);
     stage.world.give(back(1, Some(id)));
     assert_eq!(stage.world.ledger.counts().accepted, 2);
-    assert!(stage.world.ledger.holds(ClientId(4)));
+    assert!(stage.world.ledger.has_sessions(ClientId(4)));
 }
 
 #[test]
 fn a_box_that_takes_the_stream_and_never_says_what_it_holds_is_not_waited_for_without_end() {
     let mut stage = Stage::new();
     let (id, _) = stage.play();
-    let until = stage.world.now + limits().silent_after + limits().lost_after + 5_000 * MS;
+    let until = stage.world.now + limits().silence_timeout + limits().lost_timeout + 5_000 * MS;
     let mut told = Vec::new();
     while stage.world.now < until {
         // It sends signs of life, and nothing else.
         told.extend(later(&mut stage, 50 * MS));
     }
-    assert!(told.contains(&Output::Tell(VIEWER, News::Ended(id, EndReason::Lost))), "{told:?}");
+    assert!(told.contains(&Output::Notify(VIEWER, Notification::Ended(id, EndReason::Lost))), "{told:?}");
 }
 
 #[test]
@@ -149,10 +149,10 @@
     let mut stage = Stage::new();
     let number = stage.world.streams[&ServerId(0)];
     let name = |n: usize| SessionId(format!("f0-00000001-9{n:09}").into());
-    let held = |n: usize| Held { session: name(n), attempt: 0, rung: 0, opening: None };
-    let news = StreamNews::Up((0..5_000).map(held).collect());
+    let held = |n: usize| HeldSession { session: name(n), attempt: 0, rung: 0, open_request: None };
+    let news = StreamEvent::Up((0..5_000).map(held).collect());
     let out = stage.world.give(Input::Stream(ServerId(0), number, news.clone()));
-    assert!(out.len() <= 64 && stage.world.ledger.releasing() == 32, "{} outputs", out.len());
+    assert!(out.len() <= 64 && stage.world.ledger.pending_releases() == 32, "{} outputs", out.len());
     // Named again, they are not released twice.
     stage.world.give(Input::Stream(ServerId(0), number, news));
     let (mut seen, mut most) = (BTreeSet::new(), 0);
@@ -168,7 +168,7 @@
             stage.world.end_exchange(conn, 8);
         }
     }
-    assert_eq!((seen.len(), most, stage.world.ledger.releasing()), (5_000, 32, 0));
+    assert_eq!((seen.len(), most, stage.world.ledger.pending_releases()), (5_000, 32, 0));
 }
 
 #[test]
@@ -178,14 +178,14 @@
     let mut warned = 0;
     for _ in 0..3 {
         let number = stage.world.streams[&ServerId(0)];
-        let up = vec![Held { session: id.clone(), attempt: 0, rung: 1, opening: None }];
-        stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Up(up)));
-        let out = stage.world.give(Input::Stream(ServerId(0), number, StreamNews::CutOff("greedy".into())));
+        let up = vec![HeldSession { session: id.clone(), attempt: 0, rung: 1, open_request: None }];
+        stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Up(up)));
+        let out = stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::CutOff("greedy".into())));
         warned += out.iter().filter(|o| matches!(o, Output::Log(Level::Warn, _))).count();
-        assert!(!out.iter().any(|o| matches!(o, Output::Listen(..))), "not listened to at once");
+        assert!(!out.iter().any(|o| matches!(o, Output::OpenStream(..))), "not listened to at once");
         let out = later(&mut stage, 2_000 * MS);
-        assert!(out.iter().any(|o| matches!(o, Output::Listen(ServerId(0), ..))), "but again: {out:?}");
+        assert!(out.iter().any(|o| matches!(o, Output::OpenStream(ServerId(0), ..))), "but again: {out:?}");
     }
-    assert_eq!((warned, stage.world.ledger.held().1), (1, 1));
+    assert_eq!((warned, stage.world.ledger.session_counts().1), (1, 1));
     assert_eq!(stage.world.ledger.counts().faults, 3);
 }
--- a/crates/front/src/core/tests/kept.rs
+++ b/crates/front/src/core/tests/kept.rs
@@ -7,8 +7,8 @@
 use salttally_copies::core::{Bytes, Key, Life};
 
 use super::*;
-use crate::core::keeping::{self, Place, Promise, Waits};
-use crate::core::terms::{Names, Terms};
+use crate::core::agreed_rules::{AgreedRules, SettingsNames};
+use crate::core::session_records::{self, Place, Promise, Waits};
 
 const LEASE: Micros = 1_000_000 * MS;
 const OWN: &str = "f0-00000001";
@@ -17,7 +17,7 @@
 fn stand(until: Micros, heirs: Heirs) -> Input {
     let (agreed, meet) = (Arc::default(), Arc::default());
     let stand = Stand { begun: 9, latest: 9, until, alone: until, agreed, meet, heirs: Arc::new(heirs) };
-    Input::Stand(Box::new(stand))
+    Input::Coordination(Box::new(stand))
 }
 
 fn heirs(life: &str, epoch: u64, by: &str, own: &str) -> Heirs {
@@ -28,12 +28,15 @@
 impl Stage {
     fn kept() -> Stage {
         let mut stage = Stage::new();
-        let names = Names {
+        let names = SettingsNames {
             classes: vec!["clip".to_owned(), "paid".to_owned()],
             titles: [(TitleId(1), "one".to_owned())].into(),
             viewer: None,
         };
-        stage.world = World { ledger: stage.world.ledger.under(Terms::new(names)).keeping(), ..stage.world };
+        stage.world = World {
+            ledger: stage.world.ledger.with_rules(AgreedRules::new(names)).with_replication(),
+            ..stage.world
+        };
         stage.world.give(stand(LEASE, Heirs::default()));
         stage
     }
@@ -55,7 +58,7 @@
     }
 
     fn counts(&mut self, id: &SessionId, kept: bool) -> Vec<Output> {
-        self.world.give(Input::Kept(keeping::key(id), kept))
+        self.world.give(Input::RecordStored(session_records::key(id), kept))
     }
 
     fn released(&mut self, id: &SessionId) -> bool {
@@ -68,7 +71,7 @@
 
 fn promises(out: &[Output]) -> Vec<(Promise, bool)> {
     let one = |output: &Output| match output {
-        Output::Keep(_, bytes, waits) => Some((keeping::decode(bytes)?, *waits)),
+        Output::StoreRecord(_, bytes, waits) => Some((session_records::decode(bytes)?, *waits)),
         _ => None,
     };
     out.iter().filter_map(one).collect()
@@ -102,13 +105,14 @@
         let request = stage.world.exchanges.remove(&conn);
         assert!(request.is_some());
         stage.world.seen.get_mut(&id).unwrap().out.clear();
-        let done = ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![1.0, 0.1], keep: true };
+        let done =
+            ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![1.0, 0.1], keep_alive: true };
         let out = stage.world.give(Input::Exchanged(conn, done));
         assert!(matches!(promises(&out)[..], [(Promise::Plays(..), true)]), "{out:?}");
         assert!(stage.answers().is_empty());
         if ended {
             let number = stage.world.streams[&ServerId(0)];
-            stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Ended(id.clone(), 0)));
+            stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Ended(id.clone(), 0)));
         }
         stage.counts(&id, kept);
         match (kept, ended) {
@@ -128,7 +132,7 @@
     stage.counts(&id, false);
     assert!(matches!(stage.answers()[..], [Answer::Refused(_, after)] if after > 0));
     assert!(stage.world.dials.is_empty() && stage.world.exchanges.is_empty());
-    assert_eq!((stage.outcomes(), stage.world.ledger.held()), (vec![Outcome::NotSent], (0, 0)));
+    assert_eq!((stage.outcomes(), stage.world.ledger.session_counts()), (vec![Outcome::NotSent], (0, 0)));
     // A word that comes too late changes nothing.
     stage.counts(&id, true);
     assert!(stage.world.dials.is_empty());
@@ -144,7 +148,8 @@
             let conn = connection(&stage);
             stage.world.seen.get_mut(&id).unwrap().out.clear();
             stage.world.exchanges.remove(&conn);
-            let done = ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![1.0, 0.1], keep: true };
+            let done =
+                ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![1.0, 0.1], keep_alive: true };
             stage.world.give(Input::Exchanged(conn, done));
         }
         let limits = settings().limits;
@@ -155,7 +160,7 @@
         assert!(stage.world.now < 1_000_000_000 + 1_000 * MS + limits.answer_slack + 300 * MS);
         assert_eq!(stage.answers().len(), 1);
         assert!(matches!(stage.answers()[..], [Answer::Failed(..)]), "{:?}", stage.answers());
-        assert_eq!(stage.world.ledger.held(), (0, 0));
+        assert_eq!(stage.world.ledger.session_counts(), (0, 0));
         assert_eq!(stage.released(&id), class == CLIP);
     }
 }
@@ -168,24 +173,27 @@
     let conn = connection(&stage);
     stage.world.end_exchange(conn, 8);
     stage.counts(&id, true);
-    assert_eq!(stage.world.ledger.held(), (1, 1));
+    assert_eq!(stage.world.ledger.session_counts(), (1, 1));
     stage.world.give(stand(LEASE, heirs(OWN, 1, "f1", "f1-00000002")));
     // Known to be another's: its viewer's close is not carried out here.
     let close = stage.world.give(Input::Close(VIEWER, Ticket(9), id.clone()));
-    assert!(matches!(close[..], [Output::Reply(_, _, Reply::Wait(_))]), "{close:?}");
-    let out = stage.world.give(Input::Replaced(Life::from(OWN)));
-    assert!(out.contains(&Output::Tell(VIEWER, News::Ended(id.clone(), EndReason::Elsewhere))), "{out:?}");
-    assert!(out.contains(&Output::Lives(Life::from("f0-00000002"))), "{out:?}");
-    assert!(!out.iter().any(|o| matches!(o, Output::Forget(_))), "to end it here would end it there");
-    assert!(!stage.released(&id) && stage.world.ledger.held() == (0, 0));
+    assert!(matches!(close[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{close:?}");
+    let out = stage.world.give(Input::TakenOver(Life::from(OWN)));
+    assert!(
+        out.contains(&Output::Notify(VIEWER, Notification::Ended(id.clone(), EndReason::TakenOver))),
+        "{out:?}"
+    );
+    assert!(out.contains(&Output::IncarnationChanged(Life::from("f0-00000002"))), "{out:?}");
+    assert!(!out.iter().any(|o| matches!(o, Output::DeleteRecord(_))), "to end it here would end it there");
+    assert!(!stage.released(&id) && stage.world.ledger.session_counts() == (0, 0));
     // A viewer who asks is told who has it; new sessions are of the new life.
     let out = stage.world.give(Input::Status(VIEWER, Ticket(8), id, Some(ViewerId(1))));
     assert!(
-        matches!(&out[..], [Output::Reply(_, _, Reply::Elsewhere(name, _))] if &**name == "f1"),
+        matches!(&out[..], [Output::Reply(_, _, Reply::AtOtherFront(name, _))] if &**name == "f1"),
         "{out:?}"
     );
     stage.world.open(VIEWER, CLIP);
-    assert!(stage.world.ledger.knows(&SessionId("f0-00000002-0000000002".into())));
+    assert!(stage.world.ledger.contains(&SessionId("f0-00000002-0000000002".into())));
 }
 
 #[test]
@@ -196,14 +204,14 @@
     let conn = connection(&stage);
     stage.world.end_exchange(conn, 8);
     stage.counts(&id, true);
-    stage.world.ledger.lease_clock(|| LEASE + 1);
-    stage.world.give(Input::ClientGone(VIEWER));
-    assert!(stage.world.ledger.knows(&id) && !stage.released(&id), "whose it is, it cannot know");
+    stage.world.ledger.set_lease_time(|| LEASE + 1);
+    stage.world.give(Input::ClientClosed(VIEWER));
+    assert!(stage.world.ledger.contains(&id) && !stage.released(&id), "whose it is, it cannot know");
     let out = stage.world.give(Input::Status(ClientId(7), Ticket(1), id.clone(), Some(ViewerId(1))));
-    assert!(matches!(out[..], [Output::Reply(_, _, Reply::Wait(_))]), "{out:?}");
+    assert!(matches!(out[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{out:?}");
     let gone = SessionId(format!("{OTHER}-0000000009").into());
     let out = stage.world.give(Input::Status(ClientId(7), Ticket(2), gone, Some(ViewerId(1))));
-    assert!(matches!(out[..], [Output::Reply(_, _, Reply::Wait(_))]), "{out:?}");
+    assert!(matches!(out[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{out:?}");
     // With one again, its viewer has it back.
     stage.world.give(stand(2 * LEASE, Heirs::default()));
     let out = stage.world.give(Input::Status(ClientId(7), Ticket(3), id, Some(ViewerId(1))));
@@ -216,12 +224,11 @@
     stage.world.give(stand(LEASE, heirs(OTHER, 3, "f0", OWN)));
     let all: Vec<(Key, Bytes)> = promises
         .iter()
-        .map(|(n, promise)| (keeping::key(&other(*n)), Bytes::from(keeping::encode(promise))))
+        .map(|(n, promise)| (session_records::key(&other(*n)), Bytes::from(session_records::encode(promise))))
         .collect();
-    stage.world.give(Input::Adopt(Life::from(OTHER), 3, all));
+    stage.world.give(Input::TakeOver(Life::from(OTHER), 3, all));
     stage.dialed();
-    let asks =
-        |request: &BoxRequest| matches!(request, BoxRequest::Claim { life, epoch: 3 } if &**life == OTHER);
+    let asks = |request: &BoxRequest| matches!(request, BoxRequest::Claim { incarnation: life, epoch: 3 } if &**life == OTHER);
     let asked: Vec<ConnId> =
         stage.world.exchanges.iter().filter(|(_, request)| asks(request)).map(|(conn, _)| *conn).collect();
     assert_eq!(asked.len(), 4, "every box is asked");
@@ -242,7 +249,7 @@
     Place { server: 0, address: address(0), attempt }
 }
 
-fn wish(stage: &Stage) -> keeping::Wish {
+fn wish(stage: &Stage) -> session_records::Wish {
     let keeping = stage.world.ledger.keeping_for_tests();
     keeping.wish(&opening(7, CLIP)).expect("the settings have it")
 }
@@ -252,7 +259,12 @@
     let wish = wish(&Stage::kept());
     let plays = |attempt| Promise::Plays(place(attempt), 1, wish.clone());
     let intends = |attempt| Promise::Intends(place(attempt), wish.clone());
-    let held = |n, attempt, rung| Held { session: other(n), attempt, rung, opening: Some(opening(7, CLIP)) };
+    let held = |n, attempt, rung| HeldSession {
+        session: other(n),
+        attempt,
+        rung,
+        open_request: Some(opening(7, CLIP)),
+    };
     let all = [
         (1, plays(0)),
         (2, plays(0)),
@@ -265,8 +277,8 @@
     let (mut stage, conn) = goes_on(&all);
     stage.world.exchanges.remove(&conn);
     let there = vec![held(1, 0, 1), held(3, 0, 1), held(4, 0, 2), held(6, 0, 2), held(7, 0, 0)];
-    stage.world.give(Input::Exchanged(conn, ExchangeEnd::Claimed { held: there, keep: true }));
-    let knows = |stage: &Stage, n| stage.world.ledger.knows(&other(n));
+    stage.world.give(Input::Exchanged(conn, ExchangeEnd::Claimed { held: there, keep_alive: true }));
+    let knows = |stage: &Stage, n| stage.world.ledger.contains(&other(n));
     assert!(knows(&stage, 1), "as promised");
     assert!(!knows(&stage, 2), "known and not held: it is over");
     assert!(!knows(&stage, 3) && stage.released(&other(3)), "another attempt plays: released");
@@ -283,7 +295,7 @@
     stage.world.give(stand(LEASE, heirs(OTHER, 4, "f2", "f2-00000003")));
     stage.world.exchanges.clear();
     stage.world.dials.clear();
-    stage.world.give(Input::Gone(Life::from(OTHER)));
+    stage.world.give(Input::TakeoverSuperseded(Life::from(OTHER)));
     assert!(!knows(&stage, 1) && !stage.released(&other(1)));
 }
 
@@ -293,7 +305,7 @@
     let (mut stage, conn) = goes_on(&[(1, Promise::Plays(place(0), 1, wish))]);
     stage.world.exchanges.remove(&conn);
     stage.world.give(Input::Exchanged(conn, ExchangeEnd::Broken));
-    assert!(stage.world.ledger.knows(&other(1)));
+    assert!(stage.world.ledger.contains(&other(1)));
     stage.world.exchanges.clear();
     stage.world.now += 300 * MS;
     stage.world.give(Input::Tick);
@@ -302,12 +314,12 @@
     assert!(stage.world.exchanges.values().any(claims), "asked again");
     // A stream that stands before the box has been asked does not tell of it: that is no loss.
     let number = stage.world.streams[&ServerId(0)];
-    stage.world.give(Input::Stream(ServerId(0), number, StreamNews::Up(vec![])));
-    assert!(stage.world.ledger.knows(&other(1)));
+    stage.world.give(Input::Stream(ServerId(0), number, StreamEvent::Up(vec![])));
+    assert!(stage.world.ledger.contains(&other(1)));
     let limits = settings().limits;
-    stage.world.now += limits.adopted_kept;
+    stage.world.now += limits.takeover_retention;
     stage.world.give(Input::Tick);
-    assert!(!stage.world.ledger.knows(&other(1)), "nobody came for it");
+    assert!(!stage.world.ledger.contains(&other(1)), "nobody came for it");
 }
 
 #[test]
@@ -318,11 +330,11 @@
     let wish = wish(&stage);
     let (mut stage, _) =
         goes_on(&[(1, Promise::Plays(place(0), 1, strange)), (2, Promise::Plays(place(0), 1, wish))]);
-    assert!(!stage.world.ledger.knows(&other(1)) && stage.released(&other(1)));
-    assert!(stage.world.ledger.knows(&other(2)));
+    assert!(!stage.world.ledger.contains(&other(1)) && stage.released(&other(1)));
+    assert!(stage.world.ledger.contains(&other(2)));
     let faults = stage.world.ledger.counts().faults;
-    let bad: Vec<(Key, Bytes)> = vec![(keeping::key(&other(3)), Bytes::from(vec![0xff; 9]))];
-    stage.world.give(Input::Adopt(Life::from(OTHER), 3, bad));
+    let bad: Vec<(Key, Bytes)> = vec![(session_records::key(&other(3)), Bytes::from(vec![0xff; 9]))];
+    stage.world.give(Input::TakeOver(Life::from(OTHER), 3, bad));
     assert_eq!(stage.world.ledger.counts().faults, faults + 1);
 }
 
--- a/crates/front/src/core/tests/terms.rs
+++ b/crates/front/src/core/tests/terms.rs
@@ -4,22 +4,22 @@
 use salttally_accord::core::stand::Stand;
 
 use super::*;
-use crate::core::terms::{Names, Terms};
+use crate::core::agreed_rules::{AgreedRules, SettingsNames};
 
 fn number(name: &str) -> ViewerId {
     ViewerId(name.parse().unwrap_or(u64::MAX))
 }
 
-fn under() -> Terms {
+fn under() -> AgreedRules {
     let classes = vec!["clip".to_owned(), "paid".to_owned()];
     let titles = [(TitleId(1), "one".to_owned())].into();
-    Terms::new(Names { classes, titles, viewer: Some(number) })
+    AgreedRules::new(SettingsNames { classes, titles, viewer: Some(number) })
 }
 
 fn stand(rules: Rules, until: Micros, alone: Micros) -> Input {
     let rules = std::sync::Arc::new(rules.normal());
     let (agreed, meet) = (std::sync::Arc::clone(&rules), rules);
-    Input::Stand(Box::new(Stand {
+    Input::Coordination(Box::new(Stand {
         begun: 1,
         latest: 1,
         until,
@@ -35,7 +35,7 @@
 impl Stage {
     fn under(rules: Rules) -> Stage {
         let mut stage = Stage::new();
-        stage.world = World { ledger: stage.world.ledger.under(under()), ..stage.world };
+        stage.world = World { ledger: stage.world.ledger.with_rules(under()), ..stage.world };
         stage.world.give(stand(rules, LEASE, LEASE));
         stage
     }
@@ -54,7 +54,7 @@
 #[test]
 fn a_front_that_was_told_nothing_yet_takes_no_session() {
     let mut stage = Stage::new();
-    stage.world = World { ledger: stage.world.ledger.under(under()), ..stage.world };
+    stage.world = World { ledger: stage.world.ledger.with_rules(under()), ..stage.world };
     assert!(matches!(stage.opened(CLIP), Some(Answer::Refused(_, after)) if after > 0));
 }
 
@@ -82,7 +82,7 @@
     }
     let mut stage = Stage::under(refused(Who::Firm("7".into())));
     stage.world.opens.insert((VIEWER, Ticket(50)), None);
-    let of_firm = Opening { firm: Some(ViewerId(7)), ..opening(1, CLIP) };
+    let of_firm = OpenRequest { tenant: Some(ViewerId(7)), ..opening(1, CLIP) };
     stage.world.give(Input::Open(VIEWER, Ticket(50), of_firm));
     assert!(matches!(stage.answers()[..], [Answer::Refused(..)]));
 }
@@ -115,7 +115,7 @@
     let id = SessionId("f0-00000001-0000000001".into());
     stage.world.open(VIEWER, PAID);
     // The module decides only now; meanwhile the process was stopped for longer than its lease.
-    stage.world.ledger.lease_clock(|| LEASE + 1);
+    stage.world.ledger.set_lease_time(|| LEASE + 1);
     *stage.todo.borrow_mut() =
         vec![Action::SetRung(id.clone(), 1), Action::SetUp(id.clone(), ServerId(0), 300 * MS)];
     stage.world.now += 50 * MS;
@@ -130,7 +130,7 @@
     for class in [CLIP, PAID] {
         let mut stage = Stage::under(Rules::default());
         let (id, conn) = stage.set_up(class);
-        stage.world.ledger.lease_clock(|| LEASE + 1);
+        stage.world.ledger.set_lease_time(|| LEASE + 1);
         stage.world.end_exchange(conn, 8);
         let answers = stage.answers();
         match class {
@@ -148,13 +148,16 @@
 fn what_plays_plays_on_under_a_lost_lease_and_ends_only_as_its_class_says() {
     let mut stage = Stage::under(Rules::default());
     let (id, _) = stage.play();
-    stage.world.ledger.lease_clock(|| LEASE + 1);
+    stage.world.ledger.set_lease_time(|| LEASE + 1);
     stage.world.give(Input::Tick);
     stage.world.give(stand(closed("clip", false), 2 * LEASE, 2 * LEASE));
-    assert!(stage.world.ledger.knows(&id));
+    assert!(stage.world.ledger.contains(&id));
     let out = stage.world.give(stand(closed("clip", true), 2 * LEASE, 2 * LEASE));
-    assert!(out.contains(&Output::Tell(VIEWER, News::Ended(id.clone(), EndReason::Rules))), "{out:?}");
-    assert!(!stage.world.ledger.knows(&id));
+    assert!(
+        out.contains(&Output::Notify(VIEWER, Notification::Ended(id.clone(), EndReason::Rules))),
+        "{out:?}"
+    );
+    assert!(!stage.world.ledger.contains(&id));
 }
 
 #[test]
@@ -191,7 +194,7 @@
     fn no_act_is_written_that_the_rules_of_the_moment_refuse(seed in any::<u64>()) {
         let chaos = Chaos { rng: Pcg32::seed_from_u64(seed), known: Vec::new() };
         let mut world = World::new(chaos, seed);
-        world = World { ledger: world.ledger.under(under()), ..world };
+        world = World { ledger: world.ledger.with_rules(under()), ..world };
         let (mut open, mut until) = ([false; 2], 0);
         for _ in 0..300 {
             if world.below(10) == 0 {
@@ -205,7 +208,7 @@
                 world.give(stand(rules, until, until));
             }
             let now = world.now;
-            world.ledger.lease_clock(|| now);
+            world.ledger.set_lease_time(|| now);
             let (answered, out): (Vec<_>, Vec<_>) = (
                 world.playing.keys().cloned().collect(),
                 world.exchanges.keys().copied().collect(),
@@ -217,7 +220,7 @@
                 prop_assert!(may(world.seen[id].class), "{id:?} plays against the rules");
             }
             for (conn, request) in world.exchanges.iter().filter(|(conn, _)| !out.contains(conn)) {
-                if let BoxRequest::SetUp { opening, .. } = request {
+                if let BoxRequest::SetUp { open_request: opening, .. } = request {
                     prop_assert!(may(opening.class), "{conn:?}: {request:?}");
                 }
             }
--- a/crates/front/src/core/timers.rs
+++ b/crates/front/src/core/timers.rs
@@ -10,38 +10,38 @@
 
 /// What may be due.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum Deadline {
     /// An attempt runs out of time.
-    Expire(SessionId, u32),
+    AttemptTimeout(SessionId, u32),
     /// The module wants to be woken with this tag.
     Wake(u64),
     /// A session's answer is overdue.
-    Overdue(SessionId),
+    AnswerOverdue(SessionId),
     /// Nobody claimed a resumed session.
-    Claim(SessionId),
+    ClaimTimeout(SessionId),
     /// A moved session is no longer waited for.
-    Moved(SessionId),
+    MovedExpiry(SessionId),
     /// The stream to a box is to be tried again.
-    Listen(ServerId, u64),
+    ReopenStream(ServerId, u64),
     /// The stream to a box may be silent.
-    Silent(ServerId, u64),
+    StreamSilence(ServerId, u64),
     /// A release is to be tried again.
-    Release(ServerId, SessionId, u32),
+    RetryRelease(ServerId, SessionId, u32),
     /// A box is to be asked again what it holds of a life.
-    AskLife(ServerId, Life),
+    RetryClaim(ServerId, Life),
     /// The lease is to be looked at.
-    Lease,
+    CheckLease,
     /// Nobody has taken over a life of which a box named this session.
-    Stray(ServerId, SessionId, u32),
+    OrphanSession(ServerId, SessionId, u32),
     /// A request to a box has taken as long as it may.
-    Slow(u64),
+    RequestTimeout(u64),
     /// An idle connection may have been kept long enough.
-    Idle(ConnId),
+    IdleTimeout(ConnId),
 }
 
 /// The queue; equal entries fall together. `D` is what may be due where the ledger is another one.
 #[derive(Clone, Debug)]
-pub struct Timers<D = Due> {
+pub struct Timers<D = Deadline> {
     queue: BTreeSet<(Micros, D)>,
 }
 
@@ -58,18 +58,18 @@
     }
 
     /// Takes an entry out that will not be needed, so that the queue is as long as what is under way.
-    pub fn unset(&mut self, at: Micros, due: D) {
+    pub fn cancel(&mut self, at: Micros, due: D) {
         self.queue.remove(&(at, due));
     }
 
     /// When the first entry is due.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_at(&self) -> Option<Micros> {
         self.queue.first().map(|(at, _)| *at)
     }
 
     /// Takes out one entry that is due.
     pub fn pop(&mut self, now: Micros) -> Option<D> {
-        if self.next()? > now {
+        if self.next_at()? > now {
             return None;
         }
         self.queue.pop_first().map(|(_, due)| due)
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -14,8 +14,8 @@
 use crate::box_list::Follower;
 use crate::boxes::Boxes;
 use crate::clock::Clock;
-use crate::core::{Answer, ClientId, Counts, Input, Ledger, Level, News, Output, Reply, Ticket};
-use crate::inside::messages::{Look, Msg, Port, Taken, ToCaller};
+use crate::common::messages::{CallerMessage, ClientSink, EngineMessage, FrontStatus, ReceivedMessage};
+use crate::core::{Answer, ClientId, Counts, Input, Ledger, Level, Notification, Output, Reply, Ticket};
 use crate::session_api::core::overflow::Overflow;
 use crate::session_api::core::share::Aftermath;
 use crate::session_api::entrance::Entrance;
@@ -32,9 +32,9 @@
     /// Follows the box list.
     pub list: Follower,
     /// What is told.
-    pub inbox: Receiver<Msg>,
+    pub inbox: Receiver<EngineMessage>,
     /// Calls over their sender's share: heard when there is nothing else.
-    pub over: Overflow<Taken>,
+    pub over: Overflow<ReceivedMessage>,
     /// How many these are, for those who would add to them.
     pub waiting: Arc<AtomicUsize>,
     /// What opens cost beside their calls.
@@ -42,7 +42,7 @@
     /// Who is let in.
     pub entrance: Arc<Entrance>,
     /// Clients by number.
-    pub clients: BTreeMap<ClientId, Port>,
+    pub clients: BTreeMap<ClientId, ClientSink>,
     /// Empty between two inputs; kept for its room.
     pub out: Vec<Output>,
     /// Likewise: clients of which something was heard or said.
@@ -64,34 +64,34 @@
             // The ledger looks at its timers with every input, so a flood of messages holds none of them up.
             let finished = match self.hear() {
                 Err(RecvTimeoutError::Timeout) => self.input(Input::Tick),
-                Err(RecvTimeoutError::Disconnected) | Ok(Msg::Die) => return self.die(),
-                Ok(Msg::ShutDown(done)) => {
+                Err(RecvTimeoutError::Disconnected) | Ok(EngineMessage::Kill) => return self.die(),
+                Ok(EngineMessage::ShutDown(done)) => {
                     waits.push(done);
                     self.input(Input::ShutDown)
                 }
-                Ok(Msg::Look(to)) => {
-                    let _ = to.send(self.look());
+                Ok(EngineMessage::Status(to)) => {
+                    let _ = to.send(self.status());
                     false
                 }
-                Ok(Msg::Attach(client, port)) => {
+                Ok(EngineMessage::Attach(client, port)) => {
                     self.clients.insert(client, port);
                     false
                 }
-                Ok(Msg::Over(taken)) => {
+                Ok(EngineMessage::DeferredCalls(taken)) => {
                     self.over.push(taken.client, taken);
                     false
                 }
-                Ok(Msg::Calls(taken)) => {
+                Ok(EngineMessage::Calls(taken)) => {
                     let mut all = self.earlier(taken.client);
                     all.push(taken);
                     all.into_iter().fold(false, |finished, taken| self.calls(taken) | finished)
                 }
-                Ok(Msg::Core(input)) => {
+                Ok(EngineMessage::Input(input)) => {
                     let gone = match &input {
-                        Input::ClientGone(client) | Input::ClientLost(client) => Some(*client),
+                        Input::ClientClosed(client) | Input::ClientLost(client) => Some(*client),
                         _ => None,
                     };
-                    let begun = self.clock.moment_now();
+                    let begun = self.clock.instant_now();
                     let finished = self.input(input);
                     self.aftermath.spent(self.clock.nanos_since(begun));
                     if let Some(client) = gone {
@@ -112,7 +112,7 @@
     }
 
     /// The next message: those that have their turn first, and none later than what is due.
-    fn hear(&mut self) -> Result<Msg, RecvTimeoutError> {
+    fn hear(&mut self) -> Result<EngineMessage, RecvTimeoutError> {
         match self.inbox.try_recv() {
             Ok(msg) => return Ok(msg),
             Err(TryRecvError::Disconnected) => return Err(RecvTimeoutError::Disconnected),
@@ -120,29 +120,29 @@
         }
         if let Some(taken) = self.over.pop() {
             self.waiting.fetch_sub(1, Ordering::Relaxed);
-            return Ok(Msg::Calls(taken));
+            return Ok(EngineMessage::Calls(taken));
         }
         let around = self.clock.now() + LOOK_AROUND;
-        let due = self.ledger.next_due().map_or(around, |due| due.min(around));
-        self.inbox.recv_deadline(self.clock.moment(due))
+        let due = self.ledger.next_deadline().map_or(around, |due| due.min(around));
+        self.inbox.recv_deadline(self.clock.instant_at(due))
     }
 
     /// What of this player waits for time: it goes ahead of what the player says now.
-    fn earlier(&mut self, client: ClientId) -> Vec<Taken> {
+    fn earlier(&mut self, client: ClientId) -> Vec<ReceivedMessage> {
         let earlier = self.over.all_of(client);
         self.waiting.fetch_sub(earlier.len(), Ordering::Relaxed);
         earlier
     }
 
     /// Takes in a player's message and charges what it cost. Returns whether the front is done.
-    fn calls(&mut self, taken: Taken) -> bool {
-        let begun = self.clock.moment_now();
+    fn calls(&mut self, taken: ReceivedMessage) -> bool {
+        let begun = self.clock.instant_now();
         let (inputs, share) = match self.clients.get_mut(&taken.client) {
-            Some(Port::Socket(socket)) => (socket.take(taken.message), Arc::clone(&socket.share)),
+            Some(ClientSink::Socket(socket)) => (socket.take(taken.message), Arc::clone(&socket.share)),
             _ => return false,
         };
         let opens =
-            inputs.iter().filter(|input| matches!(input, Input::Open(..) | Input::Return(..))).count();
+            inputs.iter().filter(|input| matches!(input, Input::Open(..) | Input::Reopen(..))).count();
         let mut finished = false;
         for input in inputs {
             finished |= self.input(input);
@@ -154,8 +154,8 @@
 
     /// Tells the door whether a player holds something, where that has changed.
     fn note_holds(&mut self, client: ClientId) {
-        let Some(Port::Socket(socket)) = self.clients.get_mut(&client) else { return };
-        let holds = self.ledger.holds(client);
+        let Some(ClientSink::Socket(socket)) = self.clients.get_mut(&client) else { return };
+        let holds = self.ledger.has_sessions(client);
         if std::mem::replace(&mut socket.holds, holds) != holds {
             if holds {
                 socket.calls.returned();
@@ -168,54 +168,55 @@
     fn input(&mut self, input: Input) -> bool {
         let mut out = std::mem::take(&mut self.out);
         let mut touched = std::mem::take(&mut self.touched);
-        if let Input::Open(client, ..) | Input::Return(client, ..) = &input {
+        if let Input::Open(client, ..) | Input::Reopen(client, ..) = &input {
             touched.insert(*client);
         }
-        self.ledger.lease_clock(salttally_accord::edge::now);
+        self.ledger.set_lease_time(salttally_accord::edge::now);
         // Danger: stopped between a look at the clock for pauses and another one for this input, the process would not know
         // that it was, and take its own sleep for silence of the boxes: all that they play would be lost. So both go by one.
         let now = self.clock.now();
         if let Some(lost) = self.pauses.called(now) {
             tracing::warn!(ms = lost / 1000, "this process was not running");
-            self.ledger.handle(now, Input::Woke, &mut out);
+            self.ledger.handle(now, Input::ProcessResumed, &mut out);
         }
         self.pauses.ask(now + LOOK_AROUND);
         self.ledger.handle(now, input, &mut out);
         let mut finished = false;
         for output in out.drain(..) {
-            if let Output::Answer(client, ..) | Output::Reply(client, ..) | Output::Tell(client, ..) = &output
+            if let Output::Answer(client, ..) | Output::Reply(client, ..) | Output::Notify(client, ..) =
+                &output
             {
                 touched.insert(*client);
             }
             match &output {
                 Output::Answer(client, ticket, answer) => self.answer(*client, *ticket, answer),
                 Output::Reply(client, ticket, reply) => self.reply(*client, *ticket, reply),
-                Output::Tell(client, news) => self.tell(*client, news),
+                Output::Notify(client, news) => self.tell(*client, news),
                 Output::Dial(conn, server, address) => self.boxes.dial(*conn, *server, *address),
                 Output::Exchange(conn, request) => {
-                    let writ = self.ledger.writ(request);
+                    let writ = self.ledger.write_authority(request);
                     self.boxes.exchange(*conn, request, writ);
                 }
-                Output::Hang(conn) => self.boxes.hang(*conn),
-                Output::Listen(server, number, address) => self.boxes.listen(*server, *number, *address),
-                Output::StopListening(_, number) => self.boxes.stop_listening(*number),
+                Output::CloseConn(conn) => self.boxes.hang(*conn),
+                Output::OpenStream(server, number, address) => self.boxes.listen(*server, *number, *address),
+                Output::CloseStream(_, number) => self.boxes.stop_listening(*number),
                 Output::FollowList => self.list.follow(),
-                Output::Keep(key, body, waits) => {
+                Output::StoreRecord(key, body, waits) => {
                     if let Some(copies) = &self.copies {
                         copies.keep(Arc::clone(key), body.clone(), *waits);
                     }
                 }
-                Output::Forget(key) => {
+                Output::DeleteRecord(key) => {
                     if let Some(copies) = &self.copies {
                         copies.end(Arc::clone(key));
                     }
                 }
-                Output::Found(life) => {
+                Output::OrphanFound(life) => {
                     if let Some(copies) = &self.copies {
                         copies.found(Arc::clone(life));
                     }
                 }
-                Output::Lives(life) => {
+                Output::IncarnationChanged(life) => {
                     if let Some(copies) = &self.copies {
                         copies.lives(Arc::clone(life));
                     }
@@ -235,9 +236,9 @@
 
     fn answer(&mut self, client: ClientId, ticket: Ticket, answer: &Answer) {
         match self.clients.get_mut(&client) {
-            Some(Port::Socket(socket)) => socket.answered(ticket, |id| rpc::answer(id, answer)),
-            Some(Port::Caller(to)) => {
-                let _ = to.send(ToCaller::Answer(answer.clone()));
+            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::answer(id, answer)),
+            Some(ClientSink::Caller(to)) => {
+                let _ = to.send(CallerMessage::Answer(answer.clone()));
             }
             None => {}
         }
@@ -245,27 +246,27 @@
 
     fn reply(&mut self, client: ClientId, ticket: Ticket, reply: &Reply) {
         match self.clients.get_mut(&client) {
-            Some(Port::Socket(socket)) => socket.answered(ticket, |id| rpc::reply(id, reply)),
-            Some(Port::Caller(to)) => {
-                let _ = to.send(ToCaller::Reply(reply.clone()));
+            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::reply(id, reply)),
+            Some(ClientSink::Caller(to)) => {
+                let _ = to.send(CallerMessage::Reply(reply.clone()));
             }
             None => {}
         }
     }
 
-    fn tell(&mut self, client: ClientId, news: &News) {
+    fn tell(&mut self, client: ClientId, news: &Notification) {
         match self.clients.get_mut(&client) {
-            Some(Port::Socket(socket)) => socket.write(&rpc::news(news)),
-            Some(Port::Caller(to)) => {
-                let _ = to.send(ToCaller::News(news.clone()));
+            Some(ClientSink::Socket(socket)) => socket.write(&rpc::news(news)),
+            Some(ClientSink::Caller(to)) => {
+                let _ = to.send(CallerMessage::Notification(news.clone()));
             }
             None => {}
         }
     }
 
-    fn look(&self) -> Look {
-        let (sessions, playing) = self.ledger.held();
-        Look {
+    fn status(&self) -> FrontStatus {
+        let (sessions, playing) = self.ledger.session_counts();
+        FrontStatus {
             counts: self.ledger.counts(),
             sessions,
             playing,
@@ -280,7 +281,7 @@
         self.boxes.die();
         self.list.die();
         for port in std::mem::take(&mut self.clients).into_values() {
-            if let Port::Socket(socket) = port {
+            if let ClientSink::Socket(socket) = port {
                 socket.outbox.close();
             }
         }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -21,11 +21,11 @@
 use crate::box_list::Follower;
 use crate::boxes::Boxes;
 use crate::clock::Clock;
-use crate::core::keeping::Other;
-use crate::core::terms::{Names, Terms};
-use crate::core::{Answer, ClientId, Counts, Input, Ledger, News, Opening, Reply, Ticket};
+use crate::common::messages::{CallerMessage, ClientSink, EngineMessage, FrontStatus};
+use crate::core::agreed_rules::{AgreedRules, SettingsNames};
+use crate::core::session_records::PeerFront;
+use crate::core::{Answer, ClientId, Counts, Input, Ledger, Notification, OpenRequest, Reply, Ticket};
 use crate::engine::Engine;
-use crate::inside::messages::{Look, Msg, Port, ToCaller};
 use crate::record::lines::Born;
 use crate::record::Recorder;
 use crate::session_api::core::overflow::Overflow;
@@ -68,7 +68,7 @@
 
 /// A session as a caller asks for it; the fields are those of `session.open`.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct SessionRequest {
     /// Who watches.
     pub viewer: String,
     /// What is watched.
@@ -90,7 +90,7 @@
 /// A running front. Dropped, it ends in order.
 pub struct Front {
     settings: Arc<Settings>,
-    engine: Sender<Msg>,
+    engine: Sender<EngineMessage>,
     clients: Arc<AtomicU64>,
     server: Server,
     thread: Option<thread::JoinHandle<()>>,
@@ -105,14 +105,14 @@
     /// # Errors
     /// The players' address cannot be bound, the record cannot be written, or there is no thread to be had.
     pub fn start(settings: Settings) -> Result<Front, StartError> {
-        Front::start_kept(settings, None)
+        Front::start_replicated(settings, None)
     }
 
     /// The same with its promises copied, where the settings have `copies`.
     ///
     /// # Errors
     /// As [`Front::start`].
-    pub fn start_kept(settings: Settings, copies: Option<Copies>) -> Result<Front, StartError> {
+    pub fn start_replicated(settings: Settings, copies: Option<Copies>) -> Result<Front, StartError> {
         let clock = Clock::start();
         let started = clock.now();
         let settings = Arc::new(settings);
@@ -133,15 +133,15 @@
         let mut ledger = Ledger::new(brain, module, limits, &settings.name, boot);
         if settings.accord {
             let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
-            let names = Names { classes: settings.classes.clone(), titles, viewer: Some(viewer) };
-            ledger = ledger.under(Terms::new(names));
+            let names = SettingsNames { classes: settings.classes.clone(), titles, viewer: Some(viewer) };
+            ledger = ledger.with_rules(AgreedRules::new(names));
             if copies.is_some() {
-                ledger = ledger.keeping();
+                ledger = ledger.with_replication();
             }
         }
-        let life = ledger.life();
+        let life = ledger.incarnation();
         if let Some(recorder) = &recorder {
-            ledger = ledger.tapped(Box::new(recorder.tap()));
+            ledger = ledger.with_tap(Box::new(recorder.tap()));
         }
         let list = Follower::new(Arc::clone(&settings), engine.clone(), clock, started);
         let remembered = Input::List(ListKind::Remembered, list.remembered());
@@ -165,7 +165,7 @@
             pauses: Pauses::new(),
         };
         // The first thing that the module is told, before any player: it answers by following the list.
-        let _ = engine.send(Msg::Core(remembered));
+        let _ = engine.send(EngineMessage::Input(remembered));
         let thread = thread::Builder::new()
             .name("front".into())
             .spawn(move || running.run())
@@ -174,45 +174,47 @@
         let ways = Ways { engine: engine.clone(), over, flusher };
         let server = Server::start(Arc::clone(&settings), clock, Arc::clone(&clients), entrance, ways)
             .map_err(|error| {
-                let _ = engine.send(Msg::Die);
+                let _ = engine.send(EngineMessage::Kill);
                 StartError::Listen(settings.listen, error)
             })?;
         Ok(Front { settings, engine, clients, server, thread: Some(thread), recorder, seed, life })
     }
 
     /// Whom to tell what this front stands on, where its settings have `accord`.
-    pub fn stands(&self) -> impl Fn(Stand) + Send + 'static {
+    pub fn coordination_sink(&self) -> impl Fn(Stand) + Send + 'static {
         let engine = self.engine.clone();
         move |stand| {
-            let _ = engine.send(Msg::Core(Input::Stand(Box::new(stand))));
+            let _ = engine.send(EngineMessage::Input(Input::Coordination(Box::new(stand))));
         }
     }
 
     /// What ids of its sessions begin with, from its start on.
-    pub fn life(&self) -> Life {
+    pub fn incarnation(&self) -> Life {
         Life::clone(&self.life)
     }
 
     /// Whom to tell of copies and of what other fronts promised, where its settings have `copies`.
-    pub fn kept(&self) -> impl Fn(Told) + Send + 'static {
+    pub fn replication_sink(&self) -> impl Fn(Told) + Send + 'static {
         let engine = self.engine.clone();
         move |told| {
             let input = match told {
-                Told::Kept(key, kept) => Input::Kept(key, kept),
-                Told::Adopt(life, epoch, promises) => Input::Adopt(life, epoch, promises),
-                Told::Replaced(life, _) => Input::Replaced(life),
-                Told::Gone(life) => Input::Gone(life),
+                Told::Kept(key, kept) => Input::RecordStored(key, kept),
+                Told::Adopt(life, epoch, promises) => Input::TakeOver(life, epoch, promises),
+                Told::Replaced(life, _) => Input::TakenOver(life),
+                Told::Gone(life) => Input::TakeoverSuperseded(life),
             };
-            let _ = engine.send(Msg::Core(input));
+            let _ = engine.send(EngineMessage::Input(input));
         }
     }
 
     /// Whom to tell of other fronts, as membership knows them.
-    pub fn others(&self) -> impl Fn(&[Known]) + Send + 'static {
+    pub fn peers_sink(&self) -> impl Fn(&[Known]) + Send + 'static {
         let engine = self.engine.clone();
         move |known| {
-            let other = |one: &Known| (Arc::clone(&one.name), Other { here: one.here, serves: one.serves });
-            let _ = engine.send(Msg::Core(Input::Others(known.iter().map(other).collect())));
+            let other = |one: &Known| {
+                (Arc::clone(&one.name), PeerFront { in_view: one.here, client_address: one.serves })
+            };
+            let _ = engine.send(EngineMessage::Input(Input::Peers(known.iter().map(other).collect())));
         }
     }
 
@@ -227,9 +229,9 @@
     }
 
     /// How the front stands.
-    pub fn look(&self) -> Look {
+    pub fn status(&self) -> FrontStatus {
         let (to, answer) = crossbeam_channel::bounded(1);
-        let _ = self.engine.send(Msg::Look(to));
+        let _ = self.engine.send(EngineMessage::Status(to));
         answer.recv_timeout(Duration::from_secs(5)).unwrap_or_default()
     }
 
@@ -237,7 +239,7 @@
     ///
     /// # Errors
     /// What is asked for means nothing here; then nothing has been accepted.
-    pub fn open(&self, asked: &Asked) -> Result<Session, OpenError> {
+    pub fn open(&self, asked: &SessionRequest) -> Result<Session, OpenError> {
         let settings = &self.settings;
         let title = settings.titles.get(&asked.title).ok_or_else(|| OpenError::Title(asked.title.clone()))?;
         let class = settings.class(&asked.class).ok_or_else(|| OpenError::Class(asked.class.clone()))?;
@@ -245,23 +247,23 @@
         if !(least..=most).contains(&asked.patience_ms) {
             return Err(OpenError::Patience(asked.patience_ms, least, most));
         }
-        let opening = Opening {
+        let opening = OpenRequest {
             viewer: viewer(&asked.viewer),
-            firm: firm(&asked.viewer),
+            tenant: firm(&asked.viewer),
             title: title.id,
             class,
             first_cell: title.first_cell,
             cell_count: title.cells,
             top_rung: asked.top_rung,
             patience: asked.patience_ms * 1000,
-            length: asked.length_hint_s.map(|hint| (hint.clamp(0.0, 1e6) * 1e6) as Micros),
+            length_hint: asked.length_hint_s.map(|hint| (hint.clamp(0.0, 1e6) * 1e6) as Micros),
             returned: asked.returned,
             moved_from: asked.moved_from.as_deref().map(|id| SessionId(Arc::from(id))),
         };
         let client = ClientId(self.clients.fetch_add(1, Ordering::Relaxed));
         let (to, told) = crossbeam_channel::unbounded();
-        let attach = self.engine.send(Msg::Attach(client, Port::Caller(to)));
-        let open = self.engine.send(Msg::Core(Input::Open(client, OPEN, opening)));
+        let attach = self.engine.send(EngineMessage::Attach(client, ClientSink::Caller(to)));
+        let open = self.engine.send(EngineMessage::Input(Input::Open(client, OPEN, opening)));
         if attach.is_err() || open.is_err() {
             return Err(OpenError::Ended);
         }
@@ -278,15 +280,15 @@
 
     /// Ends at once with no word to anybody, as a process that is killed: for rehearsals of that.
     pub fn kill(mut self) {
-        let _ = self.engine.send(Msg::Die);
+        let _ = self.engine.send(EngineMessage::Kill);
         self.finish();
     }
 
     fn end(&mut self, within: Duration) -> Option<Counts> {
         let (done, told) = crossbeam_channel::bounded(1);
-        let _ = self.engine.send(Msg::ShutDown(done));
+        let _ = self.engine.send(EngineMessage::ShutDown(done));
         let counts = told.recv_timeout(within).ok();
-        let _ = self.engine.send(Msg::Die);
+        let _ = self.engine.send(EngineMessage::Kill);
         counts
     }
 
@@ -319,14 +321,14 @@
 /// unanswered and nothing plays for nobody.
 pub struct Session {
     client: ClientId,
-    engine: Sender<Msg>,
-    told: Receiver<ToCaller>,
+    engine: Sender<EngineMessage>,
+    told: Receiver<CallerMessage>,
 }
 
 impl Session {
     /// What the session's caller is told next: first the answer, then news. Nothing if that takes longer than
     /// `within`, or the front has ended.
-    pub fn next(&self, within: Duration) -> Option<ToCaller> {
+    pub fn next(&self, within: Duration) -> Option<CallerMessage> {
         self.told.recv_timeout(within).ok()
     }
 
@@ -334,29 +336,29 @@
     /// sessions as it may; [`Session::next`] tells the two apart.
     pub fn answer(&self, within: Duration) -> Option<Answer> {
         match self.next(within)? {
-            ToCaller::Answer(answer) => Some(answer),
-            ToCaller::News(_) | ToCaller::Reply(_) => None,
+            CallerMessage::Answer(answer) => Some(answer),
+            CallerMessage::Notification(_) | CallerMessage::Reply(_) => None,
         }
     }
 
     /// Waits for news.
-    pub fn news(&self, within: Duration) -> Option<News> {
+    pub fn news(&self, within: Duration) -> Option<Notification> {
         match self.next(within)? {
-            ToCaller::News(news) => Some(news),
-            ToCaller::Answer(_) | ToCaller::Reply(_) => None,
+            CallerMessage::Notification(news) => Some(news),
+            CallerMessage::Answer(_) | CallerMessage::Reply(_) => None,
         }
     }
 
     /// Gives the session up before its answer; the answer is then that it failed, unless it was under way.
     pub fn cancel(&self) {
-        let _ = self.engine.send(Msg::Core(Input::Cancel(self.client, OTHER, OPEN)));
+        let _ = self.engine.send(EngineMessage::Input(Input::Cancel(self.client, OTHER, OPEN)));
     }
 
     /// Closes a session that plays. Returns whether it did.
     pub fn close(self, session: &SessionId, within: Duration) -> bool {
-        let _ = self.engine.send(Msg::Core(Input::Close(self.client, OTHER, session.clone())));
+        let _ = self.engine.send(EngineMessage::Input(Input::Close(self.client, OTHER, session.clone())));
         while let Some(told) = self.next(within) {
-            if let ToCaller::Reply(reply) = told {
+            if let CallerMessage::Reply(reply) = told {
                 return matches!(reply, Reply::Closed(_));
             }
         }
@@ -366,6 +368,6 @@
 
 impl Drop for Session {
     fn drop(&mut self) {
-        let _ = self.engine.send(Msg::Core(Input::ClientGone(self.client)));
+        let _ = self.engine.send(EngineMessage::Input(Input::ClientClosed(self.client)));
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -12,13 +12,13 @@
 pub mod box_list;
 pub mod boxes;
 pub mod clock;
+mod common;
 pub mod core;
 mod engine;
 mod front;
-mod inside;
 pub mod record;
 pub mod session_api;
 pub mod settings;
 
-pub use front::{Asked, Front, OpenError, Session, StartError};
-pub use inside::messages::{Look, ToCaller};
+pub use common::messages::{CallerMessage, FrontStatus};
+pub use front::{Front, OpenError, Session, SessionRequest, StartError};
--- a/crates/front/src/session_api/core/calls.rs
+++ b/crates/front/src/session_api/core/calls.rs
@@ -130,7 +130,7 @@
         self.waiting.insert(ticket, Waiting { id: call.id, open, batch });
         let client = self.client;
         taken.inputs.push(match method {
-            Method::Open(opening) if self.only_back => Input::Return(client, ticket, opening),
+            Method::Open(opening) if self.only_back => Input::Reopen(client, ticket, opening),
             Method::Open(opening) => Input::Open(client, ticket, opening),
             // No ticket is 0: an id that names no open call finds none.
             Method::Cancel(_) => Input::Cancel(client, ticket, named.unwrap_or(Ticket(0))),
--- a/crates/front/src/session_api/core/tests.rs
+++ b/crates/front/src/session_api/core/tests.rs
@@ -25,7 +25,7 @@
 fn tickets(inputs: &[Input]) -> Vec<Ticket> {
     let ticket = |input: &Input| match input {
         Input::Open(_, ticket, _) | Input::Cancel(_, ticket, _) | Input::Close(_, ticket, _) => *ticket,
-        Input::Status(_, ticket, _, _) | Input::Return(_, ticket, _) => *ticket,
+        Input::Status(_, ticket, _, _) | Input::Reopen(_, ticket, _) => *ticket,
         other => panic!("no call: {other:?}"),
     };
     inputs.iter().map(ticket).collect()
@@ -96,7 +96,7 @@
 #[test]
 fn a_player_in_the_reserve_may_only_return_until_it_has() {
     let mut calls = Calls::new(ClientId(1), 8, true);
-    assert!(matches!(take(&mut calls, &open(json!(1))).inputs[0], Input::Return(..)));
+    assert!(matches!(take(&mut calls, &open(json!(1))).inputs[0], Input::Reopen(..)));
     calls.returned();
     assert!(matches!(take(&mut calls, &open(json!(2))).inputs[0], Input::Open(..)));
 }
--- a/crates/front/src/session_api/rpc.rs
+++ b/crates/front/src/session_api/rpc.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Map, Value};
 
 use super::core::gate::OPEN;
-use crate::core::{Answer, EndReason, FailReason, HeldBy as Held, News, Opening, Reply};
+use crate::core::{Answer, EndReason, FailReason, LimitScope, Notification, OpenRequest, Reply};
 use crate::settings::{firm, viewer, Settings};
 
 /// Not JSON (JSON-RPC 2.0 section 5.1).
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Method {
     /// `session.open`.
-    Open(Opening),
+    Open(OpenRequest),
     /// `session.cancel` of the open call with this id.
     Cancel(Value),
     /// `session.close`.
@@ -275,7 +275,7 @@
     }
 }
 
-fn opening(given: &Params, settings: &Settings) -> Result<Opening, RpcError> {
+fn opening(given: &Params, settings: &Settings) -> Result<OpenRequest, RpcError> {
     let wrong = |text: String| RpcError::new(INVALID_PARAMS, text);
     let title = given.name("title")?;
     let lies = settings.titles.get(title).ok_or_else(|| wrong(format!("no title `{title}` here")))?;
@@ -296,16 +296,16 @@
         }
     };
     let moved_from = given.0.get("moved_from").map(|_| given.name("moved_from")).transpose()?;
-    Ok(Opening {
+    Ok(OpenRequest {
         viewer: viewer(given.name("viewer")?),
-        firm: firm(given.name("viewer")?),
+        tenant: firm(given.name("viewer")?),
         title: lies.id,
         class,
         first_cell: lies.first_cell,
         cell_count: lies.cells,
         top_rung: usize::try_from(given.whole("top_rung")?).unwrap_or(usize::MAX),
         patience: patience * 1000,
-        length,
+        length_hint: length,
         returned: given.flag("returned")?,
         moved_from: moved_from.map(|id| SessionId(Arc::from(id))),
     })
@@ -385,22 +385,22 @@
             });
             result(id, state)
         }
-        Reply::Over(most, of) => {
+        Reply::TooManySessions(most, of) => {
             let of = match of {
-                Held::Connection => "connection",
-                Held::Viewer => "viewer",
+                LimitScope::Connection => "connection",
+                LimitScope::Viewer => "viewer",
             };
             failure(id, TOO_MANY_SESSIONS, "too many sessions", json!({"of": of, "most": most}))
         }
-        Reply::OnlyBack(hold_off) => {
+        Reply::ReturnsOnly(hold_off) => {
             error(id, &RpcError::later(FULL, "full but for viewers that come back", *hold_off))
         }
-        Reply::Elsewhere(front, address) => {
+        Reply::AtOtherFront(front, address) => {
             let address = address.map(|address| address.to_string());
             let data = json!({"front": &**front, "address": address});
             failure(id, ELSEWHERE, "the session is at another front", data)
         }
-        Reply::Wait(hold_off) => {
+        Reply::RetryAfter(hold_off) => {
             error(id, &RpcError::later(BETWEEN, "the session is between two fronts", *hold_off))
         }
         Reply::Unknown => {
@@ -411,19 +411,19 @@
 }
 
 /// A notification.
-pub fn news(news: &News) -> Value {
+pub fn news(news: &Notification) -> Value {
     let (method, params) = match news {
-        News::Rung(session, rung, rate) => {
+        Notification::RungChanged(session, rung, rate) => {
             ("session.rung", json!({"session": &*session.0, "rung": rung, "rate_kb": rate}))
         }
-        News::Move(session) => ("session.move", json!({"session": &*session.0})),
-        News::Ended(session, reason) => {
+        Notification::Move(session) => ("session.move", json!({"session": &*session.0})),
+        Notification::Ended(session, reason) => {
             let reason = match reason {
                 EndReason::Box => "box",
                 EndReason::Lost => "lost",
                 EndReason::ShuttingDown => "shutting-down",
                 EndReason::Rules => "rules",
-                EndReason::Elsewhere => "elsewhere",
+                EndReason::TakenOver => "elsewhere",
             };
             ("session.ended", json!({"session": &*session.0, "reason": reason}))
         }
--- a/crates/front/src/session_api/server.rs
+++ b/crates/front/src/session_api/server.rs
@@ -33,8 +33,8 @@
 use super::outbox::{text_frame, Outbox};
 use super::rpc;
 use crate::clock::{timespec, Clock};
+use crate::common::messages::{ClientSink, EngineMessage, ReceivedMessage};
 use crate::core::{ClientId, Input};
-use crate::inside::messages::{Msg, Port, Taken};
 use crate::settings::{Settings, SUB_PROTOCOL};
 
 /// Stack of a thread that reads one player: a message, its JSON and the WebSocket's buffers, which are on the heap.
@@ -47,7 +47,7 @@
 /// Connections that are taken in one after another.
 const AT_ONCE: usize = 64;
 /// Bytes of a request that are waited for; the WebSocket's reader says what is wrong with a longer one.
-const HEAD_MOST: usize = 8 * 1024;
+const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// A player is read on after this at the latest, us: its pongs and its end are among what it sends.
 const PAUSE_MOST: u64 = 1_000_000;
 
@@ -55,7 +55,7 @@
 #[derive(Clone)]
 pub struct Ways {
     /// All that must be heard.
-    pub engine: Sender<Msg>,
+    pub engine: Sender<EngineMessage>,
     /// How many messages over their senders' shares wait for the front's thread.
     pub over: Arc<AtomicUsize>,
     /// Outboxes that the socket did not empty.
@@ -311,7 +311,7 @@
         one.head.extend_from_slice(&part[..count]);
         one.watch.heard(self.clock.now(), &part[..count]);
         let whole = one.head.windows(4).rev().any(|end| end == b"\r\n\r\n");
-        if !whole && one.head.len() < HEAD_MOST {
+        if !whole && one.head.len() < MAX_HEAD_BYTES {
             if let Some(so_far) = one.watch.shaking() {
                 self.entrance.progress(id, so_far);
             }
@@ -458,12 +458,12 @@
         socket.get_mut().watch.entered(self.clock.now(), only_back);
         let calls = Calls::new(self.id, self.settings.edges.opens, only_back);
         let share = Arc::new(Mutex::new(Share::new(self.clock.now())));
-        let port = Port::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
-        if self.ways.engine.send(Msg::Attach(self.id, port)).is_ok() {
+        let port = ClientSink::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
+        if self.ways.engine.send(EngineMessage::Attach(self.id, port)).is_ok() {
             let duplex = self.read(socket, &share);
             let lost = matches!(duplex.ended, Some(Sight::Silent | Sight::Slow));
-            let gone = if lost { Input::ClientLost(self.id) } else { Input::ClientGone(self.id) };
-            let _ = self.ways.engine.send(Msg::Core(gone));
+            let gone = if lost { Input::ClientLost(self.id) } else { Input::ClientClosed(self.id) };
+            let _ = self.ways.engine.send(EngineMessage::Input(gone));
             // Bytes left unread would have the close answered by a reset, and the reason for it lost.
             self.outbox.end();
             let _ = duplex.read.set_read_timeout(Some(LINGER));
@@ -544,13 +544,18 @@
         let inside = self.entrance.inside();
         let (turn, charge) = hold(share).take(self.clock.now(), frees + asks, inside);
         if turn == Turn::Ahead {
-            return self.ways.engine.send(Msg::Calls(self.taken(message, charge))).ok().map(|()| 0);
+            return self.ways.engine.send(EngineMessage::Calls(self.taken(message, charge))).ok().map(|()| 0);
         }
         let pause = hold(share).pause(inside).max(1_000);
         if frees == 0 {
             // Counted before it is sent, so that no more than so many are ever under way.
             if self.ways.over.fetch_add(1, Ordering::Relaxed) < self.settings.edges.calls_over {
-                return self.ways.engine.send(Msg::Over(self.taken(message, charge))).ok().map(|()| 0);
+                return self
+                    .ways
+                    .engine
+                    .send(EngineMessage::DeferredCalls(self.taken(message, charge)))
+                    .ok()
+                    .map(|()| 0);
             }
             self.ways.over.fetch_sub(1, Ordering::Relaxed);
             hold(share).give_back(charge);
@@ -558,11 +563,11 @@
         }
         // What frees is always taken; its sender is read on the later for it.
         let message = if asks > 0 { message.held_back(pause) } else { message };
-        self.ways.engine.send(Msg::Calls(self.taken(message, charge))).ok().map(|()| pause)
+        self.ways.engine.send(EngineMessage::Calls(self.taken(message, charge))).ok().map(|()| pause)
     }
 
-    fn taken(&self, message: rpc::Message, charge: Charge) -> Taken {
-        Taken { client: self.id, message, charge }
+    fn taken(&self, message: rpc::Message, charge: Charge) -> ReceivedMessage {
+        ReceivedMessage { client: self.id, message, charge }
     }
 
     /// Tells the player why its connection ends, as RFC 6455 section 7.4.1 has the codes.
--- a/crates/front/src/settings/check.rs
+++ b/crates/front/src/settings/check.rs
@@ -4,7 +4,7 @@
 use salttally_settings::{Block, Read};
 
 use super::Settings;
-use crate::core::room::Room;
+use crate::core::process_limits::ProcessLimits;
 
 /// Checks settings against the rules; the error stands at the node that is wrong.
 pub(super) fn rules(root: &Block<'_>, settings: &Settings) -> Read<()> {
@@ -88,7 +88,7 @@
 }
 
 /// Checks what the process may have against what the front would take of it.
-pub(super) fn room(root: &Block<'_>, settings: &mut Settings, room: &Room) -> Read<()> {
+pub(super) fn room(root: &Block<'_>, settings: &mut Settings, room: &ProcessLimits) -> Read<()> {
     let node = match root.one("limits")? {
         Some(node) => node,
         None => root.need("front")?,
@@ -97,7 +97,7 @@
     let door = &mut edges.door;
     if !edges.players_stated {
         // Kept apart, in the proportion of the defaults: those inside, those that shake hands, and the reserve.
-        let room = usize::try_from(room.players(edges.to_boxes)).unwrap_or(usize::MAX);
+        let room = usize::try_from(room.max_players(edges.to_boxes)).unwrap_or(usize::MAX);
         door.shaking = door.shaking.min(room / 8);
         door.players = door.players.min(room - door.shaking);
         door.reserve = door.reserve.min(door.players / 8);
@@ -109,7 +109,7 @@
             )));
         }
     }
-    room.holds(door.players + door.shaking, edges.to_boxes).map_err(|error| {
+    room.check(door.players + door.shaking, edges.to_boxes).map_err(|error| {
         node.bad(format!(
             "`players` {}, `handshakes` {} and `connections-to-boxes` {}: {error}",
             door.players, door.shaking, edges.to_boxes
@@ -127,17 +127,17 @@
     if edges.patience_ms.0 == 0 || edges.patience_ms.0 > edges.patience_ms.1 {
         return bad("`patience-least-ms` must be over 0 and not over `patience-most-ms`");
     }
-    if limits.silent_after == 0 || limits.lost_after == 0 || limits.ask_within == 0 {
+    if limits.silence_timeout == 0 || limits.lost_timeout == 0 || limits.request_timeout == 0 {
         return bad("`silent-after-ms`, `lost-after-ms` and `ask-within-ms` must be over 0");
     }
     let (gate, door, watch) = (&edges.gate, &edges.door, &edges.watch);
-    if limits.connections == 0 || door.players == 0 || door.shaking == 0 || edges.opens == 0 {
+    if limits.connections_per_box == 0 || door.players == 0 || door.shaking == 0 || edges.opens == 0 {
         return bad("`connections-per-box`, `players`, `handshakes` and `opens-per-player` must be over 0");
     }
     if edges.to_boxes < 8 {
         return bad("`connections-to-boxes` must be 8 at least");
     }
-    if limits.per_connection == 0 || limits.per_viewer == 0 || edges.calls_over == 0 {
+    if limits.sessions_per_connection == 0 || limits.sessions_per_viewer == 0 || edges.calls_over == 0 {
         return bad("`sessions-per-connection`, `sessions-per-viewer` and `calls-over` must be over 0");
     }
     if door.reserve >= door.players {
--- a/crates/front/src/settings/mod.rs
+++ b/crates/front/src/settings/mod.rs
@@ -13,7 +13,7 @@
 use salttally_settings::{Document, Read};
 
 use crate::boxes::core::MeterLimits;
-use crate::core::room::Room;
+use crate::core::process_limits::ProcessLimits;
 use crate::core::Limits;
 use crate::session_api::core::door::DoorLimits;
 use crate::session_api::core::gate::GateLimits;
@@ -103,7 +103,7 @@
 
     /// The same for a process that may have so much: as many players as there is room for are taken, and a number
     /// that is stated must fit.
-    pub fn load_within(path: &Path, room: &Room) -> Read<Settings> {
+    pub fn load_within(path: &Path, room: &ProcessLimits) -> Read<Settings> {
         let document = Document::load(path)?;
         let mut settings = Settings::from_document(&document)?;
         check::room(&document.root(), &mut settings, room)?;
--- a/crates/front/src/settings/read.rs
+++ b/crates/front/src/settings/read.rs
@@ -259,18 +259,18 @@
         |name: &str, default: u64| -> Read<Duration> { Ok(Duration::from_millis(block.or(name, default)?)) };
     let limits = Limits {
         answer_slack,
-        silent_after: ms("silent-after-ms", 2_000.0)?,
-        lost_after: ms("lost-after-ms", 3_000.0)?,
-        claim_within: ms("claim-within-ms", 5_000.0)?,
-        silent_kept: ms("silent-kept-ms", 15_000.0)?,
-        adopted_kept: ms("adopted-kept-ms", 30_000.0)?,
-        per_connection: block.or("sessions-per-connection", 20_000)?,
-        per_viewer: block.or("sessions-per-viewer", 64)?,
-        moved_kept: ms("moved-kept-ms", 30_000.0)?,
-        ask_within: ms("ask-within-ms", 1_000.0)?,
-        idle_kept: ms("idle-kept-ms", 10_000.0)?,
+        silence_timeout: ms("silent-after-ms", 2_000.0)?,
+        lost_timeout: ms("lost-after-ms", 3_000.0)?,
+        claim_timeout: ms("claim-within-ms", 5_000.0)?,
+        lost_client_retention: ms("silent-kept-ms", 15_000.0)?,
+        takeover_retention: ms("adopted-kept-ms", 30_000.0)?,
+        sessions_per_connection: block.or("sessions-per-connection", 20_000)?,
+        sessions_per_viewer: block.or("sessions-per-viewer", 64)?,
+        moved_retention: ms("moved-kept-ms", 30_000.0)?,
+        request_timeout: ms("ask-within-ms", 1_000.0)?,
+        idle_timeout: ms("idle-kept-ms", 10_000.0)?,
         clock_skew: ms("clock-skew-ms", 20.0)?,
-        connections: block.or("connections-per-box", 256)?,
+        connections_per_box: block.or("connections-per-box", 256)?,
     };
     let pace = |name: &str, within: f64| -> Read<Pace> {
         Ok(Pace {
--- a/crates/front/src/settings/tests.rs
+++ b/crates/front/src/settings/tests.rs
@@ -57,13 +57,13 @@
 
 #[test]
 fn more_players_than_the_process_has_files_for_are_refused_where_stated_and_lowered_where_not() {
-    use crate::core::room::Room;
+    use crate::core::process_limits::ProcessLimits;
     let dir = std::env::temp_dir().join(format!("salttally-room-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let load = |limits: &str, files: u64| {
         let path = dir.join("front.kdl");
         std::fs::write(&path, format!("{SMALL}\nlimits {{ {limits} }}\n")).expect("written");
-        Settings::load_within(&path, &Room { files, maps: 65_530 })
+        Settings::load_within(&path, &ProcessLimits { files, maps: 65_530 })
     };
     let error = load("players 900; connections-to-boxes 100", 1_024).expect_err("refused").to_string();
     assert!(
--- a/crates/front/tests/decoders.rs
+++ b/crates/front/tests/decoders.rs
@@ -75,7 +75,13 @@
         "viewer": "v", "title": "a", "class": "clip", "top_rung": 1, "patience_ms": 1000}});
     let Message::One(call) = rpc::read(&text.to_string(), &settings()) else { panic!("a call") };
     let Ok(rpc::Method::Open(opening)) = call.method else { panic!("an open call") };
-    BoxRequest::SetUp { session: SessionId("f0-1-1".into()), attempt: 0, rung: 1, opening, time_out: 1000 }
+    BoxRequest::SetUp {
+        session: SessionId("f0-1-1".into()),
+        attempt: 0,
+        rung: 1,
+        open_request: opening,
+        time_out: 1000,
+    }
 }
 
 proptest! {
@@ -99,27 +105,27 @@
         if let Ok(rpc::Method::Open(opening)) = read.method {
             prop_assert!(opening.class == 0 && opening.title.0 == 1);
             prop_assert!((100_000..=60_000_000).contains(&opening.patience));
-            prop_assert!(opening.length.is_none_or(|length| length <= 1_000_000_000_000));
+            prop_assert!(opening.length_hint.is_none_or(|length| length <= 1_000_000_000_000));
         }
     }
 
     #[test]
     fn any_bytes_are_a_response_an_error_or_not_yet_whole(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = http::response(&bytes);
+        let _ = http::parse_response(&bytes);
         let mut whole = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n".to_vec();
         whole.extend(bytes);
-        let _ = http::response(&whole);
+        let _ = http::parse_response(&whole);
     }
 
     #[test]
     fn half_a_response_is_not_one(cut in 0usize..1000, status in 100u16..600, body in "[a-z{}\":0-9]{0,60}") {
         let whole = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
-        let read = http::response(&whole).expect("good HTTP").expect("whole");
-        prop_assert_eq!((read.status, read.body, read.keep), (status, body.into_bytes(), true));
+        let read = http::parse_response(&whole).expect("good HTTP").expect("whole");
+        prop_assert_eq!((read.status, read.body, read.keep_alive), (status, body.into_bytes(), true));
         let cut = cut % whole.len();
-        prop_assert_eq!(http::response(&whole[..cut]), Ok(None));
+        prop_assert_eq!(http::parse_response(&whole[..cut]), Ok(None));
         let more = [whole.as_slice(), b"x"].concat();
-        prop_assert_eq!(http::response(&more), Err(http::BadHttp::Surplus(1)));
+        prop_assert_eq!(http::parse_response(&more), Err(http::HttpError::Surplus(1)));
     }
 
     #[test]
@@ -155,7 +161,7 @@
 
     #[test]
     fn any_body_of_an_answer_is_understood_or_malformed(status in 100u16..600, body in json_value()) {
-        let response = http::Response { status, body: body.to_string().into_bytes(), keep: true };
+        let response = http::Response { status, body: body.to_string().into_bytes(), keep_alive: true };
         let end = wire::answer(&set_up(), &response, &settings());
         // Nothing but an answer that names this very attempt sets it up.
         if let ExchangeEnd::Answered { answer: salttally_front::core::BoxAnswer::Done, .. } = end {
@@ -167,7 +173,7 @@
 #[test]
 fn a_box_that_answers_for_a_session_never_sent_is_at_fault() {
     let body = json!({"session": "f0-1-2", "attempt": 0, "load": {"streams": 1, "link": 0.1, "uplink": 0.1}});
-    let response = http::Response { status: 201, body: body.to_string().into_bytes(), keep: true };
+    let response = http::Response { status: 201, body: body.to_string().into_bytes(), keep_alive: true };
     let ExchangeEnd::Malformed(reason) = wire::answer(&set_up(), &response, &settings()) else {
         panic!("taken")
     };
@@ -177,17 +183,18 @@
 #[test]
 fn two_lengths_and_transfer_codings_are_told_from_a_response() {
     let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab";
-    assert_eq!(http::response(twice), Err(http::BadHttp::Length));
+    assert_eq!(http::parse_response(twice), Err(http::HttpError::Length));
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(http::response(chunked), Err(http::BadHttp::Coding));
+    assert_eq!(http::parse_response(chunked), Err(http::HttpError::Coding));
     let endless = [b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'a'; 9000]].concat();
-    assert_eq!(http::response(&endless), Err(http::BadHttp::LongHead));
+    assert_eq!(http::parse_response(&endless), Err(http::HttpError::LongHead));
 }
 
 #[test]
 fn what_is_written_of_a_list_is_read_back() {
     let entry = ServerEntry { cell: 3, units: 1.5, started: Some(5_000_000), ..ServerEntry::default() };
-    let line = salttally_front::core::Listed { entry, address: "127.0.0.1:9".parse().expect("an address") };
+    let line =
+        salttally_front::core::ListEntry { entry, address: "127.0.0.1:9".parse().expect("an address") };
     let text = lines::write(std::iter::once(&line));
     assert_eq!(lines::read(&text).expect("read").lines, [line]);
 }
--- a/crates/front/tests/openrpc.rs
+++ b/crates/front/tests/openrpc.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use salttally::interface::{ServerId, SessionId};
-use salttally_front::core::{Answer, EndReason, FailReason, HeldBy, News, Reply};
+use salttally_front::core::{Answer, EndReason, FailReason, LimitScope, Notification, Reply};
 use salttally_front::session_api::rpc;
 use serde_json::{json, Value};
 
@@ -82,14 +82,14 @@
     let real = rpc::answer(&json!(1), &Answer::Refused(id(), 1_500_000));
     assert_eq!(real["error"]["data"], json!({"session": "s", "hold_off_ms": 1500}));
     assert_eq!(real["error"]["message"], error("session.open", rpc::REFUSED)["message"]);
-    for of in [HeldBy::Connection, HeldBy::Viewer] {
-        let real = rpc::reply(&json!(1), &Reply::Over(64, of));
+    for of in [LimitScope::Connection, LimitScope::Viewer] {
+        let real = rpc::reply(&json!(1), &Reply::TooManySessions(64, of));
         let described = error("session.open", rpc::TOO_MANY_SESSIONS);
         assert_eq!(real["error"]["message"], described["message"]);
         let word = real["error"]["data"]["of"].as_str().expect("whose");
         assert!(described["data"]["of"].as_str().is_some_and(|words| words.contains(word)));
     }
-    let real = rpc::reply(&json!(1), &Reply::OnlyBack(2_000_000));
+    let real = rpc::reply(&json!(1), &Reply::ReturnsOnly(2_000_000));
     assert_eq!(real["error"]["message"], error("session.open", rpc::FULL)["message"]);
     assert_eq!(real["error"]["data"], json!({"hold_off_ms": 2000}));
     let real = rpc::reply(&json!(1), &Reply::Unknown);
@@ -104,7 +104,11 @@
     let described = document["x-notifications"].as_array().expect("notifications");
     let names: Vec<&str> = described.iter().filter_map(|n| n["name"].as_str()).collect();
     assert_eq!(names, rpc::NOTIFICATIONS);
-    let all = [News::Rung(id(), 1, 2.0), News::Move(id()), News::Ended(id(), EndReason::Lost)];
+    let all = [
+        Notification::RungChanged(id(), 1, 2.0),
+        Notification::Move(id()),
+        Notification::Ended(id(), EndReason::Lost),
+    ];
     for (news, described) in all.iter().zip(described) {
         let real = rpc::news(news);
         assert_eq!(real["method"], described["name"]);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -7,7 +7,7 @@
 
 use salttally::facts::{Facts, FactsError};
 use salttally::interface::{ServerEntry, ServerId, ServerState};
-use salttally_front::core::Listed;
+use salttally_front::core::ListEntry;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -67,7 +67,7 @@
     /// Number of the last event that is known.
     pub index: u64,
     /// The list as known: it may be old.
-    pub known: Vec<Listed>,
+    pub known: Vec<ListEntry>,
     /// The settings of the module and of the sockets.
     pub facts: Facts,
 }
@@ -151,7 +151,7 @@
             }
             _ => 0,
         };
-        let mut known: BTreeMap<ServerId, Listed> = BTreeMap::new();
+        let mut known: BTreeMap<ServerId, ListEntry> = BTreeMap::new();
         for update in file.known.updates {
             if update.endpoints.whole {
                 known.clear();
@@ -200,7 +200,7 @@
 }
 
 impl Host {
-    fn listed(&self, facts: &Facts) -> Result<Listed, (&'static str, String)> {
+    fn listed(&self, facts: &Facts) -> Result<ListEntry, (&'static str, String)> {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
         let id = words::server_id(&self.host)
             .ok_or(("known.host", format!("`{}` is no media server", self.host)))?;
@@ -211,7 +211,7 @@
             other => return Err(("known.health", format!("`{other}` is no state"))),
         };
         let address = self.dial.parse();
-        Ok(Listed {
+        Ok(ListEntry {
             entry: ServerEntry {
                 server: ServerId(id),
                 zone: place(&facts.zones, &self.site),
--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -95,7 +95,7 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.open.insert(session);
         if let Some(due) = connection.due.take() {
-            timers.unset(due, Timer::ClientIdle(id));
+            timers.cancel(due, Timer::ClientIdle(id));
         }
     }
 
@@ -124,7 +124,7 @@
     pub fn closed(&mut self, id: ClientId, timers: &mut Timers<Timer>) -> Vec<u64> {
         let Some(connection) = self.connections.remove(&id) else { return Vec::new() };
         if let Some(due) = connection.due {
-            timers.unset(due, Timer::ClientIdle(id));
+            timers.cancel(due, Timer::ClientIdle(id));
         }
         connection.open.into_iter().chain(connection.playing).collect()
     }
--- a/crates/platform/src/core/clients.rs
+++ b/crates/platform/src/core/clients.rs
@@ -1,6 +1,6 @@
 //! What clients say, and the one answer that each request gets.
 
-use salttally_front::core::{Opening, Ticket};
+use salttally_front::core::{OpenRequest, Ticket};
 
 use super::*;
 use crate::wire::words::{self, Figures, Unusable};
@@ -51,7 +51,7 @@
     pub(super) fn client_closed(&mut self, client: ClientId, out: &mut Vec<Command>) {
         for id in self.admission.closed(client, &mut self.timers) {
             let Some(entry) = self.sessions.get_mut(&id) else { continue };
-            if entry.session.owed() {
+            if entry.session.answer_pending() {
                 self.give_up(id, out);
             } else {
                 entry.session.client = None;
@@ -85,10 +85,10 @@
             Ok((opening, None)) => {
                 let moved = self.moved.remove(&opening.viewer);
                 if let Some(until) = moved {
-                    self.timers.unset(until, Timer::MovedKept(opening.viewer));
+                    self.timers.cancel(until, Timer::MovedKept(opening.viewer));
                 }
                 self.counts.taken += 1;
-                let request = opening.request(&name(id), moved.is_some());
+                let request = opening.to_request(&name(id), moved.is_some());
                 let session = self.session(client, opening);
                 self.timers.set(session.overdue_at(self.facts.answer_slack), Timer::AnswerDeadline(id));
                 let keep = [code::CLASS, code::TITLE, code::DESCRIPTION];
@@ -101,13 +101,13 @@
         }
     }
 
-    fn session(&self, client: ClientId, opening: Opening) -> Session {
+    fn session(&self, client: ClientId, opening: OpenRequest) -> Session {
         let class = self.facts.settings.classes.get(opening.class);
         let (effect, floor) = class.map_or((Effect::Safe, 0), |class| (class.effect, class.floor));
         Session::new(Some((client, TICKET)), opening, effect, floor, self.now)
     }
 
-    fn opening(&self, message: &Message) -> Result<(Opening, Option<u32>), Unusable> {
+    fn opening(&self, message: &Message) -> Result<(OpenRequest, Option<u32>), Unusable> {
         let text = |code| message.text(code).ok_or(Unusable::Missing(code));
         if message.session == 0 {
             return Err(Unusable::Figure("id"));
@@ -131,16 +131,16 @@
         if figures.at.is_none() && message.get(code::DESCRIPTION).is_none_or(<[u8]>::is_empty) {
             return Err(Unusable::Missing(code::DESCRIPTION));
         }
-        let opening = Opening {
+        let opening = OpenRequest {
             viewer: ViewerId(figures.viewer),
-            firm: None,
+            tenant: None,
             title: TitleId(words::hex16(text(code::TITLE)?).ok_or(Unusable::Value(code::TITLE))?),
             class,
             first_cell: figures.home,
             cell_count: figures.copies,
             top_rung: figures.top,
             patience,
-            length: words::time(message, code::HINT)?,
+            length_hint: words::time(message, code::HINT)?,
             returned: figures.again,
             moved_from: None,
         };
@@ -148,7 +148,14 @@
     }
 
     /// A session that plays already, told at a start; it wants no answer and may be known.
-    fn resume(&mut self, client: ClientId, id: u64, opening: Opening, at: ServerId, out: &mut Vec<Command>) {
+    fn resume(
+        &mut self,
+        client: ClientId,
+        id: u64,
+        opening: OpenRequest,
+        at: ServerId,
+        out: &mut Vec<Command>,
+    ) {
         if self.sessions.contains_key(&id) {
             return;
         }
@@ -159,15 +166,23 @@
             return;
         }
         self.counts.resumed += 1;
-        let request = opening.request(&name(id), false);
+        let request = opening.to_request(&name(id), false);
         let mut session = self.session(client, opening);
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
         let address = self.servers.get(&at).copied().unwrap_or(unknown);
         let (sent, expires) = (self.now, self.now);
         // Its rung is not known until its media server tells: whichever the module wants is told the media server.
         let rung = usize::MAX;
-        let attempt = Attempt { number: 0, wire: 0, server: at, address, sent, expires, rung };
-        session.plays_already(attempt);
+        let attempt = Attempt {
+            number: 0,
+            wire_number: 0,
+            server: at,
+            address,
+            sent_at: sent,
+            expires_at: expires,
+            rung,
+        };
+        session.resume_playing(attempt);
         self.sessions.insert(id, Entry::new(session, self.now));
         self.admission.request_opened(client, id, &mut self.timers);
         self.admission.session_started(client, id);
@@ -182,7 +197,7 @@
         let id = message.session;
         out.push(Command::SendToClient(client, Message::new(kind::HEARD, id)));
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        if entry.session.owed() {
+        if entry.session.answer_pending() {
             self.give_up(id, out);
         } else if entry.session.playing().is_some() {
             let cause = message.cause().unwrap_or(cause::ON_PURPOSE);
@@ -200,7 +215,7 @@
     /// The answer is given, or no longer owed: the session is over, with the attempt that is out.
     fn settled(&mut self, id: u64, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        if entry.session.settled() {
+        if entry.session.settle_answer() {
             self.drop_session(id);
         } else {
             let outcome = self.withdraw(id, false, out);
@@ -209,7 +224,7 @@
     }
 
     pub(super) fn overdue(&mut self, id: u64, out: &mut Vec<Command>) {
-        if self.sessions.get(&id).is_some_and(|entry| entry.session.owed()) {
+        if self.sessions.get(&id).is_some_and(|entry| entry.session.answer_pending()) {
             self.counts.overdue += 1;
             self.client_gone(id);
             self.fail(id, out);
@@ -220,7 +235,7 @@
 
     /// Gives the one answer, if it is still owed; returns whether it was.
     fn answer(&mut self, id: u64, answer: Message, out: &mut Vec<Command>) -> bool {
-        let Some(entry) = self.sessions.get(&id).filter(|entry| entry.session.owed()) else {
+        let Some(entry) = self.sessions.get(&id).filter(|entry| entry.session.answer_pending()) else {
             self.stopped("a second answer", id, out);
             return false;
         };
@@ -232,7 +247,7 @@
     }
 
     pub(super) fn refuse(&mut self, id: u64, hold_off: Micros, out: &mut Vec<Command>) {
-        if self.sessions.get(&id).is_some_and(|entry| entry.session.not_to_refuse()) {
+        if self.sessions.get(&id).is_some_and(|entry| entry.session.must_not_refuse()) {
             self.stopped("a refusal of what may have run", id, out);
             return self.fail(id, out);
         }
@@ -248,7 +263,7 @@
     fn log_answer(&self, id: u64, answer: &str, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
         let session = &entry.session;
-        let after = (self.now - session.taken) / 1000;
+        let after = (self.now - session.accepted_at) / 1000;
         let left = session.deadline.saturating_sub(self.now) / 1000;
         let attempts = session.attempts;
         let text = format!(
@@ -289,7 +304,7 @@
     /// The process ends: what is owed fails, and clients of what stands are released.
     pub(super) fn end_for_shutdown(&mut self, id: u64, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        if entry.session.owed() {
+        if entry.session.answer_pending() {
             self.fail(id, out);
         } else if entry.session.playing().is_some() {
             let told = Some(cause::BROKEN).filter(|_| !entry.moving);
--- a/crates/platform/src/core/in_doubt.rs
+++ b/crates/platform/src/core/in_doubt.rs
@@ -10,7 +10,9 @@
 impl<D: Decider> Core<D> {
     /// An attempt on this connection was given up, or its connection closed here, and it may go on at the server.
     pub(super) fn mark_in_doubt(&mut self, id: u64, server: ServerId, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(entry) = self.sessions.get_mut(&id).filter(|entry| entry.session.owed()) else { return };
+        let Some(entry) = self.sessions.get_mut(&id).filter(|entry| entry.session.answer_pending()) else {
+            return;
+        };
         entry.in_doubt.push((server, conn));
         self.counts.in_doubt += 1;
         let text =
--- a/crates/platform/src/core/list_watch.rs
+++ b/crates/platform/src/core/list_watch.rs
@@ -14,7 +14,7 @@
 use salttally::interface::Micros;
 use salttally_front::core::timers::Timers;
 
-use super::{Command, Level, Listed, Timer};
+use super::{Command, Level, ListEntry, Timer};
 use crate::wire::frames::{Frame, Payload};
 
 /// The coordinator says something each second: it has stopped when not a byte came for so long, and a call that has not
@@ -36,9 +36,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// The whole list.
-    Whole(Vec<Listed>),
+    Whole(Vec<ListEntry>),
     /// What has changed; empty where nothing has.
-    Changes(Vec<Listed>),
+    Changes(Vec<ListEntry>),
 }
 
 /// Follows one coordinator at a time.
@@ -142,7 +142,7 @@
 
     fn arm(&mut self, at: Micros, timers: &mut Timers<Timer>) {
         if let Some(before) = self.due.replace(at) {
-            timers.unset(before, Timer::ListWatch);
+            timers.cancel(before, Timer::ListWatch);
         }
         timers.set(at, Timer::ListWatch);
     }
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -31,10 +31,10 @@
 
 use salttally::facts::Facts;
 use salttally::interface::*;
-use salttally_front::core::gone;
-use salttally_front::core::session::{Attempt, Session, Stage, Stop};
+use salttally_front::core::removed_servers;
+use salttally_front::core::session::{Attempt, Session, SetUpDenied, Stage};
 use salttally_front::core::timers::Timers;
-pub use salttally_front::core::{ClientId, ConnId, Decider, DialError, Level, Listed};
+pub use salttally_front::core::{ClientId, ConnId, Decider, DialError, Level, ListEntry};
 
 use crate::wire::frames::Frame;
 use crate::wire::{cause, code, kind, Message};
@@ -305,7 +305,7 @@
     pub fn begin(
         &mut self,
         now: Micros,
-        known: Vec<Listed>,
+        known: Vec<ListEntry>,
         index: u64,
         at: SocketAddr,
         out: &mut Vec<Command>,
@@ -327,7 +327,7 @@
         let mut servers: BTreeMap<_, _> =
             self.servers.keys().map(|id| (*id, (self.pool.connections_to(*id), 0, 0, None))).collect();
         for entry in self.sessions.values() {
-            let Some(at) = entry.session.at() else { continue };
+            let Some(at) = entry.session.current_attempt() else { continue };
             let Some(row) = servers.get_mut(&at.server) else { continue };
             let plays = i32::from(entry.session.playing().is_some());
             (row.1, row.2) = (row.1 + plays, row.2 + 1 - plays);
@@ -340,7 +340,7 @@
 
     /// When something is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        self.timers.next()
+        self.timers.next_at()
     }
 
     /// What was done so far.
@@ -511,15 +511,22 @@
         let in_doubt = entry.in_doubt.iter().any(|(at, _)| *at == server);
         let session = &mut entry.session;
         let number = match (session.next_attempt(self.now, &self.facts.settings), address) {
-            (Err(Stop::TooMany), _) => return self.stopped("an attempt too many", id, out),
+            (Err(SetUpDenied::TooManyAttempts), _) => return self.stopped("an attempt too many", id, out),
             (Ok(number), _) if in_doubt => Err(number),
             (Ok(number), Some(_)) => Ok(number),
             (Ok(number), None)
-            | (Err(Stop::NotHeld(number) | Stop::MayHaveRun(number) | Stop::Terms(number)), _) => Err(number),
+            | (
+                Err(
+                    SetUpDenied::NotWaiting(number)
+                    | SetUpDenied::MayHaveRun(number)
+                    | SetUpDenied::RungNotAllowed(number),
+                ),
+                _,
+            ) => Err(number),
         };
         let (Ok(number), Some(address)) = (number, address) else {
             let attempt = number.unwrap_or_else(|number| number);
-            let last = !session.owed();
+            let last = !session.answer_pending();
             let (outcome, report) = (Outcome::NotSent, Vec::new());
             let session = name(id);
             self.events.push_back(Event::Ended { session, attempt, server, outcome, last, report });
@@ -528,9 +535,17 @@
         // No time-out of the module's means until the client gives up; none reaches past that.
         let whole = session.deadline - self.now;
         let time_out = if time_out == 0 { whole } else { time_out.min(whole) };
-        let (expires, rung) = (self.now + time_out, session.wanted);
-        let attempt = Attempt { number, wire: number, server, address, sent: self.now, expires, rung };
-        session.stage = Stage::Trying(attempt);
+        let (expires, rung) = (self.now + time_out, session.target_rung);
+        let attempt = Attempt {
+            number,
+            wire_number: number,
+            server,
+            address,
+            sent_at: self.now,
+            expires_at: expires,
+            rung,
+        };
+        session.stage = Stage::Attempting(attempt);
         let mut message = Message::new(kind::SET_UP, id);
         message.parameters.clone_from(&entry.passed);
         let message =
@@ -545,8 +560,8 @@
         // without room would do nothing else.
         self.counts.no_room += 1;
         let ends = expires.min(self.now + ROOM_WAIT);
-        if let Stage::Trying(attempt) = &mut entry.session.stage {
-            attempt.expires = ends;
+        if let Stage::Attempting(attempt) = &mut entry.session.stage {
+            attempt.expires_at = ends;
         }
         self.timers.set(ends, Timer::AttemptTimeout(id, number));
         let text = format!("session {id:016x}: no room for a connection to s-{:08x}", server.0);
@@ -556,10 +571,10 @@
     fn set_rung(&mut self, id: u64, rung: usize, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         let session = &mut entry.session;
-        if !session.in_terms(rung, self.facts.settings.classes.get(session.opening.class)) {
+        if !session.allows_rung(rung, self.facts.settings.classes.get(session.open_request.class)) {
             return self.stopped("a rung outside the terms", id, out);
         }
-        session.wanted = rung;
+        session.target_rung = rung;
         let Stage::Playing(playing) = &mut session.stage else { return };
         if playing.attempt.rung == rung {
             return;
@@ -576,10 +591,11 @@
         };
         entry.moving = true;
         self.counts.moved += 1;
-        let (client, viewer) = (entry.session.client.map(|(client, _)| client), entry.session.opening.viewer);
+        let (client, viewer) =
+            (entry.session.client.map(|(client, _)| client), entry.session.open_request.viewer);
         let until = self.now + MOVED_CLIENT_KEPT;
         if let Some(before) = self.moved.insert(viewer, until) {
-            self.timers.unset(before, Timer::MovedKept(viewer));
+            self.timers.cancel(before, Timer::MovedKept(viewer));
         }
         self.timers.set(until, Timer::MovedKept(viewer));
         self.timers.set(self.now + MOVE_TIMEOUT, Timer::MoveTimeout(id));
@@ -612,13 +628,14 @@
     /// Danger: a request, or a refusal that a further attempt follows, may be read ahead of a drain that was announced
     /// long before, when a process goes on after a stop or the list is long. The decider hears of the list before
     /// either.
-    fn list_update(&mut self, kind: ListKind, lines: Vec<Listed>, out: &mut Vec<Command>) {
+    fn list_update(&mut self, kind: ListKind, lines: Vec<ListEntry>, out: &mut Vec<Command>) {
         let lines = last_of_each(lines);
         let (ahead, behind): (Vec<_>, Vec<_>) =
             self.events.drain(..).partition(|event| !may_be_placed(event));
         self.events = std::mem::take(&mut self.list_events);
         self.events.extend(ahead);
-        let mut gone: BTreeSet<ServerId> = gone(kind, &lines, self.servers.keys()).into_iter().collect();
+        let mut gone: BTreeSet<ServerId> =
+            removed_servers(kind, &lines, self.servers.keys()).into_iter().collect();
         let (mut draining, mut elsewhere) = (BTreeSet::new(), Vec::new());
         let mut restarted = BTreeMap::new();
         for line in &lines {
@@ -696,7 +713,7 @@
 
     fn expire(&mut self, id: u64, number: u32, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        if entry.session.out().is_none_or(|attempt| attempt.number != number) {
+        if entry.session.pending_attempt().is_none_or(|attempt| attempt.number != number) {
             return;
         }
         let outcome = self.withdraw(id, true, out);
@@ -707,7 +724,7 @@
     /// of whatever follows.
     fn withdraw(&mut self, id: u64, timed_out: bool, out: &mut Vec<Command>) -> Outcome {
         let Some(entry) = self.sessions.get_mut(&id) else { return Outcome::NoConnection };
-        let server = entry.session.out().map(|attempt| attempt.server);
+        let server = entry.session.pending_attempt().map(|attempt| attempt.server);
         // There was no room for its connection: nothing is learnt of the server.
         let Some((conn, server)) = entry.conn.take().zip(server) else { return Outcome::NotSent };
         entry.before.push(conn);
@@ -728,9 +745,9 @@
     /// The attempt that is out has ended without the session playing.
     fn attempt_ended(&mut self, id: u64, outcome: Outcome, report: Vec<f64>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        let Some(attempt) = entry.session.out().cloned() else { return };
+        let Some(attempt) = entry.session.pending_attempt().cloned() else { return };
         entry.before.extend(entry.conn.take());
-        self.timers.unset(attempt.expires, Timer::AttemptTimeout(id, attempt.number));
+        self.timers.cancel(attempt.expires_at, Timer::AttemptTimeout(id, attempt.number));
         let last = entry.session.attempt_ended(outcome);
         if last {
             self.drop_session(id);
@@ -741,7 +758,7 @@
 
     fn drop_session(&mut self, id: u64) {
         let Some(entry) = self.sessions.remove(&id) else { return };
-        self.timers.unset(entry.session.overdue_at(self.facts.answer_slack), Timer::AnswerDeadline(id));
+        self.timers.cancel(entry.session.overdue_at(self.facts.answer_slack), Timer::AnswerDeadline(id));
         if let Some((client, _)) = entry.session.client {
             self.admission.session_ended(self.now, client, id, &mut self.timers);
         }
@@ -750,10 +767,10 @@
 
 /// Of a server that one event names twice, the last record counts. Danger: gone by one record and back by the next, it
 /// would be there for the decider and not here.
-fn last_of_each(lines: Vec<Listed>) -> Vec<Listed> {
+fn last_of_each(lines: Vec<ListEntry>) -> Vec<ListEntry> {
     let last: BTreeMap<ServerId, usize> =
         lines.iter().enumerate().map(|(at, line)| (line.entry.server, at)).collect();
-    let is_last = |(at, line): &(usize, Listed)| last.get(&line.entry.server) == Some(at);
+    let is_last = |(at, line): &(usize, ListEntry)| last.get(&line.entry.server) == Some(at);
     lines.into_iter().enumerate().filter(is_last).map(|(_, line)| line).collect()
 }
 
--- a/crates/platform/src/core/releases.rs
+++ b/crates/platform/src/core/releases.rs
@@ -39,7 +39,7 @@
     /// Ends a session at its media server.
     pub(super) fn release_at_server(&mut self, id: u64, cause: u8, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        let Some(at) = entry.session.at() else { return };
+        let Some(at) = entry.session.current_attempt() else { return };
         let (server, on) = (at.server, entry.conn);
         // A media server that has gone took it along, and another one may listen at its address.
         let Some(address) = self.servers.get(&server).copied() else { return };
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -167,10 +167,10 @@
     /// The attempt that is out stood and is over again: it has failed for its client.
     fn fail_unanswered(&mut self, conn: ConnId, id: u64, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        if entry.conn != Some(conn) || !matches!(entry.session.stage, Stage::Trying(_)) {
+        if entry.conn != Some(conn) || !matches!(entry.session.stage, Stage::Attempting(_)) {
             return;
         }
-        entry.session.settled();
+        entry.session.settle_answer();
         if let Some((client, _)) = entry.session.client {
             out.push(Command::SendToClient(client, Message::release(id, FAILED)));
         }
@@ -187,7 +187,7 @@
     fn answered(&mut self, server: ServerId, conn: ConnId, message: Message, out: &mut Vec<Command>) {
         let id = message.session;
         let waits = |entry: &&mut Entry| match &entry.session.stage {
-            Stage::Trying(attempt) => attempt.server == server && entry.conn == Some(conn),
+            Stage::Attempting(attempt) => attempt.server == server && entry.conn == Some(conn),
             _ => false,
         };
         let Some(entry) = self.sessions.get_mut(&id).filter(waits) else {
@@ -203,12 +203,12 @@
         let Some(description) = message.get(code::DESCRIPTION).map(<[u8]>::to_vec) else {
             return self.server_unreadable(conn, out);
         };
-        let Some(attempt) = entry.session.out().cloned() else { return };
+        let Some(attempt) = entry.session.pending_attempt().cloned() else { return };
         let client = entry.session.client.map(|(client, _)| client);
         self.pool.ended(conn, id, out);
-        self.timers.unset(attempt.expires, Timer::AttemptTimeout(id, attempt.number));
-        self.timers.unset(overdue, Timer::AnswerDeadline(id));
-        let took = self.now - attempt.sent;
+        self.timers.cancel(attempt.expires_at, Timer::AttemptTimeout(id, attempt.number));
+        self.timers.cancel(overdue, Timer::AnswerDeadline(id));
+        let took = self.now - attempt.sent_at;
         let answer = Message::new(kind::ANSWER, id).with(code::DESCRIPTION, description);
         if let Some(client) = client {
             out.push(Command::SendToClient(client, answer));
@@ -217,7 +217,7 @@
         entry.passed = Vec::new();
         entry.since = self.now;
         entry.session.may_have_run = true;
-        entry.session.stage = Stage::Playing(Playing { attempt, changing: None, missed: 0 });
+        entry.session.stage = Stage::Playing(Playing { attempt, pending_rung: None, failed_rung_changes: 0 });
         self.counts.played += 1;
         self.watch_health(server);
         self.events.push_back(Event::Started { session: name(id), server, took });
@@ -236,7 +236,7 @@
         // Danger: a late word on an attempt before, taken for one on this, would leave two out, or end what plays.
         let has_own = entry.conn.is_some_and(|on| self.pool.exists(on) && !self.pool.is_finishing(on));
         let late = !own && entry.before.contains(&conn) && has_own;
-        if entry.session.at().is_none_or(|at| at.server != server) || late {
+        if entry.session.current_attempt().is_none_or(|at| at.server != server) || late {
             return;
         }
         let (report, cause) = (self.report(&message), message.cause());
@@ -329,7 +329,7 @@
     /// Tells a media server something of a session that it holds.
     pub(super) fn tell_server(&mut self, id: u64, message: Message, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        let Some(at) = entry.session.at() else { return };
+        let Some(at) = entry.session.current_attempt() else { return };
         // A media server that has gone took it along, and another one may listen at its address.
         let Some(address) = self.servers.get(&at.server).copied() else { return };
         let to = (at.server, address);
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -49,7 +49,7 @@
     /// a request that waits in a socket is lost, or a session plays on for nobody; later, the kill finds it.
     pub(super) fn check_shutdown(&mut self, now: Micros, out: &mut Vec<Command>) {
         let Some(since) = self.shutdown_since.filter(|_| !self.finished) else { return };
-        let owed = self.sessions.values().any(|entry| entry.session.owed());
+        let owed = self.sessions.values().any(|entry| entry.session.answer_pending());
         let quiet = now >= since + REQUESTS_STILL_COME && !owed;
         if self.releasing_until.is_none() && (quiet || now >= self.answered_by(since)) {
             self.begin_releasing(since, out);
@@ -74,7 +74,7 @@
         let by = self.earliest_kill(since) - FLUSH_BEFORE_KILL;
         self.releasing_until = Some(by);
         self.timers.set(by, Timer::Shutdown);
-        let owed = self.sessions.values().filter(|entry| entry.session.owed()).count();
+        let owed = self.sessions.values().filter(|entry| entry.session.answer_pending()).count();
         let text =
             format!("shutdown: {owed} requests failed, {} sessions released", self.sessions.len() - owed);
         out.push(Command::Log(Level::Info, text));
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -36,9 +36,9 @@
     SocketAddr::from(([127, 0, 0, id as u8 + 1], 3868))
 }
 
-fn line(id: u32) -> Listed {
+fn line(id: u32) -> ListEntry {
     let entry = ServerEntry { server: ServerId(id), cell: id, units: 1.0, ..ServerEntry::default() };
-    Listed { entry, address: address(id) }
+    ListEntry { entry, address: address(id) }
 }
 
 /// A decider that does as it is told by the test.
@@ -135,7 +135,7 @@
         let mut all = out.clone();
         all.extend(self.made(&out));
         let (conn, _) = set_up(&all).expect("set up");
-        let at = self.core.sessions[&id].session.at().unwrap().address;
+        let at = self.core.sessions[&id].session.current_attempt().unwrap().address;
         let answered = self.tell(NodeEvent::ServerMessage(conn, answer(id)));
         assert!(said(&answered).any(|message| message.kind == kind::ANSWER));
         (conn, at)
@@ -452,10 +452,10 @@
 fn a_new_server_at_an_old_address_is_another_and_sessions_of_the_old_one_are_over() {
     let mut bench = Bench::new();
     let (conn, at) = bench.playing(1, "clip");
-    let old = bench.core.sessions[&1].session.at().unwrap().server;
+    let old = bench.core.sessions[&1].session.current_attempt().unwrap().server;
     let gone = ServerEntry { server: old, state: ServerState::Gone, ..ServerEntry::default() };
     let new = ServerEntry { server: ServerId(90), cell: old.0, units: 1.0, ..ServerEntry::default() };
-    let lines = vec![Listed { entry: gone, address: at }, Listed { entry: new, address: at }];
+    let lines = vec![ListEntry { entry: gone, address: at }, ListEntry { entry: new, address: at }];
     let out = bench.told(1, 6, Payload::Changes(lines));
     assert!(out.contains(&Command::CloseServer(conn)), "the old one's connection is never the new one's");
     assert!(said(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
@@ -466,14 +466,14 @@
 fn a_restarted_server_has_cut_what_was_set_up_before_and_nothing_since() {
     let mut bench = Bench::new();
     bench.playing(1, "clip");
-    let server = bench.core.sessions[&1].session.at().unwrap().server;
+    let server = bench.core.sessions[&1].session.current_attempt().unwrap().server;
     bench.after(SECOND);
     let mut again = line(server.0);
     again.entry.started = Some(bench.now - SECOND / 2);
     let out = bench.told(1, 6, Payload::Changes(vec![again.clone()]));
     assert!(said(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
     bench.playing(2, "clip");
-    let server = bench.core.sessions[&2].session.at().unwrap().server;
+    let server = bench.core.sessions[&2].session.current_attempt().unwrap().server;
     let mut told = line(server.0);
     told.entry.started = Some(bench.now - SECOND);
     let out = bench.told(1, 7, Payload::Changes(vec![told]));
@@ -796,7 +796,7 @@
     let out = bench.ask(1, "clip");
     let out = bench.made(&out);
     let (conn, _) = set_up(&out).unwrap();
-    let drains = bench.core.sessions[&1].session.at().unwrap().server;
+    let drains = bench.core.sessions[&1].session.current_attempt().unwrap().server;
     let mut told = line(drains.0);
     told.entry.state = ServerState::Draining;
     bench.told(1, 6, Payload::Changes(vec![told]));
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -164,7 +164,7 @@
             assert_eq!(said(&out).count(), 0, "{plays} {cause}: {out:?}");
         }
         assert_eq!(bench.core.sessions[&9].session.playing().is_some(), plays);
-        assert_eq!(bench.core.sessions[&9].session.at().unwrap().number, 1, "the second is out");
+        assert_eq!(bench.core.sessions[&9].session.current_attempt().unwrap().number, 1, "the second is out");
     }
 }
 
@@ -221,7 +221,7 @@
         bench.core.decider.0.push_back(set_up_at(0));
         // Any event at all.
         bench.tell(NodeEvent::ClientMessage(ClientId(1), request(10, "clip", "")));
-        let is_out = bench.core.sessions[&9].session.out().is_some();
+        let is_out = bench.core.sessions[&9].session.pending_attempt().is_some();
         assert_eq!(is_out, is_over, "{:?}", bench.core.decider.1);
     }
 }
@@ -311,7 +311,8 @@
     let mut bench = Bench::new();
     let (conn, _) = bench.playing(1, "clip");
     bench.tell(NodeEvent::ServerClosed(conn));
-    let look = bench.core.pool.connections_to(bench.core.sessions[&1].session.at().unwrap().server);
+    let look =
+        bench.core.pool.connections_to(bench.core.sessions[&1].session.current_attempt().unwrap().server);
     look.into_iter()
         .for_each(|conn| drop(bench.tell(NodeEvent::ConnectEnded(conn, Err(DialError::TimedOut)))));
     bench.tell(NodeEvent::Shutdown);
@@ -509,6 +510,6 @@
         said(&bench.tell(NodeEvent::ServerMessage(other, Message::release(9, cause::FULL)))).count(),
         0
     );
-    assert!(bench.core.sessions[&9].session.out().is_some(), "it is out");
+    assert!(bench.core.sessions[&9].session.pending_attempt().is_some(), "it is out");
     assert!(outcomes(&bench).is_empty());
 }
--- a/crates/platform/src/core/tests/list.rs
+++ b/crates/platform/src/core/tests/list.rs
@@ -174,11 +174,11 @@
     std::mem::take(&mut bench.out)
 }
 
-fn announced(number: u64, lines: Vec<Listed>) -> NodeEvent {
+fn announced(number: u64, lines: Vec<ListEntry>) -> NodeEvent {
     NodeEvent::ListFrame(1, Frame { number, payload: Payload::Changes(lines) })
 }
 
-fn leaving(id: u32, state: ServerState) -> Listed {
+fn leaving(id: u32, state: ServerState) -> ListEntry {
     let mut line = line(id);
     line.entry.state = state;
     line
@@ -219,7 +219,7 @@
             let out = bench.ask(9, "clip");
             let out = bench.made(&out);
             let (conn, _) = set_up(&out).unwrap();
-            if bench.core.sessions[&9].session.at().unwrap().server == ServerId(kept) {
+            if bench.core.sessions[&9].session.current_attempt().unwrap().server == ServerId(kept) {
                 continue;
             }
             let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::FULL));
--- a/crates/platform/src/wire/frames.rs
+++ b/crates/platform/src/wire/frames.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use salttally::interface::{ServerEntry, ServerId, ServerState};
-use salttally_front::core::Listed;
+use salttally_front::core::ListEntry;
 use thiserror::Error;
 
 const HEAD: usize = 4 + 8 + 1;
@@ -17,9 +17,9 @@
     /// Nothing new.
     Nothing,
     /// The whole list.
-    Whole(Vec<Listed>),
+    Whole(Vec<ListEntry>),
     /// What has changed.
-    Changes(Vec<Listed>),
+    Changes(Vec<ListEntry>),
 }
 
 /// A numbered frame.
@@ -90,7 +90,7 @@
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-fn line(record: &[u8]) -> Result<Listed, BadFrame> {
+fn line(record: &[u8]) -> Result<ListEntry, BadFrame> {
     let part = |from: usize, size: usize| number(&record[from..from + size]);
     let state = match record[10] {
         0 => ServerState::Ready,
@@ -101,7 +101,7 @@
     let address = Ipv4Addr::from(part(4, 4) as u32);
     // Unix ms; nothing for a start long ago. The front's clock is Unix time too.
     let started = part(19, 8);
-    Ok(Listed {
+    Ok(ListEntry {
         entry: ServerEntry {
             server: ServerId(part(0, 4) as u32),
             zone: part(11, 1) as u32,
--- a/crates/trial/src/whole.rs
+++ b/crates/trial/src/whole.rs
@@ -13,11 +13,11 @@
 use salttally_accord::core::lease::Times as Leases;
 use salttally_copies::core as copies;
 use salttally_copies::lines;
-use salttally_front::core::keeping::Other;
-use salttally_front::core::terms::{Names, Terms};
+use salttally_front::core::agreed_rules::{AgreedRules, SettingsNames};
+use salttally_front::core::session_records::PeerFront;
 use salttally_front::core::{
-    Answer, BoxAnswer, BoxRequest, ClientId, ConnId, DialError, EndReason, ExchangeEnd, Held, Input, Ledger,
-    Listed, News, Opening, Output, Reply, StreamNews, Ticket,
+    Answer, BoxAnswer, BoxRequest, ClientId, ConnId, DialError, EndReason, ExchangeEnd, HeldSession, Input,
+    Ledger, ListEntry, Notification, OpenRequest, Output, Reply, StreamEvent, Ticket,
 };
 use salttally_front::settings::Settings;
 use salttally_members::core as members;
@@ -148,7 +148,7 @@
 struct Plays {
     front: usize,
     rung: usize,
-    opening: Opening,
+    opening: OpenRequest,
     begun: bool,
     by: (usize, u64, ConnId),
 }
@@ -395,13 +395,13 @@
             Event::Listens { server, front, start, number } => {
                 self.servers[server as usize].streams.insert((front, start), number);
                 let held = self.servers[server as usize].held(|plays, _| plays.front == front);
-                self.hears(front, start, Input::Stream(ServerId(server), number, StreamNews::Up(held)));
+                self.hears(front, start, Input::Stream(ServerId(server), number, StreamEvent::Up(held)));
                 self.queue.push(self.now + BEAT, Event::Beats { server, front, start, number });
             }
             Event::Beats { server, front, start, number } => {
                 let stands = self.servers[server as usize].streams.get(&(front, start)) == Some(&number);
                 if stands && self.nodes[front].starts == start {
-                    self.hears(front, start, Input::Stream(ServerId(server), number, StreamNews::Beat));
+                    self.hears(front, start, Input::Stream(ServerId(server), number, StreamEvent::Heartbeat));
                     self.queue.push(self.now + BEAT, Event::Beats { server, front, start, number });
                 }
             }
@@ -449,7 +449,7 @@
             Act::Run(front) => {
                 self.nodes[front].stopped = false;
                 // The front's thread knows by its clock that it did not run, before it reads what waits.
-                self.ledger(front, Input::Woke);
+                self.ledger(front, Input::ProcessResumed);
                 let start = self.nodes[front].starts;
                 while let Some(what) = self.nodes[front].waiting.pop_front() {
                     if self.nodes[front].starts == start {
@@ -500,15 +500,15 @@
         let accord = accord::Accord::new(own, node.accord_disk.flushed.clone(), local, &mut out);
         let settings = &self.settings;
         let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
-        let names = Names { classes: settings.classes.clone(), titles, viewer: None };
+        let names = SettingsNames { classes: settings.classes.clone(), titles, viewer: None };
         let brain = Brain::new(settings.module.clone(), seed);
         // The time of the start, in milliseconds, as in service.
         let started = (self.now / MS) as u32;
         let ledger = Ledger::new(brain, settings.module.clone(), settings.limits.clone(), &name, started);
-        let ledger = ledger.under(Terms::new(names)).keeping();
+        let ledger = ledger.with_rules(AgreedRules::new(names)).with_replication();
         let own = copies::Own {
             name: Name::clone(&name),
-            life: ledger.life(),
+            life: ledger.incarnation(),
             zone,
             serves,
             disk: node.disk,
@@ -601,12 +601,13 @@
             .map(|fact| copies::Peer { name: Name::clone(&fact.name), zone: fact.zone, boot: fact.boot })
             .collect();
         let others = view.members().map(|fact| (fact, true)).chain(view.out().map(|fact| (fact, false)));
-        let others =
-            others.map(|(fact, here)| (Name::clone(&fact.name), Other { here, serves: fact.serves }));
-        let others: BTreeMap<Name, Other> = others.collect();
+        let others = others.map(|(fact, here)| {
+            (Name::clone(&fact.name), PeerFront { in_view: here, client_address: fact.serves })
+        });
+        let others: BTreeMap<Name, PeerFront> = others.collect();
         let peers: BTreeSet<Name> = here.iter().map(|peer| Name::clone(&peer.name)).collect();
         self.copies(front, copies::Input::View(here, own));
-        self.ledger(front, Input::Others(others));
+        self.ledger(front, Input::Peers(others));
         self.accord(front, accord::Input::View(peers));
     }
 
@@ -639,7 +640,7 @@
     fn stands(&mut self, front: usize, stand: Option<accord::stand::Stand>) {
         let Some(stand) = stand else { return };
         self.copies(front, copies::Input::Heirs(Arc::clone(&stand.heirs), stand.begun));
-        self.ledger(front, Input::Stand(Box::new(stand)));
+        self.ledger(front, Input::Coordination(Box::new(stand)));
     }
 
     /// Bytes between two fronts, in order; a lost segment comes again, what a cut swallows is gone with the connection.
@@ -681,13 +682,13 @@
                     }
                     self.streamed(front, other, In::Passed(Name::from(plan::name(front)), Box::new(body)));
                 }
-                copies::Output::Kept(key, kept) => self.ledger(front, Input::Kept(key, kept)),
+                copies::Output::Kept(key, kept) => self.ledger(front, Input::RecordStored(key, kept)),
                 copies::Output::Succeed(changes) => self.accord(front, accord::Input::Succeed(changes)),
                 copies::Output::Adopt(life, epoch, promises) => {
-                    self.ledger(front, Input::Adopt(life, epoch, promises));
+                    self.ledger(front, Input::TakeOver(life, epoch, promises));
                 }
-                copies::Output::Replaced(life, _) => self.ledger(front, Input::Replaced(life)),
-                copies::Output::Gone(life) => self.ledger(front, Input::Gone(life)),
+                copies::Output::Replaced(life, _) => self.ledger(front, Input::TakenOver(life)),
+                copies::Output::Gone(life) => self.ledger(front, Input::TakeoverSuperseded(life)),
                 copies::Output::Group(_) | copies::Output::Over(_) => {}
             }
         }
@@ -699,9 +700,9 @@
         let start = node.starts;
         let Some(alive) = &mut node.alive else { return };
         let mut out = Vec::new();
-        alive.ledger.lease_clock(|| local);
+        alive.ledger.set_lease_time(|| local);
         alive.ledger.handle(local, input, &mut out);
-        let due = alive.ledger.next_due();
+        let due = alive.ledger.next_deadline();
         self.again(front, Which::Ledger, due);
         let near = self.now + NEAR;
         let mut notes = Vec::new();
@@ -714,7 +715,7 @@
                     self.answered(front, client, ticket, &answer);
                 }
                 Output::Reply(client, ticket, reply) => self.replied(client, ticket, &reply),
-                Output::Tell(client, news) => self.told(client, &news),
+                Output::Notify(client, news) => self.told(client, &news),
                 Output::Dial(conn, server, _) => {
                     let result =
                         if server.0 < self.promises.boxes { Ok(()) } else { Err(DialError::Refused) };
@@ -722,7 +723,7 @@
                 }
                 Output::Exchange(conn, request) => {
                     let Some(alive) = &self.nodes[front].alive else { return };
-                    let writ = alive.ledger.writ(&request);
+                    let writ = alive.ledger.write_authority(&request);
                     let server = alive.ledger.box_of(conn).map_or(0, |server| server.0);
                     let session = match &request {
                         BoxRequest::SetUp { session, .. } => Some(("set-up", session)),
@@ -741,21 +742,21 @@
                     let (request, epoch) = (Box::new(request), writ.epoch);
                     self.queue.push(near, Event::Asked { server, front, start, conn, request, epoch });
                 }
-                Output::Hang(conn) => {
+                Output::CloseConn(conn) => {
                     for server in 0..self.promises.boxes {
                         self.queue.push(near, Event::Hung { server, front, start, conn: Some(conn) });
                     }
                 }
-                Output::Listen(server, number, _) => {
+                Output::OpenStream(server, number, _) => {
                     let server = server.0;
                     if server < self.promises.boxes {
                         self.queue.push(near, Event::Listens { server, front, start, number });
                     } else {
-                        let news = StreamNews::NoConnection(DialError::Refused);
+                        let news = StreamEvent::NoConnection(DialError::Refused);
                         self.hears(front, start, Input::Stream(ServerId(server), number, news));
                     }
                 }
-                Output::StopListening(server, number) => {
+                Output::CloseStream(server, number) => {
                     if let Some(there) = self.servers.get_mut(server.0 as usize) {
                         if there.streams.get(&(front, start)) == Some(&number) {
                             there.streams.remove(&(front, start));
@@ -763,7 +764,7 @@
                     }
                 }
                 Output::FollowList => {
-                    let lines = (0..self.promises.boxes).map(|server| Listed {
+                    let lines = (0..self.promises.boxes).map(|server| ListEntry {
                         entry: ServerEntry {
                             server: ServerId(server),
                             zone: server % self.promises.zones,
@@ -776,12 +777,12 @@
                     let lines = lines.collect();
                     self.hears(front, start, Input::List(ListKind::Whole, lines));
                 }
-                Output::Keep(key, body, waits) => {
+                Output::StoreRecord(key, body, waits) => {
                     notes.push(copies::Input::Keep(key, copies::Bytes::from(body), waits));
                 }
-                Output::Forget(key) => notes.push(copies::Input::End(key)),
-                Output::Found(life) => notes.push(copies::Input::Found(life)),
-                Output::Lives(life) => notes.push(copies::Input::Lives(life)),
+                Output::DeleteRecord(key) => notes.push(copies::Input::End(key)),
+                Output::OrphanFound(life) => notes.push(copies::Input::Found(life)),
+                Output::IncarnationChanged(life) => notes.push(copies::Input::Lives(life)),
                 Output::Log(..) | Output::Finished => {}
             }
         }
@@ -822,7 +823,7 @@
             lives.get(life_of(session)).is_some_and(|there| epoch.unwrap_or(0) < *there)
         };
         let answer = match request {
-            BoxRequest::SetUp { session, attempt, rung, opening, .. } => {
+            BoxRequest::SetUp { session, attempt, rung, open_request: opening, .. } => {
                 let key = (session.clone(), attempt);
                 there.barred.retain(|_, until| *until > now);
                 let refused = replaced(&session, &there.lives);
@@ -845,7 +846,7 @@
             }
             BoxRequest::SetRung { session, attempt, rung, .. } => {
                 Some(match replaced(&session, &there.lives) {
-                    true => BoxAnswer::Replaced,
+                    true => BoxAnswer::Superseded,
                     false => match there.plays.get_mut(&(session, attempt)) {
                         Some(plays) => {
                             plays.rung = rung;
@@ -857,7 +858,7 @@
             }
             BoxRequest::Release { session, attempt } => {
                 Some(match replaced(&session, &there.lives) {
-                    true => BoxAnswer::Replaced,
+                    true => BoxAnswer::Superseded,
                     false => {
                         there.barred.insert((session.clone(), attempt), now + BARRED);
                         let played = there.plays.remove(&(session.clone(), attempt));
@@ -872,10 +873,10 @@
                     }
                 })
             }
-            BoxRequest::Claim { life, epoch } => {
+            BoxRequest::Claim { incarnation: life, epoch } => {
                 let known = there.lives.entry(life.to_string()).or_insert(0);
                 if *known > epoch {
-                    Some(BoxAnswer::Replaced)
+                    Some(BoxAnswer::Superseded)
                 } else {
                     let later = *known < epoch;
                     *known = epoch;
@@ -888,14 +889,14 @@
                         }
                     }
                     let held = there.held(|_, session| life_of(session) == &*life);
-                    let end = ExchangeEnd::Claimed { held, keep: true };
+                    let end = ExchangeEnd::Claimed { held, keep_alive: true };
                     return self.hears(front, start, Input::Exchanged(conn, end));
                 }
             }
             BoxRequest::Probe => Some(BoxAnswer::Done),
         };
         if let Some(answer) = answer {
-            let end = ExchangeEnd::Answered { answer, report: Vec::new(), keep: true };
+            let end = ExchangeEnd::Answered { answer, report: Vec::new(), keep_alive: true };
             self.hears(front, start, Input::Exchanged(conn, end));
         }
     }
@@ -915,7 +916,7 @@
             self.line(line);
         }
         let answer = if begun { BoxAnswer::Done } else { BoxAnswer::Error };
-        let end = ExchangeEnd::Answered { answer, report: Vec::new(), keep: true };
+        let end = ExchangeEnd::Answered { answer, report: Vec::new(), keep_alive: true };
         self.hears(front, start, Input::Exchanged(conn, end));
     }
 
@@ -969,16 +970,16 @@
                 self.connect(number, front);
                 let class = usize::from(self.viewers[number].paid);
                 let Some(title) = self.settings.titles.values().next().copied() else { return };
-                let opening = Opening {
+                let opening = OpenRequest {
                     viewer: id,
-                    firm: None,
+                    tenant: None,
                     title: title.id,
                     class,
                     first_cell: title.first_cell,
                     cell_count: title.cells,
                     top_rung: 2,
                     patience: PATIENCE,
-                    length: None,
+                    length_hint: None,
                     returned: false,
                     moved_from: moved,
                 };
@@ -1031,7 +1032,7 @@
     /// The viewer's connection ends.
     fn leave(&mut self, number: usize) {
         let (front, client) = (self.viewers[number].at, self.viewers[number].client);
-        self.hears(front, self.nodes[front].starts, Input::ClientGone(client));
+        self.hears(front, self.nodes[front].starts, Input::ClientClosed(client));
     }
 
     fn looks_for(&mut self, number: usize, session: SessionId, closing: bool) {
@@ -1108,7 +1109,7 @@
                 self.then(number, 1_000 * MS, Step::Opens);
             }
             (Stands::Watches(session), Reply::Unknown) => self.looks_for(number, session, true),
-            (Stands::Watches(_), Reply::Wait(after)) => self.then(number, *after, Step::Leaves),
+            (Stands::Watches(_), Reply::RetryAfter(after)) => self.then(number, *after, Step::Leaves),
             (Stands::Looks(_, since), Reply::Status { session, playing: Some(_) }) => {
                 let at = plan::name(self.viewers[number].at);
                 let line = json!({"at": self.now, "viewer": number, "found": &*session.0, "front": at,
@@ -1131,11 +1132,11 @@
                 self.viewers[number].stands = Stands::Idle;
                 self.then(number, 1_000 * MS, Step::Opens);
             }
-            (Stands::Looks(..), Reply::Elsewhere(name, _)) => {
+            (Stands::Looks(..), Reply::AtOtherFront(name, _)) => {
                 self.viewers[number].hint = self.names.get(name).copied();
                 self.then(number, 50 * MS, Step::Looks);
             }
-            (Stands::Looks(..), Reply::Wait(after)) => {
+            (Stands::Looks(..), Reply::RetryAfter(after)) => {
                 let (at, after) = (self.viewers[number].at, *after);
                 // It may ask there again, or anywhere: a front that is cut off has nothing else to say.
                 self.viewers[number].hint = self.rng.next_u32().is_multiple_of(2).then_some(at);
@@ -1145,21 +1146,21 @@
         }
     }
 
-    fn told(&mut self, client: ClientId, news: &News) {
+    fn told(&mut self, client: ClientId, news: &Notification) {
         let Some(number) = self.of_client(client) else { return };
         let Stands::Watches(session) = self.viewers[number].stands.clone() else { return };
         match news {
-            News::Move(of) if session == *of => {
+            Notification::Move(of) if session == *of => {
                 self.line(json!({"at": self.now, "viewer": number, "moved": &*session.0}));
                 self.viewers[number].stands = Stands::Idle;
                 self.viewers[number].moved = Some(session);
                 self.then(number, 50 * MS, Step::Opens);
             }
-            News::Ended(of, EndReason::Elsewhere) if session == *of => {
+            Notification::Ended(of, EndReason::TakenOver) if session == *of => {
                 let closing = self.viewers[number].closing;
                 self.looks_for(number, session, closing);
             }
-            News::Ended(of, why) if session == *of => {
+            Notification::Ended(of, why) if session == *of => {
                 let why = format!("{why:?}");
                 self.line(json!({"at": self.now, "viewer": number, "lost": &*session.0, "why": why,
                     "front": plan::name(self.viewers[number].at)}));
@@ -1172,14 +1173,14 @@
 }
 
 impl Server {
-    fn held(&self, of: impl Fn(&Plays, &SessionId) -> bool) -> Vec<Held> {
+    fn held(&self, of: impl Fn(&Plays, &SessionId) -> bool) -> Vec<HeldSession> {
         let there = self.plays.iter().filter(|((session, _), plays)| plays.begun && of(plays, session));
         there
-            .map(|((session, attempt), plays)| Held {
+            .map(|((session, attempt), plays)| HeldSession {
                 session: session.clone(),
                 attempt: *attempt,
                 rung: plays.rung,
-                opening: Some(plays.opening.clone()),
+                open_request: Some(plays.opening.clone()),
             })
             .collect()
     }
