--- a/crates/explore/src/world.rs
+++ b/crates/explore/src/world.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::*;
 use salttally_front::core::timers::Due;
 use salttally_front::core::*;
@@ -236,14 +236,14 @@
     /// Nobody: what is asked for is a move of the world.
     Strings(Vec<Action>),
     /// The module.
-    Module(Box<Brain>),
+    Module(Box<Controller>),
 }
 
 impl fmt::Debug for Mind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Mind::Strings(todo) => write!(f, "{todo:?}"),
-            Mind::Module(brain) => brain.fmt(f),
+            Mind::Module(controller) => controller.fmt(f),
         }
     }
 }
@@ -252,7 +252,7 @@
     fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         match self {
             Mind::Strings(todo) => out.append(todo),
-            Mind::Module(brain) => brain.handle(now, event, out),
+            Mind::Module(controller) => controller.handle(now, event, out),
         }
     }
 }
@@ -374,7 +374,7 @@
         uplink_kb: 0.0,
         kind_streams: vec![PLACES],
         refuses_from: 0.0,
-        note_every: 0,
+        note_interval: 0,
         note_age: 0,
         shared_adds: 1.0,
         change_cost_s: 0.5,
@@ -432,9 +432,9 @@
         for at in 0..world.bounds.fronts {
             let front = world.born(at, 1);
             world.fronts.push(front);
-            world.give(at, Input::List(ListKind::Remembered, Vec::new()));
+            world.give(at, Input::List(ListKind::Cached, Vec::new()));
             let whole = world.whole();
-            world.give(at, Input::List(ListKind::Whole, whole));
+            world.give(at, Input::List(ListKind::Complete, whole));
             for server in 0..world.bounds.boxes {
                 world.play(&Move::Up { front: at, server });
             }
@@ -446,7 +446,7 @@
         let settings = settings(&self.bounds);
         let mind = match self.bounds.layer {
             Layer::Anything => Mind::Strings(Vec::new()),
-            Layer::Module => Mind::Module(Box::new(Brain::new(settings.clone(), DRAWS[0]))),
+            Layer::Module => Mind::Module(Box::new(Controller::new(settings.clone(), DRAWS[0]))),
         };
         Front {
             up: true,
@@ -463,7 +463,8 @@
     }
 
     fn line(&self, server: u32, state: u8, started: Option<Micros>) -> Listed {
-        let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(state.min(2))];
+        let state =
+            [ServerState::Ready, ServerState::Draining, ServerState::Removed][usize::from(state.min(2))];
         let server_id = ServerId(server);
         let entry =
             ServerEntry { server: server_id, cell: server, state, units: 1.0, started, ..Default::default() };
@@ -496,8 +497,8 @@
 
     fn give_drawn(&mut self, at: u32, input: Input, draw: usize) {
         let front = &mut self.fronts[at as usize];
-        if let Mind::Module(brain) = front.ledger.decider() {
-            brain.reseed(DRAWS[draw % DRAWS.len()]);
+        if let Mind::Module(controller) = front.ledger.decider() {
+            controller.reseed(DRAWS[draw % DRAWS.len()]);
         }
         let mut out = Vec::new();
         front.ledger.handle(self.now, input, &mut out);
@@ -1166,7 +1167,7 @@
             }
         }
         let whole = self.whole();
-        self.give(front, Input::List(ListKind::Whole, whole));
+        self.give(front, Input::List(ListKind::Complete, whole));
     }
 
     /// Lets go of what can no longer matter, so that it makes no other state.
@@ -1236,7 +1237,7 @@
             todo.extend(actions);
         }
         // An event that means nothing: the decider is told it and asks.
-        self.give(front, Input::List(ListKind::Lost, Vec::new()));
+        self.give(front, Input::List(ListKind::FetchFailed, Vec::new()));
     }
 
     fn taken(&mut self, front: u32, conn: ConnId, answer: Said) {
@@ -1401,7 +1402,7 @@
         // Followed anew, the list comes whole, after the front's start.
         front.list.push_back((WHOLE, 0, None));
         self.fronts[at as usize] = front;
-        self.give(at, Input::List(ListKind::Remembered, lines));
+        self.give(at, Input::List(ListKind::Cached, lines));
     }
 
     // ---- Quiet ----
--- a/crates/front/src/box_list/core/damping.rs
+++ b/crates/front/src/box_list/core/damping.rs
@@ -71,7 +71,7 @@
     match state {
         ServerState::Ready => 0,
         ServerState::Draining => 1,
-        ServerState::Gone => 2,
+        ServerState::Removed => 2,
     }
 }
 
@@ -95,7 +95,7 @@
             let missing: Vec<ServerId> =
                 self.boxes.keys().filter(|id| !named.contains(id)).copied().collect();
             for id in missing {
-                let gone = self.boxes.get(&id).map(|account| told_as(&account.told, ServerState::Gone));
+                let gone = self.boxes.get(&id).map(|account| told_as(&account.told, ServerState::Removed));
                 gone.and_then(|line| self.line(now, line, true));
             }
         }
@@ -105,7 +105,7 @@
             // In a whole list what is not named is gone: a box that only drains for the front is named as that.
             let drains = |boxes: &BTreeMap<ServerId, Account>| {
                 let told = boxes.get(&id).map(|account| &account.told);
-                told.filter(|told| whole && told.entry.state != ServerState::Gone).cloned()
+                told.filter(|told| whole && told.entry.state != ServerState::Removed).cloned()
             };
             self.line(now, line, whole).or_else(|| drains(&self.boxes))
         };
@@ -168,7 +168,7 @@
         let keeping = &self.keeping;
         self.boxes.retain(|id, account| {
             account.decay(now);
-            keeping.contains(id) || account.charge > 0 || account.told.entry.state != ServerState::Gone
+            keeping.contains(id) || account.charge > 0 || account.told.entry.state != ServerState::Removed
         });
         told
     }
@@ -188,7 +188,7 @@
 
     const SECOND: Micros = 1_000_000;
     const READY: ServerState = ServerState::Ready;
-    const GONE: ServerState = ServerState::Gone;
+    const GONE: ServerState = ServerState::Removed;
 
     fn line(id: u32, state: ServerState, started: Option<Micros>) -> Listed {
         let entry =
@@ -247,9 +247,9 @@
             damping.pass(flip, ListKind::Changes, vec![line(1, state, None)]);
         }
         let whole = vec![line(1, READY, None), line(2, READY, None)];
-        let told = damping.pass(11, ListKind::Whole, whole);
+        let told = damping.pass(11, ListKind::Complete, whole);
         assert_eq!(told.iter().map(|l| l.entry.server.0).collect::<Vec<_>>(), [2]);
-        damping.pass(12, ListKind::Whole, vec![line(1, READY, None)]);
+        damping.pass(12, ListKind::Complete, vec![line(1, READY, None)]);
         let told = damping.pass(13, ListKind::Changes, vec![line(2, READY, None)]);
         assert_eq!(states(&told), [READY], "one whole list without it is one time that it left");
     }
--- a/crates/front/src/box_list/core/mod.rs
+++ b/crates/front/src/box_list/core/mod.rs
@@ -116,12 +116,12 @@
             }
         }
         match (kind, self.revision) {
-            (ListKind::Whole, _) => {}
+            (ListKind::Complete, _) => {}
             (_, None) => return Err(BadList::NoList),
             (_, Some(last)) if revision != last + 1 => return Err(BadList::Gap(revision, last)),
             _ => {}
         }
-        let whole = kind == ListKind::Whole;
+        let whole = kind == ListKind::Complete;
         self.one_address_each(whole, &lines)?;
         if whole {
             self.boxes.clear();
@@ -132,7 +132,7 @@
         let mut told = Vec::new();
         for (line, known) in lines.into_iter().zip(known) {
             // A box that nobody knew of is gone already: there is nothing to tell.
-            let gone = line.entry.state == ServerState::Gone;
+            let gone = line.entry.state == ServerState::Removed;
             let new = known.as_ref() != Some(&line);
             if !gone {
                 self.addresses.insert(line.address, line.entry.server);
@@ -149,7 +149,7 @@
         }
         self.revision = Some(revision);
         if !self.fresh {
-            return Ok(self.beat(as_of).or_else(|| Some((ListKind::Remembered, self.old()))));
+            return Ok(self.beat(as_of).or_else(|| Some((ListKind::Cached, self.old()))));
         }
         Ok((whole || !told.is_empty()).then_some((kind, told)))
     }
@@ -165,7 +165,7 @@
     fn one_address_each(&self, whole: bool, lines: &[Listed]) -> Result<(), BadList> {
         let touched: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
         let mut addresses: BTreeMap<SocketAddr, ServerId> = BTreeMap::new();
-        for line in lines.iter().filter(|line| line.entry.state != ServerState::Gone) {
+        for line in lines.iter().filter(|line| line.entry.state != ServerState::Removed) {
             let id = line.entry.server;
             let others = self.addresses.get(&line.address).copied();
             let runs = others.filter(|other| !whole && !touched.contains(other));
@@ -182,7 +182,7 @@
             return None;
         }
         self.fresh = true;
-        Some((ListKind::Whole, self.boxes.values().cloned().collect()))
+        Some((ListKind::Complete, self.boxes.values().cloned().collect()))
     }
 
     /// Boxes that are not gone, in the order of their numbers.
@@ -207,7 +207,7 @@
     fn two() -> Listing {
         let mut list = Listing::new(START, 0);
         let lines = vec![line(1, 1, READY), line(2, 2, READY)];
-        list.apply(ListKind::Whole, 7, START, lines).unwrap();
+        list.apply(ListKind::Complete, 7, START, lines).unwrap();
         list
     }
 
@@ -222,13 +222,17 @@
         let kind = |told: Option<Told>| told.map(|(kind, lines)| (kind, lines.len()));
         let lines = vec![line(1, 1, READY), line(2, 2, READY)];
         assert_eq!(
-            kind(list.apply(ListKind::Whole, 1, START, lines).unwrap()),
-            Some((ListKind::Remembered, 2))
+            kind(list.apply(ListKind::Complete, 1, START, lines).unwrap()),
+            Some((ListKind::Cached, 2))
         );
         let more = list.apply(ListKind::Changes, 2, START + 20, vec![line(3, 3, READY)]).unwrap();
-        assert_eq!(kind(more), Some((ListKind::Remembered, 3)), "whole, as a remembered list is");
+        assert_eq!(kind(more), Some((ListKind::Cached, 3)), "whole, as a remembered list is");
         assert_eq!(list.beat(START + 49), None);
-        assert_eq!(kind(list.beat(START + 50)), Some((ListKind::Whole, 3)), "now nothing older is missing");
+        assert_eq!(
+            kind(list.beat(START + 50)),
+            Some((ListKind::Complete, 3)),
+            "now nothing older is missing"
+        );
         assert_eq!(list.beat(START + 60), None, "said once");
         let more = list.apply(ListKind::Changes, 3, START + 70, vec![line(4, 4, READY)]).unwrap();
         assert_eq!(kind(more), Some((ListKind::Changes, 1)));
@@ -239,9 +243,9 @@
         let mut list = Listing::new(START, 0);
         let mut ran = line(1, 1, READY);
         ran.entry.started = Some(10);
-        let (_, told) = list.apply(ListKind::Whole, 1, START - 1, vec![ran.clone()]).unwrap().unwrap();
+        let (_, told) = list.apply(ListKind::Complete, 1, START - 1, vec![ran.clone()]).unwrap().unwrap();
         assert_eq!(told[0].entry.started, None, "it may have started anew with the front");
-        assert_eq!(list.beat(START), Some((ListKind::Whole, vec![ran.clone()])));
+        assert_eq!(list.beat(START), Some((ListKind::Complete, vec![ran.clone()])));
         assert_eq!(list.remember(vec![ran])[0].entry.started, None);
     }
 
@@ -260,7 +264,7 @@
     fn a_list_naming_a_box_twice_changes_nothing() {
         let mut list = two();
         let twice = vec![line(3, 3, READY), line(1, 4, READY), line(3, 5, READY)];
-        let whole = list.apply(ListKind::Whole, 8, START, twice);
+        let whole = list.apply(ListKind::Complete, 8, START, twice);
         assert_eq!(whole, Err(BadList::Twice(3, 1, 3)));
         assert!(matches!(change(&mut list, 8, vec![line(3, 2, READY)]), Err(BadList::OneAddress(2, 3, _))));
         assert_eq!(list.boxes().map(|b| b.address.port()).collect::<Vec<_>>(), [1, 2]);
@@ -269,7 +273,7 @@
     #[test]
     fn a_successor_may_take_the_address_of_a_box_that_goes_with_the_same_message() {
         let mut list = two();
-        let lines = vec![line(2, 2, ServerState::Gone), line(3, 2, READY)];
+        let lines = vec![line(2, 2, ServerState::Removed), line(3, 2, READY)];
         assert_eq!(change(&mut list, 8, lines.clone()), Ok(lines));
     }
 
@@ -302,6 +306,9 @@
     #[test]
     fn what_is_known_already_is_not_told_again() {
         let mut list = two();
-        assert_eq!(change(&mut list, 8, vec![line(1, 1, READY), line(9, 9, ServerState::Gone)]), Ok(vec![]));
+        assert_eq!(
+            change(&mut list, 8, vec![line(1, 1, READY), line(9, 9, ServerState::Removed)]),
+            Ok(vec![])
+        );
     }
 }
--- a/crates/front/src/box_list/lines.rs
+++ b/crates/front/src/box_list/lines.rs
@@ -68,7 +68,7 @@
             state: match line.state {
                 State::Ready => ServerState::Ready,
                 State::Draining => ServerState::Draining,
-                State::Gone => ServerState::Gone,
+                State::Gone => ServerState::Removed,
             },
             units: line.units,
             started: line.started_ms.map(|ms| ms.saturating_mul(1000)),
@@ -91,7 +91,7 @@
         state: match line.entry.state {
             ServerState::Ready => State::Ready,
             ServerState::Draining => State::Draining,
-            ServerState::Gone => State::Gone,
+            ServerState::Removed => State::Gone,
         },
         units: line.entry.units,
         started_ms: line.entry.started.map(|at| at / 1000),
--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -100,7 +100,7 @@
 fn lost(following: &AtomicBool, engine: &Sender<Msg>) {
     // First free to be followed again: the loss has the module ask for that.
     following.store(false, Ordering::Release);
-    let _ = engine.send(Msg::Core(Input::List(ListKind::Lost, Vec::new())));
+    let _ = engine.send(Msg::Core(Input::List(ListKind::FetchFailed, Vec::new())));
 }
 
 struct Run {
@@ -146,7 +146,7 @@
         let now = self.clock.now();
         let mut known = hold(&self.known);
         let kind = match name {
-            "whole" => ListKind::Whole,
+            "whole" => ListKind::Complete,
             "changes" => ListKind::Changes,
             // A sign of life; other kinds of message may come from a newer list.
             _ => {
--- a/crates/front/src/core/ledger/agreed.rs
+++ b/crates/front/src/core/ledger/agreed.rs
@@ -72,11 +72,11 @@
     /// Tells the module the list, as operators have overruled it.
     pub(super) fn overruled(&mut self, kind: ListKind, lines: Vec<Listed>) {
         if let Some(terms) = &self.terms {
-            if matches!(kind, ListKind::Whole) {
+            if matches!(kind, ListKind::Complete) {
                 self.listed.clear();
             }
             for line in &lines {
-                if line.entry.state == ServerState::Gone {
+                if line.entry.state == ServerState::Removed {
                     self.listed.remove(&line.entry.server);
                 } else {
                     self.listed.insert(line.entry.server, line.clone());
--- a/crates/front/src/core/ledger/boxes.rs
+++ b/crates/front/src/core/ledger/boxes.rs
@@ -7,11 +7,11 @@
 
 impl<D: Decider> Ledger<D> {
     pub(super) fn list(&mut self, kind: ListKind, lines: Vec<Listed>, out: &mut Vec<Output>) {
-        if kind != ListKind::Lost {
+        if kind != ListKind::FetchFailed {
             let gone = gone(kind, &lines, self.boxes.keys());
             for line in &lines {
                 let id = line.entry.server;
-                if line.entry.state != ServerState::Gone {
+                if line.entry.state != ServerState::Removed {
                     let new = self.boxes.insert(id, line.address).is_none();
                     if new && self.keeping.is_some() {
                         self.claim_all((id, line.address), out);
@@ -29,7 +29,7 @@
             }
         }
         self.overruled(kind, lines);
-        if matches!(kind, ListKind::Whole | ListKind::Changes) && !self.fresh {
+        if matches!(kind, ListKind::Complete | ListKind::Changes) && !self.fresh {
             self.fresh = true;
             for (server, held) in std::mem::take(&mut self.found) {
                 self.resume(server, held, out);
--- a/crates/front/src/core/ledger/clients.rs
+++ b/crates/front/src/core/ledger/clients.rs
@@ -89,7 +89,7 @@
             return;
         };
         self.answer(&id, Answer::Failed(id.clone(), FailReason::Cancelled), out);
-        self.events.push_back(Event::Left(id));
+        self.events.push_back(Event::ClientLeft(id));
         out.push(Output::Reply(client, ticket, Reply::Cancelled));
     }
 
@@ -155,7 +155,7 @@
             if session.owed() {
                 self.settled(&id);
                 self.untold(&id, out);
-                self.events.push_back(Event::Left(id));
+                self.events.push_back(Event::ClientLeft(id));
             } else if session.playing().is_some() {
                 self.stop_playing(&id, Outcome::Ok, true, out);
             }
--- a/crates/front/src/core/ledger/kept.rs
+++ b/crates/front/src/core/ledger/kept.rs
@@ -528,7 +528,7 @@
                     last: true,
                     report: Vec::new(),
                 }),
-                None => self.events.push_back(Event::Left(id)),
+                None => self.events.push_back(Event::ClientLeft(id)),
             }
         }
         self.releases.retain(|(_, id, _), _| !of_life(&id.0, life));
--- a/crates/front/src/core/ledger/time.rs
+++ b/crates/front/src/core/ledger/time.rs
@@ -10,7 +10,7 @@
             Due::Overdue(id) => {
                 if self.answer(&id, Answer::Failed(id.clone(), FailReason::Overdue), out) {
                     self.counts.overdue += 1;
-                    self.events.push_back(Event::Left(id));
+                    self.events.push_back(Event::ClientLeft(id));
                 }
             }
             Due::Claim(id) => {
@@ -71,7 +71,7 @@
             let Some(session) = self.sessions.get(&id) else { continue };
             if session.owed() {
                 self.answer(&id, Answer::Failed(id.clone(), FailReason::ShuttingDown), out);
-                self.events.push_back(Event::Left(id));
+                self.events.push_back(Event::ClientLeft(id));
             } else if session.playing().is_some() {
                 self.ended_by_itself(&id, EndReason::ShuttingDown, Outcome::Withdrawn, out);
             }
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Ledger::handle`] takes the time and one [`Input`] and answers with [`Output`]s, which the edge carries out;
 //! [`Ledger::next_due`] tells when it must be called again. All decisions on placement, rungs, moves, refusals
-//! and further attempts are asked of a [`Decider`], which is [`salttally::brain::Brain`] in service. The ledger
+//! and further attempts are asked of a [`Decider`], which is [`salttally::controller::Controller`] in service. The ledger
 //! is a second lock and no second opinion: an action that would make a second answer, or a second attempt while
 //! one is out, is stopped, counted and logged.
 //!
@@ -27,7 +27,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::*;
 use salttally_accord::core::stand::Stand;
 use salttally_copies::core::{Bytes, Key, Life, Name};
@@ -40,9 +40,9 @@
     fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>);
 }
 
-impl Decider for Brain {
+impl Decider for Controller {
     fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
-        Brain::handle(self, now, event, out);
+        Controller::handle(self, now, event, out);
     }
 }
 
@@ -94,12 +94,12 @@
             viewer: self.viewer,
             title: self.title,
             patience: self.patience,
-            length: self.length,
+            length_hint: self.length,
             first_cell: self.first_cell,
             cell_count: self.cell_count,
             top_rung: self.top_rung,
             moved,
-            again: self.returned || moved,
+            returning: self.returned || moved,
         }
     }
 }
@@ -121,7 +121,7 @@
 ) -> Vec<ServerId> {
     let named: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
     let missing = known.filter(|id| kind != ListKind::Changes && !named.contains(id)).copied();
-    let told = lines.iter().filter(|line| line.entry.state == ServerState::Gone);
+    let told = lines.iter().filter(|line| line.entry.state == ServerState::Removed);
     missing.chain(told.map(|line| line.entry.server)).collect()
 }
 
--- a/crates/front/src/core/tests.rs
+++ b/crates/front/src/core/tests.rs
@@ -129,9 +129,9 @@
             next: 0,
             finished: false,
         };
-        world.give(Input::List(ListKind::Remembered, Vec::new()));
+        world.give(Input::List(ListKind::Cached, Vec::new()));
         let whole = (0..4).map(|id| listed(id, ServerState::Ready, None)).collect();
-        world.give(Input::List(ListKind::Whole, whole));
+        world.give(Input::List(ListKind::Complete, whole));
         world
     }
 
@@ -254,11 +254,11 @@
             5 => {
                 let id = self.below(4) as u32;
                 let started = (self.below(3) == 0).then_some(self.now);
-                let state = [ServerState::Ready, ServerState::Draining, ServerState::Gone][self.below(3)];
-                let kind =
-                    [ListKind::Changes, ListKind::Changes, ListKind::Whole, ListKind::Lost][self.below(4)];
+                let state = [ServerState::Ready, ServerState::Draining, ServerState::Removed][self.below(3)];
+                let kind = [ListKind::Changes, ListKind::Changes, ListKind::Complete, ListKind::FetchFailed]
+                    [self.below(4)];
                 let lines = match kind {
-                    ListKind::Lost => Vec::new(),
+                    ListKind::FetchFailed => Vec::new(),
                     _ => vec![listed(id, state, started)],
                 };
                 self.give(Input::List(kind, lines));
@@ -412,8 +412,8 @@
 
     #[test]
     fn the_module_never_meets_the_lock(seed: u64) {
-        let brain = Brain::new(settings().module, seed);
-        let mut world = World::new(brain, seed);
+        let controller = Controller::new(settings().module, seed);
+        let mut world = World::new(controller, seed);
         for _ in 0..400 {
             world.step();
         }
@@ -701,14 +701,14 @@
     let mut ledger = Ledger::new(puppet, settings.module, settings.limits, "f0", 1);
     let mut out = Vec::new();
     let list = vec![listed(0, ServerState::Ready, None)];
-    ledger.handle(1, Input::List(ListKind::Remembered, list.clone()), &mut out);
+    ledger.handle(1, Input::List(ListKind::Cached, list.clone()), &mut out);
     let Some(Output::Listen(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
     let session = SessionId("f0-00000000-0000000001".into());
     let held = Held { session, attempt: 0, rung: 1, opening: Some(opening(7, CLIP)) };
     ledger.handle(2, Input::Stream(server, number, StreamNews::Up(vec![held])), &mut out);
     // The module takes a resumed session for a sign that its list is fresh; an old one must not pass for that.
     assert!(!told.borrow().iter().any(|event| matches!(event, Event::Resumed(..))));
-    ledger.handle(3, Input::List(ListKind::Whole, list), &mut out);
+    ledger.handle(3, Input::List(ListKind::Complete, list), &mut out);
     assert!(matches!(told.borrow()[..], [.., Event::Resumed(..), Event::Note { .. }]));
 }
 
@@ -717,7 +717,7 @@
     let mut stage = Stage::new();
     let (id, _) = stage.play();
     *stage.todo.borrow_mut() = vec![Action::Move(id.clone())];
-    stage.world.give(Input::List(ListKind::Lost, vec![]));
+    stage.world.give(Input::List(ListKind::FetchFailed, vec![]));
     assert_eq!(stage.outcomes(), [Outcome::Withdrawn]);
     for (viewer, marked) in [(9, false), (1, true), (1, false)] {
         stage.told.borrow_mut().clear();
@@ -736,7 +736,7 @@
     let (id, _) = stage.play();
     stage.told.borrow_mut().clear();
     *stage.todo.borrow_mut() = vec![Action::SetRung(id.clone(), 2)];
-    stage.world.give(Input::List(ListKind::Lost, vec![]));
+    stage.world.give(Input::List(ListKind::FetchFailed, vec![]));
     for _ in 0..3 {
         for conn in std::mem::take(&mut stage.world.dials) {
             stage.world.give(Input::Dialed(conn, Ok(())));
@@ -828,7 +828,7 @@
 fn a_box_gone_from_the_list_before_its_stream_stood_still_tells_what_it_holds() {
     let mut stage = Stage::new();
     let number = stage.world.streams[&ServerId(0)];
-    let out = stage.world.give(Input::List(ListKind::Changes, vec![listed(0, ServerState::Gone, None)]));
+    let out = stage.world.give(Input::List(ListKind::Changes, vec![listed(0, ServerState::Removed, None)]));
     assert!(!out.contains(&Output::StopListening(ServerId(0), number)), "{out:?}");
     let session = SessionId("f0-00000000-0000000001".into());
     let held = Held { session: session.clone(), attempt: 0, rung: 1, opening: Some(opening(7, CLIP)) };
@@ -848,12 +848,12 @@
     let (claim_within, limits) = (settings.limits.claim_within, settings.limits);
     let mut ledger = Ledger::new(Puppet::default(), settings.module, limits, "f0", 1);
     let mut out = Vec::new();
-    ledger.handle(1, Input::List(ListKind::Remembered, vec![listed(0, ServerState::Ready, None)]), &mut out);
+    ledger.handle(1, Input::List(ListKind::Cached, vec![listed(0, ServerState::Ready, None)]), &mut out);
     let Some(Output::Listen(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
     let session = SessionId("f0-00000000-0000000001".into());
     let held = Held { session: session.clone(), attempt: 0, rung: 1, opening: Some(opening(7, CLIP)) };
     ledger.handle(2, Input::Stream(server, number, StreamNews::Up(vec![held])), &mut out);
-    ledger.handle(3, Input::List(ListKind::Whole, Vec::new()), &mut out);
+    ledger.handle(3, Input::List(ListKind::Complete, Vec::new()), &mut out);
     assert_eq!(ledger.held(), (1, 1));
     out.clear();
     ledger.handle(3 + claim_within, Input::Stream(server, number, StreamNews::Beat), &mut out);
--- a/crates/front/src/core/tests/doors.rs
+++ b/crates/front/src/core/tests/doors.rs
@@ -115,7 +115,7 @@
     let mut stage = Stage::new();
     let (id, _) = stage.play();
     stage.todo.borrow_mut().push(Action::Move(id.clone()));
-    stage.world.give(Input::List(ListKind::Changes, vec![listed(3, ServerState::Gone, None)]));
+    stage.world.give(Input::List(ListKind::Changes, vec![listed(3, ServerState::Removed, None)]));
     let back = |viewer: u64, from: Option<SessionId>| {
         let opening = Opening { moved_from: from, ..opening(viewer, CLIP) };
         Input::Return(ClientId(4), Ticket(50), opening)
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, PoisonError};
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TryRecvError};
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::Micros;
 use salttally_copies::edge::Teller as Copies;
 use salttally_members::core::pauses::Pauses;
@@ -26,7 +26,7 @@
     /// The time.
     pub clock: Clock,
     /// Sessions and attempts.
-    pub ledger: Ledger<Brain>,
+    pub ledger: Ledger<Controller>,
     /// Connections to boxes and their event streams.
     pub boxes: Boxes,
     /// Follows the box list.
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crossbeam_channel::{Receiver, Sender};
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::{ListKind, Micros, SessionId};
 use salttally_accord::core::stand::Stand;
 use salttally_copies::core::Life;
@@ -128,9 +128,9 @@
         let (flusher, full) = crossbeam_channel::unbounded();
         outbox::flusher(full).map_err(StartError::Thread)?;
 
-        let brain = Brain::new(settings.module.clone(), seed);
+        let controller = Controller::new(settings.module.clone(), seed);
         let (module, limits) = (settings.module.clone(), settings.limits.clone());
-        let mut ledger = Ledger::new(brain, module, limits, &settings.name, boot);
+        let mut ledger = Ledger::new(controller, module, limits, &settings.name, boot);
         if settings.accord {
             let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
             let names = Names { classes: settings.classes.clone(), titles, viewer: Some(viewer) };
@@ -144,7 +144,7 @@
             ledger = ledger.tapped(Box::new(recorder.tap()));
         }
         let list = Follower::new(Arc::clone(&settings), engine.clone(), clock, started);
-        let remembered = Input::List(ListKind::Remembered, list.remembered());
+        let remembered = Input::List(ListKind::Cached, list.remembered());
         let boxes = Boxes::new(Arc::clone(&settings), engine.clone(), clock);
         let entrance = Arc::new(Entrance::new(clock, settings.edges.door));
         let over = Arc::new(AtomicUsize::new(0));
--- a/crates/front/src/record/lines.rs
+++ b/crates/front/src/record/lines.rs
@@ -128,10 +128,10 @@
         }
     };
 }
-named!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Whole,
-    "remembered" => ListKind::Remembered, "lost" => ListKind::Lost; ListKind::Lost);
+named!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Complete,
+    "remembered" => ListKind::Cached, "lost" => ListKind::FetchFailed; ListKind::FetchFailed);
 named!(ServerState, state_name, state, "ready" => ServerState::Ready, "draining" => ServerState::Draining,
-    "gone" => ServerState::Gone; ServerState::Gone);
+    "gone" => ServerState::Removed; ServerState::Removed);
 named!(Outcome, outcome_name, outcome, "ok" => Outcome::Ok, "failed" => Outcome::Failed,
     "full" => Outcome::Full, "timed_out" => Outcome::TimedOut, "no_connection" => Outcome::NoConnection,
     "broken" => Outcome::Broken, "withdrawn" => Outcome::Withdrawn, "not_sent" => Outcome::NotSent;
@@ -153,12 +153,12 @@
             viewer: request.viewer.0,
             title: request.title.0,
             patience: request.patience,
-            length: request.length,
+            length: request.length_hint,
             first_cell: request.first_cell,
             cell_count: request.cell_count,
             top_rung: request.top_rung,
             moved: request.moved,
-            again: request.again,
+            again: request.returning,
         }
     }
 }
@@ -171,12 +171,12 @@
             viewer: ViewerId(self.viewer),
             title: TitleId(self.title),
             patience: self.patience,
-            length: self.length,
+            length_hint: self.length,
             first_cell: self.first_cell,
             cell_count: self.cell_count,
             top_rung: self.top_rung,
             moved: self.moved,
-            again: self.again,
+            returning: self.again,
         }
     }
 }
@@ -213,7 +213,7 @@
             Event::Resolved { session, server } => {
                 Told::Resolved { session: name(session), server: server.0 }
             }
-            Event::Left(session) => Told::Left { session: name(session) },
+            Event::ClientLeft(session) => Told::Left { session: name(session) },
             Event::Note { session, server, note } => {
                 let (kind, value) = match note {
                     Note::Delivered(share) => ("delivered", *share),
@@ -267,7 +267,7 @@
             Told::Resolved { session, server } => {
                 Event::Resolved { session: id(session), server: ServerId(*server) }
             }
-            Told::Left { session } => Event::Left(id(session)),
+            Told::Left { session } => Event::ClientLeft(id(session)),
             Told::Note { session, server, kind, value } => {
                 let note = match kind.as_str() {
                     "delivered" => Note::Delivered(*value),
--- a/crates/front/src/record/mod.rs
+++ b/crates/front/src/record/mod.rs
@@ -14,7 +14,7 @@
 use std::thread;
 
 use crossbeam_channel::{Sender, TrySendError};
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::{Action, Event, Micros, Settings};
 use thiserror::Error;
 
@@ -110,17 +110,17 @@
 /// Decides everything in a record again. Returns the number of steps that were the same; the first that is
 /// not is an error.
 pub fn replay(record: impl BufRead, settings: &Settings) -> Result<usize, BadRecord> {
-    let mut brain = None;
+    let mut controller = None;
     let (mut steps, mut actions) = (0, Vec::new());
     for (at, line) in record.lines().enumerate() {
         let line = line.map_err(|error| BadRecord::Read(at + 1, error))?;
         let line: Line = serde_json::from_str(&line).map_err(|error| BadRecord::Line(at + 1, error))?;
         match line {
-            Line::Born(born) => brain = Some(Brain::new(settings.clone(), born.seed)),
+            Line::Born(born) => controller = Some(Controller::new(settings.clone(), born.seed)),
             Line::Step(step) => {
-                let brain = brain.as_mut().ok_or(BadRecord::NoStart)?;
+                let controller = controller.as_mut().ok_or(BadRecord::NoStart)?;
                 actions.clear();
-                brain.handle(step.at, &step.event(), &mut actions);
+                controller.handle(step.at, &step.event(), &mut actions);
                 let decided: Vec<lines::Done> = actions.iter().map(lines::Done::from).collect();
                 if decided != step.did {
                     let show = |done: &[lines::Done]| serde_json::to_string(done).unwrap_or_default();
--- a/crates/front/src/settings/read.rs
+++ b/crates/front/src/settings/read.rs
@@ -179,7 +179,7 @@
         uplink_kb,
         kind_streams,
         refuses_from,
-        note_every: 0,
+        note_interval: 0,
         note_age: 0,
         shared_adds,
         change_cost_s: 0.0,
@@ -210,7 +210,7 @@
     mut settings: salttally::interface::Settings,
 ) -> Read<salttally::interface::Settings> {
     if let Some(notes) = root.one("notes")? {
-        settings.note_every = micros(notes.need("every-ms")?);
+        settings.note_interval = micros(notes.need("every-ms")?);
         settings.note_age = micros(notes.or("age-ms", 0.0)?);
         notes.done()?;
     }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use salttally::facts::{Facts, FactsError};
 use salttally::interface::{ServerEntry, ServerId, ServerState};
+use salttally::platform_settings::{PlatformSettings, PlatformSettingsError};
 use salttally_front::core::Listed;
 use serde::Deserialize;
 use thiserror::Error;
@@ -30,7 +30,7 @@
     Field(PathBuf, String, String),
     /// The settings cannot be used.
     #[error("{0}: settings: {1}")]
-    Settings(PathBuf, FactsError),
+    Settings(PathBuf, PlatformSettingsError),
 }
 
 /// What the process may use.
@@ -69,7 +69,7 @@
     /// The list as known: it may be old.
     pub known: Vec<Listed>,
     /// The settings of the module and of the sockets.
-    pub facts: Facts,
+    pub facts: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -140,7 +140,8 @@
     pub fn parse(text: &str, path: &Path) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text).map_err(|e| ConfigError::Json(path.into(), e))?;
         let bad = |field: &str, why: &str| ConfigError::Field(path.into(), field.into(), why.into());
-        let facts = Facts::from_value(file.settings).map_err(|e| ConfigError::Settings(path.into(), e))?;
+        let facts =
+            PlatformSettings::from_value(file.settings).map_err(|e| ConfigError::Settings(path.into(), e))?;
         if facts.settings.classes.is_empty() || facts.settings.ladder.is_empty() {
             return Err(bad("settings", "no class or no rung"));
         }
@@ -159,7 +160,7 @@
             for host in update.endpoints.hosts {
                 let listed = host.listed(&facts).map_err(|(field, why)| bad(field, &why))?;
                 let server = listed.entry.server;
-                if listed.entry.state == ServerState::Gone {
+                if listed.entry.state == ServerState::Removed {
                     known.remove(&server);
                 } else {
                     known.insert(server, listed);
@@ -200,26 +201,27 @@
 }
 
 impl Host {
-    fn listed(&self, facts: &Facts) -> Result<Listed, (&'static str, String)> {
+    fn listed(&self, facts: &PlatformSettings) -> Result<Listed, (&'static str, String)> {
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
         let id = words::server_id(&self.host)
             .ok_or(("known.host", format!("`{}` is no media server", self.host)))?;
         let state = match self.health.as_str() {
             "active" => ServerState::Ready,
             "leaving" => ServerState::Draining,
-            "left" => ServerState::Gone,
+            "left" => ServerState::Removed,
             other => return Err(("known.health", format!("`{other}` is no state"))),
         };
         let address = self.dial.parse();
         Ok(Listed {
             entry: ServerEntry {
                 server: ServerId(id),
-                zone: place(&facts.zones, &self.site),
-                kind: place(&facts.kinds, &self.class),
+                zone: place(&facts.zone_names, &self.site),
+                kind: place(&facts.kind_names, &self.class),
                 cell: self.block,
                 state,
                 units: self.share.filter(|units| units.is_finite()).unwrap_or(1.0),
-                started: Some(salttally::facts::micros(self.born_ms)).filter(|at| *at > 0),
+                started: Some(salttally::platform_settings::micros_from_ms(self.born_ms))
+                    .filter(|at| *at > 0),
             },
             address: address.map_err(|_| ("known.dial", format!("`{}` is no address", self.dial)))?,
         })
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! A front node as state, with no I/O, clock or thread: told what comes, it answers with what is to be done.
 //!
 //! [`Core::handle`] takes the time and one [`NodeEvent`]; [`Core::next_due`] tells when it must be called again. All
-//! decisions are asked of a [`Decider`], which is [`salttally::brain::Brain`] in service. The lock on one answer, one
+//! decisions are asked of a [`Decider`], which is [`salttally::controller::Controller`] in service. The lock on one answer, one
 //! attempt and single effects is the session's own, [`salttally_front::core::session`], as for every other entry.
 //!
 //! - [`mod@self`]: the state, and what the decider's actions become.
@@ -29,8 +29,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use salttally::facts::Facts;
 use salttally::interface::*;
+use salttally::platform_settings::PlatformSettings;
 use salttally_front::core::gone;
 use salttally_front::core::session::{Attempt, Session, Stage, Stop};
 use salttally_front::core::timers::Timers;
@@ -237,7 +237,7 @@
 /// A front node's state.
 pub struct Core<D> {
     decider: D,
-    facts: Facts,
+    facts: PlatformSettings,
     now: Micros,
     sessions: BTreeMap<u64, Entry>,
     admission: Admission,
@@ -269,9 +269,9 @@
 
 impl<D: Decider> Core<D> {
     /// A front node that has just started: it knows this list, which may be old.
-    pub fn new(decider: D, facts: Facts, sockets: usize, now: Micros) -> Self {
+    pub fn new(decider: D, facts: PlatformSettings, sockets: usize, now: Micros) -> Self {
         let pool = Pool::new(&facts, sockets);
-        let health = Health::new(facts.connect_within);
+        let health = Health::new(facts.connect_timeout);
         // Nodes that start in the same microsecond are few.
         let list_watch = ListWatch::new(facts.settings.drain_grace, now);
         Core {
@@ -311,7 +311,7 @@
         out: &mut Vec<Command>,
     ) {
         self.now = self.now.max(now);
-        self.list_update(ListKind::Remembered, known, out);
+        self.list_update(ListKind::Cached, known, out);
         self.list_watch.begin(self.now, index, at, &mut self.timers, out);
         self.deliver_events(out);
     }
@@ -418,7 +418,7 @@
             NodeEvent::ListBytes(number) => self.list_watch.bytes_received(self.now, number),
             NodeEvent::ListFrame(number, frame) => {
                 match self.list_watch.frame_received(self.now, number, frame, &mut self.timers, out) {
-                    Some(Update::Whole(lines)) => self.list_update(ListKind::Whole, lines, out),
+                    Some(Update::Whole(lines)) => self.list_update(ListKind::Complete, lines, out),
                     Some(Update::Changes(lines)) => self.list_update(ListKind::Changes, lines, out),
                     None => {}
                 }
@@ -495,7 +495,7 @@
                 }
             }
         }
-        self.events.push_back(Event::Left(of));
+        self.events.push_back(Event::ClientLeft(of));
     }
 
     fn stopped(&mut self, what: &str, id: u64, out: &mut Vec<Command>) {
@@ -598,7 +598,7 @@
         match sent {
             Some(conn) => {
                 self.probes.insert(id, (server, conn));
-                self.timers.set(self.now + self.facts.connect_within, Timer::ProbeTimeout(id));
+                self.timers.set(self.now + self.facts.connect_timeout, Timer::ProbeTimeout(id));
             }
             None => {
                 let (outcome, report) = (Outcome::NotSent, Vec::new());
@@ -623,7 +623,7 @@
         let mut restarted = BTreeMap::new();
         for line in &lines {
             let id = line.entry.server;
-            if line.entry.state == ServerState::Gone {
+            if line.entry.state == ServerState::Removed {
                 continue;
             }
             if line.entry.state == ServerState::Draining {
@@ -633,7 +633,7 @@
             if before.is_some_and(|before| before != line.address) {
                 elsewhere.push(id);
             }
-            if let (Some(started), true) = (line.entry.started, kind != ListKind::Remembered) {
+            if let (Some(started), true) = (line.entry.started, kind != ListKind::Cached) {
                 restarted.insert(id, started);
             }
         }
@@ -760,7 +760,7 @@
 /// Whether the decider may send a session on by what it hears here. Events of one session keep their order: what is
 /// heard of it after one of these is about the attempt that follows.
 fn may_be_placed(event: &Event) -> bool {
-    let is_over = |event: &Event| matches!(event, Event::Ended { last: true, .. } | Event::Left(_));
+    let is_over = |event: &Event| matches!(event, Event::Ended { last: true, .. } | Event::ClientLeft(_));
     let of_standing =
         |event: &Event| matches!(event, Event::Resumed(..) | Event::Started { .. } | Event::Note { .. });
     !is_over(event) && !of_standing(event)
--- a/crates/platform/src/core/pool.rs
+++ b/crates/platform/src/core/pool.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use salttally::facts::Facts;
 use salttally::interface::{Micros, ServerId};
+use salttally::platform_settings::PlatformSettings;
 use salttally_front::core::timers::Timers;
 
 use super::{Command, ConnId, Timer};
@@ -135,16 +135,16 @@
 
 impl Pool {
     /// None yet. To them may go what the clients' connections, open and closed, leave of the process's files.
-    pub fn new(facts: &Facts, sockets: usize) -> Pool {
+    pub fn new(facts: &PlatformSettings, sockets: usize) -> Pool {
         Pool {
             connections: BTreeMap::new(),
             last: 0,
             dials: [0; 3],
             room: RoomCounts::default(),
-            streams: facts.streams,
+            streams: facts.streams_per_connection,
             most: (sockets * 5 / 12).max(1),
-            connect_within: facts.connect_within,
-            idle_kept: (facts.idle_closed * IDLE_SHARE.0 / IDLE_SHARE.1).max(1),
+            connect_within: facts.connect_timeout,
+            idle_kept: (facts.idle_timeout * IDLE_SHARE.0 / IDLE_SHARE.1).max(1),
         }
     }
 
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -180,7 +180,7 @@
     }
 
     fn report(&self, message: &Message) -> Vec<f64> {
-        words::report(message, &self.facts.report_names, &self.facts.settings.reports)
+        words::report(message, &self.facts.report_field_names, &self.facts.settings.reports)
     }
 
     /// The session stands, if this answers the attempt that is out; anything else is a copy, late, or nobody's.
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddr;
 
-use salttally::brain::Brain;
-use salttally::facts::Facts;
+use salttally::controller::Controller;
 use salttally::interface::*;
+use salttally::platform_settings::PlatformSettings;
 
 use super::*;
 use crate::wire::frames::Payload;
@@ -14,8 +14,8 @@
 const LISTED: u32 = 3;
 
 /// Two classes: `clip` may be set up again, `paid` is set up once and never plays on the lowest rung.
-fn facts() -> Facts {
-    Facts::parse(
+fn facts() -> PlatformSettings {
+    PlatformSettings::parse(
         r#"{"balancers": 1, "zone": 0, "localities": ["a"], "host_types": ["k"],
         "classes": [
           {"name": "clip", "aim_ms": 1500, "deadline_ms": 4000, "effect": "idempotent", "gain": 1},
@@ -58,9 +58,9 @@
     out: Vec<Command>,
 }
 
-impl Bench<Brain> {
+impl Bench<Controller> {
     fn new() -> Self {
-        Bench::with(Brain::new(facts().settings, 7))
+        Bench::with(Controller::new(facts().settings, 7))
     }
 }
 
@@ -453,7 +453,7 @@
     let mut bench = Bench::new();
     let (conn, at) = bench.playing(1, "clip");
     let old = bench.core.sessions[&1].session.at().unwrap().server;
-    let gone = ServerEntry { server: old, state: ServerState::Gone, ..ServerEntry::default() };
+    let gone = ServerEntry { server: old, state: ServerState::Removed, ..ServerEntry::default() };
     let new = ServerEntry { server: ServerId(90), cell: old.0, units: 1.0, ..ServerEntry::default() };
     let lines = vec![Listed { entry: gone, address: at }, Listed { entry: new, address: at }];
     let out = bench.told(1, 6, Payload::Changes(lines));
@@ -680,7 +680,7 @@
     let mut bench = Bench::new();
     let gone = |id: u32| {
         let mut line = line(id);
-        line.entry.state = ServerState::Gone;
+        line.entry.state = ServerState::Removed;
         Payload::Changes(vec![line])
     };
     bench.told(1, 6, gone(0));
@@ -704,13 +704,13 @@
 
 #[test]
 fn a_test_is_passed_only_once_the_list_was_heard_and_not_while_it_ends() {
-    let passes = |bench: &mut Bench<Brain>| {
+    let passes = |bench: &mut Bench<Controller>| {
         let out = bench
             .tell(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::TEST, 0).with(code::CAUSE, [0])));
         let cause = said(&out).next().and_then(Message::cause);
         cause == Some(1)
     };
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(facts().settings, 7), facts(), 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
     bench.tell(NodeEvent::ClientConnected(ClientId(1)));
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -295,7 +295,7 @@
 #[test]
 fn a_server_that_goes_and_returns_at_its_address_gets_nothing_that_waited_for_the_one_before() {
     let (mut bench, conn) = waiting("paid");
-    let out = bench.told(1, 6, drains(0, ServerState::Gone));
+    let out = bench.told(1, 6, drains(0, ServerState::Removed));
     assert!(out.contains(&Command::CloseServer(conn)));
     let ended = bench.core.decider.1.iter().position(|e| matches!(e, Event::Ended { .. }));
     let listed = bench.core.decider.1.iter().rposition(|e| matches!(e, Event::Servers(..)));
@@ -376,7 +376,7 @@
 
 #[test]
 fn a_start_without_a_coordinator_serves_by_the_list_it_was_given() {
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(facts().settings, 7), facts(), 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
     bench.tell(NodeEvent::ClientConnected(ClientId(1)));
@@ -386,7 +386,7 @@
     assert!(bench.core.ready(), "well within the 10 s of a restart");
     bench.playing(1, "paid");
     // One that was started with no list has nothing to serve by.
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(facts().settings, 7), facts(), 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, Vec::new(), 0, address(200), &mut bench.out);
     bench.after(20 * SECOND);
@@ -396,7 +396,7 @@
 // Caught a node that passed its tests with a list of nobody: it was given clients and served none of them.
 #[test]
 fn a_node_that_knows_no_server_is_not_ready_until_one_is_announced() {
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(facts().settings, 7), facts(), 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, Vec::new(), 5, address(200), &mut bench.out);
     bench.told(1, 5, Payload::Nothing);
--- a/crates/platform/src/core/tests/gone.rs
+++ b/crates/platform/src/core/tests/gone.rs
@@ -15,7 +15,7 @@
 fn heard_of(bench: &Bench<Puppet>, id: u64) -> Vec<&'static str> {
     let heard = bench.core.decider.1.iter().filter_map(|event| match event {
         Event::Request(request) if request.session == name(id) => Some("request"),
-        Event::Left(session) if *session == name(id) => Some("left"),
+        Event::ClientLeft(session) if *session == name(id) => Some("left"),
         Event::Ended { session, last: true, .. } if *session == name(id) => Some("ended, over"),
         Event::Ended { session, last: false, .. } if *session == name(id) => Some("ended"),
         _ => None,
--- a/crates/platform/src/core/tests/list.rs
+++ b/crates/platform/src/core/tests/list.rs
@@ -5,10 +5,10 @@
 /// Graces from a twentieth of the usual one to ten times it, ms.
 const GRACES: [u64; 6] = [100, 200, 350, 500, 2_000, 20_000];
 
-fn with_grace(grace_ms: u64) -> Bench<Brain> {
+fn with_grace(grace_ms: u64) -> Bench<Controller> {
     let mut facts = facts();
     facts.settings.drain_grace = grace_ms * 1_000;
-    let core = Core::new(Brain::new(facts.settings.clone(), 7), facts, 256, START + grace_ms);
+    let core = Core::new(Controller::new(facts.settings.clone(), 7), facts, 256, START + grace_ms);
     let mut bench = Bench { core, now: START + grace_ms, out: Vec::new() };
     bench.core.begin(bench.now, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
     bench.out.clear();
@@ -17,7 +17,7 @@
 }
 
 /// Goes on until a call begins; which it is, and how long that took. What was over by then is taken off `open`.
-fn next_call(bench: &mut Bench<Brain>, open: &mut Vec<u64>) -> (u64, Micros) {
+fn next_call(bench: &mut Bench<Controller>, open: &mut Vec<u64>) -> (u64, Micros) {
     let since = bench.now;
     loop {
         bench.now = bench.core.next_due().expect("a call is always due").max(bench.now);
@@ -117,7 +117,7 @@
         .map(|seed| {
             let mut facts = facts();
             facts.settings.drain_grace = 500_000;
-            let core = Core::new(Brain::new(facts.settings.clone(), 7), facts, 256, START + seed);
+            let core = Core::new(Controller::new(facts.settings.clone(), 7), facts, 256, START + seed);
             let mut bench = Bench { core, now: START + seed, out: Vec::new() };
             bench.core.begin(bench.now, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
             bench.told(1, 5, Payload::Nothing);
@@ -166,7 +166,7 @@
 }
 
 /// What is read in one look, in this order, and decided then.
-fn in_one_look(bench: &mut Bench<Brain>, inputs: Vec<NodeEvent>) -> Vec<Command> {
+fn in_one_look(bench: &mut Bench<Controller>, inputs: Vec<NodeEvent>) -> Vec<Command> {
     for input in inputs {
         bench.core.handle(bench.now, input, &mut bench.out);
     }
@@ -200,7 +200,7 @@
 // Caught requests that the decider heard of ahead of a drain in the same look, and sent to the server that was leaving.
 #[test]
 fn a_drain_that_is_read_behind_a_request_is_heard_before_it() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         for kept in 0..LISTED {
             let mut bench = Bench::new();
             let asks = NodeEvent::ClientMessage(ClientId(1), request(9, "clip", ""));
@@ -213,7 +213,7 @@
 // Caught a further attempt at a server whose drain lay behind the refusal of the first.
 #[test]
 fn a_drain_that_is_read_behind_a_refusal_is_heard_before_the_further_attempt() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         for kept in 0..LISTED {
             let mut bench = Bench::new();
             let out = bench.ask(9, "clip");
@@ -235,7 +235,7 @@
     let mut bench = Bench::with(Puppet::default());
     let handed = NodeEvent::ClientMessage(ClientId(1), request(9, "clip", ";at:s-00000000"));
     bench.core.handle(bench.now, handed, &mut bench.out);
-    bench.core.handle(bench.now, announced(6, vec![leaving(0, ServerState::Gone)]), &mut bench.out);
+    bench.core.handle(bench.now, announced(6, vec![leaving(0, ServerState::Removed)]), &mut bench.out);
     bench.core.decide(bench.now, &mut bench.out);
     let heard: Vec<&str> = bench
         .core
@@ -256,7 +256,7 @@
 // Caught a server that one event called gone and then ready: the decider sent sessions there and each was stopped here.
 #[test]
 fn a_server_that_one_event_names_twice_is_what_its_last_record_says() {
-    let (gone, ready) = (leaving(0, ServerState::Gone), line(0));
+    let (gone, ready) = (leaving(0, ServerState::Removed), line(0));
     for whole in [true, false] {
         for (records, is_there) in
             [(vec![gone.clone(), ready.clone()], true), (vec![ready.clone(), gone.clone()], false)]
--- a/crates/platform/src/core/tests/releases.rs
+++ b/crates/platform/src/core/tests/releases.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A session that its client has ended, and the connection on which its media server was told so.
-fn released() -> (Bench<Brain>, ConnId) {
+fn released() -> (Bench<Controller>, ConnId) {
     let mut bench = Bench::new();
     let (conn, _) = bench.playing(1, "clip");
     let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::release(1, cause::NORMAL)));
@@ -12,7 +12,7 @@
 }
 
 /// Releases that are sent within this time over connections that are made as they are dialled.
-fn releases_within(bench: &mut Bench<Brain>, span: Micros) -> usize {
+fn releases_within(bench: &mut Bench<Controller>, span: Micros) -> usize {
     let (until, mut count) = (bench.now + span, 0);
     while bench.now < until {
         let out = bench.after(SECOND / 20);
--- a/crates/platform/src/core/tests/shutdown.rs
+++ b/crates/platform/src/core/tests/shutdown.rs
@@ -5,7 +5,7 @@
 
 /// A node whose longest deadline is this, told to end, with one request that its server never answers.
 fn ending(longest_deadline: Micros) -> Bench<Puppet> {
-    let facts = Facts { longest_patience: longest_deadline, ..facts() };
+    let facts = PlatformSettings { longest_patience: longest_deadline, ..facts() };
     let core = Core::new(Puppet::default(), facts, 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -13,7 +13,7 @@
 use rustix::event::epoll::{self, EventData, EventFlags};
 use rustix::fd::OwnedFd;
 use rustix::io::Errno;
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::Micros;
 use salttally_front::clock::{timespec, Clock};
 use thiserror::Error;
@@ -115,7 +115,7 @@
 struct Node {
     clock: Clock,
     poll: OwnedFd,
-    core: Core<Brain>,
+    core: Core<Controller>,
     reload: Reload,
     /// Nothing once the process has said all.
     listener: Option<TcpListener>,
@@ -171,12 +171,12 @@
     epoll::add(&poll, &signals.term, EventData::new_u64(TERM), EventFlags::IN).map_err(wait)?;
     epoll::add(&poll, &signals.hang_up, EventData::new_u64(HANG_UP), EventFlags::IN).map_err(wait)?;
     tracing::info!(name = config.name, listen = %config.listen, servers = config.known.len(), "front node starts");
-    let brain = Brain::new(config.facts.settings.clone(), config.seed);
+    let controller = Controller::new(config.facts.settings.clone(), config.seed);
     let now = clock.now();
     let sockets = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
     // A handshake takes no less than the way there and back.
-    let reset_within = config.facts.connect_within;
-    let mut core = Core::new(brain, config.facts, sockets, now);
+    let reset_within = config.facts.connect_timeout;
+    let mut core = Core::new(controller, config.facts, sockets, now);
     let for_backlogs = config.limits.memory_mb.max(1.0) * 1_048_576.0 * BACKLOG_MEMORY_SHARE;
     let backlog = (for_backlogs as usize / sockets).clamp(BACKLOG.0, BACKLOG.1);
     let mut out = Vec::new();
@@ -310,7 +310,7 @@
         }
         self.next_log = now + 1_000_000;
         for (server, (connections, plays, out, heard)) in self.core.ledger() {
-            let Some((load, tier, own)) = self.core.decider().believed(server) else { continue };
+            let Some((load, tier, own)) = self.core.decider().server_estimate(server) else { continue };
             let mut crossed = [0; 3];
             for conn in &connections {
                 let Some(connection) = self.connections.get_mut(&(SERVER | conn.0)) else { continue };
--- a/crates/platform/src/wire/frames.rs
+++ b/crates/platform/src/wire/frames.rs
@@ -95,7 +95,7 @@
     let state = match record[10] {
         0 => ServerState::Ready,
         1 => ServerState::Draining,
-        2 => ServerState::Gone,
+        2 => ServerState::Removed,
         other => return Err(BadFrame::State(other)),
     };
     let address = Ipv4Addr::from(part(4, 4) as u32);
--- a/crates/trial/src/whole.rs
+++ b/crates/trial/src/whole.rs
@@ -7,7 +7,7 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::{ListKind, ServerEntry, ServerId, ServerState, SessionId, ViewerId};
 use salttally_accord::core as accord;
 use salttally_accord::core::lease::Times as Leases;
@@ -130,7 +130,7 @@
     members: members::Members,
     accord: accord::Accord,
     copies: copies::Copies,
-    ledger: Ledger<Brain>,
+    ledger: Ledger<Controller>,
     due: [Micros; 4],
 }
 
@@ -501,10 +501,11 @@
         let settings = &self.settings;
         let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
         let names = Names { classes: settings.classes.clone(), titles, viewer: None };
-        let brain = Brain::new(settings.module.clone(), seed);
+        let controller = Controller::new(settings.module.clone(), seed);
         // The time of the start, in milliseconds, as in service.
         let started = (self.now / MS) as u32;
-        let ledger = Ledger::new(brain, settings.module.clone(), settings.limits.clone(), &name, started);
+        let ledger =
+            Ledger::new(controller, settings.module.clone(), settings.limits.clone(), &name, started);
         let ledger = ledger.under(Terms::new(names)).keeping();
         let own = copies::Own {
             name: Name::clone(&name),
@@ -524,7 +525,7 @@
         let stand = self.nodes[front].alive.as_ref().map(|alive| alive.accord.stand().clone());
         self.stands(front, stand);
         self.accord_out(front, out);
-        self.ledger(front, Input::List(ListKind::Remembered, Vec::new()));
+        self.ledger(front, Input::List(ListKind::Cached, Vec::new()));
         for which in [Which::Members, Which::Accord, Which::Copies, Which::Ledger] {
             self.tick(front, which);
         }
@@ -774,7 +775,7 @@
                         address: server_address(server),
                     });
                     let lines = lines.collect();
-                    self.hears(front, start, Input::List(ListKind::Whole, lines));
+                    self.hears(front, start, Input::List(ListKind::Complete, lines));
                 }
                 Output::Keep(key, body, waits) => {
                     notes.push(copies::Input::Keep(key, copies::Bytes::from(body), waits));
--- a/src/bin/salttally-drill/main.rs
+++ b/src/bin/salttally-drill/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the bench's wire on standard input and output; one [`Brain`] for each instance.
+//! Speaks the bench's wire on standard input and output; one [`Controller`] for each instance.
 //!
 //! It translates and nothing else: all decisions are the module's.
 
@@ -8,12 +8,12 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::{Action, Event, Micros, ServerEntry};
 use wire::{Line, WireError};
 
 struct Host {
-    brains: BTreeMap<String, Brain>,
+    controllers: BTreeMap<String, Controller>,
     lists: BTreeMap<u64, Vec<ServerEntry>>,
     actions: Vec<Action>,
     reply: String,
@@ -26,18 +26,18 @@
             "born" => {
                 let settings = wire::settings(line)?;
                 let seed = line.number::<u64>("seed")?;
-                self.brains.insert(front.to_owned(), Brain::new(settings, seed));
+                self.controllers.insert(front.to_owned(), Controller::new(settings, seed));
                 return Ok(());
             }
             "killed" => {
-                self.brains.remove(front).ok_or_else(|| line.bad("i", "unknown instance"))?;
+                self.controllers.remove(front).ok_or_else(|| line.bad("i", "unknown instance"))?;
                 return Ok(());
             }
             _ => {}
         }
         let event: Event = wire::event(line, &self.lists)?;
-        let brain = self.brains.get_mut(front).ok_or_else(|| line.bad("i", "unknown instance"))?;
-        brain.handle(now, &event, &mut self.actions);
+        let controller = self.controllers.get_mut(front).ok_or_else(|| line.bad("i", "unknown instance"))?;
+        controller.handle(now, &event, &mut self.actions);
         for action in self.actions.drain(..) {
             wire::write_action(&mut self.reply, front, &action);
         }
@@ -59,8 +59,12 @@
 }
 
 fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), WireError> {
-    let mut host =
-        Host { brains: BTreeMap::new(), lists: BTreeMap::new(), actions: Vec::new(), reply: String::new() };
+    let mut host = Host {
+        controllers: BTreeMap::new(),
+        lists: BTreeMap::new(),
+        actions: Vec::new(),
+        reply: String::new(),
+    };
     let (mut buffer, mut at) = (String::new(), 0u64);
     while read_line(input, &mut buffer, &mut at)? {
         if buffer.is_empty() {
--- a/src/bin/salttally-drill/wire.rs
+++ b/src/bin/salttally-drill/wire.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use std::str::FromStr;
 
-use salttally::facts::{micros, Facts};
 use salttally::interface::*;
+use salttally::platform_settings::{micros_from_ms, PlatformSettings};
 use thiserror::Error;
 
 /// What is wrong with the input, and where.
@@ -86,7 +86,7 @@
 
     /// A time in milliseconds that must be there.
     pub fn time(&self, field: &str) -> Result<Micros, WireError> {
-        self.real(field).map(micros)
+        self.real(field).map(micros_from_ms)
     }
 
     /// A whole number that may be written with a fraction, as some of the wire's are.
@@ -139,12 +139,12 @@
             viewer: ViewerId(self.number("path_key")?),
             title: TitleId(self.optional("programme")?.unwrap_or(0)),
             patience: self.time("patience_left_ms")?,
-            length: self.find("cost_ms").map(|_| self.time("cost_ms")).transpose()?,
+            length_hint: self.find("cost_ms").map(|_| self.time("cost_ms")).transpose()?,
             first_cell: self.whole("start_cell")?,
             cell_count: self.whole("spread")?,
             top_rung: self.whole("top_rung")? as usize,
             moved: self.flag("back_from_move")?,
-            again: self.flag("returned")?,
+            returning: self.flag("returned")?,
         })
     }
 }
@@ -166,7 +166,7 @@
         state: match line.text("state")? {
             "in_service" => ServerState::Ready,
             "terminating" => ServerState::Draining,
-            "terminated" => ServerState::Gone,
+            "terminated" => ServerState::Removed,
             _ => return Err(line.bad("state", "unknown state")),
         },
         units: line.find("units").map(|_| line.real("units")).transpose()?.unwrap_or(1.0),
@@ -183,9 +183,9 @@
         "targets" => {
             let kind = match line.text("kind")? {
                 "incr" => ListKind::Changes,
-                "total" => ListKind::Whole,
-                "warm_copy" => ListKind::Remembered,
-                "lost" => return Ok(Event::Servers(ListKind::Lost, Vec::new())),
+                "total" => ListKind::Complete,
+                "warm_copy" => ListKind::Cached,
+                "lost" => return Ok(Event::Servers(ListKind::FetchFailed, Vec::new())),
                 _ => return Err(line.bad("kind", "unknown kind of list")),
             };
             let list = lists.get(&line.number("sheet")?).ok_or_else(|| line.bad("sheet", "unknown list"))?;
@@ -206,7 +206,7 @@
             last: line.flag("last")?,
             report: line.report()?,
         },
-        "timed_out_client" => Event::Left(line.session()?),
+        "timed_out_client" => Event::ClientLeft(line.session()?),
         "signal" => {
             let amount = line.real("amount")?;
             let note = match line.number::<u32>("topic")? {
@@ -261,6 +261,7 @@
 
 /// Reads the settings that come with the start of an instance.
 pub fn settings(line: &Line<'_>) -> Result<Settings, WireError> {
-    let facts = Facts::parse(line.text("facts")?).map_err(|e| line.bad("facts", &e.to_string()))?;
+    let facts =
+        PlatformSettings::parse(line.text("facts")?).map_err(|e| line.bad("facts", &e.to_string()))?;
     Ok(facts.settings)
 }
--- a/src/brain.rs
+++ b/src/controller.rs
@@ -1,7 +1,7 @@
 //! All decisions of salttally; the words used here (settings, events, actions) are in `src/interface.rs`.
 //!
 //! Read from the top: REM, then the guarded send and answer paths, the load account, the rungs, health,
-//! the pace of cold servers, and last the events. A front's `Brain` knows only what its own events told it.
+//! the pace of cold servers, and last the events. A front's `Controller` knows only what its own events told it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -76,7 +76,7 @@
 
 /// The session controller of one front.
 #[derive(Clone)]
-pub struct Brain {
+pub struct Controller {
     set: Settings,
     rng: Pcg32,
     now: Micros,
@@ -101,21 +101,21 @@
 }
 
 /// What it remembers, without settings and draws: two that show the same decide the same on the same draws.
-impl std::fmt::Debug for Brain {
+impl std::fmt::Debug for Controller {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let load = (&self.servers, &self.racks, &self.usual, &self.downs, &self.lengths);
         write!(f, "{load:?} {:?} {:?}", self.sessions, (&self.plans, &self.taken, &self.further, self.unsure))
     }
 }
 
-impl Brain {
+impl Controller {
     /// A front that has just started.
     pub fn new(set: Settings, seed: u64) -> Self {
         let set = Settings { fronts: set.fronts.max(1), ..set };
         let rack = || Rack { scale: 1.0, ..Rack::default() };
         let racks = (0..set.racks.min(set.cells)).map(|_| rack()).collect();
         let lengths = vec![LENGTH; set.classes.len()];
-        Brain {
+        Controller {
             servers: Fleet::new(set.racks),
             set,
             rng: Pcg32::seed_from_u64(seed),
@@ -140,7 +140,7 @@
     }
 
     /// What is believed of a server: its load, its tier of health (0 is trusted), own sessions there.
-    pub fn believed(&self, id: ServerId) -> Option<(f64, u32, i32)> {
+    pub fn server_estimate(&self, id: ServerId) -> Option<(f64, u32, i32)> {
         self.servers.get(id).map(|server| (self.load(id), self.tier(id), server.own))
     }
 
@@ -246,7 +246,7 @@
         let mut stale: Vec<ServerId> = ranked.iter().take(PROBES).copied().collect();
         stale.retain(|at| heard(at) + PROBE_FROM < self.now);
         let Some(session) = self.sessions.get_mut(id) else { return false };
-        let loaded = self.usual[0].is_some_and(|usual| usual > MIN_TH) && session.request.again;
+        let loaded = self.usual[0].is_some_and(|usual| usual > MIN_TH) && session.request.returning;
         let cheap = self.set.probes && self.set.probe_price <= PROBE_PRICE_MOST && !loaded;
         if !cheap || session.looked || ranked.len() < 2 || stale.is_empty() {
             return false;
@@ -531,7 +531,7 @@
         let short = self.servers.in_rack(rack).filter(|(_, s)| short(s)).count();
         let using = self.servers.in_rack(rack).filter(|(_, s)| s.own_kb > 0.0).count();
         // The only server with own sessions in its rack is told from its rack by its own link's figure.
-        let fresh = |heard: &(f64, Micros)| heard.1 + self.set.note_every > at;
+        let fresh = |heard: &(f64, Micros)| heard.1 + self.set.note_interval > at;
         let fresh = self.servers.get(id).is_some_and(|s| s.asked.as_ref().is_some_and(fresh));
         let lone = using == 1 && fresh && self.link_load(id) < LONE_PART * over;
         if short * 2 > using && (short > 1 || lone) {
@@ -557,7 +557,7 @@
     fn left(&self, session: &Session) -> f64 {
         let mean = self.lengths.get(session.request.class).copied().unwrap_or(LENGTH);
         let age = session.playing.map_or(0.0, |at| self.seconds_since(at));
-        match session.request.length {
+        match session.request.length_hint {
             // A hint is rough: a session past it plays on for a while.
             Some(length) => (length as f64 / SECOND as f64 - age).max(0.15 * mean),
             None => mean,
@@ -635,7 +635,7 @@
             self.servers.modify(at, |server| server.relieved = self.now);
         }
         let Some(rack) = self.rack_of(at) else { return };
-        let (load, summed) = (self.rack_load(rack), self.set.note_every + self.set.note_age);
+        let (load, summed) = (self.rack_load(rack), self.set.note_interval + self.set.note_age);
         let Some(state) = self.racks.get(rack) else { return };
         let heard = state.asked.map_or(state.short_at.max(self.now.saturating_sub(summed)), |asked| asked.1);
         if load > self.aim() + OVER && heard > state.relieved {
@@ -807,7 +807,7 @@
                 self.taken.iter().filter(|(at, first, many)| at + span > self.now && here(*first, *many));
             lately.count() as f64
         };
-        let again = (usize::from(session.request.again) * AGAIN) as f64;
+        let again = (usize::from(session.request.returning) * AGAIN) as f64;
         let since = self.taken.front().map_or(0, |(at, ..)| self.now - at);
         let sends = (asked(TAKEN_KEPT) + again) / since.min(TAKEN_KEPT).max(window).max(1) as f64;
         let sends = sends.max((asked(window) - 1.0) / window.max(1) as f64);
@@ -858,7 +858,7 @@
                 });
             }
             Event::Resolved { session, server } => self.resolved(session, *server, out),
-            Event::Left(id) => {
+            Event::ClientLeft(id) => {
                 // An attempt that is out still holds its seat until it ends.
                 self.sessions.retain(|other, s| other != id || s.at.is_some());
                 self.sessions.entry(id.clone()).and_modify(|s| s.answered = true);
@@ -952,12 +952,12 @@
     }
 
     fn list(&mut self, kind: ListKind, entries: &[ServerEntry], out: &mut Vec<Action>) {
-        if kind == ListKind::Lost {
+        if kind == ListKind::FetchFailed {
             out.push(Action::WakeAt(2, self.now + SECOND / 2));
             return;
         }
-        self.unsure &= kind == ListKind::Remembered;
-        if kind == ListKind::Remembered && self.set.list_on_demand {
+        self.unsure &= kind == ListKind::Cached;
+        if kind == ListKind::Cached && self.set.list_on_demand {
             out.push(Action::FollowList);
         }
         if kind != ListKind::Changes {
@@ -965,7 +965,7 @@
             self.servers.retain(&listed);
         }
         for entry in entries {
-            if entry.state == ServerState::Gone {
+            if entry.state == ServerState::Removed {
                 self.servers.remove(entry.server);
                 continue;
             }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -131,7 +131,7 @@
     /// A server turns set-ups away from this share of its link asked; 0 is never.
     pub refuses_from: f64,
     /// Time between link notes on a playing session; 0 is none.
-    pub note_every: Micros,
+    pub note_interval: Micros,
     /// Age of a note when it arrives.
     pub note_age: Micros,
     /// What a further viewer of a live title adds to a stream; 1 is the whole rate.
@@ -179,7 +179,7 @@
     /// Completes its sessions and takes no new one.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// A line of the server list.
@@ -207,11 +207,11 @@
     /// Changed lines only.
     Changes,
     /// The whole list.
-    Whole,
+    Complete,
     /// The whole list as this front had it before a restart; it may be old.
-    Remembered,
+    Cached,
     /// An ask for the list failed.
-    Lost,
+    FetchFailed,
 }
 
 /// A session to be set up, or one that plays already when the front starts.
@@ -228,7 +228,7 @@
     /// Time before the client stops waiting.
     pub patience: Micros,
     /// A guess of how long it is watched.
-    pub length: Option<Micros>,
+    pub length_hint: Option<Micros>,
     /// First cell that holds the title.
     pub first_cell: u32,
     /// Number of cells in a row that hold it.
@@ -238,7 +238,7 @@
     /// It was moved by this front.
     pub moved: bool,
     /// It is not the viewer's first try.
-    pub again: bool,
+    pub returning: bool,
 }
 
 /// How an attempt ended.
@@ -331,7 +331,7 @@
         server: ServerId,
     },
     /// The client has left; no answer is owed any more.
-    Left(SessionId),
+    ClientLeft(SessionId),
     /// News on a playing session.
     Note {
         /// Which session.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! Session control for a fleet of media servers by random early migration (REM).
 //!
 //! A front holds its viewers' sessions: for each it picks a server that holds the title, sets the rung of the
-//! ladder of rates, and may move the session or refuse it. [`brain::Brain`] makes these decisions. It has no
+//! ladder of rates, and may move the session or refuse it. [`controller::Controller`] makes these decisions. It has no
 //! clock, no I/O and no threads: the front tells it what happened and carries out what it answers.
 //!
 //! ```
-//! use salttally::brain::Brain;
+//! use salttally::controller::Controller;
 //! use salttally::interface::*;
 //!
 //! # let class = Class { aim: 1_000_000, effect: Effect::Safe, group: Group::All, window: 0, gain: 1.0, floor: 0,
@@ -13,41 +13,41 @@
 //! # let ladder = [(200.0, 0.2), (500.0, 0.6), (1000.0, 1.0)].map(|(kb, worth)| Rung { kb, worth }).to_vec();
 //! # let settings = Settings { fronts: 1, zone: 0, classes: vec![class], ladder, cells: 3, racks: 0,
 //! #     link_kb_per_unit: 5000.0, links_kb: 15000.0, uplink_kb: 0.0, kind_streams: vec![20], refuses_from: 1.0,
-//! #     note_every: 3_000_000, note_age: 800_000, shared_adds: 1.0, change_cost_s: 0.5,
+//! #     note_interval: 3_000_000, note_age: 800_000, shared_adds: 1.0, change_cost_s: 0.5,
 //! #     reports: vec![ReportField::Link], max_attempts: 3, probes: false, probe_price: 0.0,
 //! #     max_hold_off: 1_000_000,
 //! #     drain_grace: 1_000_000, warm_up: 12_000_000, cold_from: 0.4, fall_multiple: 2.0, fall_window: 1_000_000,
 //! #     list_on_demand: false, ask_within: 0, budget: None, move_price: 0.1, cross_price: 0.0 };
 //! // `settings` is what the front is configured with.
-//! let mut brain = Brain::new(settings, 7);
+//! let mut controller = Controller::new(settings, 7);
 //! let mut todo = Vec::new();
 //!
 //! // The list of servers arrives.
 //! let line = |id| ServerEntry { server: ServerId(id), cell: id, units: 1.0, ..ServerEntry::default() };
-//! brain.handle(1_000_000, &Event::Servers(ListKind::Whole, vec![line(0), line(1), line(2)]), &mut todo);
+//! controller.handle(1_000_000, &Event::Servers(ListKind::Complete, vec![line(0), line(1), line(2)]), &mut todo);
 //!
 //! // A viewer asks for a title, and the session is set up at a holder.
 //! let session = SessionId("s1".into());
 //! todo.clear();
 //! let request = Request { session: session.clone(), class: 0, viewer: ViewerId(9), title: TitleId(4),
-//!     patience: 4_000_000, length: None, first_cell: 0, cell_count: 3, top_rung: 2, moved: false, again: false };
-//! brain.handle(1_010_000, &Event::Request(request), &mut todo);
+//!     patience: 4_000_000, length_hint: None, first_cell: 0, cell_count: 3, top_rung: 2, moved: false, returning: false };
+//! controller.handle(1_010_000, &Event::Request(request), &mut todo);
 //! let Some(Action::SetUp(_, server, _)) = todo.last().cloned() else { panic!("{todo:?}") };
 //!
 //! // It plays, the server's link is heard of, and it ends.
 //! let began = Event::Started { session: session.clone(), server, took: 90_000 };
-//! brain.handle(1_100_000, &began, &mut todo);
+//! controller.handle(1_100_000, &began, &mut todo);
 //! let note = Event::Note { session: session.clone(), server, note: Note::Link(0.4) };
-//! brain.handle(4_000_000, &note, &mut todo);
+//! controller.handle(4_000_000, &note, &mut todo);
 //! let ended = Event::Ended { session, attempt: 0, server, outcome: Outcome::Ok, last: true, report: vec![0.4] };
-//! brain.handle(9_000_000, &ended, &mut todo);
+//! controller.handle(9_000_000, &ended, &mut todo);
 //! assert!(!todo.iter().any(|action| matches!(action, Action::Refuse(..) | Action::Fail(_))));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod brain;
-pub mod facts;
+pub mod controller;
 mod fleet;
 pub mod interface;
+pub mod platform_settings;
 mod state;
--- a/src/facts.rs
+++ b/src/platform_settings.rs
@@ -8,7 +8,7 @@
 
 /// Why a settings object cannot be used.
 #[derive(Debug, Error)]
-pub enum FactsError {
+pub enum PlatformSettingsError {
     /// Not JSON, or a field of a wrong kind; the text names the place.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
@@ -21,41 +21,41 @@
 const LONGEST_MS: f64 = 1e12;
 
 /// Whole microseconds of a time in milliseconds; what is negative or no number is 0.
-pub fn micros(ms: f64) -> Micros {
+pub fn micros_from_ms(ms: f64) -> Micros {
     (ms.clamp(0.0, LONGEST_MS) * 1000.0).round() as Micros
 }
 
 /// The settings, with the names and limits that the sockets need and no decision uses.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct PlatformSettings {
     /// What the module is told.
     pub settings: Settings,
     /// Names of the classes, in their places.
     pub class_names: Vec<String>,
     /// Names of the zones, in their places.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// Names of the kinds of box, in their places.
-    pub kinds: Vec<String>,
+    pub kind_names: Vec<String>,
     /// Names of the fields of a load report, in order.
-    pub report_names: Vec<String>,
+    pub report_field_names: Vec<String>,
     /// A connection that is not made within this time is not made.
-    pub connect_within: Micros,
+    pub connect_timeout: Micros,
     /// A connection that carries nothing for this long is closed by the box.
-    pub idle_closed: Micros,
+    pub idle_timeout: Micros,
     /// Set-ups that one connection carries at a time.
-    pub streams: usize,
+    pub streams_per_connection: usize,
     /// An answer counts so long after the viewer's patience.
     pub answer_slack: Micros,
     /// The longest that a viewer of any class waits.
     pub longest_patience: Micros,
 }
 
-impl Facts {
+impl PlatformSettings {
     /// Reads the object from its text.
     ///
     /// # Errors
     /// It is not JSON, or a field of it cannot be read.
-    pub fn parse(text: &str) -> Result<Facts, FactsError> {
+    pub fn parse(text: &str) -> Result<PlatformSettings, PlatformSettingsError> {
         read(serde_json::from_str(text)?)
     }
 
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// A field of it cannot be read.
-    pub fn from_value(value: serde_json::Value) -> Result<Facts, FactsError> {
+    pub fn from_value(value: serde_json::Value) -> Result<PlatformSettings, PlatformSettingsError> {
         read(serde_json::from_value(value)?)
     }
 }
@@ -186,24 +186,24 @@
 const CONNECT_MS: f64 = 250.0;
 const IDLE_MS: f64 = 15_000.0;
 
-fn read(facts: Told) -> Result<Facts, FactsError> {
+fn read(facts: Told) -> Result<PlatformSettings, PlatformSettingsError> {
     let domain = facts.domain;
     let top_of_ladder = domain.rung_kb.len().saturating_sub(1);
     let classes = facts.classes.iter().enumerate().map(|(at, class)| {
         Ok(Class {
-            aim: micros(class.aim_ms),
+            aim: micros_from_ms(class.aim_ms),
             effect: match class.effect.as_str() {
                 "idempotent" => Effect::Safe,
                 "deduplicated" => Effect::Deduplicated,
                 "at_most_once" => Effect::Once,
-                _ => return Err(FactsError::Effect(class.effect.clone())),
+                _ => return Err(PlatformSettingsError::Effect(class.effect.clone())),
             },
             group: match class.group.as_str() {
                 "zone" => Group::Zone,
                 "cell" => Group::Cell,
                 _ => Group::All,
             },
-            window: micros(class.window_ms),
+            window: micros_from_ms(class.window_ms),
             gain: class.gain,
             floor: domain.lowest_rung.get(at).copied().unwrap_or(0),
             top: domain.top_by_class.get(at).copied().unwrap_or(top_of_ladder),
@@ -226,7 +226,7 @@
     };
     let reported = facts.load_report.source != "none";
     let limits = facts.policy_limits;
-    let longest = facts.classes.iter().map(|class| micros(class.deadline_ms)).max().unwrap_or(0);
+    let longest = facts.classes.iter().map(|class| micros_from_ms(class.deadline_ms)).max().unwrap_or(0);
     let settings = Settings {
         fronts: facts.balancers,
         zone: facts.zone,
@@ -239,23 +239,23 @@
         uplink_kb: domain.uplink_kb,
         kind_streams: domain.kind_streams.iter().map(|streams| *streams as u32).collect(),
         refuses_from: domain.refuses_from,
-        note_every: micros(domain.reports_every_ms),
-        note_age: micros(domain.seen_after_ms),
+        note_interval: micros_from_ms(domain.reports_every_ms),
+        note_age: micros_from_ms(domain.seen_after_ms),
         shared_adds: domain.shared_adds.unwrap_or(1.0),
         change_cost_s: domain.change_costs_s,
         reports: if reported { facts.load_report.names.iter().map(field).collect() } else { Vec::new() },
         max_attempts: limits.max_attempts.unwrap_or(u32::MAX),
         probes: limits.probes,
-        max_hold_off: if limits.retry_after { micros(limits.max_retry_after_ms) } else { 0 },
-        drain_grace: micros(safety.drain_grace_ms),
-        warm_up: micros(safety.warm_up_ms),
+        max_hold_off: if limits.retry_after { micros_from_ms(limits.max_retry_after_ms) } else { 0 },
+        drain_grace: micros_from_ms(safety.drain_grace_ms),
+        warm_up: micros_from_ms(safety.warm_up_ms),
         cold_from: safety.cold_from.unwrap_or(1.0),
         fall_multiple: safety.fall_multiple,
-        fall_window: micros(safety.fall_ms),
+        fall_window: micros_from_ms(safety.fall_ms),
         list_on_demand: facts.discovery == "ask",
-        ask_within: micros(safety.ask_within_ms),
+        ask_within: micros_from_ms(safety.ask_within_ms),
         budget: safety.look_back_ms.map(|window| Budget {
-            window: micros(window),
+            window: micros_from_ms(window),
             free: safety.budget_free,
             share: safety.resend_ratio,
         }),
@@ -263,16 +263,16 @@
         move_price: facts.prices.moves,
         cross_price: facts.prices.cross_zone,
     };
-    Ok(Facts {
+    Ok(PlatformSettings {
         settings,
         class_names: facts.classes.into_iter().map(|class| class.name).collect(),
-        zones: facts.localities,
-        kinds: facts.host_types,
-        report_names: facts.load_report.names,
-        connect_within: micros(limits.connect_timeout_ms.unwrap_or(CONNECT_MS)),
-        idle_closed: micros(limits.conn_idle_ms.unwrap_or(IDLE_MS)),
-        streams: limits.max_streams.map_or(usize::MAX, |most| most.max(1.0) as usize),
-        answer_slack: micros(safety.answer_slack_ms),
+        zone_names: facts.localities,
+        kind_names: facts.host_types,
+        report_field_names: facts.load_report.names,
+        connect_timeout: micros_from_ms(limits.connect_timeout_ms.unwrap_or(CONNECT_MS)),
+        idle_timeout: micros_from_ms(limits.conn_idle_ms.unwrap_or(IDLE_MS)),
+        streams_per_connection: limits.max_streams.map_or(usize::MAX, |most| most.max(1.0) as usize),
+        answer_slack: micros_from_ms(safety.answer_slack_ms),
         longest_patience: longest,
     })
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -5,7 +5,7 @@
 use common::{line, settings, SECOND, START};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::*;
 
 /// One way in which a fleet meets a server that has just started.
@@ -43,34 +43,36 @@
     let weights: Vec<f64> =
         (0..fleet.alive).map(|at| if at % 10 == 0 { fleet.uneven } else { 1.0 }).collect();
     let all: f64 = weights.iter().sum();
-    let mut brains: Vec<(Brain, bool)> = (0..fleet.alive)
-        .map(|at| (Brain::new(set.clone(), seed * 1_000 + u64::from(at)), u64::from(at) % 10 >= fleet.born))
+    let mut controllers: Vec<(Controller, bool)> = (0..fleet.alive)
+        .map(|at| {
+            (Controller::new(set.clone(), seed * 1_000 + u64::from(at)), u64::from(at) % 10 >= fleet.born)
+        })
         .collect();
     let (mut sends, mut number, mut out) = (Vec::new(), 0u32, Vec::new());
-    for (brain, alive) in &mut brains {
+    for (controller, alive) in &mut controllers {
         if *alive {
-            brain.handle(START, &Event::Servers(ListKind::Whole, entries.clone()), &mut out);
+            controller.handle(START, &Event::Servers(ListKind::Complete, entries.clone()), &mut out);
         }
     }
     const STEP: Micros = SECOND / 50;
     let steps = (13 * SECOND + set.warm_up) / STEP;
     for step in 0..steps {
         let now = START + step * STEP;
-        for (at, (brain, alive)) in brains.iter_mut().enumerate() {
+        for (at, (controller, alive)) in controllers.iter_mut().enumerate() {
             out.clear();
             if now >= begins && !*alive {
                 *alive = true;
-                brain.handle(now, &Event::Servers(ListKind::Remembered, entries.clone()), &mut out);
-                brain.handle(now, &Event::Servers(ListKind::Whole, entries.clone()), &mut out);
+                controller.handle(now, &Event::Servers(ListKind::Cached, entries.clone()), &mut out);
+                controller.handle(now, &Event::Servers(ListKind::Complete, entries.clone()), &mut out);
             }
             if !*alive {
                 continue;
             }
             if (begins..begins + STEP).contains(&now) {
-                brain.handle(now, &Event::Servers(ListKind::Changes, vec![cold.clone()]), &mut out);
+                controller.handle(now, &Event::Servers(ListKind::Changes, vec![cold.clone()]), &mut out);
             }
             if step % 5 == 0 {
-                brain.handle(now, &Event::Wake(0), &mut out);
+                controller.handle(now, &Event::Wake(0), &mut out);
             }
             let wanted = if now < begins { fleet.wanted.0 } else { fleet.wanted.1 };
             let rate = wanted * weights[at] / all * STEP as f64 / SECOND as f64;
@@ -82,8 +84,8 @@
                     let cell = if here { 0 } else { 1 + number % (cells - 1) };
                     let mut ask = common::request(&format!("s{number}"), 0, cell, 1);
                     ask.title = TitleId(u64::from(cell) * 8 + u64::from(number % 8));
-                    ask.again = here && now >= begins && (draw() * 10.0) < fleet.again as f64;
-                    brain.handle(now, &Event::Request(ask), &mut out);
+                    ask.returning = here && now >= begins && (draw() * 10.0) < fleet.again as f64;
+                    controller.handle(now, &Event::Request(ask), &mut out);
                 }
             }
             let here = |action: &&Action| matches!(action, Action::SetUp(_, ServerId(0), _));
@@ -107,7 +109,7 @@
                     last: true,
                     report: Vec::new(),
                 };
-                brain.handle(now, &ended, &mut Vec::new());
+                controller.handle(now, &ended, &mut Vec::new());
             }
         }
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A small fleet to test the module with.
 #![allow(dead_code)]
 
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::*;
 
 pub const SECOND: Micros = 1_000_000;
@@ -36,7 +36,7 @@
         uplink_kb: 12_000.0,
         kind_streams: vec![20],
         refuses_from: 1.0,
-        note_every: 3 * SECOND,
+        note_interval: 3 * SECOND,
         note_age: SECOND,
         shared_adds: 1.0,
         change_cost_s: 0.5,
@@ -74,18 +74,18 @@
         viewer: ViewerId(viewer),
         title: TitleId(1),
         patience: 4 * SECOND,
-        length: Some(60 * SECOND),
+        length_hint: Some(60 * SECOND),
         first_cell,
         cell_count,
         top_rung: 3,
         moved: false,
-        again: false,
+        returning: false,
     }
 }
 
 /// A module under test and its clock.
 pub struct Bench {
-    pub brain: Brain,
+    pub controller: Controller,
     pub now: Micros,
 }
 
@@ -95,14 +95,14 @@
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let mut bench = Bench { brain: Brain::new(settings, seed), now: START };
-        bench.tell(Event::Servers(ListKind::Whole, (0..6).map(line).collect()));
+        let mut bench = Bench { controller: Controller::new(settings, seed), now: START };
+        bench.tell(Event::Servers(ListKind::Complete, (0..6).map(line).collect()));
         bench
     }
 
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
-        self.brain.handle(self.now, &event, &mut out);
+        self.controller.handle(self.now, &event, &mut out);
         out
     }
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,8 +6,8 @@
 
 #[test]
 fn the_draw_rises_from_the_lower_threshold_and_is_certain_from_the_upper() {
-    let brain = Bench::new(settings()).brain;
-    let p = |load| brain.move_probability(load);
+    let controller = Bench::new(settings()).controller;
+    let p = |load| controller.move_probability(load);
     assert_eq!((p(0.0), p(0.79), p(0.80)), (0.0, 0.0, 0.0));
     assert!((p(0.90) - p(0.999_999) / 2.0).abs() < 1e-4, "linear between the thresholds");
     assert!(p(0.85) > 0.0 && p(0.999) < 1.0);
@@ -16,8 +16,8 @@
 
 #[test]
 fn a_dear_move_is_drawn_less_often_but_stays_certain_above_the_upper_threshold() {
-    let dear = Bench::new(Settings { move_price: 0.2, ..settings() }).brain;
-    let cheap = Bench::new(Settings { move_price: 0.0, ..settings() }).brain;
+    let dear = Bench::new(Settings { move_price: 0.2, ..settings() }).controller;
+    let cheap = Bench::new(Settings { move_price: 0.0, ..settings() }).controller;
     assert!(dear.move_probability(0.9) < cheap.move_probability(0.9));
     assert_eq!(dear.move_probability(1.0), 1.0);
 }
@@ -166,7 +166,7 @@
 fn nothing_new_goes_to_a_server_told_as_draining_or_gone() {
     let mut bench = Bench::new(settings());
     let drain = ServerEntry { state: ServerState::Draining, ..line(0) };
-    let gone = ServerEntry { state: ServerState::Gone, ..line(1) };
+    let gone = ServerEntry { state: ServerState::Removed, ..line(1) };
     bench.tell(Event::Servers(ListKind::Changes, vec![drain, gone]));
     for n in 0..3 {
         let name = format!("s{n}");
@@ -190,12 +190,12 @@
 
 #[test]
 fn a_front_born_with_an_old_list_treats_servers_of_unknown_age_as_cold() {
-    let mut brain = salttally::brain::Brain::new(settings(), 1);
+    let mut controller = salttally::controller::Controller::new(settings(), 1);
     let mut out = Vec::new();
-    brain.handle(START, &Event::Servers(ListKind::Remembered, vec![line(0)]), &mut out);
+    controller.handle(START, &Event::Servers(ListKind::Cached, vec![line(0)]), &mut out);
     out.clear();
     for n in 0..20 {
-        brain.handle(START + n, &Event::Request(request(&format!("s{n}"), 0, 0, 1)), &mut out);
+        controller.handle(START + n, &Event::Request(request(&format!("s{n}"), 0, 0, 1)), &mut out);
     }
     assert!(out.iter().filter(|action| matches!(action, Action::SetUp(..))).count() <= 1);
 }
@@ -208,7 +208,7 @@
         ladder: vec![],
         kind_streams: vec![],
         reports: vec![],
-        note_every: 0,
+        note_interval: 0,
         warm_up: 0,
         fall_multiple: 0.0,
         link_kb_per_unit: 0.0,
@@ -220,13 +220,13 @@
         bench.end("nobody", 3, 9, Outcome::Broken, true);
         bench.note("nobody", 9, Note::Delivered(0.0));
         bench.note("nobody", 9, Note::Link(f64::NAN));
-        bench.tell(Event::Left(id("nobody")));
+        bench.tell(Event::ClientLeft(id("nobody")));
         bench.tell(Event::Wake(99));
         bench.tell(Event::Servers(ListKind::Changes, vec![line(0), line(0), line(77)]));
-        bench.tell(Event::Servers(ListKind::Lost, vec![]));
+        bench.tell(Event::Servers(ListKind::FetchFailed, vec![]));
         bench.ask(request("a", 0, 5, 9));
         assert!(refused(&bench.ask(request("b", 42, 0, 3))), "an unknown class is refused");
-        bench.tell(Event::Servers(ListKind::Whole, vec![]));
+        bench.tell(Event::Servers(ListKind::Complete, vec![]));
         assert!(refused(&bench.ask(request("c", 0, 0, 3))), "no server, no session");
     }
 }
--- a/tests/fleet_cost.rs
+++ b/tests/fleet_cost.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use common::*;
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::*;
 
 const USUAL: u32 = 200;
@@ -40,8 +40,8 @@
         uplink_kb: 30_000.0,
         ..settings()
     };
-    let mut bench = Bench { brain: Brain::new(set, 1), now: START };
-    bench.tell(Event::Servers(ListKind::Whole, (0..servers).map(entry).collect()));
+    let mut bench = Bench { controller: Controller::new(set, 1), now: START };
+    bench.tell(Event::Servers(ListKind::Complete, (0..servers).map(entry).collect()));
     let mut held = Vec::new();
     for number in 0..SESSIONS {
         let name = format!("held{number}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -13,7 +13,7 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::*;
 
 /// A session as the checker sees it.
@@ -44,7 +44,7 @@
 
 struct World {
     set: Settings,
-    brain: Brain,
+    controller: Controller,
     dice: Pcg32,
     now: Micros,
     seen: BTreeMap<SessionId, Seen>,
@@ -64,7 +64,7 @@
 
     fn tell(&mut self, event: Event) {
         let mut out = Vec::new();
-        self.brain.handle(self.now, &event, &mut out);
+        self.controller.handle(self.now, &event, &mut out);
         for action in out {
             self.check(action);
         }
@@ -209,12 +209,12 @@
                     viewer: ViewerId(self.roll(9)),
                     title: TitleId(self.roll(3)),
                     patience: SECOND / 10 + self.roll(4_000_000),
-                    length: Some(self.roll(60) * SECOND),
+                    length_hint: Some(self.roll(60) * SECOND),
                     first_cell: self.roll(6) as u32,
                     cell_count: 3,
                     top_rung: self.roll(4) as usize,
                     moved: self.roll(5) == 0,
-                    again: false,
+                    returning: false,
                 };
                 let deadline = self.now + request.patience;
                 let seen = Seen {
@@ -234,7 +234,7 @@
             4 => {
                 let server = ServerId(self.roll(8) as u32);
                 let state =
-                    [ServerState::Ready, ServerState::Draining, ServerState::Gone][self.roll(3) as usize];
+                    [ServerState::Ready, ServerState::Draining, ServerState::Removed][self.roll(3) as usize];
                 let started = (self.roll(2) == 0).then_some(self.now);
                 let entry = ServerEntry { state, started, ..line(server.0) };
                 match state {
@@ -312,7 +312,7 @@
     };
     let entries: Vec<_> = (0..6).map(line).collect();
     let mut world = World {
-        brain: Brain::new(set.clone(), seed),
+        controller: Controller::new(set.clone(), seed),
         set,
         dice: Pcg32::seed_from_u64(seed),
         now: START,
@@ -325,8 +325,8 @@
         taken: Vec::new(),
         further: Vec::new(),
     };
-    world.tell(Event::Servers(ListKind::Remembered, entries.clone()));
-    world.tell(Event::Servers(ListKind::Whole, entries));
+    world.tell(Event::Servers(ListKind::Cached, entries.clone()));
+    world.tell(Event::Servers(ListKind::Complete, entries));
     world
 }
 
@@ -356,27 +356,27 @@
     for (fronts, waves) in [(3u32, 60), (90, 6), (280, 6)] {
         let set = Settings { fronts, racks: 0, ..settings() };
         let entries: Vec<_> = (0..24).map(line).collect();
-        let mut brains: Vec<Brain> =
-            (0..fronts).map(|place| Brain::new(set.clone(), u64::from(place) * 77 + 1)).collect();
+        let mut controllers: Vec<Controller> =
+            (0..fronts).map(|place| Controller::new(set.clone(), u64::from(place) * 77 + 1)).collect();
         let begins = START + 13 * SECOND;
         let cold = ServerEntry { started: Some(begins), ..line(0) };
         let (mut sends, mut number) = (Vec::new(), 0);
-        for brain in &mut brains {
-            brain.handle(START, &Event::Servers(ListKind::Whole, entries.clone()), &mut Vec::new());
+        for controller in &mut controllers {
+            controller.handle(START, &Event::Servers(ListKind::Complete, entries.clone()), &mut Vec::new());
         }
         // Every front is asked for the cold server's titles, evenly before its start and over its warm-up.
         for step in 0..240u64 {
             let now = START + SECOND + step * SECOND / 10;
-            for (place, brain) in brains.iter_mut().enumerate() {
+            for (place, controller) in controllers.iter_mut().enumerate() {
                 let mut out = Vec::new();
                 if now == begins {
-                    brain.handle(now, &Event::Servers(ListKind::Changes, vec![cold.clone()]), &mut out);
+                    controller.handle(now, &Event::Servers(ListKind::Changes, vec![cold.clone()]), &mut out);
                 }
-                brain.handle(now, &Event::Wake(0), &mut out);
+                controller.handle(now, &Event::Wake(0), &mut out);
                 if (step + place as u64 * 7) % (120 / waves) == 0 {
                     number += 1;
                     let ask = common::request(&format!("s{number}"), 0, 0, 3);
-                    brain.handle(now, &Event::Request(ask), &mut out);
+                    controller.handle(now, &Event::Request(ask), &mut out);
                 }
                 sends.extend(out.iter().filter_map(|action| match action {
                     Action::SetUp(_, ServerId(0), _) if now >= begins => Some(now),
@@ -399,17 +399,17 @@
     let mut sends: Vec<Micros> = Vec::new();
     let begins = START + 10 * SECOND;
     for place in 0..80u32 {
-        let mut brain = Brain::new(set.clone(), u64::from(place) * 31 + 5);
+        let mut controller = Controller::new(set.clone(), u64::from(place) * 31 + 5);
         let mut out = Vec::new();
         let entries = (3..48).map(|id| ServerEntry { cell: id, ..line(id) }).collect();
-        brain.handle(START, &Event::Servers(ListKind::Whole, entries), &mut out);
+        controller.handle(START, &Event::Servers(ListKind::Complete, entries), &mut out);
         let cold = ServerEntry { started: Some(begins), ..line(0) };
-        brain.handle(begins, &Event::Servers(ListKind::Changes, vec![cold]), &mut out);
+        controller.handle(begins, &Event::Servers(ListKind::Changes, vec![cold]), &mut out);
         for n in 0..3u32 {
             let now = begins + SECOND * u64::from(n) + u64::from(place) * 10_000;
             let mut ask = common::request(&format!("s{place}-{n}"), 0, 0, 3);
-            ask.again = true;
-            brain.handle(now, &Event::Request(ask), &mut out);
+            ask.returning = true;
+            controller.handle(now, &Event::Request(ask), &mut out);
             sends
                 .extend(out.drain(..).filter(|a| matches!(a, Action::SetUp(_, ServerId(0), _))).map(|_| now));
         }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::*;
 
 fn many(fronts: u32) -> Settings {
@@ -172,9 +172,9 @@
 fn a_fleet_ten_times_the_size_is_handled() {
     let (links_kb, uplink_kb) = (3200.0 * 4000.0, 40_000.0);
     let set = Settings { fronts: 2800, cells: 3200, racks: 320, links_kb, uplink_kb, ..settings() };
-    let mut bench = Bench { brain: Brain::new(set, 1), now: START };
+    let mut bench = Bench { controller: Controller::new(set, 1), now: START };
     let entry = |id: u32| ServerEntry { cell: id, ..line(id) };
-    bench.tell(Event::Servers(ListKind::Whole, (0..3200).map(entry).collect()));
+    bench.tell(Event::Servers(ListKind::Complete, (0..3200).map(entry).collect()));
     for n in 0..50 {
         assert!(sent(&bench.after(SECOND).ask(request(&format!("s{n}"), 0, n * 60, 3))).is_some());
     }
