--- a/crates/daemon/tests/front_node.rs
+++ b/crates/daemon/tests/front_node.rs
@@ -37,7 +37,7 @@
     (0..CELLS).for_each(|at| platform.break_connections(at));
     let mut other = node.viewer();
     other.say(&Message::release(2, cause::NORMAL));
-    assert_eq!(other.next(SECOND), Some(Message::new(kind::HEARD, 2)));
+    assert_eq!(other.next(SECOND), Some(Message::new(kind::RELEASE_ACK, 2)));
     soon("it ends at its box", || platform.stands_at(2).is_none());
     assert!((3..=20).all(|id| platform.stands_at(id).is_some()));
     assert_eq!(viewer.next(SECOND / 4), None);
@@ -102,9 +102,12 @@
     rude(&[0, 3, 1]);
     rude(&[0, 200, 1, 0, 0]);
     rude(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 3, 0xff, 0xff]);
-    for (code, value) in
-        [(code::CLASS, "none"), (code::WAIT, "1e9999"), (code::FIGURES, "home:-1"), (code::TITLE, "")]
-    {
+    for (code, value) in [
+        (code::CLASS, "none"),
+        (code::WAIT_MS, "1e9999"),
+        (code::REQUEST_FIELDS, "home:-1"),
+        (code::TITLE, ""),
+    ] {
         let mut message = Viewer::request(7, "clip", CELLS);
         message.parameters.iter_mut().filter(|(c, _)| *c == code).for_each(|p| p.1 = value.into());
         let mut bytes = Vec::new();
@@ -113,7 +116,7 @@
     }
     let mut many = node.viewer();
     (1_000..1_400).for_each(|id| many.say(&Message::release(id, cause::NORMAL)));
-    assert!((0..400).all(|_| many.next(SECOND).is_some_and(|m| m.kind == kind::HEARD)));
+    assert!((0..400).all(|_| many.next(SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK)));
     for id in 1..=30 {
         assert_eq!(ask(&mut viewer, id, "clip").kind, kind::ANSWER);
     }
@@ -160,7 +163,7 @@
     handed
         .parameters
         .iter_mut()
-        .filter(|(c, _)| *c == code::FIGURES)
+        .filter(|(c, _)| *c == code::REQUEST_FIELDS)
         .for_each(|p| p.1 = figures.clone().into());
     viewer.say(&handed);
     viewer.say(&handed);
--- a/crates/daemon/tests/front_node_crossings.rs
+++ b/crates/daemon/tests/front_node_crossings.rs
@@ -20,7 +20,7 @@
 
 fn test(viewer: &mut Viewer) -> Option<u8> {
     viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
-    wait_for(viewer, kind::TESTED, 1).cause()
+    wait_for(viewer, kind::TEST_RESULT, 1).cause()
 }
 
 /// Told to end, and has heard it.
@@ -212,7 +212,7 @@
         let mut message = request_at(id, "paid", 0);
         for (code, value) in &mut message.parameters {
             match *code {
-                code::WAIT => *value = b"90000".to_vec(),
+                code::WAIT_MS => *value = b"90000".to_vec(),
                 code::DESCRIPTION => *value = vec![b'x'; 15_000],
                 _ => {}
             }
@@ -245,7 +245,7 @@
     });
     let last = last.expect("the kernel takes no more at last");
     viewer.say(&Message::release(last, cause::NORMAL));
-    wait_for(&mut viewer, kind::HEARD, last);
+    wait_for(&mut viewer, kind::RELEASE_ACK, last);
     let came = rest(&mut line, SECOND);
     let set_ups: Vec<u64> = came.iter().filter(|m| m.kind == kind::SET_UP).map(|m| m.session).collect();
     assert!(set_ups.len() > 10 && !set_ups.contains(&last), "{last}: {:?}", set_ups.last());
@@ -286,7 +286,7 @@
     wait_for(&mut first, kind::SET_UP, 1);
     // Nothing comes; the time-out takes it back and tries again.
     wait_for(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::HEARD, 1));
+    first.say(&Message::new(kind::RELEASE_ACK, 1));
     let mut second = hands.accept(0);
     wait_for(&mut second, kind::SET_UP, 1);
     first.say(&Message::release(1, cause::FULL));
@@ -346,7 +346,7 @@
     viewer.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(viewer.next(SECOND), None, "the front node has seen it go");
     line.say(&Message::release(1, cause::NORMAL));
-    wait_for(&mut line, kind::HEARD, 1);
+    wait_for(&mut line, kind::RELEASE_ACK, 1);
     let mut next = node.viewer();
     next.say(&Message::new(kind::TEST, 9).with(code::CAUSE, [0]));
     assert_eq!(next.next(SECOND), Some(Message::release(1, cause::NORMAL)));
@@ -362,9 +362,9 @@
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     line.say(&Message::release(77, cause::NORMAL));
-    wait_for(&mut line, kind::HEARD, 77);
+    wait_for(&mut line, kind::RELEASE_ACK, 77);
     let figures = "home:0;copies:1;top:1;viewer:000000000000004d;at:s-00000001";
-    let handed = with(request_at(77, "clip", 0), code::FIGURES, figures);
+    let handed = with(request_at(77, "clip", 0), code::REQUEST_FIELDS, figures);
     let mut other = node.viewer();
     other.say(&handed);
     assert_eq!(other.next(SECOND), Some(Message::release(77, cause::NORMAL)));
@@ -383,7 +383,7 @@
     let fillers = hands.deafen(0);
     let mut viewer = node.viewer();
     let message = request_at(1, "paid", 0);
-    let message = with(message, code::WAIT, "9000");
+    let message = with(message, code::WAIT_MS, "9000");
     viewer.say(&message);
     assert_eq!(test(&mut node.viewer()), Some(1));
     hands.frame(2, &[(0, 1)]);
@@ -437,7 +437,7 @@
     let rude = node.viewer();
     let at = rude.stream.local_addr().unwrap();
     let (mut tests, mut answer) = (Vec::new(), Vec::new());
-    Message::new(kind::TESTED, 0).with(code::CAUSE, [1]).write(&mut answer);
+    Message::new(kind::TEST_RESULT, 0).with(code::CAUSE, [1]).write(&mut answer);
     (0..1_000).for_each(|id| Message::new(kind::TEST, id).with(code::CAUSE, [0]).write(&mut tests));
     // Until the kernel takes no more of what is said to it, and some of that waits in the front node.
     let full = (1..1_000).any(|round| {
--- a/crates/daemon/tests/front_node_gone.rs
+++ b/crates/daemon/tests/front_node_gone.rs
@@ -116,7 +116,7 @@
     thread::sleep(SECOND / 2);
     node.signal(Signal::CONT);
     for (line, id) in kept.iter_mut().zip(1_000..) {
-        wait_for(line, kind::HEARD, id);
+        wait_for(line, kind::RELEASE_ACK, id);
     }
     thread::sleep(300 * MS);
     set_ups(&platform, |id| (1_000..1_010).contains(&id))
@@ -169,7 +169,7 @@
             assert!(Instant::now() < until, "no first attempt");
         };
         node.stop();
-        lines[at].say(&Message::release(id, cause::MOOT));
+        lines[at].say(&Message::release(id, cause::NOT_SENT));
         let kept = match closes {
             true => {
                 drop(leaving);
--- a/crates/daemon/tests/front_node_list.rs
+++ b/crates/daemon/tests/front_node_list.rs
@@ -41,7 +41,7 @@
                 while let Some(message) = line.next(60 * SECOND) {
                     if message.kind == kind::SET_UP {
                         came.lock().unwrap().push(Instant::now());
-                        line.say(&Message::release(message.session, cause::MOOT));
+                        line.say(&Message::release(message.session, cause::NOT_SENT));
                     }
                 }
             });
@@ -229,7 +229,7 @@
     hands.frame(0, &[]);
     let came = turns_away(&hands, 0);
     let mut viewer = node.viewer();
-    viewer.say(&with(request_at(7, "clip", 0), code::WAIT, "1000"));
+    viewer.say(&with(request_at(7, "clip", 0), code::WAIT_MS, "1000"));
     assert!(viewer.next(2 * SECOND).is_some());
     assert!(!came.lock().unwrap().is_empty());
 }
@@ -387,7 +387,7 @@
             "1 s after it was announced as leaving"
         );
     }
-    viewer.say(&with(request_at(3, "clip", 1), code::WAIT, "1000"));
+    viewer.say(&with(request_at(3, "clip", 1), code::WAIT_MS, "1000"));
     let mut other = hands.accept(1);
     wait_for(&mut other, kind::SET_UP, 3);
 }
--- a/crates/daemon/tests/front_node_process.rs
+++ b/crates/daemon/tests/front_node_process.rs
@@ -100,7 +100,8 @@
             (first..first + 10)
                 .for_each(|id| viewer.say(&salttally_platform::wire::Message::release(id, 16)));
         }
-        let ended = |viewer: &mut Viewer| viewer.next(5 * SECOND).is_some_and(|m| m.kind == kind::HEARD);
+        let ended =
+            |viewer: &mut Viewer| viewer.next(5 * SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK);
         assert!(viewers.iter_mut().all(|viewer| (0..10).all(|_| ended(viewer))));
     };
     // The first one fills what the allocator keeps, the next ones must find it.
--- a/crates/daemon/tests/front_node_retries.rs
+++ b/crates/daemon/tests/front_node_retries.rs
@@ -46,7 +46,7 @@
     let mut viewer = node.viewer();
     let mut first = first_attempt_given_up(&mut hands, &viewer);
     wait_for(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::HEARD, 1));
+    first.say(&Message::new(kind::RELEASE_ACK, 1));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     let late = Message::new(kind::ANSWER, 1).with(code::DESCRIPTION, "made by the first attempt");
--- a/crates/daemon/tests/front_node_shutdown.rs
+++ b/crates/daemon/tests/front_node_shutdown.rs
@@ -44,7 +44,7 @@
     let mut id = 1_000;
     while Instant::now() < kill && closed.is_none() {
         id += 1;
-        let request = with(Viewer::request(id, "paid", CELLS), code::WAIT, deadline_ms.to_string());
+        let request = with(Viewer::request(id, "paid", CELLS), code::WAIT_MS, deadline_ms.to_string());
         viewer.say(&request);
         open.insert(id, Instant::now());
         let next = Instant::now() + 25 * MS;
--- a/crates/daemon/tests/node/hand.rs
+++ b/crates/daemon/tests/node/hand.rs
@@ -227,5 +227,5 @@
 /// A request for a title that one cell holds.
 pub fn request_at(id: u64, class: &str, cell: usize) -> Message {
     let figures = format!("home:{cell};copies:1;top:1;viewer:{id:016x}");
-    with(Viewer::request(id, class, 1), code::FIGURES, figures)
+    with(Viewer::request(id, class, 1), code::REQUEST_FIELDS, figures)
 }
--- a/crates/platform/src/core/clients.rs
+++ b/crates/platform/src/core/clients.rs
@@ -27,10 +27,10 @@
             kind::RELEASE => self.client_release(client, &message, out),
             kind::TEST => {
                 let passed = u8::from(self.ready());
-                let answer = Message::new(kind::TESTED, message.session).with(code::CAUSE, [passed]);
+                let answer = Message::new(kind::TEST_RESULT, message.session).with(code::CAUSE, [passed]);
                 out.push(Command::SendToClient(client, answer));
             }
-            kind::HEARD => self.end_heard(client, message.session),
+            kind::RELEASE_ACK => self.end_heard(client, message.session),
             kind::PROGRESS => {}
             _ => self.close_client(client, out),
         }
@@ -68,7 +68,7 @@
                 out.push(Command::Log(Level::Debug, format!("request {id:016x}: {why}")));
                 match self.sessions.contains_key(&id) {
                     true => self.close_client(client, out),
-                    false => out.push(Command::SendToClient(client, Message::release(id, cause::UNUSABLE))),
+                    false => out.push(Command::SendToClient(client, Message::release(id, cause::INVALID))),
                 }
             }
             Ok((opening, Some(at))) => self.resume(client, id, opening, ServerId(at), out),
@@ -80,7 +80,7 @@
             // The process ends, and nothing is sent on any more: whoever asks may ask elsewhere at once.
             Ok((_, None)) if self.refuses_requests() => {
                 self.counts.refused += 1;
-                out.push(Command::SendToClient(client, Message::release(id, cause::MOOT)));
+                out.push(Command::SendToClient(client, Message::release(id, cause::NOT_SENT)));
             }
             Ok((opening, None)) => {
                 let moved = self.moved.remove(&opening.viewer);
@@ -115,18 +115,18 @@
         let names = &self.facts.class_names;
         let class = text(code::CLASS)?;
         let class = names.iter().position(|n| n == class).ok_or(Unusable::Value(code::CLASS))?;
-        let figures = Figures::read(text(code::FIGURES)?)?;
+        let figures = Figures::read(text(code::REQUEST_FIELDS)?)?;
         let set = &self.facts.settings;
         let in_ring = figures.home < set.cells.max(1) && (1..=set.cells.max(1)).contains(&figures.copies);
         if !in_ring || figures.top >= set.ladder.len() {
-            return Err(Unusable::Value(code::FIGURES));
+            return Err(Unusable::Value(code::REQUEST_FIELDS));
         }
-        let patience = words::time(message, code::WAIT)?;
+        let patience = words::time(message, code::WAIT_MS)?;
         let patience = match (patience, figures.at) {
-            (Some(0), None) => return Err(Unusable::Value(code::WAIT)),
+            (Some(0), None) => return Err(Unusable::Value(code::WAIT_MS)),
             (Some(patience), _) => patience,
             (None, Some(_)) => 0,
-            (None, None) => return Err(Unusable::Missing(code::WAIT)),
+            (None, None) => return Err(Unusable::Missing(code::WAIT_MS)),
         };
         if figures.at.is_none() && message.get(code::DESCRIPTION).is_none_or(<[u8]>::is_empty) {
             return Err(Unusable::Missing(code::DESCRIPTION));
@@ -140,7 +140,7 @@
             cell_count: figures.copies,
             top_rung: figures.top,
             patience,
-            length: words::time(message, code::HINT)?,
+            length: words::time(message, code::LENGTH_HINT_MS)?,
             returned: figures.again,
             moved_from: None,
         };
@@ -180,7 +180,7 @@
     /// A client takes a request back, or ends what stands.
     fn client_release(&mut self, client: ClientId, message: &Message, out: &mut Vec<Command>) {
         let id = message.session;
-        out.push(Command::SendToClient(client, Message::new(kind::HEARD, id)));
+        out.push(Command::SendToClient(client, Message::new(kind::RELEASE_ACK, id)));
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         if entry.session.owed() {
             self.give_up(id, out);
@@ -239,7 +239,7 @@
         self.log_answer(id, "refused", out);
         let mut answer = Message::release(id, cause::FULL);
         if hold_off > 0 {
-            answer = answer.with(code::HOLD_OFF, hold_off.div_ceil(1000).to_string());
+            answer = answer.with(code::HOLD_OFF_MS, hold_off.div_ceil(1000).to_string());
         }
         self.counts.refused += u64::from(self.answer(id, answer, out));
     }
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -533,8 +533,9 @@
         session.stage = Stage::Trying(attempt);
         let mut message = Message::new(kind::SET_UP, id);
         message.parameters.clone_from(&entry.passed);
-        let message =
-            message.with(code::WAIT, (time_out / 1000).max(1).to_string()).with(code::RUNG, rung.to_string());
+        let message = message
+            .with(code::WAIT_MS, (time_out / 1000).max(1).to_string())
+            .with(code::RUNG, rung.to_string());
         let to = (server, address);
         entry.conn = self.pool.set_up(self.now, to, message, &entry.before, &mut self.timers, out);
         if entry.conn.is_some() {
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -111,7 +111,7 @@
         match message.kind {
             kind::ANSWER => self.answered(server, conn, message, out),
             kind::RELEASE => {
-                out.push(Command::SendToServer(conn, Message::new(kind::HEARD, id)));
+                out.push(Command::SendToServer(conn, Message::new(kind::RELEASE_ACK, id)));
                 self.give_up_heard(id, conn, out);
                 self.release_answered(id, server);
                 self.server_released(server, conn, message, out);
@@ -128,7 +128,7 @@
                 }
                 self.events.push_back(Event::Note { session: name(id), server, note });
             }
-            kind::TESTED => {
+            kind::TEST_RESULT => {
                 if self.probes.get(&id).is_some_and(|(of, _)| *of == server) {
                     self.probes.remove(&id);
                     let outcome = if message.cause() == Some(1) { Outcome::Ok } else { Outcome::Failed };
@@ -136,7 +136,7 @@
                     self.events.push_back(Event::Probed { server, outcome, report });
                 }
             }
-            kind::HEARD => {
+            kind::RELEASE_ACK => {
                 self.give_up_heard(id, conn, out);
                 self.release_answered(id, server);
             }
@@ -252,7 +252,7 @@
         let outcome = match cause {
             Some(cause::FULL) => Outcome::Full,
             Some(cause::ERROR) => Outcome::Failed,
-            Some(cause::MOOT) => Outcome::NotSent,
+            Some(cause::NOT_SENT) => Outcome::NotSent,
             _ => Outcome::Broken,
         };
         self.attempt_ended(id, outcome, report);
@@ -356,8 +356,8 @@
 }
 
 fn note(message: &Message) -> Option<Note> {
-    let figure = message.text(code::FIGURE).and_then(words::number)?;
-    match message.text(code::NOTE)? {
+    let figure = message.text(code::NOTE_VALUE).and_then(words::number)?;
+    match message.text(code::NOTE_KIND)? {
         "got" => Some(Note::Delivered(figure)),
         "level" => Some(Note::Rung(figure.max(0.0) as usize)),
         "port" => Some(Note::Link(figure)),
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -145,9 +145,9 @@
 fn request(id: u64, class: &str, more: &str) -> Message {
     Message::new(kind::SET_UP, id)
         .with(code::CLASS, class)
-        .with(code::WAIT, "4000")
+        .with(code::WAIT_MS, "4000")
         .with(code::TITLE, "7f3a9c21e0b4d655")
-        .with(code::FIGURES, format!("home:0;copies:3;top:2;viewer:{id:016x}{more}"))
+        .with(code::REQUEST_FIELDS, format!("home:0;copies:3;top:2;viewer:{id:016x}{more}"))
         .with(code::DESCRIPTION, "offer")
 }
 
@@ -266,7 +266,7 @@
     bench.now += SECOND / 2;
     bench.tick_unclosed();
     bench.core.decider.0.push_back(again);
-    let second = asks(&mut bench, NodeEvent::ServerMessage(first, Message::new(kind::HEARD, 9)));
+    let second = asks(&mut bench, NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
     assert_ne!(first, second);
     assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(first, answer(9)))).count(), 0);
     assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(second, answer(9)))).count(), 1);
@@ -285,7 +285,7 @@
         assert!(out.iter().any(|o| matches!(o, Command::Connect(..))), "{out:?}");
     }
     // Turned away unseen, and moot.
-    for (cause, again) in [(cause::FULL, true), (cause::MOOT, true), (cause::ERROR, false), (99, false)] {
+    for (cause, again) in [(cause::FULL, true), (cause::NOT_SENT, true), (cause::ERROR, false), (99, false)] {
         let mut bench = Bench::new();
         let out = bench.ask(9, "paid");
         let out = bench.made(&out);
@@ -358,7 +358,7 @@
     let (mut bench, out) = asked();
     let out = bench.made(&out);
     let (conn, message) = sent(&out, kind::TEST)[0];
-    let passed = Message::new(kind::TESTED, message.session).with(code::CAUSE, [1]);
+    let passed = Message::new(kind::TEST_RESULT, message.session).with(code::CAUSE, [1]);
     bench.tell(NodeEvent::ServerMessage(conn, passed.with(code::REPORT, "active:3;x0:0.5")));
     bench.after(SECOND);
     let heard: Vec<_> = bench.core.decider.1.iter().filter_map(probed).collect();
@@ -489,7 +489,7 @@
     bench.tell(NodeEvent::ClientConnected(ClientId(2)));
     let out = bench.tell(NodeEvent::ClientMessage(ClientId(2), Message::release(1, 16)));
     let kinds: Vec<u8> = said(&out).map(|m| m.kind).collect();
-    assert_eq!(kinds, [kind::HEARD]);
+    assert_eq!(kinds, [kind::RELEASE_ACK]);
     assert_eq!(sent(&out, kind::RELEASE).len(), 1);
     assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(conn, Message::release(1, 31)))).count(), 0);
     assert!(bench.core.sessions.is_empty());
@@ -568,13 +568,13 @@
     };
     for (n, message) in [
         bad(11, code::CLASS, "gold"),
-        bad(12, code::WAIT, "-4"),
-        bad(13, code::WAIT, "nan"),
+        bad(12, code::WAIT_MS, "-4"),
+        bad(13, code::WAIT_MS, "nan"),
         bad(14, code::TITLE, "seven"),
-        bad(15, code::HINT, "1e300"),
-        bad(16, code::FIGURES, "home:9;copies:3;top:2;viewer:0000000000000010"),
-        bad(17, code::FIGURES, "home:0;copies:4;top:2;viewer:0000000000000010"),
-        bad(18, code::FIGURES, "home:0;copies:3;top:3;viewer:0000000000000010"),
+        bad(15, code::LENGTH_HINT_MS, "1e300"),
+        bad(16, code::REQUEST_FIELDS, "home:9;copies:3;top:2;viewer:0000000000000010"),
+        bad(17, code::REQUEST_FIELDS, "home:0;copies:4;top:2;viewer:0000000000000010"),
+        bad(18, code::REQUEST_FIELDS, "home:0;copies:3;top:3;viewer:0000000000000010"),
         bad(19, code::DESCRIPTION, ""),
         request(0, "clip", ""),
         Message::new(kind::SET_UP, 21),
@@ -584,7 +584,7 @@
     {
         let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), message));
         let answers: Vec<_> = said(&out).map(|m| (m.kind, m.cause())).collect();
-        assert_eq!(answers, [(kind::RELEASE, Some(cause::UNUSABLE))], "{n}");
+        assert_eq!(answers, [(kind::RELEASE, Some(cause::INVALID))], "{n}");
     }
     assert_eq!((bench.core.counts().taken, bench.core.counts().unusable), (0, 11));
 }
@@ -669,9 +669,9 @@
     bench.tell(NodeEvent::ClientMessage(ClientId(1), request(2, "clip", "").with(33, "5")));
     assert_eq!(bench.core.moved.len(), 1, "another viewer");
     let mut back = request(3, "clip", "");
-    back.parameters.retain(|(code, _)| *code != code::FIGURES);
+    back.parameters.retain(|(code, _)| *code != code::REQUEST_FIELDS);
     let figures = format!("home:0;copies:3;top:2;viewer:{:016x};again:1", 1);
-    bench.tell(NodeEvent::ClientMessage(ClientId(1), back.with(code::FIGURES, figures)));
+    bench.tell(NodeEvent::ClientMessage(ClientId(1), back.with(code::REQUEST_FIELDS, figures)));
     assert!(bench.core.moved.is_empty());
 }
 
@@ -786,7 +786,7 @@
     bench.told(1, 6, Payload::Changes(lines.collect()));
     let out = bench.ask(9, "paid");
     let answer = said(&out).next().expect("at once");
-    assert_eq!((answer.cause(), answer.text(code::HOLD_OFF)), (Some(cause::FULL), Some("1000")));
+    assert_eq!((answer.cause(), answer.text(code::HOLD_OFF_MS)), (Some(cause::FULL), Some("1000")));
     assert!(bench.core.sessions.is_empty());
 }
 
@@ -824,7 +824,7 @@
     assert_eq!(said(&out).collect::<Vec<_>>(), [&released]);
     let out = bench.tell(NodeEvent::ServerMessage(other, released));
     assert_eq!(said(&out).count(), 0);
-    assert_eq!(sent(&out, kind::HEARD).len(), 1);
+    assert_eq!(sent(&out, kind::RELEASE_ACK).len(), 1);
 }
 
 #[test]
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -152,7 +152,7 @@
         bench.now += SECOND / 2;
         bench.tick_unclosed();
         bench.core.decider.0.push_back(again);
-        let out = bench.tell(NodeEvent::ServerMessage(first, Message::new(kind::HEARD, 9)));
+        let out = bench.tell(NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
         let made = bench.made(&out);
         let (second, _) = set_up(&made).unwrap();
         assert_ne!(first, second);
@@ -179,7 +179,7 @@
         set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
     let first = attempt(&mut bench, 9, NodeEvent::ClientMessage(ClientId(1), request(9, "clip", "")));
-    let turned_away = NodeEvent::ServerMessage(first, Message::release(9, cause::MOOT));
+    let turned_away = NodeEvent::ServerMessage(first, Message::release(9, cause::NOT_SENT));
     let second = attempt(&mut bench, 9, turned_away);
     assert_ne!(first, second);
     bench.tell(NodeEvent::ServerMessage(second, answer(9)));
@@ -198,12 +198,12 @@
 #[test]
 fn a_server_gets_no_second_attempt_until_it_has_shown_that_the_first_is_over() {
     let shown = [
-        (Some(Message::new(kind::HEARD, 9)), None, true),
+        (Some(Message::new(kind::RELEASE_ACK, 9)), None, true),
         (Some(Message::release(9, cause::FULL)), None, true),
         (None, Some(NodeEvent::ServerClosed as fn(ConnId) -> NodeEvent), true),
         (None, Some(NodeEvent::ServerLost as fn(ConnId) -> NodeEvent), false),
         (Some(answer(9)), None, false),
-        (Some(Message::new(kind::HEARD, 8)), None, false),
+        (Some(Message::new(kind::RELEASE_ACK, 8)), None, false),
     ];
     for (says, ends, is_over) in shown {
         let mut bench = Bench::with(Puppet::default());
@@ -348,7 +348,7 @@
         bench.after(SECOND / 100);
     }
     let out = bench.ask(2, "paid");
-    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::MOOT)]);
+    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::NOT_SENT)]);
     assert!(no_set_up(&out) && !out.iter().any(|o| matches!(o, Command::Connect(..))));
 }
 
@@ -480,7 +480,7 @@
 #[test]
 fn a_session_that_is_over_before_its_answer_has_left_is_not_told_to_play() {
     let (mut bench, conn) = written("paid");
-    let note = Message::new(kind::NOTE, 9).with(code::NOTE, "port").with(code::FIGURE, "0.5");
+    let note = Message::new(kind::NOTE, 9).with(code::NOTE_KIND, "port").with(code::NOTE_VALUE, "0.5");
     let end = |cause| Message::release(9, cause);
     let out = bench.tell(NodeEvent::ServerMessages(conn, vec![answer(9), note, end(cause::ON_PURPOSE)]));
     let told: Vec<Option<u8>> = said(&out).map(Message::cause).collect();
--- a/crates/platform/src/core/tests/gone.rs
+++ b/crates/platform/src/core/tests/gone.rs
@@ -49,7 +49,7 @@
         let out = bench.ask(9, "clip");
         let out = bench.made(&out);
         let (conn, _) = set_up(&out).unwrap();
-        let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::MOOT));
+        let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::NOT_SENT));
         bench.core.handle(bench.now, turned_away, &mut bench.out);
         let out = bench.tell(way.clone());
         assert!(!out.iter().any(|o| matches!(o, Command::Connect(..))), "{way:?}: {out:?}");
--- a/crates/platform/src/core/tests/releases.rs
+++ b/crates/platform/src/core/tests/releases.rs
@@ -50,7 +50,7 @@
         let out = bench.tell(NodeEvent::ServerMessage(conn, end.clone()));
         assert_eq!(said(&out).collect::<Vec<_>>(), [&end]);
         if hears {
-            bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::HEARD, 1)));
+            bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::RELEASE_ACK, 1)));
         }
         bench.tell(NodeEvent::ClientClosed(ClientId(1)));
         bench.tell(NodeEvent::ClientConnected(ClientId(2)));
--- a/crates/platform/src/core/tests/shutdown.rs
+++ b/crates/platform/src/core/tests/shutdown.rs
@@ -35,7 +35,7 @@
     let mut bench = ending(9_000_000);
     bench.after(SECOND);
     let out = bench.ask(10, "paid");
-    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::MOOT)]);
+    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::NOT_SENT)]);
     assert!(set_up(&out).is_none() && !out.iter().any(|command| matches!(command, Command::Connect(..))));
 }
 
--- a/crates/platform/src/node/connection.rs
+++ b/crates/platform/src/node/connection.rs
@@ -186,7 +186,7 @@
     let mut decoder = Decoder::default();
     decoder.feed(&bytes[if end > sent { from } else { end }..]);
     let mut messages = Vec::new();
-    while let Ok(Some(message)) = decoder.take() {
+    while let Ok(Some(message)) = decoder.next_message() {
         messages.push(message);
     }
     let cut = (end > sent).then(|| messages.remove(0));
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -709,7 +709,7 @@
         let (id, is_client) = (token & !KINDS, token & KINDS == CLIENT);
         let mut messages = Vec::new();
         let unreadable = loop {
-            match connection.decoder.take() {
+            match connection.decoder.next_message() {
                 Ok(Some(message)) => {
                     connection.crossed[0] += 1;
                     trace_message("in", token, &message);
--- a/crates/platform/src/wire/mod.rs
+++ b/crates/platform/src/wire/mod.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// A message is no longer than this, its length field included.
-pub const LONGEST: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 const HEAD: usize = 2 + 1 + 8;
 
 /// Types of message.
@@ -21,7 +21,7 @@
     /// Refusal, give-up, failure, or the end of what stands; the cause tells.
     pub const RELEASE: u8 = 12;
     /// A release was heard.
-    pub const HEARD: u8 = 16;
+    pub const RELEASE_ACK: u8 = 16;
     /// A note on a session that stands.
     pub const NOTE: u8 = 44;
     /// The session is moved.
@@ -29,7 +29,7 @@
     /// A test.
     pub const TEST: u8 = 52;
     /// Its result.
-    pub const TESTED: u8 = 53;
+    pub const TEST_RESULT: u8 = 53;
     /// A new rung.
     pub const RUNG: u8 = 60;
 }
@@ -39,23 +39,23 @@
     /// Class, by name.
     pub const CLASS: u8 = 3;
     /// Time for which the sender waits, ms.
-    pub const WAIT: u8 = 6;
+    pub const WAIT_MS: u8 = 6;
     /// Title, 16 hex digits.
     pub const TITLE: u8 = 15;
     /// Figures of a request.
-    pub const FIGURES: u8 = 18;
+    pub const REQUEST_FIELDS: u8 = 18;
     /// Time to stay away, ms.
-    pub const HOLD_OFF: u8 = 21;
+    pub const HOLD_OFF_MS: u8 = 21;
     /// Kind of a note.
-    pub const NOTE: u8 = 24;
+    pub const NOTE_KIND: u8 = 24;
     /// A load report.
     pub const REPORT: u8 = 30;
     /// A guess of the length, ms.
-    pub const HINT: u8 = 33;
+    pub const LENGTH_HINT_MS: u8 = 33;
     /// Rung, counted from 0.
     pub const RUNG: u8 = 36;
     /// Figure of a note.
-    pub const FIGURE: u8 = 39;
+    pub const NOTE_VALUE: u8 = 39;
     /// Cause, one byte.
     pub const CAUSE: u8 = 45;
     /// Description.
@@ -77,15 +77,15 @@
     /// An error.
     pub const ERROR: u8 = 47;
     /// What was sent cannot be used.
-    pub const UNUSABLE: u8 = 100;
+    pub const INVALID: u8 = 100;
     /// Moot: it never left.
-    pub const MOOT: u8 = 102;
+    pub const NOT_SENT: u8 = 102;
 }
 
 /// Why a peer's bytes cannot be read; nothing after them can be either.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unreadable {
-    /// The length is too small for a message, or over [`LONGEST`].
+pub enum DecodeError {
+    /// The length is too small for a message, or over [`MAX_MESSAGE_BYTES`].
     #[error("a message of {0} bytes")]
     Length(usize),
     /// A parameter ends past its message.
@@ -161,25 +161,25 @@
         }
     }
 
-    fn read(body: &[u8]) -> Result<Message, Unreadable> {
+    fn read(body: &[u8]) -> Result<Message, DecodeError> {
         let (Some(kind), Some(id)) = (body.first(), body.get(1..9)) else {
-            return Err(Unreadable::Length(body.len()));
+            return Err(DecodeError::Length(body.len()));
         };
         let known = matches!(*kind, 1 | 6 | 9 | 12 | 16 | 44 | 51 | 52 | 53 | 60);
         if !known {
-            return Err(Unreadable::Kind(*kind));
+            return Err(DecodeError::Kind(*kind));
         }
         let session = id.iter().fold(0, |id, byte| id << 8 | u64::from(*byte));
         let mut message = Message::new(*kind, session);
         let mut rest = &body[9..];
         while let Some((code, after)) = rest.split_first() {
             let size = after.get(..2).map(|b| usize::from(b[0]) << 8 | usize::from(b[1]));
-            let value = size.and_then(|size| after.get(2..2 + size)).ok_or(Unreadable::Parameter)?;
+            let value = size.and_then(|size| after.get(2..2 + size)).ok_or(DecodeError::Parameter)?;
             if *code == 0 || *code > code::DESCRIPTION || *code % code::STEP != 0 {
-                return Err(Unreadable::Code(*code));
+                return Err(DecodeError::Code(*code));
             }
             if message.get(*code).is_some() {
-                return Err(Unreadable::Twice(*code));
+                return Err(DecodeError::Twice(*code));
             }
             message.parameters.push((*code, value.to_vec()));
             rest = &after[2 + value.len()..];
@@ -209,12 +209,12 @@
     ///
     /// # Errors
     /// The bytes cannot be read, and nothing after them.
-    pub fn take(&mut self) -> Result<Option<Message>, Unreadable> {
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         let rest = &self.bytes[self.from..];
         let Some(head) = rest.get(..2) else { return Ok(self.nothing()) };
         let size = usize::from(head[0]) << 8 | usize::from(head[1]);
-        if size + 2 < HEAD || size + 2 > LONGEST {
-            return Err(Unreadable::Length(size));
+        if size + 2 < HEAD || size + 2 > MAX_MESSAGE_BYTES {
+            return Err(DecodeError::Length(size));
         }
         let Some(body) = rest.get(2..2 + size) else { return Ok(self.nothing()) };
         let message = Message::read(body)?;
@@ -223,13 +223,13 @@
     }
 
     /// Whether a message has begun and is not whole.
-    pub fn begun(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.bytes.len() > self.from
     }
 
     /// An idle connection holds no memory.
     fn nothing(&mut self) -> Option<Message> {
-        if !self.begun() {
+        if !self.has_partial_message() {
             self.bytes = Vec::new();
             self.from = 0;
         }
--- a/crates/platform/src/wire/tests.rs
+++ b/crates/platform/src/wire/tests.rs
@@ -13,10 +13,10 @@
     bytes
 }
 
-fn read(bytes: &[u8]) -> Result<Option<Message>, Unreadable> {
+fn read(bytes: &[u8]) -> Result<Option<Message>, DecodeError> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
-    decoder.take()
+    decoder.next_message()
 }
 
 fn messages() -> impl Strategy<Value = Message> {
@@ -40,12 +40,12 @@
         let (mut decoder, mut got) = (Decoder::default(), Vec::new());
         for part in bytes.chunks(step) {
             decoder.feed(part);
-            while let Some(message) = decoder.take().unwrap() {
+            while let Some(message) = decoder.next_message().unwrap() {
                 got.push(message);
             }
         }
         prop_assert_eq!(got, row);
-        prop_assert!(!decoder.begun());
+        prop_assert!(!decoder.has_partial_message());
     }
 
     #[test]
@@ -54,7 +54,7 @@
     ) {
         let (mut decoder, mut frames) = (Decoder::default(), Frames::default());
         decoder.feed(&noise);
-        while let Ok(Some(_)) = decoder.take() {}
+        while let Ok(Some(_)) = decoder.next_message() {}
         frames.feed(&noise);
         while let Ok(Some(_)) = frames.take() {}
         let _ = Figures::read(&String::from_utf8_lossy(&noise));
@@ -63,9 +63,9 @@
 
 #[test]
 fn lengths_that_no_message_has_are_told_before_their_bytes_are_awaited() {
-    assert_eq!(read(&[0, 8]), Err(Unreadable::Length(8)));
-    assert_eq!(read(&[0xff, 0xff]), Err(Unreadable::Length(65_535)));
-    assert_eq!(read(&[0x40, 0x00]), Err(Unreadable::Length(16_384)));
+    assert_eq!(read(&[0, 8]), Err(DecodeError::Length(8)));
+    assert_eq!(read(&[0xff, 0xff]), Err(DecodeError::Length(65_535)));
+    assert_eq!(read(&[0x40, 0x00]), Err(DecodeError::Length(16_384)));
     assert_eq!(read(&[0x3f, 0xfe]), Ok(None), "the longest is awaited");
 }
 
@@ -78,12 +78,12 @@
         read(&bytes)
     };
     assert!(matches!(read(&whole), Ok(Some(_))));
-    assert_eq!(with(13, 9), Err(Unreadable::Parameter));
-    assert_eq!(with(11, 4), Err(Unreadable::Code(4)));
-    assert_eq!(with(11, 51), Err(Unreadable::Code(51)));
-    assert_eq!(with(2, 200), Err(Unreadable::Kind(200)));
+    assert_eq!(with(13, 9), Err(DecodeError::Parameter));
+    assert_eq!(with(11, 4), Err(DecodeError::Code(4)));
+    assert_eq!(with(11, 51), Err(DecodeError::Code(51)));
+    assert_eq!(with(2, 200), Err(DecodeError::Kind(200)));
     let twice = Message::new(kind::ANSWER, 7).with(3, "a").with(3, "b");
-    assert_eq!(read(&bytes_of(&twice)), Err(Unreadable::Twice(3)));
+    assert_eq!(read(&bytes_of(&twice)), Err(DecodeError::Twice(3)));
 }
 
 #[test]
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -311,7 +311,7 @@
         }
         decoder.feed(&bytes[..count]);
         loop {
-            match decoder.take() {
+            match decoder.next_message() {
                 Ok(Some(message)) => act(at, message, stream, shared),
                 Ok(None) => break,
                 Err(_) => return drop(stream.shutdown(Shutdown::Both)),
@@ -354,7 +354,7 @@
             drop(held);
             say(stream, &Message::release(id, cause::ON_PURPOSE));
         }
-        kind::TEST => say(stream, &Message::new(kind::TESTED, id).with(code::CAUSE, [1])),
+        kind::TEST => say(stream, &Message::new(kind::TEST_RESULT, id).with(code::CAUSE, [1])),
         _ => {}
     }
 }
@@ -423,10 +423,10 @@
         let figures = format!("home:0;copies:{cells};top:1;viewer:{id:016x}");
         Message::new(kind::SET_UP, id)
             .with(code::CLASS, class)
-            .with(code::WAIT, "1500")
+            .with(code::WAIT_MS, "1500")
             .with(code::TITLE, "7f3a9c21e0b4d655")
-            .with(code::HINT, "8200.0")
-            .with(code::FIGURES, figures)
+            .with(code::LENGTH_HINT_MS, "8200.0")
+            .with(code::REQUEST_FIELDS, figures)
             .with(code::DESCRIPTION, "offer")
     }
 
@@ -439,7 +439,7 @@
     pub fn next(&mut self, within: Duration) -> Option<Message> {
         let until = Instant::now() + within;
         loop {
-            if let Ok(Some(message)) = self.decoder.take() {
+            if let Ok(Some(message)) = self.decoder.next_message() {
                 return Some(message);
             }
             let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
