--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -105,7 +105,7 @@
 fn lost(following: &AtomicBool, engine: &Sender<EngineMessage>) {
     // First free to be followed again: the loss has the module ask for that.
     following.store(false, Ordering::Release);
-    let _ = engine.send(EngineMessage::Input(Input::List(ListKind::Lost, Vec::new())));
+    let _ = engine.send(EngineMessage::Input(Input::List(ListKind::FetchFailed, Vec::new())));
 }
 
 struct Run {
@@ -151,7 +151,7 @@
         let now = self.clock.now();
         let mut known = hold(&self.known);
         let kind = match name {
-            "whole" => ListKind::Whole,
+            "whole" => ListKind::Complete,
             "changes" => ListKind::Changes,
             // A sign of life; other kinds of message may come from a newer list.
             _ => {
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -152,7 +152,7 @@
         bench.now += SECOND / 2;
         bench.tick_unclosed();
         bench.core.decider.0.push_back(again);
-        let out = bench.tell(NodeEvent::ServerMessage(first, Message::new(kind::HEARD, 9)));
+        let out = bench.tell(NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
         let made = bench.made(&out);
         let (second, _) = set_up(&made).unwrap();
         assert_ne!(first, second);
@@ -179,7 +179,7 @@
         set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
     let first = attempt(&mut bench, 9, NodeEvent::ClientMessage(ClientId(1), request(9, "clip", "")));
-    let turned_away = NodeEvent::ServerMessage(first, Message::release(9, cause::MOOT));
+    let turned_away = NodeEvent::ServerMessage(first, Message::release(9, cause::NOT_SENT));
     let second = attempt(&mut bench, 9, turned_away);
     assert_ne!(first, second);
     bench.tell(NodeEvent::ServerMessage(second, answer(9)));
@@ -198,12 +198,12 @@
 #[test]
 fn a_server_gets_no_second_attempt_until_it_has_shown_that_the_first_is_over() {
     let shown = [
-        (Some(Message::new(kind::HEARD, 9)), None, true),
+        (Some(Message::new(kind::RELEASE_ACK, 9)), None, true),
         (Some(Message::release(9, cause::FULL)), None, true),
         (None, Some(NodeEvent::ServerClosed as fn(ConnId) -> NodeEvent), true),
         (None, Some(NodeEvent::ServerLost as fn(ConnId) -> NodeEvent), false),
         (Some(answer(9)), None, false),
-        (Some(Message::new(kind::HEARD, 8)), None, false),
+        (Some(Message::new(kind::RELEASE_ACK, 8)), None, false),
     ];
     for (says, ends, is_over) in shown {
         let mut bench = Bench::with(Puppet::default());
@@ -295,7 +295,7 @@
 #[test]
 fn a_server_that_goes_and_returns_at_its_address_gets_nothing_that_waited_for_the_one_before() {
     let (mut bench, conn) = waiting("paid");
-    let out = bench.told(1, 6, drains(0, ServerState::Gone));
+    let out = bench.told(1, 6, drains(0, ServerState::Removed));
     assert!(out.contains(&Command::CloseServer(conn)));
     let ended = bench.core.decider.1.iter().position(|e| matches!(e, Event::Ended { .. }));
     let listed = bench.core.decider.1.iter().rposition(|e| matches!(e, Event::Servers(..)));
@@ -349,7 +349,7 @@
         bench.after(SECOND / 100);
     }
     let out = bench.ask(2, "paid");
-    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::MOOT)]);
+    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::NOT_SENT)]);
     assert!(no_set_up(&out) && !out.iter().any(|o| matches!(o, Command::Connect(..))));
 }
 
@@ -377,7 +377,7 @@
 
 #[test]
 fn a_start_without_a_coordinator_serves_by_the_list_it_was_given() {
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(facts().settings, 7), facts(), 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
     bench.tell(NodeEvent::ClientConnected(ClientId(1)));
@@ -387,7 +387,7 @@
     assert!(bench.core.ready(), "well within the 10 s of a restart");
     bench.playing(1, "paid");
     // One that was started with no list has nothing to serve by.
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(facts().settings, 7), facts(), 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, Vec::new(), 0, address(200), &mut bench.out);
     bench.after(20 * SECOND);
@@ -397,7 +397,7 @@
 // Caught a node that passed its tests with a list of nobody: it was given clients and served none of them.
 #[test]
 fn a_node_that_knows_no_server_is_not_ready_until_one_is_announced() {
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(facts().settings, 7), facts(), 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, Vec::new(), 5, address(200), &mut bench.out);
     bench.told(1, 5, Payload::Nothing);
@@ -481,7 +481,7 @@
 #[test]
 fn a_session_that_is_over_before_its_answer_has_left_is_not_told_to_play() {
     let (mut bench, conn) = written("paid");
-    let note = Message::new(kind::NOTE, 9).with(code::NOTE, "port").with(code::FIGURE, "0.5");
+    let note = Message::new(kind::NOTE, 9).with(code::NOTE_KIND, "port").with(code::NOTE_VALUE, "0.5");
     let end = |cause| Message::release(9, cause);
     let out = bench.tell(NodeEvent::ServerMessages(conn, vec![answer(9), note, end(cause::ON_PURPOSE)]));
     let told: Vec<Option<u8>> = said(&out).map(Message::cause).collect();
--- a/crates/platform/src/core/tests/releases.rs
+++ b/crates/platform/src/core/tests/releases.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A session that its client has ended, and the connection on which its media server was told so.
-fn released() -> (Bench<Brain>, ConnId) {
+fn released() -> (Bench<Controller>, ConnId) {
     let mut bench = Bench::new();
     let (conn, _) = bench.playing(1, "clip");
     let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::release(1, cause::NORMAL)));
@@ -12,7 +12,7 @@
 }
 
 /// Releases that are sent within this time over connections that are made as they are dialled.
-fn releases_within(bench: &mut Bench<Brain>, span: Micros) -> usize {
+fn releases_within(bench: &mut Bench<Controller>, span: Micros) -> usize {
     let (until, mut count) = (bench.now + span, 0);
     while bench.now < until {
         let out = bench.after(SECOND / 20);
@@ -50,7 +50,7 @@
         let out = bench.tell(NodeEvent::ServerMessage(conn, end.clone()));
         assert_eq!(said(&out).collect::<Vec<_>>(), [&end]);
         if hears {
-            bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::HEARD, 1)));
+            bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::RELEASE_ACK, 1)));
         }
         bench.tell(NodeEvent::ClientClosed(ClientId(1)));
         bench.tell(NodeEvent::ClientConnected(ClientId(2)));
--- a/crates/platform/src/core/tests/shutdown.rs
+++ b/crates/platform/src/core/tests/shutdown.rs
@@ -5,7 +5,7 @@
 
 /// A node whose longest deadline is this, told to end, with one request that its server never answers.
 fn ending(longest_deadline: Micros) -> Bench<Puppet> {
-    let facts = Facts { longest_patience: longest_deadline, ..facts() };
+    let facts = PlatformSettings { longest_patience: longest_deadline, ..facts() };
     let core = Core::new(Puppet::default(), facts, 256, START);
     let mut bench = Bench { core, now: START, out: Vec::new() };
     bench.core.begin(START, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
@@ -35,7 +35,7 @@
     let mut bench = ending(9_000_000);
     bench.after(SECOND);
     let out = bench.ask(10, "paid");
-    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::MOOT)]);
+    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::NOT_SENT)]);
     assert!(set_up(&out).is_none() && !out.iter().any(|command| matches!(command, Command::Connect(..))));
 }
 
