--- a/crates/front/src/common/event_stream.rs
+++ b/crates/front/src/common/event_stream.rs
@@ -1,4 +1,4 @@
-//! Reading an event stream of a box or of the list.
+//! Reader of the event stream of a box or of the box list.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -7,31 +7,32 @@
 use super::http;
 use crate::settings::Settings;
 
-/// The request for a box's event stream, or the list's.
+/// The HTTP request for an event stream.
 fn request(path: &str, settings: &Settings) -> Vec<u8> {
     let name = &settings.name;
     format!("GET {path} HTTP/1.1\r\nHost: box\r\nFront: {name}\r\nAccept: text/event-stream\r\n\r\n")
         .into_bytes()
 }
 
-/// Reads an event stream until it ends; `None` is handed on for a sign of life without an event, and with each
-/// whether an event is begun and not ended. Returns the reason where the peer is to blame.
+/// Reads an event stream until it ends. `on_event` receives each event, or `None` for input without a
+/// complete event, and whether an event is incomplete. Returns the reason if the peer violated the protocol
+/// or `on_event` failed.
 pub fn follow(
     stream: &mut TcpStream,
     path: &str,
     settings: &Settings,
-    mut told: impl FnMut(Option<&Event>, bool) -> Result<(), String>,
+    mut on_event: impl FnMut(Option<&Event>, bool) -> Result<(), String>,
 ) -> Option<String> {
     if stream.write_all(&request(path, settings)).is_err() {
         return None;
     }
     let mut bytes = Vec::new();
-    let mut part = [0; 4096];
+    let mut buffer = [0; 4096];
     let mut decoder: Option<Decoder> = None;
     loop {
-        match stream.read(&mut part) {
+        match stream.read(&mut buffer) {
             Ok(0) => return None,
-            Ok(count) => bytes.extend_from_slice(&part[..count]),
+            Ok(count) => bytes.extend_from_slice(&buffer[..count]),
             Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
             Err(_) => return None,
         }
@@ -39,8 +40,13 @@
             match http::parse_head(&bytes) {
                 Ok(None) => continue,
                 Err(error) => return Some(error.to_string()),
-                Ok(Some(head)) if head.status != 200 || head.kind.as_deref() != Some("text/event-stream") => {
-                    return Some(format!("{path} answered {} and no event stream", head.status));
+                Ok(Some(head))
+                    if head.status != 200 || head.media_type.as_deref() != Some("text/event-stream") =>
+                {
+                    return Some(format!(
+                        "{path} returned status {} instead of an event stream",
+                        head.status
+                    ));
                 }
                 Ok(Some(head)) => {
                     bytes.drain(..head.size);
@@ -55,8 +61,8 @@
         };
         bytes.clear();
         let done = match events.is_empty() {
-            true => told(None, decoder.begun()),
-            false => events.iter().try_for_each(|event| told(Some(event), decoder.begun())),
+            true => on_event(None, decoder.has_partial_event()),
+            false => events.iter().try_for_each(|event| on_event(Some(event), decoder.has_partial_event())),
         };
         if let Err(reason) = done {
             return Some(reason);
--- a/crates/front/src/common/events.rs
+++ b/crates/front/src/common/events.rs
@@ -1,37 +1,40 @@
-//! Server-sent events, read from bytes (HTML standard, section 9.2). Knows no socket.
+//! Decoder for server-sent events (HTML standard, section 9.2), independent of any socket.
 
 use thiserror::Error;
 
-/// Longest event, bytes: the list of what a box holds is the longest.
+/// Maximum event size, bytes. The list of all sessions that a box holds is the longest event.
 pub const MAX_EVENT_BYTES: usize = 4 * 1024 * 1024;
 
-/// An event longer than any may be.
+/// An event exceeds the maximum size.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("an event of over {MAX_EVENT_BYTES} bytes")]
+#[error("event exceeds {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
 
 /// One event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Event {
-    /// Its name.
+    /// Event name.
     pub name: String,
-    /// Its data; several lines are joined by line ends.
+    /// Data; several lines are joined with line feeds.
     pub data: String,
 }
 
-/// Takes bytes in as they come and hands events out as they are whole.
+/// Incremental decoder: takes bytes as they arrive and returns complete events.
 #[derive(Clone, Debug, Default)]
 pub struct Decoder {
     line: Vec<u8>,
     event: Event,
     size: usize,
     has_data: bool,
-    /// The last byte was a carriage return, so that a line feed now ends nothing.
+    /// The last byte was a carriage return, so a line feed now belongs to the same line end.
     after_return: bool,
 }
 
 impl Decoder {
-    /// Takes in bytes. Comments are no events, but show that the peer lives.
+    /// Decodes bytes. Comments give no events, but the bytes show that the peer is alive.
+    ///
+    /// # Errors
+    /// An event exceeds [`MAX_EVENT_BYTES`].
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<Event>, EventTooLong> {
         let mut events = Vec::new();
         for byte in bytes {
@@ -51,8 +54,8 @@
         Ok(events)
     }
 
-    /// Whether an event or a line is begun and not ended.
-    pub fn begun(&self) -> bool {
+    /// Whether an event or a line is incomplete.
+    pub fn has_partial_event(&self) -> bool {
         !self.line.is_empty() || self.has_data || !self.event.name.is_empty()
     }
 
@@ -75,7 +78,7 @@
                 self.has_data = true;
                 self.event.data.push_str(value);
             }
-            // A comment ends no event but must not count towards the next one's length.
+            // A comment ends no event, but must not count towards the size of the next one.
             "" if !self.has_data && self.event.name.is_empty() => self.size = 0,
             _ => {}
         }
--- a/crates/front/src/common/messages.rs
+++ b/crates/front/src/common/messages.rs
@@ -1,4 +1,4 @@
-//! What the front's own thread is told, and the ways to clients.
+//! Messages to the engine thread, and the connections to clients.
 
 use std::sync::{Arc, Mutex};
 
@@ -12,103 +12,104 @@
 use crate::session_api::outbox::{text_frame, Outbox};
 use crate::session_api::rpc::Message;
 
-/// What the engine is told.
+/// A message to the engine thread.
 pub enum EngineMessage {
-    /// A client begins.
+    /// A new client.
     Attach(ClientId, ClientSink),
-    /// A message of a player that has its turn.
+    /// A message from a player within its share of the engine thread.
     Calls(ReceivedMessage),
-    /// A message of a player over its share of the front's thread.
+    /// A message from a player that has used up its share of the engine thread; it is processed when nothing
+    /// else waits.
     DeferredCalls(ReceivedMessage),
-    /// Anything else for the ledger.
+    /// Any other input for the ledger.
     Input(Input),
-    /// How the front stands.
+    /// Request for the status of the front.
     Status(Sender<FrontStatus>),
-    /// End in order; told when all is done.
+    /// Shut down in order; the counters are sent when done.
     ShutDown(Sender<Counts>),
-    /// End at once, as a process that is killed.
+    /// End at once without notifying anybody, as if the process were killed.
     Kill,
 }
 
-/// A message of a player on its way to the front's thread.
+/// A received player message, queued for the engine thread.
 pub struct ReceivedMessage {
-    /// Whose.
+    /// The sender.
     pub client: ClientId,
-    /// What it says.
+    /// The message.
     pub message: Message,
-    /// What its sender was charged for it.
+    /// What the sender was charged for it.
     pub charge: Charge,
 }
 
-/// How a front stands.
+/// Status of a front.
 #[derive(Clone, Debug, Default)]
 pub struct FrontStatus {
-    /// What it has done.
+    /// Counters since the start.
     pub counts: Counts,
     /// Sessions in the ledger.
     pub sessions: usize,
-    /// Those of them that play.
+    /// Playing sessions.
     pub playing: usize,
-    /// Connections to boxes: being made, busy, idle; and requests that wait for one.
+    /// Connections to boxes: being established, busy and idle; and requests that wait for one.
     pub connections: [usize; 4],
-    /// Players connected, and callers of the library.
+    /// Connected players and callers of the library.
     pub clients: usize,
-    /// Connections of players, and who was turned away.
+    /// Admission counters of player connections.
     pub door: DoorCounts,
 }
 
-/// The way to a client.
+/// Where messages to a client go.
 pub enum ClientSink {
-    /// A player's connection.
-    Socket(Box<Socket>),
+    /// A player connection.
+    Socket(Box<PlayerSocket>),
     /// A caller of the library.
     Caller(Sender<CallerMessage>),
 }
 
-/// What a caller of the library is told.
+/// A message to a caller of the library.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerMessage {
-    /// The one answer.
+    /// The answer to the open request.
     Answer(Answer),
-    /// News.
+    /// A notification.
     Notification(Notification),
-    /// The answer to another call.
+    /// The response to any other call.
     Reply(Reply),
 }
 
-/// A player's connection and the calls on it that wait for an answer.
-pub struct Socket {
-    /// Where it is written to.
+/// A player connection and its unanswered calls.
+pub struct PlayerSocket {
+    /// Outgoing messages.
     pub outbox: Arc<Outbox>,
-    /// The calls.
+    /// Unanswered calls.
     pub calls: Calls,
-    /// What it may take of the front's thread.
+    /// The player's share of the engine thread.
     pub share: Arc<Mutex<Share>>,
-    /// It has sessions, or opens that wait.
-    pub holds: bool,
+    /// Whether the player has sessions or unanswered open requests.
+    pub has_sessions: bool,
 }
 
 impl ClientSink {
-    /// The port of a player's connection.
+    /// The sink of a player connection.
     pub fn socket(outbox: Arc<Outbox>, calls: Calls, share: Arc<Mutex<Share>>) -> ClientSink {
-        ClientSink::Socket(Box::new(Socket { outbox, calls, share, holds: false }))
+        ClientSink::Socket(Box::new(PlayerSocket { outbox, calls, share, has_sessions: false }))
     }
 }
 
-impl Socket {
-    /// Writes a message.
+impl PlayerSocket {
+    /// Queues a message for the player.
     pub fn write(&self, value: &Value) {
         self.outbox.send(&text_frame(value.to_string()));
     }
 
-    /// Takes in a message: errors are answered, the rest is for the ledger.
+    /// Handles a received message: answers errors, and returns the inputs for the ledger.
     pub fn take(&mut self, message: Message) -> Vec<Input> {
         let taken = self.calls.take(message);
         taken.say.iter().for_each(|value| self.write(value));
         taken.inputs
     }
 
-    /// Answers a call, if it still waits.
+    /// Sends the response to a call, if it is still unanswered.
     pub fn answered(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) {
         if let Some(value) = self.calls.answered(ticket, write) {
             self.write(&value);
--- a/crates/front/src/common/mod.rs
+++ b/crates/front/src/common/mod.rs
@@ -1,6 +1,6 @@
-//! What the edges share among themselves and with the engine above them, so that `engine`, `boxes`, `box_list` and
-//! `session_api` do not point at each other: messages to the front's own thread, sockets and their threads, HTTP heads
-//! and event streams.
+//! Code shared by the I/O modules and the engine, so that `engine`, `boxes`, `box_list` and `session_api` do
+//! not depend on each other: messages to the engine thread, sockets and their threads, HTTP responses and
+//! event streams.
 
 pub mod event_stream;
 pub mod events;
--- a/crates/front/src/core/agreed_rules.rs
+++ b/crates/front/src/core/agreed_rules.rs
@@ -1,5 +1,6 @@
-//! Rules that fronts agree on, as this front's ledger heeds them: fitted to the places and numbers of its settings, and
-//! looked at again where an act is about to be written. Without accord nothing is asked and nothing changes.
+//! The rules that the fronts have agreed on, resolved to the indices of this front's settings. They are
+//! checked again when a request is about to be written. Without accord there are no rules, and nothing is
+//! checked.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,37 +12,37 @@
 
 use super::{Micros, OpenRequest};
 
-/// What rules name, as the settings have it.
+/// The names in the settings, as the rules use them.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsNames {
-    /// Classes in the settings' order.
+    /// Class names, in the order of the settings.
     pub classes: Vec<String>,
-    /// Titles.
+    /// Title names.
     pub titles: BTreeMap<TitleId, String>,
-    /// Number of a viewer, or of a firm, by its name.
+    /// Computes the number of a viewer or tenant from its name.
     pub viewer: Option<fn(&str) -> ViewerId>,
 }
 
-/// One version's rules, fitted.
+/// One version of the rules, resolved to this front's settings.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Fitted {
-    refused: BTreeSet<ViewerId>,
-    firms: BTreeSet<ViewerId>,
-    open: Vec<bool>,
-    ends: Vec<bool>,
-    top: Vec<usize>,
-    seats: Vec<u32>,
-    titles: BTreeMap<TitleId, BTreeSet<u32>>,
-    closed: BTreeSet<u32>,
-    per_front: u32,
-    per_viewer: u32,
-    boxes: BTreeMap<ServerId, Order>,
+struct ResolvedRules {
+    refused_viewers: BTreeSet<ViewerId>,
+    refused_tenants: BTreeSet<ViewerId>,
+    open_classes: Vec<bool>,
+    classes_ending_playing: Vec<bool>,
+    top_rungs: Vec<usize>,
+    class_seats: Vec<u32>,
+    title_cells: BTreeMap<TitleId, BTreeSet<u32>>,
+    closed_cells: BTreeSet<u32>,
+    max_sessions_per_front: u32,
+    max_sessions_per_viewer: u32,
+    box_orders: BTreeMap<ServerId, Order>,
 }
 
-impl Fitted {
-    fn new(rules: &Rules, names: &SettingsNames) -> Fitted {
+impl ResolvedRules {
+    fn new(rules: &Rules, names: &SettingsNames) -> ResolvedRules {
         let number = |name: &str| names.viewer.map(|viewer| viewer(name));
-        let whos = |firms: bool| {
+        let refused_by_kind = |firms: bool| {
             let one = move |who: &Who| match who {
                 Who::Firm(name) if firms => number(name),
                 Who::Viewer(name) if !firms => number(name),
@@ -51,20 +52,22 @@
         };
         let terms = |class: &String| rules.terms(class);
         let titles = names.titles.iter();
-        let most = |limit| rules.limits.get(&limit).copied().unwrap_or(u32::MAX);
-        Fitted {
-            refused: whos(false),
-            firms: whos(true),
-            open: names.classes.iter().map(|class| terms(class).open).collect(),
-            ends: names.classes.iter().map(|class| terms(class).ends).collect(),
-            top: names.classes.iter().map(|class| rules.top_rung(class) as usize).collect(),
-            seats: names.classes.iter().map(|class| terms(class).seats).collect(),
-            titles: titles.filter_map(|(id, name)| Some((*id, rules.titles.get(name)?.clone()))).collect(),
-            closed: rules.closed.clone(),
-            per_front: most(Limit::SessionsPerFront),
-            per_viewer: most(Limit::SessionsPerViewer),
-            // A box is named by its number, as in the list.
-            boxes: rules
+        let limit_or_max = |limit| rules.limits.get(&limit).copied().unwrap_or(u32::MAX);
+        ResolvedRules {
+            refused_viewers: refused_by_kind(false),
+            refused_tenants: refused_by_kind(true),
+            open_classes: names.classes.iter().map(|class| terms(class).open).collect(),
+            classes_ending_playing: names.classes.iter().map(|class| terms(class).ends).collect(),
+            top_rungs: names.classes.iter().map(|class| rules.top_rung(class) as usize).collect(),
+            class_seats: names.classes.iter().map(|class| terms(class).seats).collect(),
+            title_cells: titles
+                .filter_map(|(id, name)| Some((*id, rules.titles.get(name)?.clone())))
+                .collect(),
+            closed_cells: rules.closed.clone(),
+            max_sessions_per_front: limit_or_max(Limit::SessionsPerFront),
+            max_sessions_per_viewer: limit_or_max(Limit::SessionsPerViewer),
+            // Boxes are named by their numbers, as in the box list.
+            box_orders: rules
                 .boxes
                 .iter()
                 .filter_map(|(name, order)| Some((ServerId(name.parse().ok()?), *order)))
@@ -72,166 +75,173 @@
         }
     }
 
-    fn lies(&self, title: TitleId, cell: u32) -> bool {
-        !self.closed.contains(&cell) && self.titles.get(&title).is_none_or(|cells| cells.contains(&cell))
+    fn is_available(&self, title: TitleId, cell: u32) -> bool {
+        !self.closed_cells.contains(&cell)
+            && self.title_cells.get(&title).is_none_or(|cells| cells.contains(&cell))
     }
 }
 
-/// How many sessions are held: of all, of a class, of a viewer; asked only where a rule counts them.
+/// Numbers of current sessions, counted only where a rule limits them.
 pub trait SessionCounts {
-    /// All of this front.
-    fn all(&self) -> usize;
-    /// Of the class at this place.
+    /// All sessions of this front.
+    fn total(&self) -> usize;
+    /// Sessions of the class with this index.
     fn of_class(&self, class: usize) -> usize;
-    /// Of this viewer.
+    /// Sessions of this viewer.
     fn of_viewer(&self, viewer: ViewerId) -> usize;
 }
 
-/// What this front may do by the rules that are agreed on.
+/// What the agreed rules and the lease allow this front to do.
 #[derive(Clone, Debug)]
 pub struct AgreedRules {
     names: Arc<SettingsNames>,
-    /// Nothing, until the front has been told for the first time.
-    stand: Option<Stand>,
-    agreed: Fitted,
-    meet: Fitted,
-    /// The time by the clock of leases.
+    /// `None` until the first update.
+    state: Option<Stand>,
+    /// Rules in force with a lease.
+    agreed: ResolvedRules,
+    /// Rules in force for a while without a lease: the strictest combination of all known ones.
+    meet: ResolvedRules,
+    /// Current time of the lease clock.
     now: Micros,
 }
 
 impl AgreedRules {
-    /// Of a front that has not been told anything yet: it takes no session.
+    /// Creates the rules of a front without an update yet, which allow no session.
     pub fn new(names: SettingsNames) -> AgreedRules {
-        let (agreed, meet) = (Fitted::default(), Fitted::default());
-        AgreedRules { names: Arc::new(names), stand: None, agreed, meet, now: 0 }
+        let (agreed, meet) = (ResolvedRules::default(), ResolvedRules::default());
+        AgreedRules { names: Arc::new(names), state: None, agreed, meet, now: 0 }
     }
 
-    /// The time by the clock of leases.
+    /// Sets the time of the lease clock.
     pub fn set_lease_time(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// What the front stands on has changed; returns whether the rules have.
-    pub fn update(&mut self, stand: Stand) -> bool {
-        let same = |old: &Stand| old.agreed == stand.agreed && old.meet == stand.meet;
-        let changed = !self.stand.as_ref().is_some_and(same);
+    /// Replaces the agreed state; returns whether the rules have changed.
+    pub fn update(&mut self, state: Stand) -> bool {
+        let same = |old: &Stand| old.agreed == state.agreed && old.meet == state.meet;
+        let changed = !self.state.as_ref().is_some_and(same);
         if changed {
-            self.agreed = Fitted::new(&stand.agreed, &self.names);
-            self.meet = Fitted::new(&stand.meet, &self.names);
+            self.agreed = ResolvedRules::new(&state.agreed, &self.names);
+            self.meet = ResolvedRules::new(&state.meet, &self.names);
         }
-        self.stand = Some(stand);
+        self.state = Some(state);
         changed
     }
 
-    /// Until when what may be done now may be done, by the clock of leases, if nothing else is told.
+    /// Until when the current permissions hold, by the lease clock, unless there is an update.
     pub fn valid_until(&self) -> Micros {
-        self.stand.as_ref().map_or(0, |stand| if self.now < stand.until { stand.until } else { stand.alone })
+        self.state.as_ref().map_or(0, |state| if self.now < state.until { state.until } else { state.alone })
     }
 
-    /// What rules name, as the settings have it.
+    /// The names in the settings.
     pub fn names(&self) -> Arc<SettingsNames> {
         Arc::clone(&self.names)
     }
 
-    /// The epoch by which a front that lives `own` may act for a life now; nothing if it may not.
-    pub fn epoch(&self, own: &str, life: &str) -> Option<u64> {
-        self.stand.as_ref()?.epoch(self.now, own, life)
+    /// The epoch under which a front with incarnation `own` may act for `incarnation` now; `None` if it may
+    /// not.
+    pub fn epoch(&self, own: &str, incarnation: &str) -> Option<u64> {
+        self.state.as_ref()?.epoch(self.now, own, incarnation)
     }
 
-    /// Who goes on with whose promises.
+    /// The successors of incarnations.
     pub fn successors(&self) -> Arc<Heirs> {
-        self.stand.as_ref().map(|stand| Arc::clone(&stand.heirs)).unwrap_or_default()
+        self.state.as_ref().map(|state| Arc::clone(&state.heirs)).unwrap_or_default()
     }
 
-    fn in_force(&self) -> Result<&Fitted, Refusal> {
-        match &self.stand {
-            Some(stand) if self.now < stand.until => Ok(&self.agreed),
-            Some(stand) if self.now < stand.alone => Ok(&self.meet),
+    fn in_force(&self) -> Result<&ResolvedRules, Refusal> {
+        match &self.state {
+            Some(state) if self.now < state.until => Ok(&self.agreed),
+            Some(state) if self.now < state.alone => Ok(&self.meet),
             _ => Err(Refusal::Lease),
         }
     }
 
-    /// Whether a session of this opening may begin, with `held` sessions before it.
+    /// Checks whether a new session may begin with this request, given the sessions so far.
     ///
     /// # Errors
-    /// Why not.
-    pub fn check_new(&self, opening: &OpenRequest, held: &impl SessionCounts) -> Result<(), Refusal> {
-        self.check_accepted(opening)?;
-        let fitted = self.in_force()?;
-        let seats = fitted.seats.get(opening.class).copied().unwrap_or(u32::MAX);
-        let over = |most: u32, held: &dyn Fn() -> usize| most != u32::MAX && held() >= most as usize;
+    /// The rule that forbids it.
+    pub fn check_new(&self, request: &OpenRequest, held: &impl SessionCounts) -> Result<(), Refusal> {
+        self.check_accepted(request)?;
+        let rules = self.in_force()?;
+        let seats = rules.class_seats.get(request.class).copied().unwrap_or(u32::MAX);
+        let over = |limit: u32, held: &dyn Fn() -> usize| limit != u32::MAX && held() >= limit as usize;
         match () {
-            () if over(seats, &|| held.of_class(opening.class)) => Err(Refusal::Seats),
-            () if over(fitted.per_front, &|| held.all()) => Err(Refusal::Front),
-            () if over(fitted.per_viewer, &|| held.of_viewer(opening.viewer)) => Err(Refusal::Viewer),
+            () if over(seats, &|| held.of_class(request.class)) => Err(Refusal::Seats),
+            () if over(rules.max_sessions_per_front, &|| held.total()) => Err(Refusal::Front),
+            () if over(rules.max_sessions_per_viewer, &|| held.of_viewer(request.viewer)) => {
+                Err(Refusal::Viewer)
+            }
             () => Ok(()),
         }
     }
 
-    /// The same for a session that is counted already.
+    /// Checks a session that has already been accepted and counted.
     ///
     /// # Errors
-    /// Why not.
-    pub fn check_accepted(&self, opening: &OpenRequest) -> Result<(), Refusal> {
-        let fitted = self.in_force()?;
-        let firm = opening.tenant.is_some_and(|firm| fitted.firms.contains(&firm));
-        if firm || fitted.refused.contains(&opening.viewer) {
+    /// The rule that forbids it.
+    pub fn check_accepted(&self, request: &OpenRequest) -> Result<(), Refusal> {
+        let rules = self.in_force()?;
+        let firm = request.tenant.is_some_and(|firm| rules.refused_tenants.contains(&firm));
+        if firm || rules.refused_viewers.contains(&request.viewer) {
             return Err(Refusal::Who);
         }
-        if !fitted.open.get(opening.class).copied().unwrap_or(true) {
+        if !rules.open_classes.get(request.class).copied().unwrap_or(true) {
             return Err(Refusal::Class);
         }
-        if self.cells(opening, 1).is_none() {
+        if self.longest_cell_run(request, 1).is_none() {
             return Err(Refusal::Title);
         }
         Ok(())
     }
 
-    /// Narrows an opening to what the rules leave of it: its highest rung, and the longest row of cells. `cells` is how
-    /// many the fleet has.
-    pub fn restrict(&self, opening: &mut OpenRequest, cells: u32) {
-        let Ok(fitted) = self.in_force() else { return };
-        let top = fitted.top.get(opening.class).copied().unwrap_or(usize::MAX);
-        opening.top_rung = opening.top_rung.min(top);
-        if let Some((first, count)) = self.cells(opening, cells) {
-            (opening.first_cell, opening.cell_count) = (first, count);
+    /// Restricts a request to what the rules allow: its top rung, and the longest run of consecutive cells.
+    /// `cells` is the number of cells of the fleet.
+    pub fn restrict(&self, request: &mut OpenRequest, cells: u32) {
+        let Ok(rules) = self.in_force() else { return };
+        let top = rules.top_rungs.get(request.class).copied().unwrap_or(usize::MAX);
+        request.top_rung = request.top_rung.min(top);
+        if let Some((first, count)) = self.longest_cell_run(request, cells) {
+            (request.first_cell, request.cell_count) = (first, count);
         }
     }
 
-    /// The longest row of an opening's cells that are left.
-    fn cells(&self, opening: &OpenRequest, cells: u32) -> Option<(u32, u32)> {
-        let fitted = self.in_force().ok()?;
-        let (mut best, mut row) = (None, (opening.first_cell, 0));
-        for step in 0..opening.cell_count {
-            let cell = opening.first_cell.wrapping_add(step);
+    /// The longest run of allowed cells of a request: first cell and length.
+    fn longest_cell_run(&self, request: &OpenRequest, cells: u32) -> Option<(u32, u32)> {
+        let rules = self.in_force().ok()?;
+        let (mut best, mut run) = (None, (request.first_cell, 0));
+        for step in 0..request.cell_count {
+            let cell = request.first_cell.wrapping_add(step);
             let cell = if cells > 1 { cell % cells } else { cell };
-            if !fitted.lies(opening.title, cell) {
-                row.1 = 0;
+            if !rules.is_available(request.title, cell) {
+                run.1 = 0;
                 continue;
             }
-            row = if row.1 == 0 { (cell, 1) } else { (row.0, row.1 + 1) };
-            if best.is_none_or(|(_, count)| row.1 > count) {
-                best = Some(row);
+            run = if run.1 == 0 { (cell, 1) } else { (run.0, run.1 + 1) };
+            if best.is_none_or(|(_, count)| run.1 > count) {
+                best = Some(run);
             }
         }
         best
     }
 
-    /// Whether what plays in this class is to end.
+    /// Whether playing sessions of this class must end.
     pub fn ends_playing(&self, class: usize) -> bool {
         let of = |which: &Vec<bool>| which.get(class).copied().unwrap_or(false);
-        // Only what is agreed on ends sessions, with or without a lease.
-        !self.agreed.open.get(class).copied().unwrap_or(true) && of(&self.agreed.ends)
+        // Only agreed rules end sessions, with or without a lease.
+        !self.agreed.open_classes.get(class).copied().unwrap_or(true)
+            && of(&self.agreed.classes_ending_playing)
     }
 
-    /// Whether an operator has ordered that nothing new is set up at this box.
+    /// Whether an operator has ordered that this box accepts no new sessions.
     pub fn box_held(&self, server: ServerId) -> bool {
-        self.agreed.boxes.contains_key(&server) || self.meet.boxes.contains_key(&server)
+        self.agreed.box_orders.contains_key(&server) || self.meet.box_orders.contains_key(&server)
     }
 
-    /// A line of the box list as an operator has overruled it.
+    /// Applies operator orders to an entry of the box list.
     pub fn apply_box_order(&self, entry: &mut ServerEntry) {
-        let drains = self.agreed.boxes.get(&entry.server) == Some(&Order::Drain);
+        let drains = self.agreed.box_orders.get(&entry.server) == Some(&Order::Drain);
         if drains && entry.state == ServerState::Ready {
             entry.state = ServerState::Draining;
         }
--- a/crates/front/src/core/ledger/actions.rs
+++ b/crates/front/src/core/ledger/actions.rs
@@ -1,11 +1,11 @@
-//! The decider's actions, and the lock that holds whatever it says.
+//! Execution of the decider's actions, with the checks that hold whatever it asks for.
 
 use super::*;
 
 impl<D: Decider> Ledger<D> {
-    /// Tells the decider all that waits to be told, and carries out what it answers. Each round of a session
-    /// uses up one of its attempts, so this ends whatever the decider does.
-    pub(super) fn settle(&mut self, out: &mut Vec<Output>) {
+    /// Passes all queued events to the decider and executes the actions it returns. Each round of a session
+    /// uses up one of its attempts, so this terminates for any decider.
+    pub(super) fn run_decider(&mut self, out: &mut Vec<Output>) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
             self.decider.handle(self.now, &event, &mut actions);
@@ -13,28 +13,28 @@
                 tap(self.now, &event, &actions);
             }
             for action in actions.drain(..) {
-                self.carry_out(action, out);
+                self.execute(action, out);
             }
         }
     }
 
-    pub(super) fn carry_out(&mut self, action: Action, out: &mut Vec<Output>) {
+    pub(super) fn execute(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::SetUp(id, server, time_out) => self.set_up(&id, server, time_out, out),
             Action::SetRung(id, rung) => self.set_rung(&id, rung, out),
-            Action::Move(id) => self.move_away(&id, out),
+            Action::Move(id) => self.move_session(&id, out),
             Action::Refuse(id, hold_off) => self.refuse(&id, hold_off, out),
             Action::Fail(id) => {
-                if !self.answer(&id, Answer::Failed(id.clone(), FailReason::GivenUp), out) {
+                if !self.give_answer(&id, Answer::Failed(id.clone(), FailReason::GivenUp), out) {
                     self.counts.stopped_answers += 1;
-                    self.stopped("a second answer", &id, out);
+                    self.log_blocked("a second answer", &id, out);
                 }
             }
             Action::Probe(server) => match self.boxes.get(&server) {
                 Some(address) => {
                     let to = (server, *address);
                     self.counts.probes += 1;
-                    self.ask(to, BoxRequest::Probe, out);
+                    self.send_request(to, BoxRequest::Probe, out);
                 }
                 None => {
                     self.counts.stopped_others += 1;
@@ -48,7 +48,7 @@
         }
     }
 
-    pub(super) fn stopped(&self, what: &str, id: &SessionId, out: &mut Vec<Output>) {
+    pub(super) fn log_blocked(&self, what: &str, id: &SessionId, out: &mut Vec<Output>) {
         out.push(Output::Log(Level::Warn, format!("stopped {what} for session {}", id.0)));
     }
 
@@ -62,13 +62,13 @@
         let address = self.boxes.get(&server).copied();
         let Some(session) = self.sessions.get_mut(id) else {
             self.counts.stopped_attempts += 1;
-            return self.stopped("a set-up of no session here", id, out);
+            return self.log_blocked("a set-up of an unknown session", id, out);
         };
         let next = session.next_attempt(self.now, &self.settings);
         let (number, address) = match (next, address) {
             (Err(SetUpDenied::TooManyAttempts), _) => {
                 self.counts.stopped_attempts += 1;
-                return self.stopped("an attempt too many", id, out);
+                return self.log_blocked("an attempt beyond the maximum", id, out);
             }
             (Ok(number), Some(address)) => (number, Ok(address)),
             (Ok(number), None) | (Err(SetUpDenied::RungNotAllowed(number)), _) => {
@@ -90,11 +90,12 @@
                     report: Vec::new(),
                 };
                 self.events.push_back(ended);
-                return self.stopped("a set-up that must not be", id, out);
+                return self.log_blocked("a set-up that is not allowed", id, out);
             }
         };
-        // Danger: the lease has ended, or another version has come, since this was decided: others act on other rules.
-        if let Some(forbidden) = self.forbidden(id, server) {
+        // Danger: since the decision, the lease may have ended or another version of the rules may have come
+        // into force, and other fronts act on other rules.
+        if let Some(forbidden) = self.set_up_forbidden(id, server) {
             let ended = |outcome, last| Event::Ended {
                 session: id.clone(),
                 attempt: number,
@@ -104,9 +105,9 @@
                 report: Vec::new(),
             };
             match forbidden {
-                Forbidden::Box => self.events.push_back(ended(Outcome::Full, false)),
-                Forbidden::All(why) => {
-                    let after = self.come_back(why);
+                SetUpForbidden::Box => self.events.push_back(ended(Outcome::Full, false)),
+                SetUpForbidden::Session(why) => {
+                    let after = self.hold_off_for(why);
                     self.refuse(id, after, out);
                     self.events.push_back(ended(Outcome::NotSent, true));
                 }
@@ -114,7 +115,8 @@
             return;
         }
         let Some(session) = self.sessions.get_mut(id) else { return };
-        // No time-out of the module's means until the viewer gives up; none reaches past that.
+        // A timeout of 0 from the decision module means until the viewer gives up; no timeout extends past
+        // that.
         let whole = session.deadline - self.now;
         let time_out = if time_out == 0 { whole } else { time_out.min(whole) };
         let expires = self.now + time_out;
@@ -129,11 +131,11 @@
             rung,
         };
         session.stage = Stage::Attempting(attempt);
-        let opening = session.open_request.clone();
+        let open_request = session.open_request.clone();
         self.counts.attempts += 1;
         self.timers.set(expires, Deadline::AttemptTimeout(id.clone(), number));
         let request =
-            BoxRequest::SetUp { session: id.clone(), attempt: number, rung, open_request: opening, time_out };
+            BoxRequest::SetUp { session: id.clone(), attempt: number, rung, open_request, time_out };
         self.send_set_up((server, address), request, out);
     }
 
@@ -141,14 +143,14 @@
         let Some(session) = self.sessions.get_mut(id) else { return };
         if !session.allows_rung(rung, self.settings.classes.get(session.open_request.class)) {
             self.counts.stopped_others += 1;
-            return self.stopped("a rung outside the terms", id, out);
+            return self.log_blocked("a rung outside the allowed range", id, out);
         }
         session.target_rung = rung;
-        self.change_rung(id, out);
+        self.send_rung_change(id, out);
     }
 
-    /// Has the box told of the rung that is wanted; one change at a time is under way for a session.
-    pub(super) fn change_rung(&mut self, id: &SessionId, out: &mut Vec<Output>) {
+    /// Sends the box the target rung. Only one change at a time is in progress for a session.
+    pub(super) fn send_rung_change(&mut self, id: &SessionId, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let (wanted, class) = (session.target_rung, session.open_request.class);
         let Stage::Playing(playing) = &mut session.stage else { return };
@@ -158,26 +160,26 @@
         playing.pending_rung = Some(wanted);
         let to = (playing.attempt.server, playing.attempt.address);
         let attempt = playing.attempt.wire_number;
-        self.ask(to, BoxRequest::SetRung { session: id.clone(), attempt, rung: wanted, class }, out);
+        self.send_request(to, BoxRequest::SetRung { session: id.clone(), attempt, rung: wanted, class }, out);
     }
 
-    pub(super) fn move_away(&mut self, id: &SessionId, out: &mut Vec<Output>) {
+    pub(super) fn move_session(&mut self, id: &SessionId, out: &mut Vec<Output>) {
         let playing = self.sessions.get(id).filter(|session| session.playing().is_some());
         let Some((client, viewer)) = playing.map(|s| (s.client, s.open_request.viewer)) else {
-            // Several sessions end by one input, and the module hears of them one by one: it may choose one whose end it
-            // is about to hear of. That is no fault of its.
+            // One input may end several sessions, and the decision module receives their ends one by one: it
+            // may choose to move a session whose end is still queued. That is not an error of the module.
             let ends =
                 |event: &Event| matches!(event, Event::Ended { session, last: true, .. } if session == id);
             if self.events.iter().any(ends) {
                 return;
             }
             self.counts.stopped_others += 1;
-            return self.stopped("a move of what does not play", id, out);
+            return self.log_blocked("a move of a session that does not play", id, out);
         };
         self.counts.moved += 1;
-        if self.keeping.is_some() {
-            let promise = session_records::Promise::Moved(viewer.0, self.limits.moved_retention);
-            self.promise(session_records::moved(id), &promise, false);
+        if self.replication.is_some() {
+            let record = session_records::SessionRecord::Moved(viewer.0, self.limits.moved_retention);
+            self.store_record(session_records::moved_key(id), &record, false);
         }
         self.moved.insert(id.clone(), viewer);
         self.timers.set(self.now + self.limits.moved_retention, Deadline::MovedExpiry(id.clone()));
@@ -190,14 +192,14 @@
     pub(super) fn refuse(&mut self, id: &SessionId, hold_off: Micros, out: &mut Vec<Output>) {
         let answer = if self.sessions.get(id).is_some_and(Session::must_not_refuse) {
             self.counts.stopped_effects += 1;
-            self.stopped("a refusal of what may have run", id, out);
+            self.log_blocked("a refusal although a set-up may have been executed", id, out);
             Answer::Failed(id.clone(), FailReason::GivenUp)
         } else {
             Answer::Refused(id.clone(), hold_off)
         };
-        if !self.answer(id, answer, out) {
+        if !self.give_answer(id, answer, out) {
             self.counts.stopped_answers += 1;
-            self.stopped("a second answer", id, out);
+            self.log_blocked("a second answer", id, out);
         }
     }
 }
--- a/crates/front/src/core/ledger/boxes.rs
+++ b/crates/front/src/core/ledger/boxes.rs
@@ -1,53 +1,60 @@
-//! Boxes: the list, the streams, and what each box says it holds.
+//! Boxes: the list, the event streams, and the sessions that each box reports.
 
 use salttally_copies::core::{life_of, Life};
 
 use super::*;
-use crate::core::session_records::Place;
+use crate::core::session_records::AttemptPlace;
 
 impl<D: Decider> Ledger<D> {
-    pub(super) fn list(&mut self, kind: ListKind, lines: Vec<ListEntry>, out: &mut Vec<Output>) {
+    pub(super) fn update_box_list(&mut self, kind: ListKind, lines: Vec<ListEntry>, out: &mut Vec<Output>) {
         if kind != ListKind::FetchFailed {
             let gone = removed_servers(kind, &lines, self.boxes.keys());
             for line in &lines {
                 let id = line.entry.server;
                 if line.entry.state != ServerState::Removed {
                     let new = self.boxes.insert(id, line.address).is_none();
-                    if new && self.keeping.is_some() {
-                        self.claim_all((id, line.address), out);
+                    if new && self.replication.is_some() {
+                        self.claim_all_incarnations((id, line.address), out);
                     }
                     self.streams.listed(self.now, id, line.address, &mut self.timers, out);
                 }
             }
             for id in gone {
                 self.boxes.remove(&id);
-                // What was found there and waits for a fresh list counts too: it is about to be taken up.
-                let in_use = self.found.iter().any(|(server, _)| *server == id)
+                // Sessions reported by the box that wait for a current list count too: they are about to be
+                // resumed.
+                let in_use = self.found_sessions.iter().any(|(server, _)| *server == id)
                     || self.sessions.values().any(|s| s.current_attempt().is_some_and(|a| a.server == id));
                 self.streams.unlisted(id, in_use, out);
-                self.pool.forget(id, &mut self.timers, out);
+                self.pool.close_idle(id, &mut self.timers, out);
             }
         }
-        self.overruled(kind, lines);
-        if matches!(kind, ListKind::Complete | ListKind::Changes) && !self.fresh {
-            self.fresh = true;
-            for (server, held) in std::mem::take(&mut self.found) {
-                self.resume(server, held, out);
+        self.send_box_list(kind, lines);
+        if matches!(kind, ListKind::Complete | ListKind::Changes) && !self.list_is_current {
+            self.list_is_current = true;
+            for (server, held) in std::mem::take(&mut self.found_sessions) {
+                self.resume_found_session(server, held, out);
             }
         }
     }
 
-    pub(super) fn stream(&mut self, server: ServerId, number: u64, news: StreamEvent, out: &mut Vec<Output>) {
-        let asked = self.streams.asked(server);
-        if !self.streams.heard(self.now, server, number) {
+    pub(super) fn handle_stream_event(
+        &mut self,
+        server: ServerId,
+        number: u64,
+        news: StreamEvent,
+        out: &mut Vec<Output>,
+    ) {
+        let asked = self.streams.requested_at(server);
+        if !self.streams.is_current(self.now, server, number) {
             return;
         }
         let lost_after = self.limits.lost_timeout;
         let why = match news {
             StreamEvent::Heartbeat => return,
             StreamEvent::Up(held) => {
-                self.streams.up(self.now, server, &mut self.timers);
-                return self.compare(server, asked.unwrap_or(self.now), held, out);
+                self.streams.opened(self.now, server, &mut self.timers);
+                return self.reconcile_box(server, asked.unwrap_or(self.now), held, out);
             }
             StreamEvent::Note(session, note) => {
                 let plays = self.sessions.get(&session).and_then(Session::playing);
@@ -56,13 +63,13 @@
                 }
                 return;
             }
-            StreamEvent::Began(held) => return self.found(server, held, out),
-            StreamEvent::Ended(session, wire) => {
+            StreamEvent::Began(held) => return self.session_found(server, held, out),
+            StreamEvent::Ended(session, wire_number) => {
                 let plays = self.sessions.get(&session).and_then(Session::playing);
-                if plays.is_some_and(|p| p.attempt.server == server && p.attempt.wire_number == wire) {
-                    self.ended_by_itself(&session, EndReason::Box, Outcome::Broken, out);
+                if plays.is_some_and(|p| p.attempt.server == server && p.attempt.wire_number == wire_number) {
+                    self.end_and_notify(&session, EndReason::Box, Outcome::Broken, out);
                 }
-                self.ended_untold(server, Some((&session, wire)));
+                self.mark_ended_unanswered(server, Some((&session, wire_number)));
                 return;
             }
             StreamEvent::CutOff(reason) => {
@@ -76,25 +83,30 @@
             StreamEvent::NoConnection(error) => Some(error),
             StreamEvent::Broken => None,
         };
-        let verdict = self.streams.broke(self.now, server, why, lost_after, &mut self.timers, out);
-        self.judge_stream(server, verdict, out);
+        let stream_outcome = self.streams.broken(self.now, server, why, lost_after, &mut self.timers, out);
+        self.apply_stream_outcome(server, stream_outcome, out);
     }
 
-    pub(super) fn judge_stream(&mut self, server: ServerId, verdict: Verdict, out: &mut Vec<Output>) {
-        if verdict != Verdict::Lost {
+    pub(super) fn apply_stream_outcome(
+        &mut self,
+        server: ServerId,
+        stream_outcome: StreamOutcome,
+        out: &mut Vec<Output>,
+    ) {
+        if stream_outcome != StreamOutcome::Lost {
             return;
         }
-        self.pool.forget(server, &mut self.timers, out);
+        self.pool.close_idle(server, &mut self.timers, out);
         let there = |s: &Session| s.playing().is_some_and(|playing| playing.attempt.server == server);
         let lost: Vec<SessionId> =
             self.sessions.iter().filter(|(_, s)| there(s)).map(|(id, _)| id.clone()).collect();
         for id in lost {
-            self.ended_by_itself(&id, EndReason::Lost, Outcome::Broken, out);
+            self.end_and_notify(&id, EndReason::Lost, Outcome::Broken, out);
         }
-        self.ended_untold(server, None);
+        self.mark_ended_unanswered(server, None);
     }
 
-    pub(super) fn ended_by_itself(
+    pub(super) fn end_and_notify(
         &mut self,
         id: &SessionId,
         why: EndReason,
@@ -108,8 +120,8 @@
         self.stop_playing(id, outcome, why != EndReason::Box, out);
     }
 
-    /// Compares what a box says it holds with what is known here.
-    pub(super) fn compare(
+    /// Reconciles the sessions that a box reports with those known here.
+    pub(super) fn reconcile_box(
         &mut self,
         server: ServerId,
         asked: Micros,
@@ -117,66 +129,77 @@
         out: &mut Vec<Output>,
     ) {
         let named: BTreeMap<&SessionId, u32> = held.iter().map(|h| (&h.session, h.attempt)).collect();
-        // What was sent after the stream was asked for may have begun after the box wrote its list.
+        // A set-up sent after the stream was requested may have begun after the box wrote its list.
         let missing = |id: &SessionId, s: &Session| {
             s.playing().is_some_and(|p| {
                 let told = named.get(id) == Some(&p.attempt.wire_number);
-                // What was another front's is not in this one's list until the box has been asked for it.
-                let unsure = self.keeping.as_ref().is_some_and(|keeping| keeping.unsure.contains(id));
+                // Sessions taken over from another front are not in the list until the box has been asked for
+                // them.
+                let unsure =
+                    self.replication.as_ref().is_some_and(|replication| replication.unconfirmed.contains(id));
                 p.attempt.server == server && p.attempt.sent_at < asked && !told && !unsure
             })
         };
         let lost: Vec<SessionId> =
             self.sessions.iter().filter(|(id, s)| missing(id, s)).map(|(id, _)| id.clone()).collect();
         for id in lost {
-            self.ended_by_itself(&id, EndReason::Lost, Outcome::Broken, out);
+            self.end_and_notify(&id, EndReason::Lost, Outcome::Broken, out);
         }
         for held in held {
-            self.found(server, held, out);
+            self.session_found(server, held, out);
         }
     }
 
-    /// A box says that it holds this session.
-    pub(super) fn found(&mut self, server: ServerId, held: HeldSession, out: &mut Vec<Output>) {
+    /// Handles a session that a box reports to hold.
+    pub(super) fn session_found(&mut self, server: ServerId, held: HeldSession, out: &mut Vec<Output>) {
         let at = self.sessions.get(&held.session).and_then(Session::current_attempt);
         if at.is_some_and(|a| a.server == server && a.wire_number == held.attempt) {
             return;
         }
-        if self.fresh {
-            self.resume(server, held, out);
+        if self.list_is_current {
+            self.resume_found_session(server, held, out);
         } else {
-            self.found.push((server, held));
+            self.found_sessions.push((server, held));
         }
     }
 
-    /// A session that a box holds and the ledger does not know: one of this front's earlier life goes on and
-    /// waits for its viewer; anything else plays for nobody and is released.
-    pub(super) fn resume(&mut self, server: ServerId, held: HeldSession, out: &mut Vec<Output>) {
+    /// Handles a session that a box holds and the ledger does not know: one of an earlier incarnation of this
+    /// front plays on and waits for its viewer; any other has no viewer and is released.
+    pub(super) fn resume_found_session(
+        &mut self,
+        server: ServerId,
+        held: HeldSession,
+        out: &mut Vec<Output>,
+    ) {
         let Some(address) = self.streams.address(server) else { return };
-        let life = life_of(&held.session.0).map(Life::from);
-        let adopted = life.filter(|life| self.keeping.as_ref().is_some_and(|k| k.epochs.contains_key(life)));
-        if let Some(life) = adopted {
-            return self.held_of(server, &life, held, out);
+        let incarnation = life_of(&held.session.0).map(Life::from);
+        let adopted = incarnation.filter(|incarnation| {
+            self.replication.as_ref().is_some_and(|k| k.takeover_epochs.contains_key(incarnation))
+        });
+        if let Some(incarnation) = adopted {
+            return self.reconcile_held_session(server, &incarnation, held, out);
         }
         let own = format!("{}-", self.name);
         let Some(rest) = held.session.0.strip_prefix(&own) else {
             self.counts.faults += 1;
-            let text = format!("box {} holds session {}, which is no front's here", server.0, held.session.0);
+            let text =
+                format!("box {} holds session {}, which belongs to no front here", server.0, held.session.0);
             out.push(Output::Log(Level::Warn, text));
             return;
         };
         let earlier = !rest.starts_with(&format!("{:08x}-", self.boot));
         let known = self.sessions.contains_key(&held.session);
-        if earlier && self.keeping.is_some() {
-            // Another front may be about to go on with it, or does already: nothing is taken from what is found.
+        if earlier && self.replication.is_some() {
+            // Another front may be about to take the session over, or already has: a report of it alone is
+            // not acted on.
             let until = self.now + 2 * self.limits.claim_timeout;
             return self.timers.set(until, Deadline::OrphanSession(server, held.session, held.attempt));
         }
-        let opening = held.open_request.filter(|_| earlier && !known && !self.ending);
-        let Some(opening) = opening else {
+        let open_request = held.open_request.filter(|_| earlier && !known && !self.shutting_down);
+        let Some(open_request) = open_request else {
             return self.release_unknown((server, address), held.session, held.attempt, out);
         };
-        let place = Place { server: server.0, address, attempt: held.attempt };
-        self.plays_on(held.session, place, held.rung, opening, self.limits.claim_timeout);
+        let place = AttemptPlace { server: server.0, address, attempt: held.attempt };
+        self.resume_playing(held.session, place, held.rung, open_request, self.limits.claim_timeout);
     }
 }
--- a/crates/front/src/core/ledger/clients.rs
+++ b/crates/front/src/core/ledger/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: what they ask for, and the one answer that each open gets.
+//! Clients: their requests, and the single answer to each open request.
 
 use super::*;
 
@@ -7,56 +7,58 @@
         &mut self,
         client: ClientId,
         ticket: Ticket,
-        mut opening: OpenRequest,
+        mut open_request: OpenRequest,
         only_back: bool,
         out: &mut Vec<Output>,
     ) {
-        let moved = opening.moved_from.as_ref().filter(|old| self.moved.get(*old) == Some(&opening.viewer));
+        let moved =
+            open_request.moved_from.as_ref().filter(|old| self.moved.get(*old) == Some(&open_request.viewer));
         if only_back && moved.is_none() {
             out.push(Output::Reply(client, ticket, Reply::ReturnsOnly(self.settings.max_hold_off)));
             return;
         }
-        if let Some((most, by)) = self.over(client, opening.viewer) {
+        if let Some((most, by)) = self.exceeded_limit(client, open_request.viewer) {
             out.push(Output::Reply(client, ticket, Reply::TooManySessions(most, by)));
             return;
         }
-        self.opened += 1;
-        // Of one width, so that ids sort as they were opened whatever the boot.
-        let id = SessionId(Arc::from(format!("{}-{:08x}-{:010}", self.name, self.boot, self.opened)));
+        self.sessions_opened += 1;
+        // Fixed width, so that ids sort in the order of opening for any boot number.
+        let id =
+            SessionId(Arc::from(format!("{}-{:08x}-{:010}", self.name, self.boot, self.sessions_opened)));
         self.counts.accepted += 1;
-        if self.ending {
+        if self.shutting_down {
             self.counts.refused += 1;
             let hold_off = self.settings.max_hold_off;
             out.push(Output::Answer(client, ticket, Answer::Refused(id, hold_off)));
             return;
         }
         let moved = moved.cloned();
-        if let Some(terms) = &self.terms {
-            if let Err(why) = terms.check_new(&opening, &Counted { ledger: self }) {
+        if let Some(rules) = &self.rules {
+            if let Err(why) = rules.check_new(&open_request, &LedgerCounts { ledger: self }) {
                 self.counts.refused += 1;
-                let answer = Answer::Refused(id, self.come_back(why));
+                let answer = Answer::Refused(id, self.hold_off_for(why));
                 out.push(Output::Answer(client, ticket, answer));
                 return;
             }
-            terms.restrict(&mut opening, self.settings.cells);
+            rules.restrict(&mut open_request, self.settings.cells);
         }
-        // A move counts as one only for the viewer and the session that it was done to, and once.
+        // A reopen after a move is valid only for the viewer and the session that were moved, and only once.
         let moved = moved.is_some_and(|old| {
-            self.forget(session_records::moved(&old));
+            self.delete_record(session_records::moved_key(&old));
             self.moved.remove(&old).is_some()
         });
-        let request = opening.to_request(&id, moved);
-        let class = self.settings.classes.get(opening.class);
+        let request = open_request.to_request(&id, moved);
+        let class = self.settings.classes.get(open_request.class);
         let (effect, floor) = class.map_or((Effect::Safe, 0), |class| (class.effect, class.floor));
-        let session = Session::new(Some((client, ticket)), opening, effect, floor, self.now);
+        let session = Session::new(Some((client, ticket)), open_request, effect, floor, self.now);
         self.timers.set(session.overdue_at(self.limits.answer_slack), Deadline::AnswerOverdue(id.clone()));
-        self.insert(id.clone(), session);
+        self.insert_session(id.clone(), session);
         self.by_client.entry(client).or_default().insert(id);
         self.events.push_back(Event::Request(request));
     }
 
-    /// Whose sessions are as many as they may be, if a further one of this client and viewer is asked for.
-    pub(super) fn over(&self, client: ClientId, viewer: ViewerId) -> Option<(usize, LimitScope)> {
+    /// Returns the limit that a further session of this client and viewer would exceed, if any.
+    pub(super) fn exceeded_limit(&self, client: ClientId, viewer: ViewerId) -> Option<(usize, LimitScope)> {
         let own = self.by_client.get(&client).map_or(0, BTreeSet::len);
         let of_viewer = self.by_viewer.get(&viewer).copied().unwrap_or(0);
         let limits = &self.limits;
@@ -69,12 +71,12 @@
         }
     }
 
-    pub(super) fn insert(&mut self, id: SessionId, session: Session) {
+    pub(super) fn insert_session(&mut self, id: SessionId, session: Session) {
         *self.by_viewer.entry(session.open_request.viewer).or_insert(0) += 1;
         self.sessions.insert(id, session);
     }
 
-    /// Whether this client has sessions, or opens that wait for their answers.
+    /// Whether this client has sessions or unanswered open requests.
     pub fn has_sessions(&self, client: ClientId) -> bool {
         self.by_client.contains_key(&client)
     }
@@ -85,11 +87,12 @@
         let mut found =
             own.filter(|id| self.sessions.get(*id).is_some_and(|s| s.client == by && s.answer_pending()));
         let Some(id) = found.next().cloned() else {
-            // The answer has crossed the cancellation: there is nothing to give up, the client may close it.
+            // The answer was sent before the cancellation arrived: there is nothing to cancel, and the client
+            // may close the session.
             out.push(Output::Reply(client, ticket, Reply::Unknown));
             return;
         };
-        self.answer(&id, Answer::Failed(id.clone(), FailReason::Cancelled), out);
+        self.give_answer(&id, Answer::Failed(id.clone(), FailReason::Cancelled), out);
         self.events.push_back(Event::ClientLeft(id));
         out.push(Output::Reply(client, ticket, Reply::Cancelled));
     }
@@ -97,9 +100,9 @@
     pub(super) fn close(&mut self, client: ClientId, ticket: Ticket, id: &SessionId, out: &mut Vec<Output>) {
         let own = self.by_client.get(&client).is_some_and(|own| own.contains(id));
         let plays = self.sessions.get(id).is_some_and(|s| s.playing().is_some());
-        if own && plays && !self.ours(id) {
-            // It would play on where nobody may end it.
-            out.push(Output::Reply(client, ticket, Reply::RetryAfter(takeover::ASK_AGAIN)));
+        if own && plays && !self.may_act_for(id) {
+            // Without the right to release it, the session would play on with nobody able to end it.
+            out.push(Output::Reply(client, ticket, Reply::RetryAfter(takeover::TAKEOVER_HOLD_OFF_US)));
             return;
         }
         if !(own && plays) {
@@ -118,16 +121,16 @@
         viewer: Option<ViewerId>,
         out: &mut Vec<Output>,
     ) {
-        let mut reply = if self.sessions.contains_key(id) { Reply::Unknown } else { self.elsewhere(id) };
-        if self.sessions.get(id).is_some_and(|session| session.client.is_none()) && !self.ours(id) {
-            // Danger: a front that was stopped gives away what is another's, and takes it back as that player goes; found
-            // by the trial.
-            out.push(Output::Reply(client, ticket, Reply::RetryAfter(takeover::ASK_AGAIN)));
+        let mut reply = if self.sessions.contains_key(id) { Reply::Unknown } else { self.locate_session(id) };
+        if self.sessions.get(id).is_some_and(|session| session.client.is_none()) && !self.may_act_for(id) {
+            // Danger: a front that resumes after a suspension would hand a viewer a session that another
+            // front has taken over, and would end it when that connection closes.
+            out.push(Output::Reply(client, ticket, Reply::RetryAfter(takeover::TAKEOVER_HOLD_OFF_US)));
             return;
         }
         if let Some(session) = self.sessions.get_mut(id) {
             if session.client.is_none() && viewer == Some(session.open_request.viewer) {
-                // Found at a box after a restart of this front, or left without a word: its viewer is back for it.
+                // Resumed after a restart, or left when its connection failed: its viewer is back for it.
                 session.client = Some((client, ticket));
                 session.claimed_at = Some(self.now);
                 if let Some(at) = session.claim_by.take() {
@@ -138,24 +141,25 @@
             if session.client.is_some_and(|(of, _)| of == client) {
                 let playing = session.playing().map(|p| (p.attempt.server, p.attempt.rung));
                 let class = session.open_request.class;
-                let playing = playing.map(|(at, rung)| (at, rung, self.rate(class, rung)));
+                let playing = playing.map(|(at, rung)| (at, rung, self.rate_kb(class, rung)));
                 reply = Reply::Status { session: id.clone(), playing };
             }
         }
         out.push(Output::Reply(client, ticket, reply));
     }
 
-    /// Danger: a session that plays for nobody, or an answer written to a connection that is gone.
-    pub(super) fn client_gone(&mut self, client: ClientId, out: &mut Vec<Output>) {
-        if self.keeping.is_some() {
-            self.keep_unsure(client);
+    /// Handles a closed client. Danger: without this, sessions would play on with no viewer, and answers
+    /// would be written to a closed connection.
+    pub(super) fn client_closed(&mut self, client: ClientId, out: &mut Vec<Output>) {
+        if self.replication.is_some() {
+            self.keep_uncertain_sessions(client);
         }
         for id in self.by_client.remove(&client).unwrap_or_default() {
             let Some(session) = self.sessions.get_mut(&id) else { continue };
             session.client = None;
             if session.answer_pending() {
-                self.settled(&id);
-                self.untold(&id, out);
+                self.settle_answer(&id);
+                self.release_unanswered(&id, out);
                 self.events.push_back(Event::ClientLeft(id));
             } else if session.playing().is_some() {
                 self.stop_playing(&id, Outcome::Ok, true, out);
@@ -163,22 +167,23 @@
         }
     }
 
-    /// A client that is gone without a word. Danger: its sessions would play, and hold seats, for as long as their
-    /// titles last; or, ended at once, a viewer whose line was down for a moment would lose what it paid for. So they
-    /// wait a while for their viewer. What was not answered yet is given up: its answer can reach nobody.
+    /// Handles a client whose connection failed. Danger: its sessions would play, and hold seats, until their
+    /// titles end; or, if ended at once, a viewer with a short network outage would lose what it paid for. So
+    /// they wait a while for their viewer. Unanswered requests are given up, since the answer could not be
+    /// delivered.
     pub(super) fn client_lost(&mut self, client: ClientId, out: &mut Vec<Output>) {
         self.keep_for_viewer(client, |_, _| true);
-        self.client_gone(client, out);
+        self.client_closed(client, out);
     }
 
-    /// Sessions that wait for their viewers though this connection has ended: without a lease nobody can tell whose they
-    /// are; and a viewer that looks for its session asks, hears nothing from a front that is stopped, and goes to ask
-    /// elsewhere, which is no close. Found by the trial.
-    pub(super) fn keep_unsure(&mut self, client: ClientId) {
+    /// Keeps sessions for their viewers although the connection has ended, in two cases. Without a lease,
+    /// this front cannot know whether the sessions are still its own. And a viewer that looks for its session
+    /// asks a suspended front, gets no response and goes on to another front; that is not a close.
+    pub(super) fn keep_uncertain_sessions(&mut self, client: ClientId) {
         let now = self.now;
-        let lately = |session: &Session| session.claimed_at.is_some_and(|at| at + CLAIMED > now);
+        let lately = |session: &Session| session.claimed_at.is_some_and(|at| at + RECLAIM_GRACE_US > now);
         self.keep_for_viewer(client, |ledger, id| {
-            !ledger.ours(id) || ledger.sessions.get(id).is_some_and(lately)
+            !ledger.may_act_for(id) || ledger.sessions.get(id).is_some_and(lately)
         });
     }
 
@@ -198,8 +203,8 @@
         }
     }
 
-    /// Gives the one answer, if it is still owed; returns whether it was.
-    pub(super) fn answer(&mut self, id: &SessionId, answer: Answer, out: &mut Vec<Output>) -> bool {
+    /// Sends the answer if it is still pending; returns whether it was.
+    pub(super) fn give_answer(&mut self, id: &SessionId, answer: Answer, out: &mut Vec<Output>) -> bool {
         let Some(session) = self.sessions.get(id).filter(|session| session.answer_pending()) else {
             return false;
         };
@@ -211,24 +216,24 @@
         if let Some((client, ticket)) = session.client {
             out.push(Output::Answer(client, ticket, answer));
         }
-        self.settled(id);
-        self.untold(id, out);
+        self.settle_answer(id);
+        self.release_unanswered(id, out);
         true
     }
 
-    /// No answer is owed any more; a session with no attempt out is over by that.
-    pub(super) fn settled(&mut self, id: &SessionId) {
+    /// Records that no answer is pending any more; a session without an attempt in progress is thereby over.
+    pub(super) fn settle_answer(&mut self, id: &SessionId) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let at = session.overdue_at(self.limits.answer_slack);
         self.timers.cancel(at, Deadline::AnswerOverdue(id.clone()));
         if session.settle_answer() {
-            self.drop_session(id);
+            self.remove_session(id);
         }
     }
 
-    pub(super) fn drop_session(&mut self, id: &SessionId) {
+    pub(super) fn remove_session(&mut self, id: &SessionId) {
         let Some(session) = self.sessions.remove(id) else { return };
-        self.forget(session_records::key(id));
+        self.delete_record(session_records::session_key(id));
         if let Some(count) = self.by_viewer.get_mut(&session.open_request.viewer) {
             *count -= 1;
             if *count == 0 {
@@ -247,7 +252,7 @@
         }
     }
 
-    pub(super) fn rate(&self, class: usize, rung: usize) -> f64 {
+    pub(super) fn rate_kb(&self, class: usize, rung: usize) -> f64 {
         let factor = self.settings.classes.get(class).map_or(1.0, |class| class.rate_factor);
         self.settings.ladder.get(rung).map_or(0.0, |step| step.kb * factor)
     }
--- a/crates/front/src/core/ledger/mod.rs
+++ b/crates/front/src/core/ledger/mod.rs
@@ -1,5 +1,6 @@
-//! The ledger of sessions and attempts: told what happens, it asks the decider and carries out the answer, and
-//! keeps the one answer and the one attempt whatever the decider says.
+//! The ledger of sessions and attempts. It passes events to the decider, executes the actions that the
+//! decider returns, and ensures one answer per request and one attempt at a time regardless of what the
+//! decider asks for.
 
 mod actions;
 mod boxes;
@@ -19,32 +20,34 @@
 use salttally_accord::core::rules::Refusal;
 
 use super::agreed_rules::{AgreedRules, SessionCounts};
-use super::pool::{End, Pool, Proof};
+use super::pool::{Delivery, Pool, RequestEnd};
 use super::session::{Attempt, Playing, Session, SetUpDenied, Stage};
-use super::session_records::Keeping;
-use super::streams::{Streams, Verdict};
+use super::session_records::Replication;
+use super::streams::{StreamOutcome, Streams};
 use super::timers::{Deadline, Timers};
 use super::*;
 
-/// Releases of one attempt that are tried before it is left to the box's own account of what it holds.
-const RELEASES: u32 = 4;
-/// Releases under way at one box, of sessions that it names and nobody knows.
-const RELEASES_AT_ONCE: usize = 32;
-/// Where promises are copied: a connection that ends so soon after its viewer came back by it is not the viewer's close.
-const CLAIMED: Micros = 3_000_000;
-/// One that may not be written is tried again after this.
-const WITHHELD: Micros = 300_000;
-/// Pause before the second of them; it doubles.
-const RELEASE_PAUSE: Micros = 100_000;
-/// Changes of rung in a row that may fail before the module is told the rung in force.
-const RUNG_MISSES: u32 = 2;
-
-/// What a front has done since its start.
+/// Tries of one release. After that, the next list of sessions that the box reports shows whether it still
+/// holds the session.
+const MAX_RELEASE_TRIES: u32 = 4;
+/// Concurrent releases at one box of sessions that the box reports and nobody knows.
+const MAX_CONCURRENT_RELEASES: usize = 32;
+/// With replication: a connection that ends this soon after a viewer reclaimed its session over it doesn't
+/// count as a close by the viewer, us.
+const RECLAIM_GRACE_US: Micros = 3_000_000;
+/// Pause before a release is retried that may not be written without a lease, us.
+const WITHHELD_RETRY_US: Micros = 300_000;
+/// Pause before the second try of a release, us; doubles with each try.
+const RELEASE_RETRY_US: Micros = 100_000;
+/// Consecutive rung changes that may fail before the decision module is told the rung in force.
+const MAX_FAILED_RUNG_CHANGES: u32 = 2;
+
+/// Counters since the start of the front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Opens accepted.
+    /// Open requests accepted.
     pub accepted: u64,
-    /// Answers: plays.
+    /// Answers: the session plays.
     pub played: u64,
     /// Answers: refused.
     pub refused: u64,
@@ -56,32 +59,32 @@
     pub probes: u64,
     /// Sessions moved.
     pub moved: u64,
-    /// Sessions lost with their boxes.
+    /// Sessions lost along with their boxes.
     pub lost: u64,
-    /// Sessions found at boxes after a restart.
+    /// Sessions resumed after a restart or a takeover.
     pub resumed: u64,
-    /// Sets of the lock: a second answer stopped.
+    /// Blocked actions: second answers.
     pub stopped_answers: u64,
-    /// A set-up stopped because an attempt was out, or the session was answered or over.
+    /// Blocked actions: set-ups while an attempt was in progress, or after the session was answered or over.
     pub stopped_attempts: u64,
-    /// A set-up or refusal stopped because a paid set-up may have run.
+    /// Blocked actions: set-ups or refusals of a session whose only permitted set-up may have been executed.
     pub stopped_effects: u64,
-    /// Any other action that could not be carried out as it stood.
+    /// Blocked actions: any other that could not be executed.
     pub stopped_others: u64,
     /// Answers that the ledger gave because nothing was decided in time.
     pub overdue: u64,
-    /// Peers that did not keep to the box API.
+    /// Violations of the box API by peers.
     pub faults: u64,
 }
 
 impl Counts {
-    /// All actions stopped by the second lock.
+    /// Number of all blocked actions.
     pub fn stopped(&self) -> u64 {
         self.stopped_answers + self.stopped_attempts + self.stopped_effects + self.stopped_others
     }
 }
 
-/// What the decider was told and what it answered; for the record.
+/// Observer of each event passed to the decider and the actions it returned, for the decision record.
 pub type Tap = Box<dyn FnMut(Micros, &Event, &[Action]) + Send + Sync>;
 
 /// The state of one front. See [`crate::core`].
@@ -91,58 +94,58 @@
     limits: Limits,
     name: String,
     boot: u32,
-    opened: u64,
+    sessions_opened: u64,
     now: Micros,
-    /// Nothing that is due is done before this.
-    held_until: Micros,
+    /// Deadlines are not processed before this time.
+    deadlines_paused_until: Micros,
     sessions: BTreeMap<SessionId, Session>,
     by_client: BTreeMap<ClientId, BTreeSet<SessionId>>,
     by_viewer: BTreeMap<ViewerId, usize>,
     boxes: BTreeMap<ServerId, SocketAddr>,
-    /// Sessions that this front moved, until they are opened again.
+    /// Sessions that this front moved and that have not been reopened.
     moved: BTreeMap<SessionId, ViewerId>,
     releases: BTreeMap<(ServerId, SessionId, u32), u32>,
-    /// Sessions named by boxes that nobody knows, until they are released too.
-    unknown: BTreeMap<ServerId, BTreeSet<(SessionId, u32)>>,
+    /// Sessions reported by boxes and known to nobody, queued for release.
+    unknown_sessions: BTreeMap<ServerId, BTreeSet<(SessionId, u32)>>,
     pool: Pool,
     streams: Streams,
     timers: Timers,
-    /// Sessions found at boxes before the list was known to be fresh.
-    found: Vec<(ServerId, HeldSession)>,
-    fresh: bool,
-    ending: bool,
+    /// Sessions reported by boxes before a current box list was received.
+    found_sessions: Vec<(ServerId, HeldSession)>,
+    list_is_current: bool,
+    shutting_down: bool,
     finished: bool,
     events: VecDeque<Event>,
     counts: Counts,
-    /// Rules that are agreed on; nothing where the front acts on its own file alone.
-    terms: Option<AgreedRules>,
-    /// The last list, before operators overruled it; kept only under rules.
-    listed: BTreeMap<ServerId, ListEntry>,
-    /// Promises and their copies; nothing where the front keeps all alone.
-    keeping: Option<Keeping>,
-    /// What is said of promises by this input.
-    notes: Vec<Output>,
+    /// The agreed rules; `None` where the front acts on its own settings only.
+    rules: Option<AgreedRules>,
+    /// The last box list before operator orders were applied; kept only with agreed rules.
+    box_list: BTreeMap<ServerId, ListEntry>,
+    /// Replication of session records; `None` without replication.
+    replication: Option<Replication>,
+    /// Outputs for session records caused by the current input.
+    record_outputs: Vec<Output>,
     tap: Option<Tap>,
 }
 
-/// A viewer who is refused for a reason that passes by itself may come back after this.
-const COME_BACK: Micros = 1_000_000;
+/// Hold-off of a refusal whose reason is temporary, us.
+const SHORT_HOLD_OFF_US: Micros = 1_000_000;
 
 /// Why a set-up, or its answer, may not be written.
-enum Forbidden {
-    /// The session may not be.
-    All(Refusal),
-    /// Nothing new is set up at that box.
+enum SetUpForbidden {
+    /// The rules do not allow the session.
+    Session(Refusal),
+    /// The box accepts no new sessions.
     Box,
 }
 
-/// What a ledger holds.
-struct Counted<'a, D> {
+/// The session counts of a ledger, as the rules need them.
+struct LedgerCounts<'a, D> {
     ledger: &'a Ledger<D>,
 }
 
-impl<D> SessionCounts for Counted<'_, D> {
-    fn all(&self) -> usize {
+impl<D> SessionCounts for LedgerCounts<'_, D> {
+    fn total(&self) -> usize {
         self.ledger.sessions.len()
     }
 
@@ -155,11 +158,12 @@
     }
 }
 
-/// A process that runs again after it was stopped hears what waits in its sockets, for so long, before it does what
-/// became due meanwhile. Danger: set-ups whose answers lie there are taken back, boxes whose word lies there are lost.
-const WAKES: Micros = 50_000;
+/// After the process resumes from a suspension, it first reads the input waiting in its sockets for this
+/// long, us, before it processes deadlines that passed meanwhile. Danger: set-ups whose responses wait there
+/// would be withdrawn, and boxes whose heartbeats wait there would be lost.
+const RESUME_GRACE_US: Micros = 50_000;
 
-/// A copy goes its own way; it tells no tap, since what it does has not happened.
+/// The clone is independent. It has no tap, since what it does has not happened.
 impl<D: Clone> Clone for Ledger<D> {
     fn clone(&self) -> Self {
         Ledger {
@@ -167,42 +171,43 @@
             settings: Arc::clone(&self.settings),
             limits: self.limits.clone(),
             name: self.name.clone(),
-            held_until: self.held_until,
+            deadlines_paused_until: self.deadlines_paused_until,
             sessions: self.sessions.clone(),
             by_client: self.by_client.clone(),
             by_viewer: self.by_viewer.clone(),
             boxes: self.boxes.clone(),
             moved: self.moved.clone(),
             releases: self.releases.clone(),
-            unknown: self.unknown.clone(),
+            unknown_sessions: self.unknown_sessions.clone(),
             pool: self.pool.clone(),
             streams: self.streams.clone(),
             timers: self.timers.clone(),
-            found: self.found.clone(),
+            found_sessions: self.found_sessions.clone(),
             events: self.events.clone(),
-            terms: self.terms.clone(),
-            listed: self.listed.clone(),
-            keeping: self.keeping.clone(),
-            notes: self.notes.clone(),
+            rules: self.rules.clone(),
+            box_list: self.box_list.clone(),
+            replication: self.replication.clone(),
+            record_outputs: self.record_outputs.clone(),
             tap: None,
             ..*self
         }
     }
 }
 
-/// The state that decides what comes next, without settings and counts.
+/// Only the state that determines future behaviour: no settings and no counters.
 impl<D: fmt::Debug> fmt::Debug for Ledger<D> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let sessions = (&self.sessions, &self.by_client, &self.moved, &self.releases, &self.found);
-        let flags = (self.boot, self.opened, self.fresh, self.ending, self.finished);
+        let sessions = (&self.sessions, &self.by_client, &self.moved, &self.releases, &self.found_sessions);
+        let flags =
+            (self.boot, self.sessions_opened, self.list_is_current, self.shutting_down, self.finished);
         write!(f, "{sessions:?} {:?} {:?} {:?} {:?}", self.boxes, self.pool, self.streams, self.timers)?;
-        write!(f, " {:?} {flags:?} {:?}", self.unknown, self.decider)
+        write!(f, " {:?} {flags:?} {:?}", self.unknown_sessions, self.decider)
     }
 }
 
 impl<D: Decider> Ledger<D> {
-    /// The ledger of a front that has just started. `name` is the front's own, the same at each start; `boot`
-    /// differs between its starts, so that no id of a session is used again.
+    /// Creates the ledger of a front that has just started. `name` is the same at each start of the front;
+    /// `boot` differs between starts, so that no session id is reused.
     pub fn new(decider: D, settings: Settings, limits: Limits, name: &str, boot: u32) -> Self {
         let streams = Streams::new(limits.silence_timeout);
         Ledger {
@@ -211,93 +216,93 @@
             limits,
             name: name.to_owned(),
             boot,
-            opened: 0,
+            sessions_opened: 0,
             now: 0,
-            held_until: 0,
+            deadlines_paused_until: 0,
             sessions: BTreeMap::new(),
             by_client: BTreeMap::new(),
             by_viewer: BTreeMap::new(),
             boxes: BTreeMap::new(),
             moved: BTreeMap::new(),
             releases: BTreeMap::new(),
-            unknown: BTreeMap::new(),
+            unknown_sessions: BTreeMap::new(),
             pool: Pool::default(),
             streams,
             timers: Timers::default(),
-            found: Vec::new(),
-            fresh: false,
-            ending: false,
+            found_sessions: Vec::new(),
+            list_is_current: false,
+            shutting_down: false,
             finished: false,
             events: VecDeque::new(),
             counts: Counts::default(),
-            terms: None,
-            listed: BTreeMap::new(),
-            keeping: None,
-            notes: Vec::new(),
+            rules: None,
+            box_list: BTreeMap::new(),
+            replication: None,
+            record_outputs: Vec::new(),
             tap: None,
         }
     }
 
-    /// Acts on rules that are agreed on.
-    pub fn with_rules(mut self, terms: AgreedRules) -> Self {
-        self.terms = Some(terms);
+    /// Enforces agreed rules.
+    pub fn with_rules(mut self, rules: AgreedRules) -> Self {
+        self.rules = Some(rules);
         self
     }
 
-    /// The time by the clock of leases, ahead of each input; nothing where the front acts on its own file alone.
+    /// Sets the time of the lease clock; to be called before each input. Has no effect without agreed rules.
     pub fn set_lease_time(&mut self, now: impl FnOnce() -> Micros) {
-        if let Some(terms) = &mut self.terms {
-            terms.set_lease_time(now());
+        if let Some(rules) = &mut self.rules {
+            rules.set_lease_time(now());
         }
     }
 
-    /// Has every event and its actions told to `tap`.
+    /// Reports every event and its actions to `tap`.
     pub fn with_tap(mut self, tap: Tap) -> Self {
         self.tap = Some(tap);
         self
     }
 
-    /// Who decides.
+    /// The decider.
     pub fn decider(&mut self) -> &mut D {
         &mut self.decider
     }
 
-    /// What is due and when, the earliest first.
+    /// All deadlines with their times, earliest first.
     pub fn deadlines(&self) -> impl Iterator<Item = &(Micros, Deadline)> {
         self.timers.entries()
     }
 
-    /// When something is due next; the edge then hands in [`Input::Tick`].
+    /// Time of the next deadline, at which the engine passes in [`Input::Tick`].
     pub fn next_deadline(&self) -> Option<Micros> {
-        self.timers.next_at().map(|at| at.max(self.held_until))
+        self.timers.next_at().map(|at| at.max(self.deadlines_paused_until))
     }
 
-    /// What was done so far.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// Number of sessions in the ledger, and of those that play.
+    /// Number of sessions in the ledger, and number of those that play.
     pub fn session_counts(&self) -> (usize, usize) {
         (self.sessions.len(), self.sessions.values().filter(|s| s.playing().is_some()).count())
     }
 
-    /// Whether this session is in the ledger.
+    /// Whether the ledger has this session.
     pub fn contains(&self, id: &SessionId) -> bool {
         self.sessions.contains_key(id)
     }
 
-    /// Releases that no box has confirmed yet.
+    /// Number of releases that no box has confirmed yet.
     pub fn pending_releases(&self) -> usize {
         self.releases.len()
     }
 
-    /// Which of this front's starts this is.
+    /// Boot number of this front.
     pub fn boot(&self) -> u32 {
         self.boot
     }
 
-    /// The session that this call of this client opened, while it is in the ledger.
+    /// The session that this open call of this client created, while the ledger has it.
     pub fn session_of_call(&self, client: ClientId, ticket: Ticket) -> Option<SessionId> {
         let own = self.by_client.get(&client)?;
         own.iter()
@@ -305,31 +310,31 @@
             .cloned()
     }
 
-    /// The box that a connection goes to.
+    /// The box that a connection leads to.
     pub fn box_of(&self, conn: ConnId) -> Option<ServerId> {
         self.pool.box_of(conn)
     }
 
-    /// Connections: being made, busy, idle; and requests that wait for one.
+    /// Number of connections being established, busy and idle, and of requests waiting for one.
     pub fn connections(&self) -> [usize; 4] {
         self.pool.count()
     }
 
-    /// Takes in one input; what is to be done is added to `out`, in order.
+    /// Handles one input and appends the resulting outputs, in order, to `out`.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         let before = out.len();
         self.now = self.now.max(now);
         match input {
-            Input::Open(client, ticket, opening) => self.open(client, ticket, opening, false, out),
-            Input::Reopen(client, ticket, opening) => self.open(client, ticket, opening, true, out),
+            Input::Open(client, ticket, open_request) => self.open(client, ticket, open_request, false, out),
+            Input::Reopen(client, ticket, open_request) => self.open(client, ticket, open_request, true, out),
             Input::Cancel(client, ticket, open) => self.cancel(client, ticket, open, out),
             Input::Close(client, ticket, session) => self.close(client, ticket, &session, out),
             Input::Status(client, ticket, session, viewer) => {
                 self.status(client, ticket, &session, viewer, out);
             }
-            Input::ClientClosed(client) => self.client_gone(client, out),
+            Input::ClientClosed(client) => self.client_closed(client, out),
             Input::ClientLost(client) => self.client_lost(client, out),
-            Input::List(kind, lines) => self.list(kind, lines, out),
+            Input::List(kind, lines) => self.update_box_list(kind, lines, out),
             Input::Dialed(conn, result) => {
                 let kept = self.limits.idle_timeout;
                 let ended = self.pool.dialed(self.now, conn, result, kept, &mut self.timers, out);
@@ -340,36 +345,40 @@
                 let ended = self.pool.exchanged(self.now, conn, end, kept, &mut self.timers, out);
                 self.request_ended(ended, out);
             }
-            Input::Stream(server, number, news) => self.stream(server, number, news, out),
-            Input::Coordination(stand) => self.stands(*stand, out),
+            Input::Stream(server, number, news) => self.handle_stream_event(server, number, news, out),
+            Input::Coordination(stand) => self.update_rules(*stand, out),
             Input::ShutDown => self.shut_down(out),
-            Input::RecordStored(key, kept) => self.is_kept(&key, kept, out),
-            Input::TakeOver(life, epoch, promises) => self.adopt(&life, epoch, &promises, out),
-            Input::TakenOver(life) => self.replaced(&life, out),
-            Input::TakeoverSuperseded(life) => self.give_up(&life, out),
+            Input::RecordStored(key, kept) => self.record_stored(&key, kept, out),
+            Input::TakeOver(incarnation, epoch, records) => {
+                self.take_over(&incarnation, epoch, &records, out)
+            }
+            Input::TakenOver(incarnation) => self.taken_over(&incarnation, out),
+            Input::TakeoverSuperseded(incarnation) => self.drop_incarnation(&incarnation, out),
             Input::Peers(others) => {
-                if let Some(keeping) = self.keeping.as_mut().filter(|keeping| keeping.others != others) {
-                    (keeping.others, keeping.moved_at) = (others, self.now);
+                if let Some(replication) =
+                    self.replication.as_mut().filter(|replication| replication.peers != others)
+                {
+                    (replication.peers, replication.peers_changed_at) = (others, self.now);
                 }
             }
             Input::ProcessResumed => {
-                self.streams.woke(self.now);
-                self.held_until = self.now + WAKES;
+                self.streams.process_resumed(self.now);
+                self.deadlines_paused_until = self.now + RESUME_GRACE_US;
             }
             Input::Tick => {}
         }
-        self.settle(out);
-        while self.now >= self.held_until {
+        self.run_decider(out);
+        while self.now >= self.deadlines_paused_until {
             let Some(due) = self.timers.pop(self.now) else { break };
-            self.due(due, out);
-            self.settle(out);
+            self.handle_deadline(due, out);
+            self.run_decider(out);
         }
-        self.hold_back(before, out);
-        out.append(&mut self.notes);
-        if self.ending && !self.finished && self.sessions.is_empty() && self.releases.is_empty() {
+        self.withhold_forbidden(before, out);
+        out.append(&mut self.record_outputs);
+        if self.shutting_down && !self.finished && self.sessions.is_empty() && self.releases.is_empty() {
             self.finished = true;
-            self.streams.stop(out);
-            self.pool.stop(out);
+            self.streams.close_all(out);
+            self.pool.close_all(out);
             out.push(Output::Finished);
         }
     }
--- a/crates/front/src/core/ledger/releases.rs
+++ b/crates/front/src/core/ledger/releases.rs
@@ -1,9 +1,9 @@
-//! Ends of sessions, and releases until the box has them.
+//! Ends of sessions, and releases until the box has confirmed them.
 
 use super::*;
 
 impl<D: Decider> Ledger<D> {
-    /// A playing session ends; `release` tells whether the box must be told.
+    /// Ends a playing session; `release` tells whether the box must be told.
     pub(super) fn stop_playing(
         &mut self,
         id: &SessionId,
@@ -13,7 +13,7 @@
     ) {
         let playing = self.sessions.get(id).and_then(Session::playing);
         let Some(attempt) = playing.map(|playing| playing.attempt.clone()) else { return };
-        self.drop_session(id);
+        self.remove_session(id);
         if release {
             self.release((attempt.server, attempt.address), id, attempt.wire_number, out);
         }
@@ -27,89 +27,101 @@
         &mut self,
         to: (ServerId, SocketAddr),
         id: &SessionId,
-        wire: u32,
+        wire_number: u32,
         out: &mut Vec<Output>,
     ) {
-        self.releases.entry((to.0, id.clone(), wire)).or_insert(0);
-        if self.keeping.is_some() {
-            let place = session_records::Place { server: to.0 .0, address: to.1, attempt: wire };
-            self.promise(session_records::owed(id, wire), &session_records::Promise::Owes(place), false);
+        self.releases.entry((to.0, id.clone(), wire_number)).or_insert(0);
+        if self.replication.is_some() {
+            let place =
+                session_records::AttemptPlace { server: to.0 .0, address: to.1, attempt: wire_number };
+            self.store_record(
+                session_records::release_key(id, wire_number),
+                &session_records::SessionRecord::ReleasePending(place),
+                false,
+            );
         }
-        self.ask(to, BoxRequest::Release { session: id.clone(), attempt: wire }, out);
+        self.send_request(to, BoxRequest::Release { session: id.clone(), attempt: wire_number }, out);
     }
 
-    /// Releases what plays for nobody. Danger: a box that names thousands of sessions that never were would have as
-    /// many requests sent to it at once, each with a connection and a thread of its own.
+    /// Releases a session that has no viewer. Danger: a box that reports thousands of sessions that never
+    /// existed would otherwise be sent as many requests at once, each with its own connection and thread.
     pub(super) fn release_unknown(
         &mut self,
         to: (ServerId, SocketAddr),
         id: SessionId,
-        wire: u32,
+        wire_number: u32,
         out: &mut Vec<Output>,
     ) {
-        if self.releases.contains_key(&(to.0, id.clone(), wire)) {
+        if self.releases.contains_key(&(to.0, id.clone(), wire_number)) {
             return;
         }
-        if self.releasing_at(to.0) < RELEASES_AT_ONCE {
-            return self.release(to, &id, wire, out);
+        if self.releases_at(to.0) < MAX_CONCURRENT_RELEASES {
+            return self.release(to, &id, wire_number, out);
         }
-        self.unknown.entry(to.0).or_default().insert((id, wire));
+        self.unknown_sessions.entry(to.0).or_default().insert((id, wire_number));
     }
 
-    pub(super) fn releasing_at(&self, server: ServerId) -> usize {
+    pub(super) fn releases_at(&self, server: ServerId) -> usize {
         let from = (server, SessionId(Arc::from("")), 0);
-        self.releases.range(from..).take_while(|((at, ..), _)| *at == server).take(RELEASES_AT_ONCE).count()
+        self.releases
+            .range(from..)
+            .take_while(|((at, ..), _)| *at == server)
+            .take(MAX_CONCURRENT_RELEASES)
+            .count()
     }
 
-    /// A release at this box has ended: the next one of those that wait.
-    pub(super) fn next_unknown(&mut self, server: ServerId, out: &mut Vec<Output>) {
-        if self.releasing_at(server) >= RELEASES_AT_ONCE {
+    /// After a release at this box has ended, sends the next one in the queue.
+    pub(super) fn release_next_unknown(&mut self, server: ServerId, out: &mut Vec<Output>) {
+        if self.releases_at(server) >= MAX_CONCURRENT_RELEASES {
             return;
         }
-        let Some(mut waiting) = self.unknown.remove(&server) else { return };
-        // A box that is gone has taken with it what it played.
+        let Some(mut waiting) = self.unknown_sessions.remove(&server) else { return };
+        // A box that is gone took its sessions with it.
         let Some(address) = self.streams.address(server) else { return };
-        let Some((id, wire)) = waiting.pop_first() else { return };
+        let Some((id, wire_number)) = waiting.pop_first() else { return };
         if !waiting.is_empty() {
-            self.unknown.insert(server, waiting);
+            self.unknown_sessions.insert(server, waiting);
         }
-        self.release((server, address), &id, wire, out);
+        self.release((server, address), &id, wire_number, out);
     }
 
-    /// A release that did not reach the box is tried again a few times. After that the box's own account of
-    /// what it holds, sent whenever its stream is made, shows what plays for nobody.
-    pub(super) fn release_ended(&mut self, server: ServerId, id: SessionId, wire: u32, done: bool) {
-        let key = (server, id.clone(), wire);
-        if !done && !self.ours(&id) && self.releases.contains_key(&key) {
-            // Danger: without a lease nothing is written, the tries are used up, and it plays on for nobody; found by the
-            // trial. It waits until this front may act again, or another has the life.
-            return self.timers.set(self.now + WITHHELD, Deadline::RetryRelease(server, id, wire));
+    /// Handles the end of a release. One that did not reach the box is retried a few times. After that, the
+    /// list that the box sends whenever its stream opens shows which sessions have no viewer.
+    pub(super) fn release_ended(&mut self, server: ServerId, id: SessionId, wire_number: u32, done: bool) {
+        let key = (server, id.clone(), wire_number);
+        if !done && !self.may_act_for(&id) && self.releases.contains_key(&key) {
+            // Danger: without a lease nothing is written, so the tries would be used up and the session would
+            // play on with no viewer. The release waits until this front may act again, or another front has
+            // taken over the incarnation.
+            return self
+                .timers
+                .set(self.now + WITHHELD_RETRY_US, Deadline::RetryRelease(server, id, wire_number));
         }
         let Some(tries) = self.releases.get_mut(&key) else { return };
         *tries += 1;
-        if done || *tries >= RELEASES {
+        if done || *tries >= MAX_RELEASE_TRIES {
             self.releases.remove(&key);
-            self.forget(session_records::owed(&id, wire));
+            self.delete_record(session_records::release_key(&id, wire_number));
             return;
         }
-        let pause = RELEASE_PAUSE << (*tries - 1);
-        self.timers.set(self.now + pause, Deadline::RetryRelease(server, id, wire));
+        let pause = RELEASE_RETRY_US << (*tries - 1);
+        self.timers.set(self.now + pause, Deadline::RetryRelease(server, id, wire_number));
     }
 
-    pub(super) fn expire(&mut self, id: &SessionId, number: u32, out: &mut Vec<Output>) {
+    pub(super) fn attempt_timed_out(&mut self, id: &SessionId, number: u32, out: &mut Vec<Output>) {
         let out_now = self
             .sessions
             .get(id)
             .and_then(Session::pending_attempt)
             .filter(|attempt| attempt.number == number);
         let Some(attempt) = out_now.cloned() else { return };
-        if self.unsent(id, number) {
+        if self.cancel_unsent_set_up(id, number) {
             return self.attempt_ended(attempt.server, id, number, Outcome::NotSent, Vec::new(), out);
         }
-        let outcome = match self.pool.withdraw(id, number, out) {
-            Proof::Unsent => Outcome::NoConnection,
-            Proof::MayHaveRun => {
-                // It may begin yet, or play: the box is told that nobody waits for it.
+        let outcome = match self.pool.withdraw_set_up(id, number, out) {
+            Delivery::Unsent => Outcome::NoConnection,
+            Delivery::MayHaveRun => {
+                // The session may still begin, or may play: tell the box that nobody waits for it.
                 self.release((attempt.server, attempt.address), id, attempt.wire_number, out);
                 Outcome::TimedOut
             }
--- a/crates/front/src/core/ledger/requests.rs
+++ b/crates/front/src/core/ledger/requests.rs
@@ -1,21 +1,26 @@
-//! Requests to boxes, and what their ends prove.
+//! Requests to boxes, and what their results prove.
 
 use super::*;
 
 impl<D: Decider> Ledger<D> {
-    /// Asks a box for something other than a set-up.
-    pub(super) fn ask(&mut self, to: (ServerId, SocketAddr), request: BoxRequest, out: &mut Vec<Output>) {
+    /// Sends a box a request other than a set-up.
+    pub(super) fn send_request(
+        &mut self,
+        to: (ServerId, SocketAddr),
+        request: BoxRequest,
+        out: &mut Vec<Output>,
+    ) {
         let until = Some(self.now + self.limits.request_timeout);
         self.pool.send(to, request, until, self.limits.connections_per_box, &mut self.timers, out);
     }
 
     pub(super) fn request_ended(
         &mut self,
-        ended: Option<(ServerId, BoxRequest, End)>,
+        ended: Option<(ServerId, BoxRequest, RequestEnd)>,
         out: &mut Vec<Output>,
     ) {
         let Some((server, request, end)) = ended else { return };
-        if let End::Exchange(ExchangeEnd::Malformed(reason)) = &end {
+        if let RequestEnd::Exchange(ExchangeEnd::Malformed(reason)) = &end {
             self.counts.faults += 1;
             out.push(Output::Log(Level::Warn, format!("box {}: {reason}", server.0)));
         }
@@ -24,22 +29,24 @@
                 self.set_up_ended(server, &session, attempt, end, out)
             }
             BoxRequest::SetRung { session, attempt, rung, .. } => {
-                self.rung_ended(&session, attempt, rung, &end, out)
+                self.rung_change_ended(&session, attempt, rung, &end, out)
             }
             BoxRequest::Release { session, attempt } => {
-                // Refused, the process is gone and all that it played.
+                // If the connection is refused, the process is gone with everything it played.
                 let done = matches!(
                     end,
-                    End::NoConnection(DialError::Refused)
-                        | End::Exchange(ExchangeEnd::Answered {
+                    RequestEnd::NoConnection(DialError::Refused)
+                        | RequestEnd::Exchange(ExchangeEnd::Answered {
                             answer: BoxAnswer::Done | BoxAnswer::Unknown | BoxAnswer::Superseded,
                             ..
                         })
                 );
                 self.release_ended(server, session, attempt, done);
-                self.next_unknown(server, out);
+                self.release_next_unknown(server, out);
+            }
+            BoxRequest::Claim { incarnation, epoch } => {
+                self.claim_ended(server, &incarnation, epoch, end, out)
             }
-            BoxRequest::Claim { incarnation: life, epoch } => self.claimed(server, &life, epoch, end, out),
             BoxRequest::Probe => {
                 let (outcome, report) = outcome_of(end);
                 self.events.push_back(Event::Probed { server, outcome, report });
@@ -52,7 +59,7 @@
         server: ServerId,
         id: &SessionId,
         number: u32,
-        end: End,
+        end: RequestEnd,
         out: &mut Vec<Output>,
     ) {
         let out_now = self
@@ -65,38 +72,41 @@
         let (outcome, report) = outcome_of(end);
         if outcome != Outcome::Ok {
             if !outcome.never_ran() {
-                // Danger: it plays for nobody, found by the exploration. The answer was lost, and the box is told.
+                // Danger: if the response was lost, the session may play with no viewer. The box is told to
+                // release it.
                 self.release((server, attempt.address), id, attempt.wire_number, out);
             }
             return self.attempt_ended(server, id, number, outcome, report, out);
         }
         let slack = self.limits.answer_slack;
         if self.sessions.get(id).is_some_and(|s| s.answer_pending() && s.overdue_at(slack) <= self.now) {
-            // It lay unread past its viewer's time: nobody may be told that it plays.
-            self.due(Deadline::AnswerOverdue(id.clone()), out);
+            // The response was read only after the answer was overdue: nobody may be told that the session
+            // plays.
+            self.handle_deadline(Deadline::AnswerOverdue(id.clone()), out);
         }
         let Some(session) = self.sessions.get_mut(id) else { return };
         session.may_have_run = true;
         if let Stage::Abandoned(_) = session.stage {
-            // The viewer gave up while it was set up: nobody watches.
+            // The viewer gave up during the set-up: nobody watches.
             self.release((server, attempt.address), id, attempt.wire_number, out);
             return self.attempt_ended(server, id, number, Outcome::Withdrawn, report, out);
         }
-        if let Some(Forbidden::All(why)) = self.forbidden(id, server) {
-            // It was set up while it might be, and nobody may be told now that it plays.
+        if let Some(SetUpForbidden::Session(why)) = self.set_up_forbidden(id, server) {
+            // The set-up was allowed when it was sent, but the rules no longer allow telling the viewer that
+            // the session plays.
             self.release((server, attempt.address), id, attempt.wire_number, out);
-            let after = self.come_back(why);
+            let after = self.hold_off_for(why);
             self.refuse(id, after, out);
             return self.attempt_ended(server, id, number, Outcome::Withdrawn, report, out);
         }
         let took = self.now - attempt.sent_at;
-        if !self.waits_to_play(id, took, &report) {
-            self.plays(id, attempt, took, &report, out);
+        if !self.await_record_before_answer(id, took, &report) {
+            self.start_playing(id, attempt, took, &report, out);
         }
     }
 
-    /// The viewer is told that it plays.
-    pub(super) fn plays(
+    /// Marks the session as playing and tells the viewer.
+    pub(super) fn start_playing(
         &mut self,
         id: &SessionId,
         attempt: Attempt,
@@ -111,7 +121,7 @@
             server,
             address: attempt.address,
             rung,
-            rate_kb: self.rate(class, rung),
+            rate_kb: self.rate_kb(class, rung),
         };
         let client = self.sessions.get(id).and_then(|s| s.client);
         self.counts.played += 1;
@@ -124,12 +134,12 @@
             session.stage = Stage::Playing(Playing { attempt, pending_rung: None, failed_rung_changes: 0 });
         }
         self.events.push_back(Event::Started { session: id.clone(), server, took });
-        self.told_at_set_up(id, server, report);
-        self.change_rung(id, out);
+        self.note_load_report(id, server, report);
+        self.send_rung_change(id, out);
     }
 
-    /// A box tells at the set-up how full its link and its rack's uplink are.
-    pub(super) fn told_at_set_up(&mut self, id: &SessionId, server: ServerId, report: &[f64]) {
+    /// Notes how full the box reports its link and its rack uplink to be at the set-up.
+    pub(super) fn note_load_report(&mut self, id: &SessionId, server: ServerId, report: &[f64]) {
         for (field, value) in self.settings.reports.iter().zip(report) {
             let note = match field {
                 ReportField::Link => Note::Link(*value),
@@ -154,38 +164,38 @@
         let session = id.clone();
         self.events.push_back(Event::Ended { session, attempt: number, server, outcome, last: over, report });
         if over {
-            self.drop_session(id);
+            self.remove_session(id);
         }
-        self.settle(out);
+        self.run_decider(out);
     }
 
-    pub(super) fn rung_ended(
+    pub(super) fn rung_change_ended(
         &mut self,
         id: &SessionId,
-        wire: u32,
+        wire_number: u32,
         rung: usize,
-        end: &End,
+        end: &RequestEnd,
         out: &mut Vec<Output>,
     ) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         let (class, client, wanted) = (session.open_request.class, session.client, session.target_rung);
         let Stage::Playing(playing) = &mut session.stage else { return };
-        if playing.attempt.wire_number != wire || playing.pending_rung != Some(rung) {
+        if playing.attempt.wire_number != wire_number || playing.pending_rung != Some(rung) {
             return;
         }
         playing.pending_rung = None;
         let (server, in_force) = (playing.attempt.server, playing.attempt.rung);
-        if let End::Exchange(ExchangeEnd::Answered { answer: BoxAnswer::Done, .. }) = end {
+        if let RequestEnd::Exchange(ExchangeEnd::Answered { answer: BoxAnswer::Done, .. }) = end {
             (playing.attempt.rung, playing.failed_rung_changes) = (rung, 0);
-            self.promise_rung(id);
-            let rate = self.rate(class, rung);
+            self.store_playing_record(id);
+            let rate = self.rate_kb(class, rung);
             if let Some((client, _)) = client {
                 out.push(Output::Notify(client, Notification::RungChanged(id.clone(), rung, rate)));
             }
         } else {
             playing.failed_rung_changes += 1;
-            if playing.failed_rung_changes > RUNG_MISSES {
-                // The module's account must not hold a rung that the box was never told.
+            if playing.failed_rung_changes > MAX_FAILED_RUNG_CHANGES {
+                // The decision module must not account for a rung that the box was never set to.
                 (playing.failed_rung_changes, session.target_rung) = (0, in_force);
                 let note = Note::Rung(in_force);
                 self.events.push_back(Event::Note { session: id.clone(), server, note });
@@ -193,23 +203,25 @@
             }
         }
         if wanted != self.sessions.get(id).and_then(Session::playing).map_or(wanted, |p| p.attempt.rung) {
-            self.change_rung(id, out);
+            self.send_rung_change(id, out);
         }
     }
 }
 
 /// What the end of a request proves; see [`Outcome`].
-fn outcome_of(end: End) -> (Outcome, Vec<f64>) {
+fn outcome_of(end: RequestEnd) -> (Outcome, Vec<f64>) {
     match end {
-        // Refused or not established in time: not a byte was sent.
-        End::NoConnection(_) => (Outcome::NoConnection, Vec::new()),
-        End::TimedOut => (Outcome::TimedOut, Vec::new()),
-        // Stale connections are used up by the pool; here nothing was written either.
-        End::Exchange(ExchangeEnd::Stale | ExchangeEnd::Unwritten) => (Outcome::NoConnection, Vec::new()),
-        End::Exchange(ExchangeEnd::Broken | ExchangeEnd::Malformed(_) | ExchangeEnd::Claimed { .. }) => {
-            (Outcome::Broken, Vec::new())
+        // Refused or not established in time: no byte was sent.
+        RequestEnd::NoConnection(_) => (Outcome::NoConnection, Vec::new()),
+        RequestEnd::TimedOut => (Outcome::TimedOut, Vec::new()),
+        // The pool resends after stale connections; nothing was written here either.
+        RequestEnd::Exchange(ExchangeEnd::Stale | ExchangeEnd::Unwritten) => {
+            (Outcome::NoConnection, Vec::new())
         }
-        End::Exchange(ExchangeEnd::Answered { answer, report, .. }) => match answer {
+        RequestEnd::Exchange(
+            ExchangeEnd::Broken | ExchangeEnd::Malformed(_) | ExchangeEnd::Claimed { .. },
+        ) => (Outcome::Broken, Vec::new()),
+        RequestEnd::Exchange(ExchangeEnd::Answered { answer, report, .. }) => match answer {
             BoxAnswer::Done => (Outcome::Ok, report),
             BoxAnswer::Full => (Outcome::Full, report),
             BoxAnswer::Error | BoxAnswer::Unknown | BoxAnswer::Superseded => (Outcome::Failed, report),
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -1,19 +1,20 @@
-//! Sessions, attempts, deadlines and connections as state, with no I/O, clock or thread.
+//! The front's state machine: sessions, attempts, deadlines and connections, with no I/O, clock or thread.
 //!
-//! [`Ledger::handle`] takes the time and one [`Input`] and answers with [`Output`]s, which the edge carries out;
-//! [`Ledger::next_due`] tells when it must be called again. All decisions on placement, rungs, moves, refusals
-//! and further attempts are asked of a [`Decider`], which is [`salttally::controller::Controller`] in service. The ledger
-//! is a second lock and no second opinion: an action that would make a second answer, or a second attempt while
-//! one is out, is stopped, counted and logged.
+//! [`Ledger::handle`] takes the current time and one [`Input`] and returns [`Output`]s, which the engine
+//! executes. [`Ledger::next_deadline`] tells when it must be called again. Every decision on placement,
+//! rungs, moves, refusals and further attempts is made by a [`Decider`]; in production that is
+//! [`salttally::controller::Controller`]. The ledger makes no decisions of its own but checks each action
+//! independently: an action that would give a second answer, or start a second attempt while one is pending,
+//! is blocked, counted and logged.
 //!
-//! - [`Ledger`]: sessions from the request to the end, and the guards.
-//! - [`session`]: the stages of one session; a wrong order does not compile or is told.
-//! - [`pool`]: keep-alive connections to boxes: which to use, dial, keep, hang up.
-//! - [`streams`]: the event stream from each box: when a box counts as lost, when to try again.
-//! - [`process_limits`]: what of the process's files and threads is whose.
-//! - [`agreed_rules`]: rules that fronts agree on.
-//! - [`session_records`]: promises in the form in which other fronts keep copies of them.
-//! - [`timers`]: one queue of all that is due.
+//! - [`Ledger`]: sessions from request to end, and the checks on the decider's actions.
+//! - [`session`]: the stages of one session and the transitions between them.
+//! - [`pool`]: keep-alive connections to boxes: which to use, dial, keep or close.
+//! - [`streams`]: the event stream from each box: when a box counts as lost, when to reconnect.
+//! - [`process_limits`]: how the process's file and thread limits are shared out.
+//! - [`agreed_rules`]: the rules that the fronts have agreed on.
+//! - [`session_records`]: durable session records, which other fronts replicate.
+//! - [`timers`]: one queue of all deadlines.
 
 pub mod agreed_rules;
 mod ledger;
@@ -34,9 +35,9 @@
 
 pub use ledger::{Counts, Ledger};
 
-/// Who decides: told an event, it answers with actions. See [`salttally::interface`].
+/// Makes the decisions: receives an event and returns actions. See [`salttally::interface`].
 pub trait Decider {
-    /// Takes in one event at this time; what is to be done is added to `out`.
+    /// Handles one event at time `now` and appends the resulting actions to `out`.
     fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>);
 }
 
@@ -46,47 +47,47 @@
     }
 }
 
-/// A player's connection, or a caller of the library.
+/// Identifies a client: a player connection or a caller of the library.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// One call of a client, in the client's own count.
+/// Identifies one call of a client; numbered by the client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A connection to a box, in the front's own count.
+/// Identifies a connection to a box; numbered by the front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// What a viewer asks for, in the settings' places.
+/// A viewer's `session.open` request, with class and title resolved to the settings' indices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpenRequest {
-    /// Who watches.
+    /// The viewer.
     pub viewer: ViewerId,
-    /// Its firm's number, where its name has one.
+    /// The viewer's tenant, if its name contains one.
     pub tenant: Option<ViewerId>,
-    /// What is watched.
+    /// The requested title.
     pub title: TitleId,
-    /// Place of the class in the settings.
+    /// Index of the class in the settings.
     pub class: usize,
     /// First cell that holds the title.
     pub first_cell: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that hold the title.
     pub cell_count: u32,
     /// Highest rung that the viewer can use.
     pub top_rung: usize,
-    /// Time before the viewer gives up.
+    /// How long the viewer waits for an answer before giving up.
     pub patience: Micros,
-    /// A guess of how long it is watched.
+    /// Expected viewing time.
     pub length_hint: Option<Micros>,
-    /// Not the viewer's first try.
+    /// Whether the viewer has tried before.
     pub returned: bool,
-    /// The session that this front moved and that is opened anew by this.
+    /// The session that this front moved away and that this request reopens.
     pub moved_from: Option<SessionId>,
 }
 
 impl OpenRequest {
-    /// The module's request for it.
+    /// Converts to the decision module's request type.
     pub fn to_request(&self, session: &SessionId, moved: bool) -> Request {
         Request {
             session: session.clone(),
@@ -104,16 +105,17 @@
     }
 }
 
-/// A line of the box list with the box's address.
+/// An entry of the box list, with the address of the box.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
-    /// What the module is told.
+    /// The entry as passed to the decision module.
     pub entry: ServerEntry,
-    /// Where the box listens.
+    /// Address on which the box listens.
     pub address: SocketAddr,
 }
 
-/// The boxes that a list takes away: those that it calls gone, and those that a whole one no longer names.
+/// Returns the boxes that a list removes: those marked gone, and those that a complete list no longer
+/// contains.
 pub fn removed_servers<'a>(
     kind: ListKind,
     lines: &[ListEntry],
@@ -125,277 +127,285 @@
     missing.chain(told.map(|line| line.entry.server)).collect()
 }
 
-/// A session that a box holds for this front.
+/// A session that a box reports to hold for this front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HeldSession {
-    /// Its id.
+    /// Session id.
     pub session: SessionId,
-    /// Number of the attempt by which it was set up.
+    /// Number of the attempt that set the session up.
     pub attempt: u32,
-    /// Rung in force.
+    /// Current rung.
     pub rung: usize,
-    /// What it was opened with, if the box kept that and it still means something here.
+    /// The open request that the box stored, if it stored one and it is valid under the current settings.
     pub open_request: Option<OpenRequest>,
 }
 
-/// What a front hears.
+/// An input to the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// `session.open`; accepted from here on.
+    /// A `session.open` request.
     Open(ClientId, Ticket, OpenRequest),
-    /// The same of a client that may only return to a session: accepted only if this front moved it, and not
-    /// answered by the one answer otherwise.
+    /// A `session.open` request from a client that may only reopen a session that this front moved. Otherwise
+    /// the request is rejected with [`Reply::ReturnsOnly`], not with an [`Answer`].
     Reopen(ClientId, Ticket, OpenRequest),
-    /// `session.cancel` of an unanswered open: the viewer gives up.
+    /// `session.cancel` of an open request that has no answer yet: the viewer gives up. The second ticket is
+    /// that of the open request.
     Cancel(ClientId, Ticket, Ticket),
-    /// `session.cancel` or `session.close` by session.
+    /// `session.cancel` or `session.close`, by session id.
     Close(ClientId, Ticket, SessionId),
-    /// `session.status`; a viewer may claim a resumed session by it.
+    /// `session.status`. A viewer may reclaim a resumed session with it.
     Status(ClientId, Ticket, SessionId, Option<ViewerId>),
-    /// The connection is gone, or the caller dropped its handle.
+    /// The client closed its connection, or the library caller dropped its handle.
     ClientClosed(ClientId),
-    /// The client is gone without a word: it may come back for what it has.
+    /// The connection to the client failed without being closed; the client may come back for its sessions.
     ClientLost(ClientId),
-    /// News of the box list.
+    /// An update of the box list.
     List(ListKind, Vec<ListEntry>),
-    /// A dial ended.
+    /// A connection attempt ended.
     Dialed(ConnId, Result<(), DialError>),
-    /// An exchange ended.
+    /// A request-response exchange ended.
     Exchanged(ConnId, ExchangeEnd),
-    /// News of the event stream of a box; the number tells which try.
+    /// An event from a box's event stream; the number identifies the stream connection.
     Stream(ServerId, u64, StreamEvent),
-    /// The front is to end: all that is owed is answered, all that plays is released.
+    /// Shut down: answer all pending requests and release all playing sessions.
     ShutDown,
-    /// What this front stands on, by rules that are agreed on.
+    /// The agreed rules, lease and takeovers that apply to this front have changed.
     Coordination(Box<Stand>),
-    /// A promise counts, or does not.
+    /// A session record was replicated to enough fronts (true), or could not be (false).
     RecordStored(Key, bool),
-    /// This front goes on with what another promised, by this epoch.
+    /// This front takes over another incarnation's sessions under this epoch, given that incarnation's
+    /// session records.
     TakeOver(Life, u64, Vec<(Key, Bytes)>),
-    /// Another front goes on with this one's own life.
+    /// Another front has taken over this front's current incarnation.
     TakenOver(Life),
-    /// Another front goes on with a life that this one went on with.
+    /// Another front has taken over an incarnation that this front had taken over.
     TakeoverSuperseded(Life),
-    /// Which other fronts there are, or were.
+    /// The other fronts that are or were in the membership view.
     Peers(BTreeMap<Name, session_records::PeerFront>),
-    /// The process was not running for a while, and runs again.
+    /// The process runs again after it was suspended.
     ProcessResumed,
-    /// Something may be due.
+    /// Timers may be due.
     Tick,
 }
 
-/// Why there is no connection; both prove that nothing was sent.
+/// Why a connection could not be made. All variants prove that nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DialError {
-    /// Refused or unreachable.
+    /// The peer refused the connection or is unreachable.
     Refused,
-    /// Not established in time.
+    /// The connection was not established in time.
     TimedOut,
-    /// Not tried: this process has no room for another connection. Nothing is learnt of the peer.
+    /// Not tried, because this process has no resources for another connection. Says nothing about the peer.
     NotTried,
 }
 
-/// How an exchange on a connection ended.
+/// How a request-response exchange on a connection ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ExchangeEnd {
-    /// The connection was found closed before a byte was written: nothing was sent.
+    /// The connection was already closed before any byte was written: nothing was sent.
     Stale,
-    /// The request could not be written whole: an incomplete request never runs (RFC 9112 section 8).
+    /// The request could not be written in full. An incomplete request is never executed (RFC 9112 section
+    /// 8).
     Unwritten,
-    /// Closed or reset after the request was written: it may have run.
+    /// The connection was closed or reset after the request was written: the request may have been executed.
     Broken,
-    /// The peer does not keep to HTTP or to the box API; the reason is for the log.
+    /// The peer violated HTTP or the box API; the text describes how, for the log.
     Malformed(String),
-    /// An answer; `keep` tells whether the connection may be used again.
+    /// A response.
     Answered {
-        /// What it says.
+        /// The result.
         answer: BoxAnswer,
-        /// The load report with it, in the order of the settings.
+        /// The load report in the response, in the order of the settings.
         report: Vec<f64>,
-        /// The connection stays open.
+        /// Whether the connection can be reused.
         keep_alive: bool,
     },
-    /// What a box holds of a life: all of it, and nothing of it is taken by earlier epochs any more.
+    /// A box's response to [`BoxRequest::Claim`]: all sessions that it holds of the incarnation. The box
+    /// rejects requests of earlier epochs from then on.
     Claimed {
-        /// What plays there.
+        /// The sessions that the box holds.
         held: Vec<HeldSession>,
-        /// The connection stays open.
+        /// Whether the connection can be reused.
         keep_alive: bool,
     },
 }
 
-/// What a box answers.
+/// Result reported by a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BoxAnswer {
-    /// Done as asked; after a set-up: the session plays.
+    /// Done; after a set-up, the session plays.
     Done,
-    /// Sent back unseen: full or draining.
+    /// Rejected without effect: the box is full or draining.
     Full,
-    /// The box knows no such session, or has ended it.
+    /// The box does not know the session, or has ended it.
     Unknown,
-    /// Another front goes on with the session: this one has no say any more.
+    /// The session has been taken over by a front with a later epoch; this front may no longer control it.
     Superseded,
-    /// An error; it may have run.
+    /// An error; the request may have been executed.
     Error,
 }
 
-/// News of a box's event stream.
+/// An event from a box's event stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StreamEvent {
-    /// It stands, and these sessions are held there.
+    /// The stream is open; the box holds these sessions.
     Up(Vec<HeldSession>),
-    /// A sign of life.
+    /// A sign of life without content.
     Heartbeat,
-    /// A note on a playing session.
+    /// A report about a playing session.
     Note(SessionId, Note),
-    /// A session began whose answer could not be given: whoever asked for it has gone.
+    /// A session began, but the box could not deliver the response to its set-up because the connection had
+    /// closed.
     Began(HeldSession),
-    /// A session ended at the box.
+    /// The session with this attempt number ended at the box.
     Ended(SessionId, u32),
     /// The connection could not be made.
     NoConnection(DialError),
-    /// It broke, or was not understood.
+    /// The stream broke or sent invalid data.
     Broken,
-    /// It was cut off here, since the box cost the front more than one box may.
+    /// The front closed the stream because the box sent more events than one box is allowed; the text gives
+    /// the reason.
     CutOff(String),
 }
 
-/// What is asked of a box.
+/// A request to a box.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BoxRequest {
-    /// Set a session up.
+    /// Set up a session.
     SetUp {
-        /// Which session.
+        /// Session id.
         session: SessionId,
-        /// The front's number of the attempt.
+        /// Attempt number at the front.
         attempt: u32,
-        /// Rung to begin at.
+        /// Initial rung.
         rung: usize,
-        /// What the viewer asked for.
+        /// The viewer's request.
         open_request: OpenRequest,
-        /// After this long nobody waits for it.
+        /// How long the front waits for the response.
         time_out: Micros,
     },
-    /// Set the rung of a playing session.
+    /// Change the rung of a playing session.
     SetRung {
-        /// Which session.
+        /// Session id.
         session: SessionId,
-        /// Attempt by which it plays.
+        /// Number of the attempt that set the session up.
         attempt: u32,
-        /// New rung.
+        /// The new rung.
         rung: usize,
-        /// Its class: with the rung it tells the rate.
+        /// The session's class; class and rung together determine the rate.
         class: usize,
     },
-    /// End a session, or bar an attempt that has not begun from ever beginning.
+    /// End a session, or prevent an attempt that has not begun from ever beginning.
     Release {
-        /// Which session.
+        /// Session id.
         session: SessionId,
-        /// Which attempt.
+        /// Attempt number.
         attempt: u32,
     },
-    /// What is held of a life that this front goes on with; nothing of it is to be taken by earlier epochs any more.
+    /// List the sessions of an incarnation that this front has taken over, and reject all requests of earlier
+    /// epochs for it from then on.
     Claim {
-        /// Which life.
+        /// The incarnation taken over.
         incarnation: Life,
-        /// By which epoch.
+        /// Epoch of the takeover.
         epoch: u64,
     },
-    /// A probe: the box tells its load.
+    /// Probe: the box reports its load.
     Probe,
 }
 
-/// By what right a request is written.
+/// The lease and epoch under which a request is written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WriteAuthority {
-    /// Not after this, by the clock of leases.
+    /// The request must not be written after this time, by the lease clock.
     pub valid_until: Option<Micros>,
-    /// By this epoch; the box is told.
+    /// Takeover epoch to send to the box.
     pub epoch: Option<u64>,
 }
 
 /// Why a session could not be played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailReason {
-    /// The module gave it up; a set-up may have run.
+    /// The decision module gave the session up; a set-up may have been executed.
     GivenUp,
-    /// The viewer gave up first.
+    /// The viewer gave up before the answer.
     Cancelled,
-    /// Nothing was decided before the viewer's time was up.
+    /// Nothing was decided before the viewer's patience ran out.
     Overdue,
-    /// The front ends.
+    /// The front is shutting down.
     ShuttingDown,
 }
 
-/// The one answer to a `session.open`.
+/// The single answer to a `session.open` request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// It plays.
+    /// The session plays.
     Plays {
-        /// Id of the session.
+        /// Session id.
         session: SessionId,
-        /// Which box.
+        /// The box that plays it.
         server: ServerId,
-        /// Where that box listens.
+        /// Address on which the box listens.
         address: SocketAddr,
-        /// At this rung.
+        /// Initial rung.
         rung: usize,
-        /// Rate of that rung for the class, kB a second.
+        /// Rate of that rung for the class, kB/s.
         rate_kb: f64,
     },
-    /// Refused; ask again after this long.
+    /// Refused; the viewer may retry after this time.
     Refused(SessionId, Micros),
-    /// Failed; nothing is promised of the effect.
+    /// Failed; a set-up may or may not have taken effect.
     Failed(SessionId, FailReason),
 }
 
-/// The answer to any other call.
+/// The response to any call other than `session.open`, and to open requests that are not accepted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// Closed or cancelled.
+    /// The session was closed or cancelled.
     Closed(SessionId),
-    /// The open was cancelled; its own answer went ahead of this.
+    /// The open request was cancelled; its own answer was sent before this reply.
     Cancelled,
     /// State of a session.
     Status {
-        /// Which session.
+        /// Session id.
         session: SessionId,
-        /// Where it plays, and at which rung and rate; nothing while its answer is owed.
+        /// Box, rung and rate in kB/s; `None` while the open request is unanswered.
         playing: Option<(ServerId, usize, f64)>,
     },
-    /// No session or open call of that name is this client's.
+    /// This client has no such session or open request.
     Unknown,
-    /// The session is at this front, where players reach it so.
+    /// The session is at this other front, which clients reach at this address.
     AtOtherFront(Name, Option<SocketAddr>),
-    /// The session is between two fronts: ask again after this long.
+    /// The session is being taken over; retry after this time.
     RetryAfter(Micros),
-    /// The open is not accepted: there are as many sessions as there may be.
+    /// The open request is not accepted, because this limit on the number of sessions is reached.
     TooManySessions(usize, LimitScope),
-    /// The open is not accepted: the front is full, and this is no return to a session. Ask again after this long.
+    /// The open request is not accepted: the front is full and admits only clients that return to a session.
+    /// Retry after this time.
     ReturnsOnly(Micros),
 }
 
-/// Whose sessions are counted.
+/// What a limit on the number of sessions applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitScope {
-    /// Those of one connection.
+    /// Sessions of one connection.
     Connection,
-    /// Those of one viewer.
+    /// Sessions of one viewer.
     Viewer,
 }
 
-/// What a client is told of its session without asking.
+/// A notification to a client about its session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Notification {
-    /// The rung has changed, and with it the rate in kB a second.
+    /// The rung has changed; with the new rate in kB/s.
     RungChanged(SessionId, usize, f64),
-    /// The session was taken off its box: open it again at this front, with `moved_from`.
+    /// The session was released from its box: the viewer is to reopen it at this front, with `moved_from`.
     Move(SessionId),
-    /// The session is over though the viewer did not close it.
+    /// The session ended without being closed by the viewer.
     Ended(SessionId, EndReason),
 }
 
-/// Why a session ended by itself.
+/// Why a session ended without being closed by the viewer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
     /// The box ended it.
@@ -404,87 +414,87 @@
     Lost,
     /// The front ends.
     ShuttingDown,
-    /// By rules that are agreed on.
+    /// The agreed rules no longer permit it.
     Rules,
-    /// It goes on at another front.
+    /// Another front has taken the session over.
     TakenOver,
 }
 
-/// What the edge is to do.
+/// An effect for the engine to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Give a client the one answer to its open.
+    /// Send a client the answer to its open request.
     Answer(ClientId, Ticket, Answer),
-    /// Give a client the answer to another call.
+    /// Send a client the response to any other call.
     Reply(ClientId, Ticket, Reply),
-    /// Tell a client news.
+    /// Send a client a notification.
     Notify(ClientId, Notification),
     /// Connect to this box.
     Dial(ConnId, ServerId, SocketAddr),
     /// Write a request on a connection and await the response.
     Exchange(ConnId, BoxRequest),
-    /// Close a connection, whatever is under way on it.
+    /// Close a connection, even with an exchange in progress.
     CloseConn(ConnId),
-    /// Open the event stream of a box; news of it carry this number.
+    /// Open the event stream of a box; its events carry this number.
     OpenStream(ServerId, u64, SocketAddr),
-    /// Close the event stream of this number.
+    /// Close the event stream with this number.
     CloseStream(ServerId, u64),
     /// Follow the box list.
     FollowList,
-    /// Have this promise copied; whether [`Input::RecordStored`] is awaited.
+    /// Replicate this session record; the flag tells whether [`Input::RecordStored`] is awaited.
     StoreRecord(Key, Vec<u8>, bool),
-    /// It is no more.
+    /// Delete the session record with this key.
     DeleteRecord(Key),
-    /// A box holds sessions of this earlier life of the front, and nobody has taken it over.
+    /// A box holds sessions of this earlier incarnation of the front, which nobody has taken over.
     OrphanFound(Life),
-    /// Sessions' ids begin with this from now on.
+    /// The front has a new incarnation; ids of new sessions begin with it.
     IncarnationChanged(Life),
-    /// A line for the operators' log.
+    /// A line for the operational log.
     Log(Level, String),
-    /// All that was owed at a shut-down is done.
+    /// The shutdown is complete.
     Finished,
 }
 
-/// Weight of a log line.
+/// Log level.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Of use when following one session.
+    /// Details for tracing a single session.
     Debug,
-    /// Worth knowing.
+    /// Normal operation.
     Info,
     /// An operator may have to act.
     Warn,
 }
 
-/// Limits of the ledger, from the settings.
+/// Time and size limits of the ledger, from the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// An answer may come so long after the viewer's patience.
+    /// An answer may come this long after the viewer's patience has ended.
     pub answer_slack: Micros,
-    /// A stream on which nothing came for this long is taken to be silent.
+    /// A stream without input for this long counts as silent.
     pub silence_timeout: Micros,
-    /// A box whose stream cannot be made again for this long is lost, and its sessions with it.
+    /// A box whose stream can't be reopened for this long is lost, along with its sessions.
     pub lost_timeout: Micros,
-    /// A session found at a box after a restart of the front waits so long for its viewer.
+    /// How long a session found at a box after a restart of the front waits for its viewer.
     pub claim_timeout: Micros,
-    /// A session of a player that is gone without a word waits so long for its viewer.
+    /// How long a session waits for its viewer after the connection to the client failed.
     pub lost_client_retention: Micros,
-    /// A session that another front promised waits so long for its viewer here: longer than that front may have been
-    /// stopped with its players connected to it.
+    /// How long a session taken over from another front waits for its viewer here. Longer than that front can
+    /// be suspended with its players still connected to it.
     pub takeover_retention: Micros,
-    /// Sessions of one connection at most, those that wait for an answer counted.
+    /// Maximum number of sessions per connection, including those without an answer yet.
     pub sessions_per_connection: usize,
-    /// Sessions of one viewer at most, likewise.
+    /// Maximum number of sessions per viewer, including those without an answer yet.
     pub sessions_per_viewer: usize,
-    /// A moved session may be opened again for this long.
+    /// How long a moved session may be reopened.
     pub moved_retention: Micros,
-    /// A request to a box other than a set-up is waited for so long.
+    /// Time limit for a request to a box other than a set-up.
     pub request_timeout: Micros,
-    /// An idle connection is kept this long; shorter than any box keeps it.
+    /// How long an idle connection is kept; shorter than the keep-alive time of any box.
     pub idle_timeout: Micros,
-    /// Clocks of this machine and of the list differ by no more than this.
+    /// Maximum difference between the clocks of this machine and of the list source.
     pub clock_skew: Micros,
-    /// Connections to one box at most.
+    /// Maximum number of connections to one box.
     pub connections_per_box: usize,
 }
 
--- a/crates/front/src/core/pool.rs
+++ b/crates/front/src/core/pool.rs
@@ -1,7 +1,8 @@
-//! Keep-alive connections to boxes: which one carries a request, when to dial, what to keep, what to hang up.
+//! Keep-alive connections to boxes: which one carries a request, when to dial, what to keep and what to
+//! close.
 //!
-//! One request is out on a connection at a time (HTTP/1.1 without pipelining), so that closing the connection ends
-//! the wait for that request alone. What a request's end proves is told here and nowhere else, see [`Proof`].
+//! Each connection carries one request at a time (HTTP/1.1 without pipelining), so closing it cancels that
+//! request alone. What the end of a request proves is decided only here; see [`Delivery`].
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -11,7 +12,7 @@
 use super::timers::{Deadline, Timers};
 use super::{BoxRequest, ConnId, DialError, ExchangeEnd, Output};
 
-/// A request and its place in the row of all requests.
+/// A request and its number, which is unique in the pool.
 #[derive(Clone, Debug, PartialEq)]
 struct Job {
     serial: u64,
@@ -20,11 +21,11 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
-    /// The connection is being made for this request; nothing, if that was withdrawn.
+    /// The connection is being established for this request; `None` if the request was withdrawn.
     Dialing(Option<Job>),
-    /// A request is out.
+    /// A request is in progress.
     Busy(Job),
-    /// Free, and kept until this time.
+    /// Idle, and kept until this time.
     Idle(Micros),
 }
 
@@ -35,46 +36,46 @@
     state: State,
 }
 
-/// What is known of a request that was withdrawn before its end.
+/// Whether a withdrawn request may have reached the box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proof {
-    /// Not a byte of it was written.
+pub enum Delivery {
+    /// No byte of the request was written.
     Unsent,
-    /// It was, or may have been, written.
+    /// The request was, or may have been, written.
     MayHaveRun,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
-    /// No connection: it never ran.
+pub enum RequestEnd {
+    /// No connection: the request was not executed.
     NoConnection(DialError),
-    /// It took longer than it may.
+    /// The time limit was reached.
     TimedOut,
-    /// The exchange ended so; never [`ExchangeEnd::Stale`].
+    /// The exchange ended with this result; never [`ExchangeEnd::Stale`].
     Exchange(ExchangeEnd),
 }
 
-/// The connections of a front.
+/// The front's connections to boxes.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     conns: BTreeMap<ConnId, Conn>,
-    /// Requests that wait for a connection, each box in order.
+    /// Requests that wait for a connection, in order for each box.
     queues: BTreeMap<ServerId, VecDeque<(SocketAddr, Job)>>,
     last: u64,
     serial: u64,
 }
 
 impl Pool {
-    /// Sends a request: on the connection to this address that was used last, else on a new one, else it waits
-    /// until one of the box's connections is free. `until` is when its end is no longer waited for; a set-up has
-    /// its own time-out and is withdrawn by that.
+    /// Sends a request: on the most recently used idle connection to this address, else on a new one; if the
+    /// box has `max_connections` already, the request waits until one is free. `until` is when the front
+    /// stops waiting for the result; a set-up is withdrawn by its own timeout instead.
     pub fn send(
         &mut self,
         to: (ServerId, SocketAddr),
         request: BoxRequest,
         until: Option<Micros>,
-        most: usize,
+        max_connections: usize,
         timers: &mut Timers,
         out: &mut Vec<Output>,
     ) {
@@ -84,7 +85,8 @@
         if let Some(until) = until {
             timers.set(until, Deadline::RequestTimeout(job.serial));
         }
-        // The one used last is the likeliest to stand, and those that are not needed grow old and are closed.
+        // The most recently used connection is the most likely to be still open; surplus connections stay
+        // idle until they are closed.
         let idle = |conn: &Conn| match conn.state {
             State::Idle(until) if (conn.server, conn.address) == to => Some(until),
             _ => None,
@@ -94,23 +96,23 @@
             timers.cancel(until, Deadline::IdleTimeout(id));
             out.push(Output::Exchange(id, job.request.clone()));
             self.conns.entry(id).and_modify(|conn| conn.state = State::Busy(job));
-        } else if self.conns.values().filter(|conn| conn.server == server).count() < most {
+        } else if self.conns.values().filter(|conn| conn.server == server).count() < max_connections {
             self.dial(server, address, job, out);
         } else {
             self.queues.entry(server).or_default().push_back((address, job));
         }
     }
 
-    /// A dial ended. Returns the request that ended with it, if it failed.
+    /// Handles the end of a dial. Returns the request that failed with it, if any.
     pub fn dialed(
         &mut self,
         now: Micros,
         id: ConnId,
         result: Result<(), DialError>,
-        idle_kept: Micros,
+        idle_timeout: Micros,
         timers: &mut Timers,
         out: &mut Vec<Output>,
-    ) -> Option<(ServerId, BoxRequest, End)> {
+    ) -> Option<(ServerId, BoxRequest, RequestEnd)> {
         let conn = self.conns.get_mut(&id)?;
         let State::Dialing(job) = &mut conn.state else { return None };
         let (server, job) = (conn.server, job.take());
@@ -121,73 +123,79 @@
                 None
             }
             (Ok(()), None) => {
-                self.free(now, id, idle_kept, timers, out);
+                self.reuse_or_keep(now, id, idle_timeout, timers, out);
                 None
             }
             (Err(error), job) => {
                 self.conns.remove(&id);
-                self.next(server, out);
-                job.map(|job| (server, job.request, End::NoConnection(error)))
+                self.dial_next(server, out);
+                job.map(|job| (server, job.request, RequestEnd::NoConnection(error)))
             }
         }
     }
 
-    /// An exchange ended. Returns the request and its end, unless it goes out again: a connection found closed
-    /// before a byte was written has sent nothing, so the same request goes on a new one.
+    /// Handles the end of an exchange. Returns the request and its end, unless it is sent again: if the
+    /// connection was closed before a byte was written, nothing was sent, and the request goes out on a new
+    /// connection.
     pub fn exchanged(
         &mut self,
         now: Micros,
         id: ConnId,
         end: ExchangeEnd,
-        idle_kept: Micros,
+        idle_timeout: Micros,
         timers: &mut Timers,
         out: &mut Vec<Output>,
-    ) -> Option<(ServerId, BoxRequest, End)> {
+    ) -> Option<(ServerId, BoxRequest, RequestEnd)> {
         let conn = self.conns.get_mut(&id)?;
         let (server, address) = (conn.server, conn.address);
         let State::Busy(job) = std::mem::replace(&mut conn.state, State::Dialing(None)) else { return None };
         if let ExchangeEnd::Answered { keep_alive: true, .. }
         | ExchangeEnd::Claimed { keep_alive: true, .. } = end
         {
-            self.free(now, id, idle_kept, timers, out);
-            return Some((server, job.request, End::Exchange(end)));
+            self.reuse_or_keep(now, id, idle_timeout, timers, out);
+            return Some((server, job.request, RequestEnd::Exchange(end)));
         }
         self.conns.remove(&id);
         out.push(Output::CloseConn(id));
         if end == ExchangeEnd::Stale {
-            // The others are as old: each would cost a further round. Danger: a set-up written into one of them
-            // just as the box closes it counts as one that may have run.
-            self.forget(server, timers, out);
+            // The other idle connections are as old, and each would cost another round trip. Danger: if the
+            // box closes a connection just as a set-up is written to it, the set-up counts as possibly
+            // executed.
+            self.close_idle(server, timers, out);
             self.dial(server, address, job, out);
             return None;
         }
-        self.next(server, out);
-        Some((server, job.request, End::Exchange(end)))
+        self.dial_next(server, out);
+        Some((server, job.request, RequestEnd::Exchange(end)))
     }
 
-    /// Withdraws the set-up of this attempt: nothing of it is awaited any more.
-    pub fn withdraw(&mut self, session: &SessionId, attempt: u32, out: &mut Vec<Output>) -> Proof {
+    /// Withdraws the set-up of this attempt: its result is no longer awaited.
+    pub fn withdraw_set_up(&mut self, session: &SessionId, attempt: u32, out: &mut Vec<Output>) -> Delivery {
         let same = |job: &Job| match &job.request {
             BoxRequest::SetUp { session: s, attempt: a, .. } => s == session && *a == attempt,
             _ => false,
         };
-        self.take_back(same, out).map_or(Proof::MayHaveRun, |(proof, ..)| proof)
+        self.withdraw_matching(same, out).map_or(Delivery::MayHaveRun, |(proof, ..)| proof)
     }
 
-    /// A request's time is over. Returns it, if it is still under way.
-    pub fn slow(&mut self, serial: u64, out: &mut Vec<Output>) -> Option<(ServerId, BoxRequest, End)> {
-        let (_, server, job) = self.take_back(|job| job.serial == serial, out)?;
-        Some((server, job.request, End::TimedOut))
+    /// Handles the time limit of a request. Returns the request if it was still in progress.
+    pub fn request_timed_out(
+        &mut self,
+        serial: u64,
+        out: &mut Vec<Output>,
+    ) -> Option<(ServerId, BoxRequest, RequestEnd)> {
+        let (_, server, job) = self.withdraw_matching(|job| job.serial == serial, out)?;
+        Some((server, job.request, RequestEnd::TimedOut))
     }
 
-    fn take_back(
+    fn withdraw_matching(
         &mut self,
         same: impl Fn(&Job) -> bool,
         out: &mut Vec<Output>,
-    ) -> Option<(Proof, ServerId, Job)> {
+    ) -> Option<(Delivery, ServerId, Job)> {
         for (server, queue) in &mut self.queues {
             if let Some(at) = queue.iter().position(|(_, job)| same(job)) {
-                return queue.remove(at).map(|(_, job)| (Proof::Unsent, *server, job));
+                return queue.remove(at).map(|(_, job)| (Delivery::Unsent, *server, job));
             }
         }
         let holds = |conn: &Conn| match &conn.state {
@@ -199,17 +207,17 @@
         let conn = self.conns.get_mut(&id)?;
         let server = conn.server;
         if let State::Dialing(job) = &mut conn.state {
-            // The connection is made all the same and serves the next request.
-            return job.take().map(|job| (Proof::Unsent, server, job));
+            // The connection is still established, for the next request.
+            return job.take().map(|job| (Delivery::Unsent, server, job));
         }
         let State::Busy(job) = self.conns.remove(&id)?.state else { return None };
         out.push(Output::CloseConn(id));
-        self.next(server, out);
-        Some((Proof::MayHaveRun, server, job))
+        self.dial_next(server, out);
+        Some((Delivery::MayHaveRun, server, job))
     }
 
-    /// Hangs up all idle connections to a box: its process may be gone.
-    pub fn forget(&mut self, server: ServerId, timers: &mut Timers, out: &mut Vec<Output>) {
+    /// Closes all idle connections to a box, whose process may be gone.
+    pub fn close_idle(&mut self, server: ServerId, timers: &mut Timers, out: &mut Vec<Output>) {
         self.conns.retain(|id, conn| match conn.state {
             State::Idle(until) if conn.server == server => {
                 timers.cancel(until, Deadline::IdleTimeout(*id));
@@ -220,8 +228,8 @@
         });
     }
 
-    /// An idle connection has been kept long enough.
-    pub fn too_old(&mut self, id: ConnId, out: &mut Vec<Output>) {
+    /// Closes a connection that has been idle long enough.
+    pub fn idle_timed_out(&mut self, id: ConnId, out: &mut Vec<Output>) {
         if self.conns.get(&id).is_some_and(|conn| matches!(conn.state, State::Idle(_))) {
             self.conns.remove(&id);
             out.push(Output::CloseConn(id));
@@ -233,7 +241,7 @@
         self.conns.get(&id).map(|conn| conn.server)
     }
 
-    /// Number of connections: being made, busy, idle; and requests that wait for one.
+    /// Number of connections being established, busy and idle, and of requests waiting for one.
     pub fn count(&self) -> [usize; 4] {
         let mut count = [0; 4];
         for conn in self.conns.values() {
@@ -248,8 +256,8 @@
         count
     }
 
-    /// Hangs up everything.
-    pub fn stop(&mut self, out: &mut Vec<Output>) {
+    /// Closes all connections and drops the waiting requests.
+    pub fn close_all(&mut self, out: &mut Vec<Output>) {
         out.extend(std::mem::take(&mut self.conns).into_keys().map(Output::CloseConn));
         self.queues.clear();
     }
@@ -261,12 +269,12 @@
         out.push(Output::Dial(id, server, address));
     }
 
-    /// A connection is free: it takes the next request of its box, or is kept for a while.
-    fn free(
+    /// Gives a free connection the next request for its box, or keeps it idle.
+    fn reuse_or_keep(
         &mut self,
         now: Micros,
         id: ConnId,
-        idle_kept: Micros,
+        idle_timeout: Micros,
         timers: &mut Timers,
         out: &mut Vec<Output>,
     ) {
@@ -277,15 +285,15 @@
             out.push(Output::Exchange(id, job.request.clone()));
             conn.state = State::Busy(job);
         } else {
-            // The moment stands in the entry and in the timer, so that a used connection's timer can be found.
-            let until = now + idle_kept;
+            // The time is kept here too, to find the timer when the connection is used again.
+            let until = now + idle_timeout;
             conn.state = State::Idle(until);
             timers.set(until, Deadline::IdleTimeout(id));
         }
     }
 
-    /// A connection of this box is gone: the next request that waits has one made for it.
-    fn next(&mut self, server: ServerId, out: &mut Vec<Output>) {
+    /// After a connection to this box is gone, dials for the next waiting request.
+    fn dial_next(&mut self, server: ServerId, out: &mut Vec<Output>) {
         if let Some((address, job)) = self.queues.get_mut(&server).and_then(VecDeque::pop_front) {
             self.dial(server, address, job, out);
         }
--- a/crates/front/src/core/session.rs
+++ b/crates/front/src/core/session.rs
@@ -1,4 +1,4 @@
-//! One session from its request to its end. The stages hold just what can be known in them.
+//! One session, from its request to its end. Each stage holds exactly the data that exists in it.
 
 use std::net::SocketAddr;
 
@@ -6,91 +6,92 @@
 
 use super::{ClientId, OpenRequest, Ticket};
 
-/// An attempt to set a session up, or the one by which it plays.
+/// An attempt to set up a session; also the attempt by which a session plays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// The module's number of it, from 0.
+    /// Attempt number at the decision module, from 0.
     pub number: u32,
-    /// The number that the box knows it by; another one than `number` only after a restart of the front.
+    /// Attempt number at the box. Differs from `number` only after a restart of the front or a takeover.
     pub wire_number: u32,
-    /// Where.
+    /// The box.
     pub server: ServerId,
-    /// Where that box listened when it was sent.
+    /// The box's address when the attempt was sent.
     pub address: SocketAddr,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// When it runs out of time.
+    /// When the attempt times out.
     pub expires_at: Micros,
-    /// The rung that the box was told.
+    /// The rung requested from the box.
     pub rung: usize,
 }
 
 /// Stage of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Stage {
-    /// The answer is owed and no attempt is out.
+    /// The answer is pending and no attempt is in progress.
     Waiting,
-    /// The answer is owed and one attempt is out.
+    /// The answer is pending and one attempt is in progress.
     Attempting(Attempt),
-    /// The answer has been given or is no longer owed, and an attempt is still out.
+    /// The answer has been given or is no longer needed, and an attempt is still in progress.
     Abandoned(Attempt),
-    /// It plays.
+    /// The session plays.
     Playing(Playing),
 }
 
-/// A session that plays.
+/// State of a playing session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Playing {
-    /// The attempt by which it plays; its rung is the one in force.
+    /// The attempt that set the session up; its rung is the current one.
     pub attempt: Attempt,
-    /// A change of rung is under way at the box.
+    /// The rung of a change in progress at the box.
     pub pending_rung: Option<usize>,
-    /// Changes of rung in a row that did not reach the box.
+    /// Number of consecutive rung changes that failed.
     pub failed_rung_changes: u32,
 }
 
-/// What stops a set-up that the decider asks for. The number is the attempt's, which is used up by it.
+/// Why a set-up that the decider asks for is not allowed. The number is that of the attempt, which is used
+/// up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SetUpDenied {
-    /// There have been as many as there may be.
+    /// The maximum number of attempts has been reached.
     TooManyAttempts,
-    /// Another attempt is out, or no answer is owed, or the viewer has given up.
+    /// Another attempt is in progress, no answer is pending, or the viewer has given up.
     NotWaiting(u32),
-    /// An earlier attempt may have run, and its class is set up once.
+    /// An earlier attempt may have been executed, and the class allows only one set-up.
     MayHaveRun(u32),
-    /// The rung is outside the terms of the class, or above what the viewer can use.
+    /// The rung is outside the class's range, or above what the viewer can use.
     RungNotAllowed(u32),
 }
 
 /// A session in the ledger.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Session {
-    /// Whose it is; nobody's after a restart of the front, until it is claimed.
+    /// The client and its open call. `None` for a resumed session until its viewer claims it.
     pub client: Option<(ClientId, Ticket)>,
-    /// Nobody's: it ends then unless its viewer claims it.
+    /// When an unclaimed session ends.
     pub claim_by: Option<Micros>,
-    /// When its viewer last came back for it.
+    /// When the viewer last reclaimed the session.
     pub claimed_at: Option<Micros>,
-    /// What was asked for.
+    /// The open request.
     pub open_request: OpenRequest,
-    /// When it was accepted.
+    /// When the request was accepted.
     pub accepted_at: Micros,
     /// When the viewer gives up.
     pub deadline: Micros,
-    /// Set-ups that the module has asked for, carried out or not.
+    /// Number of set-ups that the decider has asked for, whether sent or not.
     pub attempts: u32,
-    /// The rung that the module wants.
+    /// The rung that the decider wants.
     pub target_rung: usize,
-    /// An attempt may have run.
+    /// Whether an attempt may have been executed.
     pub may_have_run: bool,
-    /// How often a set-up of its class may take effect.
+    /// How often a set-up of this class may take effect.
     pub effect: Effect,
-    /// Where it stands.
+    /// Current stage.
     pub stage: Stage,
 }
 
 impl Session {
-    /// A session whose answer is owed from now on.
+    /// Creates a session whose answer is pending.
     pub fn new(
         client: Option<(ClientId, Ticket)>,
         open_request: OpenRequest,
@@ -114,11 +115,12 @@
         }
     }
 
-    /// Takes the number of the next attempt, unless something stops it. The lock on single attempts, single effects
-    /// and terms, for whatever carries the set-up.
+    /// Allocates the number of the next attempt. Independently of the decider, checks that only one attempt
+    /// is in progress, that a set-up that must happen once is not repeated, and that the rung is allowed. For
+    /// any transport of the set-up.
     ///
     /// # Errors
-    /// What stops it.
+    /// Why the attempt is not allowed.
     pub fn next_attempt(&mut self, now: Micros, settings: &Settings) -> Result<u32, SetUpDenied> {
         let number = self.attempts;
         if number >= settings.max_attempts {
@@ -137,34 +139,35 @@
         Ok(number)
     }
 
-    /// Whether this rung is within the class's terms and what the viewer can use.
+    /// Whether this rung is within the class's range and the viewer can use it.
     pub fn allows_rung(&self, rung: usize, class: Option<&Class>) -> bool {
         let top = self.open_request.top_rung.min(class.map_or(usize::MAX, |class| class.top));
         (class.map_or(0, |class| class.floor)..=top).contains(&rung)
     }
 
-    /// Whether a refusal would promise too much: it may have been set up, and its class is set up once.
+    /// Whether the session must not be refused: a refusal asserts that nothing took effect, but a set-up may
+    /// have been executed and its class allows only one.
     pub fn must_not_refuse(&self) -> bool {
         self.effect == Effect::Once && (self.may_have_run || self.pending_attempt().is_some())
     }
 
-    /// It plays by this attempt, made in an earlier life of the front.
+    /// Marks the session as playing by this attempt, which was made before a restart or by another front.
     pub fn resume_playing(&mut self, attempt: Attempt) {
         (self.attempts, self.may_have_run) = (1, true);
         self.stage = Stage::Playing(Playing { attempt, pending_rung: None, failed_rung_changes: 0 });
     }
 
-    /// When a ledger answers by itself, between the viewer's patience and the end of the slack.
+    /// When the ledger answers on its own if nothing was decided: halfway into the slack after the deadline.
     pub fn overdue_at(&self, slack: Micros) -> Micros {
         self.deadline + slack / 2
     }
 
-    /// Whether the one answer is still owed.
+    /// Whether the answer is still pending.
     pub fn answer_pending(&self) -> bool {
         matches!(self.stage, Stage::Waiting | Stage::Attempting(_))
     }
 
-    /// The attempt that is out, if one is.
+    /// The attempt in progress, if any.
     pub fn pending_attempt(&self) -> Option<&Attempt> {
         match &self.stage {
             Stage::Attempting(attempt) | Stage::Abandoned(attempt) => Some(attempt),
@@ -172,7 +175,7 @@
         }
     }
 
-    /// The attempt that is out or plays.
+    /// The attempt in progress or playing, if any.
     pub fn current_attempt(&self) -> Option<&Attempt> {
         match &self.stage {
             Stage::Playing(playing) => Some(&playing.attempt),
@@ -180,7 +183,7 @@
         }
     }
 
-    /// Where and how it plays, if it does.
+    /// State of the playing session, if it plays.
     pub fn playing(&self) -> Option<&Playing> {
         match &self.stage {
             Stage::Playing(playing) => Some(playing),
@@ -188,7 +191,7 @@
         }
     }
 
-    /// The attempt that is out has ended so; the session is held again, or over if its answer is not owed.
+    /// Ends the attempt in progress. The session waits again, or is over if its answer is not pending.
     /// Returns whether it is over.
     pub fn attempt_ended(&mut self, outcome: Outcome) -> bool {
         self.may_have_run |= !outcome.never_ran();
@@ -197,7 +200,8 @@
         over
     }
 
-    /// The answer has been given, or is no longer owed. Returns whether the session is over by that.
+    /// Records that the answer has been given or is no longer needed. Returns whether the session is thereby
+    /// over.
     pub fn settle_answer(&mut self) -> bool {
         match std::mem::replace(&mut self.stage, Stage::Waiting) {
             Stage::Attempting(attempt) | Stage::Abandoned(attempt) => {
--- a/crates/front/src/core/session_records.rs
+++ b/crates/front/src/core/session_records.rs
@@ -1,6 +1,8 @@
-//! What a front promises, in the form in which copies keep it, and what waits for it; see `docs/design/copies.md`.
+//! Durable session records as other fronts replicate them, and what waits for their replication; see
+//! `docs/design/copies.md`.
 //!
-//! The one that goes on may have other places for classes and titles in its settings: a promise names them.
+//! The front that takes over may have other indices for classes and titles in its settings, so records
+//! contain names.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,31 +16,31 @@
 use super::session::Attempt;
 use super::{BoxRequest, OpenRequest};
 
-/// Where something is, or is to be, at a box.
+/// The box and attempt number of a session or a planned set-up.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Place {
+pub struct AttemptPlace {
     /// Number of the box.
     pub server: u32,
-    /// Where it listens.
+    /// Address on which the box listens.
     pub address: SocketAddr,
-    /// The attempt, as the box knows it.
+    /// Attempt number at the box.
     pub attempt: u32,
 }
 
-impl Place {
-    /// Of an attempt.
-    pub fn of(attempt: &Attempt) -> Place {
-        Place { server: attempt.server.0, address: attempt.address, attempt: attempt.wire_number }
+impl AttemptPlace {
+    /// The location of an attempt.
+    pub fn of(attempt: &Attempt) -> AttemptPlace {
+        AttemptPlace { server: attempt.server.0, address: attempt.address, attempt: attempt.wire_number }
     }
 }
 
-/// What was asked for, by names.
+/// An open request with class and title by name.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Wish {
+pub struct RecordedRequest {
     viewer: u64,
     firm: Option<u64>,
     title: String,
-    /// Name of its class.
+    /// Name of the class.
     pub class: String,
     cells: (u32, u32),
     top_rung: u32,
@@ -46,151 +48,155 @@
     length: Option<Micros>,
 }
 
-/// One promise.
+/// A session record.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub enum Promise {
-    /// A set-up that must not be made twice may leave from now on: it may have run, and nobody ever sends it again.
-    Intends(Place, Wish),
-    /// The viewer is told that it plays there, at this rung.
-    Plays(Place, u32, Wish),
-    /// The box is still to be told that this is over.
-    Owes(Place),
-    /// The viewer was told to open it anew, and is expected for so long, us.
+pub enum SessionRecord {
+    /// A set-up that must happen at most once may be sent from now on. It may have been executed, and nobody
+    /// ever sends it again.
+    #[serde(rename = "Intends")]
+    SetUpIntended(AttemptPlace, RecordedRequest),
+    /// The viewer is told that the session plays there, at this rung.
+    Plays(AttemptPlace, u32, RecordedRequest),
+    /// A release that the box has not confirmed yet.
+    #[serde(rename = "Owes")]
+    ReleasePending(AttemptPlace),
+    /// The viewer was told to reopen the session, within this time, us.
     Moved(u64, Micros),
 }
 
-/// What waits until a promise counts.
+/// Work that waits until a session record is replicated.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Waits {
-    /// This set-up, of this attempt.
+pub enum AwaitingRecord {
+    /// The set-up of this attempt.
     SetUp(u32, Box<(ServerId, SocketAddr, BoxRequest)>),
-    /// The answer that it plays; the box took so long, told this, and has ended it since or not.
+    /// The answer that the session plays: attempt number, set-up time, load report, and whether the box has
+    /// ended the session since.
     Answer(u32, Micros, Vec<f64>, bool),
 }
 
-/// A front among those that may be asked for a session.
+/// Another front, which may be asked for a session.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerFront {
-    /// It is in the view.
+    /// Whether the front is in the membership view.
     pub in_view: bool,
-    /// Where players reach it.
+    /// Address for clients.
     pub client_address: Option<SocketAddr>,
 }
 
-/// What a ledger keeps of its promises, where they are copied.
+/// State of session record replication and takeovers.
 #[derive(Clone, Debug)]
-pub struct Keeping {
+pub struct Replication {
     names: Arc<SettingsNames>,
-    /// This front's own life.
-    pub own: Life,
-    /// Lives that it goes on with, and by which epoch.
-    pub epochs: BTreeMap<Life, u64>,
-    /// When it was last handed something of each.
-    pub adopted: BTreeMap<Life, Micros>,
-    /// What waits.
-    pub waits: BTreeMap<SessionId, Waits>,
-    /// Sessions that play for all that is known, until their boxes have said so.
-    pub unsure: BTreeSet<SessionId>,
-    /// Set-ups of others of which nothing is known but that they may have run.
-    pub fates: BTreeMap<SessionId, (Place, OpenRequest)>,
-    /// Boxes that are asked what they hold of a life, and how often in vain.
-    pub claims: BTreeMap<(Life, ServerId), u32>,
+    /// Current incarnation of this front.
+    pub incarnation: Life,
+    /// Incarnations that this front has taken over, with their epochs.
+    pub takeover_epochs: BTreeMap<Life, u64>,
+    /// When session records of each of them were last received.
+    pub takeover_times: BTreeMap<Life, Micros>,
+    /// Work that waits for the replication of a session record.
+    pub awaiting_record: BTreeMap<SessionId, AwaitingRecord>,
+    /// Sessions that play according to their records and that their boxes have not confirmed yet.
+    pub unconfirmed: BTreeSet<SessionId>,
+    /// Set-ups by other fronts that may have been executed.
+    pub possible_set_ups: BTreeMap<SessionId, (AttemptPlace, OpenRequest)>,
+    /// Boxes that are being asked for the sessions of an incarnation, with the number of failed tries.
+    pub pending_claims: BTreeMap<(Life, ServerId), u32>,
     /// When this front last had a lease.
-    pub leased: Micros,
-    /// When what is known of other fronts last changed.
-    pub moved_at: Micros,
+    pub last_leased_at: Micros,
+    /// When the known set of other fronts last changed.
+    pub peers_changed_at: Micros,
     /// Other fronts.
-    pub others: BTreeMap<Name, PeerFront>,
+    pub peers: BTreeMap<Name, PeerFront>,
 }
 
-impl Keeping {
-    /// Of a front that lives so.
-    pub fn new(names: Arc<SettingsNames>, own: Life) -> Keeping {
-        Keeping {
+impl Replication {
+    /// Creates the state of a front with this incarnation.
+    pub fn new(names: Arc<SettingsNames>, incarnation: Life) -> Replication {
+        Replication {
             names,
-            own,
-            epochs: BTreeMap::new(),
-            adopted: BTreeMap::new(),
-            waits: BTreeMap::new(),
-            unsure: BTreeSet::new(),
-            fates: BTreeMap::new(),
-            claims: BTreeMap::new(),
-            leased: 0,
-            moved_at: 0,
-            others: BTreeMap::new(),
+            incarnation,
+            takeover_epochs: BTreeMap::new(),
+            takeover_times: BTreeMap::new(),
+            awaiting_record: BTreeMap::new(),
+            unconfirmed: BTreeSet::new(),
+            possible_set_ups: BTreeMap::new(),
+            pending_claims: BTreeMap::new(),
+            last_leased_at: 0,
+            peers_changed_at: 0,
+            peers: BTreeMap::new(),
         }
     }
 
-    /// The epoch that this front has for a session: its own life's is 0; nothing where the session is another's.
-    pub fn epoch(&self, id: &SessionId) -> Option<u64> {
-        let life = life_of(&id.0)?;
-        if *life == *self.own {
+    /// This front's epoch for a session: 0 for its own incarnation; `None` if another front has the session.
+    pub fn epoch_of(&self, id: &SessionId) -> Option<u64> {
+        let incarnation = life_of(&id.0)?;
+        if *incarnation == *self.incarnation {
             return Some(0);
         }
-        self.epochs.get(life).copied()
+        self.takeover_epochs.get(incarnation).copied()
     }
 
-    /// What was asked for, by names; nothing where the settings have none for it.
-    pub fn wish(&self, opening: &OpenRequest) -> Option<Wish> {
-        Some(Wish {
-            viewer: opening.viewer.0,
-            firm: opening.tenant.map(|firm| firm.0),
-            title: self.names.titles.get(&opening.title)?.clone(),
-            class: self.names.classes.get(opening.class)?.clone(),
-            cells: (opening.first_cell, opening.cell_count),
-            top_rung: u32::try_from(opening.top_rung).unwrap_or(u32::MAX),
-            patience: opening.patience,
-            length: opening.length_hint,
+    /// Converts an open request to names; `None` if the settings have no name for its class or title.
+    pub fn to_record(&self, request: &OpenRequest) -> Option<RecordedRequest> {
+        Some(RecordedRequest {
+            viewer: request.viewer.0,
+            firm: request.tenant.map(|firm| firm.0),
+            title: self.names.titles.get(&request.title)?.clone(),
+            class: self.names.classes.get(request.class)?.clone(),
+            cells: (request.first_cell, request.cell_count),
+            top_rung: u32::try_from(request.top_rung).unwrap_or(u32::MAX),
+            patience: request.patience,
+            length: request.length_hint,
         })
     }
 
-    /// The same in the places of this front's settings; nothing where they know no such class or title.
-    pub fn opening(&self, wish: &Wish) -> Option<OpenRequest> {
+    /// Converts a recorded request to this front's settings; `None` if they have no such class or title.
+    pub fn from_record(&self, request: &RecordedRequest) -> Option<OpenRequest> {
         let title: TitleId =
-            self.names.titles.iter().find(|(_, name)| **name == wish.title).map(|(id, _)| *id)?;
+            self.names.titles.iter().find(|(_, name)| **name == request.title).map(|(id, _)| *id)?;
         Some(OpenRequest {
-            viewer: ViewerId(wish.viewer),
-            tenant: wish.firm.map(ViewerId),
+            viewer: ViewerId(request.viewer),
+            tenant: request.firm.map(ViewerId),
             title,
-            class: self.names.classes.iter().position(|name| *name == wish.class)?,
-            first_cell: wish.cells.0,
-            cell_count: wish.cells.1,
-            top_rung: wish.top_rung as usize,
-            patience: wish.patience,
-            length_hint: wish.length,
+            class: self.names.classes.iter().position(|name| *name == request.class)?,
+            first_cell: request.cells.0,
+            cell_count: request.cells.1,
+            top_rung: request.top_rung as usize,
+            patience: request.patience,
+            length_hint: request.length,
             returned: false,
             moved_from: None,
         })
     }
 }
 
-/// Key under which a session's own promise stands.
-pub fn key(id: &SessionId) -> Key {
+/// Record key of a session.
+pub fn session_key(id: &SessionId) -> Key {
     Arc::clone(&id.0)
 }
 
-/// Key of a release that is owed, one for each attempt.
-pub fn owed(id: &SessionId, wire: u32) -> Key {
-    Key::from(format!("{}/{wire}", id.0))
+/// Record key of an unconfirmed release; one for each attempt.
+pub fn release_key(id: &SessionId, wire_number: u32) -> Key {
+    Key::from(format!("{}/{wire_number}", id.0))
 }
 
-/// Key of a session that was moved.
-pub fn moved(id: &SessionId) -> Key {
+/// Record key of a moved session.
+pub fn moved_key(id: &SessionId) -> Key {
     Key::from(format!("{}/moved", id.0))
 }
 
-/// The session of a key.
-pub fn session(key: &str) -> SessionId {
+/// The session that a record key belongs to.
+pub fn session_of_key(key: &str) -> SessionId {
     SessionId(Arc::from(key.split('/').next().unwrap_or(key)))
 }
 
-/// A promise as bytes.
-pub fn encode(promise: &Promise) -> Vec<u8> {
-    // Nothing in it can fail to be encoded.
-    postcard::to_allocvec(promise).unwrap_or_default()
+/// Encodes a session record.
+pub fn encode(record: &SessionRecord) -> Vec<u8> {
+    // No field can fail to be encoded.
+    postcard::to_allocvec(record).unwrap_or_default()
 }
 
-/// A promise from bytes; nothing where another version of this program made them.
-pub fn decode(bytes: &[u8]) -> Option<Promise> {
+/// Decodes a session record; `None` if another version of this program encoded it.
+pub fn decode(bytes: &[u8]) -> Option<SessionRecord> {
     postcard::from_bytes(bytes).ok()
 }
--- a/crates/front/src/core/streams.rs
+++ b/crates/front/src/core/streams.rs
@@ -1,8 +1,9 @@
-//! The event stream from each box: when to open it, when a box counts as lost, when to try again.
+//! The event stream from each box: when to open it, when a box counts as lost, when to reconnect.
 //!
-//! A box tells what happens to playing sessions on one stream for each front. A stream that breaks is opened again
-//! at once: refused, the process is dead and its sessions are lost; opened, what the box says it holds is
-//! compared with what the front knows. A stream on which nothing comes is broken by the front itself.
+//! A box reports on playing sessions over one stream per front. A stream that breaks is reopened at once: if
+//! the connection is refused, the process is dead and its sessions are lost; if it opens, the sessions that
+//! the box reports are compared with the front's own. The front itself closes a stream on which nothing
+//! arrives.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,80 +13,81 @@
 use super::timers::{Deadline, Timers};
 use super::{DialError, Output};
 
-/// First pause before a stream is tried again; it doubles.
-const PAUSE_FIRST: Micros = 100_000;
-/// Longest pause: a box that is back is found again within this.
-const PAUSE_MOST: Micros = 2_000_000;
+/// First pause before a stream is reopened; doubles with each failure.
+const FIRST_PAUSE_US: Micros = 100_000;
+/// Longest pause, which bounds how late a returning box is noticed.
+const MAX_PAUSE_US: Micros = 2_000_000;
 
 #[derive(Clone, Debug, PartialEq)]
 enum State {
-    /// Asked for at this time.
+    /// Requested at this time.
     Opening(Micros),
-    /// Stands, and something came at this time.
+    /// Open; the last input arrived at this time.
     Up(Micros),
-    /// Waits before the next try.
+    /// Waits before the next attempt to connect.
     Pausing,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 struct Stream {
     address: SocketAddr,
-    /// Number of the try; news of an older one are old.
+    /// Number of the connection attempt; events with an older number are ignored.
     try_no: u64,
     state: State,
-    /// Since when there is no stream, until one stands or the box was called lost.
-    down: Option<Micros>,
+    /// Since when the stream is down; `None` while it is open or once the box has been reported lost.
+    down_since: Option<Micros>,
     pause: Micros,
-    /// The list names this box.
+    /// Whether the box list contains this box.
     listed: bool,
-    /// It was cut off before for what it cost; that was told.
-    greedy: bool,
+    /// Whether the stream has been cut off before for excessive load; logged only the first time.
+    was_cut_off: bool,
 }
 
 impl Stream {
-    /// It is no longer waited for to stand.
-    fn not_awaited(&self, id: ServerId, silent_after: Micros, timers: &mut Timers) {
+    /// Cancels the timer that waits for the stream to open.
+    fn cancel_open_timer(&self, id: ServerId, silence_timeout: Micros, timers: &mut Timers) {
         if let State::Opening(asked) = self.state {
-            timers.cancel(asked + silent_after, Deadline::StreamSilence(id, self.try_no));
+            timers.cancel(asked + silence_timeout, Deadline::StreamSilence(id, self.try_no));
         }
     }
 }
 
-/// What follows from news of a stream.
+/// What a stream event means for the sessions at the box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// Nothing for sessions.
-    Nothing,
+pub enum StreamOutcome {
+    /// No change.
+    Unchanged,
     /// The box is lost, and all sessions there.
     Lost,
-    /// The news is of a stream that is no longer listened to.
-    Old,
+    /// The event belongs to a stream that is no longer in use.
+    Outdated,
 }
 
-/// The streams of a front.
+/// The event streams of a front.
 #[derive(Clone, Debug, Default)]
 pub struct Streams {
     streams: BTreeMap<ServerId, Stream>,
     last: u64,
-    /// A stream on which nothing came for this long is silent, also one that was asked for and never stood.
-    silent_after: Micros,
-    /// When the process last ran again after it had been stopped: silence counts from here.
-    woke: Micros,
+    /// A stream without input for this long is silent; this includes one that was requested and never opened.
+    silence_timeout: Micros,
+    /// When the process last resumed after a suspension; silence is measured from here at the earliest.
+    resumed_at: Micros,
 }
 
 impl Streams {
-    /// No stream yet.
-    pub fn new(silent_after: Micros) -> Streams {
-        Streams { silent_after, ..Streams::default() }
+    /// Creates an empty set of streams.
+    pub fn new(silence_timeout: Micros) -> Streams {
+        Streams { silence_timeout, ..Streams::default() }
     }
 
-    /// The process was not running. Danger: what was not heard meanwhile is taken for silence of the boxes, and all
-    /// their sessions for lost.
-    pub fn woke(&mut self, now: Micros) {
-        self.woke = now;
+    /// The process was suspended. Danger: input missed during the suspension would be taken for silence of
+    /// the boxes, and all their sessions for lost.
+    pub fn process_resumed(&mut self, now: Micros) {
+        self.resumed_at = now;
     }
 
-    /// The list names this box at this address: its stream is opened, or opened anew if the address is another.
+    /// The list contains this box at this address: opens its stream, or reopens it if the address has
+    /// changed.
     pub fn listed(
         &mut self,
         now: Micros,
@@ -99,7 +101,7 @@
             if stream.address == address {
                 return;
             }
-            stream.not_awaited(id, self.silent_after, timers);
+            stream.cancel_open_timer(id, self.silence_timeout, timers);
             out.push(Output::CloseStream(id, stream.try_no));
         }
         let state = State::Opening(now);
@@ -107,18 +109,18 @@
             address,
             try_no: 0,
             state,
-            down: Some(now),
-            pause: PAUSE_FIRST,
+            down_since: Some(now),
+            pause: FIRST_PAUSE_US,
             listed: true,
-            greedy: false,
+            was_cut_off: false,
         };
         self.streams.insert(id, stream);
         self.open(now, id, timers, out);
     }
 
-    /// The list does not name this box any more: its stream is kept while sessions play there, or may: until it has
-    /// stood, nobody knows. Danger: a front born again that hears of the end of a box before that box could tell what
-    /// it holds leaves it playing for nobody; found by the exploration.
+    /// The list no longer contains this box. Its stream is kept while sessions play there or may play there,
+    /// which is unknown until the stream has been open. Danger: if a restarted front drops a removed box
+    /// before the box could report its sessions, they play on with no viewer.
     pub fn unlisted(&mut self, id: ServerId, in_use: bool, out: &mut Vec<Output>) {
         let Some(stream) = self.streams.get_mut(&id) else { return };
         stream.listed = false;
@@ -128,21 +130,22 @@
         }
     }
 
-    /// Where this box listens, if it is listened to.
+    /// Address of this box, if it has a stream.
     pub fn address(&self, id: ServerId) -> Option<SocketAddr> {
         self.streams.get(&id).map(|stream| stream.address)
     }
 
-    /// When the stream that now stands was asked for: what was sent to the box before that must be in its list.
-    pub fn asked(&self, id: ServerId) -> Option<Micros> {
+    /// When the stream now being opened was requested: the list of sessions that the box sends contains
+    /// everything sent to the box before then.
+    pub fn requested_at(&self, id: ServerId) -> Option<Micros> {
         self.streams.get(&id).and_then(|stream| match stream.state {
             State::Opening(asked) => Some(asked),
             State::Up(_) | State::Pausing => None,
         })
     }
 
-    /// Whether news of this number still count; they are a sign of life.
-    pub fn heard(&mut self, now: Micros, id: ServerId, number: u64) -> bool {
+    /// Whether events with this number are current; a current one counts as a sign of life.
+    pub fn is_current(&mut self, now: Micros, id: ServerId, number: u64) -> bool {
         match self.streams.get_mut(&id) {
             Some(stream) if stream.try_no == number => {
                 if let State::Up(at) = &mut stream.state {
@@ -154,54 +157,54 @@
         }
     }
 
-    /// A stream stands.
-    pub fn up(&mut self, now: Micros, id: ServerId, timers: &mut Timers) {
-        let silent_after = self.silent_after;
+    /// A stream has opened.
+    pub fn opened(&mut self, now: Micros, id: ServerId, timers: &mut Timers) {
+        let silence_timeout = self.silence_timeout;
         let Some(stream) = self.streams.get_mut(&id) else { return };
-        stream.not_awaited(id, silent_after, timers);
-        (stream.state, stream.down, stream.pause) = (State::Up(now), None, PAUSE_FIRST);
-        timers.set(now + silent_after, Deadline::StreamSilence(id, stream.try_no));
+        stream.cancel_open_timer(id, silence_timeout, timers);
+        (stream.state, stream.down_since, stream.pause) = (State::Up(now), None, FIRST_PAUSE_US);
+        timers.set(now + silence_timeout, Deadline::StreamSilence(id, stream.try_no));
     }
 
-    /// A stream broke or could not be made.
-    pub fn broke(
+    /// A stream broke or could not be opened.
+    pub fn broken(
         &mut self,
         now: Micros,
         id: ServerId,
-        why: Option<DialError>,
-        lost_after: Micros,
+        error: Option<DialError>,
+        lost_timeout: Micros,
         timers: &mut Timers,
         out: &mut Vec<Output>,
-    ) -> Verdict {
-        let Some(stream) = self.streams.get_mut(&id) else { return Verdict::Old };
-        let stood = matches!(stream.state, State::Up(_));
-        stream.not_awaited(id, self.silent_after, timers);
-        let since = *stream.down.get_or_insert(now);
-        if stood && why.is_none() {
-            // One try at once: the answer tells a dead process from a broken connection.
+    ) -> StreamOutcome {
+        let Some(stream) = self.streams.get_mut(&id) else { return StreamOutcome::Outdated };
+        let was_open = matches!(stream.state, State::Up(_));
+        stream.cancel_open_timer(id, self.silence_timeout, timers);
+        let since = *stream.down_since.get_or_insert(now);
+        if was_open && error.is_none() {
+            // Reconnect once without a pause: the result tells a dead process from a broken connection.
             self.open(now, id, timers, out);
-            return Verdict::Nothing;
+            return StreamOutcome::Unchanged;
         }
-        // Refused, nobody listens there: the process is dead. Silent, it may be a cut: sessions play on behind it
-        // for a while, and the box may be reached again.
-        let lost = why == Some(DialError::Refused) || since.max(self.woke) + lost_after <= now;
+        // A refusal means that nobody listens there: the process is dead. A timeout may be a network
+        // partition: sessions play on behind it for a while, and the box may become reachable again.
+        let lost = error == Some(DialError::Refused) || since.max(self.resumed_at) + lost_timeout <= now;
         if !stream.listed && lost {
             self.streams.remove(&id);
-            return Verdict::Lost;
+            return StreamOutcome::Lost;
         }
         stream.state = State::Pausing;
         timers.set(now + stream.pause, Deadline::ReopenStream(id, stream.try_no));
-        stream.pause = (stream.pause * 2).min(PAUSE_MOST);
+        stream.pause = (stream.pause * 2).min(MAX_PAUSE_US);
         if lost {
-            // Said once for each time that it is down; a later try begins anew.
-            stream.down = None;
-            return Verdict::Lost;
+            // A loss is reported once per outage; later attempts start a new one.
+            stream.down_since = None;
+            return StreamOutcome::Lost;
         }
-        Verdict::Nothing
+        StreamOutcome::Unchanged
     }
 
-    /// The pause before a further try is over.
-    pub fn again(
+    /// The pause before reconnecting is over.
+    pub fn reconnect(
         &mut self,
         now: Micros,
         id: ServerId,
@@ -214,19 +217,20 @@
         }
     }
 
-    /// A box costs more than one may and its stream was cut off: it is tried again after the longest pause, and its
-    /// sessions play on. Returns whether that is the first time.
+    /// The stream was cut off because the box exceeded its load limit. It is reopened after the longest
+    /// pause, and its sessions play on. Returns whether this is the first time.
     pub fn cut_off(&mut self, now: Micros, id: ServerId, timers: &mut Timers) -> bool {
         let Some(stream) = self.streams.get_mut(&id) else { return false };
-        stream.not_awaited(id, self.silent_after, timers);
-        (stream.state, stream.down) = (State::Pausing, None);
-        timers.set(now + PAUSE_MOST, Deadline::ReopenStream(id, stream.try_no));
-        !std::mem::replace(&mut stream.greedy, true)
+        stream.cancel_open_timer(id, self.silence_timeout, timers);
+        (stream.state, stream.down_since) = (State::Pausing, None);
+        timers.set(now + MAX_PAUSE_US, Deadline::ReopenStream(id, stream.try_no));
+        !std::mem::replace(&mut stream.was_cut_off, true)
     }
 
-    /// Whether a stream has been silent for too long; if so it is closed, and counts as not made in time. Danger: a
-    /// box that takes the connection and never says what it holds would be waited for without end.
-    pub fn silent(
+    /// Whether a stream has been silent for too long; if so, it is closed and treated as not opened in time.
+    /// Danger: without this check, a box that accepts the connection and never reports its sessions would be
+    /// awaited for ever.
+    pub fn check_silence(
         &mut self,
         now: Micros,
         id: ServerId,
@@ -234,27 +238,27 @@
         timers: &mut Timers,
         out: &mut Vec<Output>,
     ) -> bool {
-        let (silent_after, woke) = (self.silent_after, self.woke);
+        let (silence_timeout, resumed_at) = (self.silence_timeout, self.resumed_at);
         let Some(stream) = self.streams.get_mut(&id).filter(|s| s.try_no == number) else { return false };
         let (State::Up(heard) | State::Opening(heard)) = stream.state else { return false };
-        let heard = heard.max(woke);
-        if heard + silent_after > now {
-            timers.set(heard + silent_after, Deadline::StreamSilence(id, number));
+        let heard = heard.max(resumed_at);
+        if heard + silence_timeout > now {
+            timers.set(heard + silence_timeout, Deadline::StreamSilence(id, number));
             return false;
         }
-        // It has been down since it was last heard, or for as long as it could not be made.
-        stream.down = Some(stream.down.map_or(heard, |down| down.min(heard)));
+        // It has been down since its last input, or since the first failed attempt to open it.
+        stream.down_since = Some(stream.down_since.map_or(heard, |down_since| down_since.min(heard)));
         out.push(Output::CloseStream(id, number));
         true
     }
 
-    /// Boxes that are listened to.
+    /// Boxes that have a stream.
     pub fn boxes(&self) -> impl Iterator<Item = ServerId> + '_ {
         self.streams.keys().copied()
     }
 
-    /// Stops listening to all boxes.
-    pub fn stop(&mut self, out: &mut Vec<Output>) {
+    /// Closes all streams.
+    pub fn close_all(&mut self, out: &mut Vec<Output>) {
         for (id, stream) in std::mem::take(&mut self.streams) {
             out.push(Output::CloseStream(id, stream.try_no));
         }
@@ -264,7 +268,7 @@
         self.last += 1;
         let Some(stream) = self.streams.get_mut(&id) else { return };
         (stream.try_no, stream.state) = (self.last, State::Opening(now));
-        timers.set(now + self.silent_after, Deadline::StreamSilence(id, stream.try_no));
+        timers.set(now + self.silence_timeout, Deadline::StreamSilence(id, stream.try_no));
         out.push(Output::OpenStream(id, stream.try_no, stream.address));
     }
 }
@@ -280,25 +284,36 @@
         let (mut timers, mut out) = (Timers::default(), Vec::new());
         let mut streams = Streams::new(2 * SECOND);
         streams.listed(0, id, at, &mut timers, &mut out);
-        streams.up(0, id, &mut timers);
+        streams.opened(0, id, &mut timers);
         let number = streams.last;
-        // Stopped from 1 s to 11 s, and nothing waits in its sockets: the box's word is still on its way.
-        streams.woke(11 * SECOND);
-        assert!(!streams.silent(11 * SECOND, id, number, &mut timers, &mut out));
-        assert!(streams.silent(13 * SECOND, id, number, &mut timers, &mut out), "and then it does count");
-        let why = Some(DialError::TimedOut);
-        let verdict = streams.broke(13 * SECOND, id, why, 3 * SECOND, &mut timers, &mut out);
-        assert_eq!(verdict, Verdict::Nothing, "it may have been cut off for two seconds, not for thirteen");
-        // One that broke before the stop was not cut off for its length either.
+        // Suspended from 1 s to 11 s, with nothing in the socket buffers: the box's next message is still in
+        // transit.
+        streams.process_resumed(11 * SECOND);
+        assert!(!streams.check_silence(11 * SECOND, id, number, &mut timers, &mut out));
+        assert!(
+            streams.check_silence(13 * SECOND, id, number, &mut timers, &mut out),
+            "and then it does count"
+        );
+        let error = Some(DialError::TimedOut);
+        let outcome = streams.broken(13 * SECOND, id, error, 3 * SECOND, &mut timers, &mut out);
+        assert_eq!(
+            outcome,
+            StreamOutcome::Unchanged,
+            "it may have been cut off for two seconds, not for thirteen"
+        );
+        // A stream that broke before the suspension was not down for the length of the suspension either.
         let (mut streams, mut timers) = (Streams::new(2 * SECOND), Timers::default());
         streams.listed(0, id, at, &mut timers, &mut out);
-        streams.up(0, id, &mut timers);
-        streams.broke(SECOND / 2, id, None, 3 * SECOND, &mut timers, &mut out);
-        streams.woke(11 * SECOND);
-        let verdict = streams.broke(11 * SECOND, id, why, 3 * SECOND, &mut timers, &mut out);
-        assert_eq!(verdict, Verdict::Nothing);
+        streams.opened(0, id, &mut timers);
+        streams.broken(SECOND / 2, id, None, 3 * SECOND, &mut timers, &mut out);
+        streams.process_resumed(11 * SECOND);
+        let outcome = streams.broken(11 * SECOND, id, error, 3 * SECOND, &mut timers, &mut out);
+        assert_eq!(outcome, StreamOutcome::Unchanged);
         let number = streams.last;
-        streams.again(14 * SECOND, id, number, &mut timers, &mut out);
-        assert_eq!(streams.broke(14 * SECOND, id, why, 3 * SECOND, &mut timers, &mut out), Verdict::Lost);
+        streams.reconnect(14 * SECOND, id, number, &mut timers, &mut out);
+        assert_eq!(
+            streams.broken(14 * SECOND, id, error, 3 * SECOND, &mut timers, &mut out),
+            StreamOutcome::Lost
+        );
     }
 }
