--- a/crates/front/src/core/tests/terms.rs
+++ b/crates/front/src/core/tests/agreed_rules.rs
@@ -1,4 +1,5 @@
-//! A ledger under rules that are agreed on: what is refused, and that authority is looked at where an act is written.
+//! Tests of a ledger with agreed rules: what is refused, and that permissions are checked at the moment of
+//! writing.
 
 use salttally_accord::core::rules::{Order, Rules, Terms as ClassTerms, Who};
 use salttally_accord::core::stand::Stand;
@@ -32,12 +33,12 @@
 
 const LEASE: Micros = 1_000_000 * MS;
 
-impl Stage {
-    fn under(rules: Rules) -> Stage {
-        let mut stage = Stage::new();
-        stage.world = World { ledger: stage.world.ledger.with_rules(under()), ..stage.world };
-        stage.world.give(stand(rules, LEASE, LEASE));
-        stage
+impl TestBench {
+    fn under(rules: Rules) -> TestBench {
+        let mut bench = TestBench::new();
+        bench.world = World { ledger: bench.world.ledger.with_rules(under()), ..bench.world };
+        bench.world.handle_input(stand(rules, LEASE, LEASE));
+        bench
     }
 
     fn opened(&mut self, class: usize) -> Option<Answer> {
@@ -52,14 +53,14 @@
 }
 
 #[test]
-fn a_front_that_was_told_nothing_yet_takes_no_session() {
-    let mut stage = Stage::new();
-    stage.world = World { ledger: stage.world.ledger.with_rules(under()), ..stage.world };
-    assert!(matches!(stage.opened(CLIP), Some(Answer::Refused(_, after)) if after > 0));
+fn front_without_agreed_rules_refuses_sessions() {
+    let mut bench = TestBench::new();
+    bench.world = World { ledger: bench.world.ledger.with_rules(under()), ..bench.world };
+    assert!(matches!(bench.opened(CLIP), Some(Answer::Refused(_, after)) if after > 0));
 }
 
 #[test]
-fn refused_viewers_firms_classes_and_titles_are_refused_with_a_time_to_come_back() {
+fn forbidden_viewers_tenants_classes_and_titles_are_refused_with_a_hold_off() {
     let refused = |who| Rules { refused: [who].into(), ..Rules::default() };
     let nowhere = Rules { titles: [("one".to_owned(), [].into())].into(), ..Rules::default() };
     for (rules, is) in [
@@ -72,36 +73,37 @@
         (Rules { closed: (0..4).collect(), ..Rules::default() }, true),
         (Rules { closed: (0..3).collect(), ..Rules::default() }, false),
     ] {
-        let mut stage = Stage::under(rules.clone());
-        let answer = stage.opened(CLIP);
+        let mut bench = TestBench::under(rules.clone());
+        let answer = bench.opened(CLIP);
         assert_eq!(
             matches!(answer, Some(Answer::Refused(_, after)) if after > 0),
             is,
             "{rules:?}: {answer:?}"
         );
     }
-    let mut stage = Stage::under(refused(Who::Firm("7".into())));
-    stage.world.opens.insert((VIEWER, Ticket(50)), None);
+    let mut bench = TestBench::under(refused(Who::Firm("7".into())));
+    bench.world.opens.insert((VIEWER, Ticket(50)), None);
     let of_firm = OpenRequest { tenant: Some(ViewerId(7)), ..opening(1, CLIP) };
-    stage.world.give(Input::Open(VIEWER, Ticket(50), of_firm));
-    assert!(matches!(stage.answers()[..], [Answer::Refused(..)]));
+    bench.world.handle_input(Input::Open(VIEWER, Ticket(50), of_firm));
+    assert!(matches!(bench.answers()[..], [Answer::Refused(..)]));
 }
 
 #[test]
-fn seats_and_limits_count_what_is_held() {
+fn seats_count_current_sessions() {
     let terms = ClassTerms { seats: 1, ..ClassTerms::default() };
-    let mut stage = Stage::under(Rules { classes: [("clip".to_owned(), terms)].into(), ..Rules::default() });
-    stage.play();
-    assert!(matches!(stage.opened(CLIP), Some(Answer::Refused(..))));
-    assert_eq!(stage.opened(PAID), None, "another class has its own seats");
+    let mut bench =
+        TestBench::under(Rules { classes: [("clip".to_owned(), terms)].into(), ..Rules::default() });
+    bench.play();
+    assert!(matches!(bench.opened(CLIP), Some(Answer::Refused(..))));
+    assert_eq!(bench.opened(PAID), None, "another class has its own seats");
 }
 
 #[test]
-fn a_rung_over_the_rules_is_not_asked_for_and_closed_cells_are_left_out() {
+fn request_is_restricted_to_the_top_rung_and_open_cells() {
     let rules = Rules { ladder: Some(1), closed: [1].into(), ..Rules::default() };
-    let mut stage = Stage::under(rules);
-    stage.world.open(VIEWER, CLIP);
-    let told = stage.told.borrow();
+    let mut bench = TestBench::under(rules);
+    bench.world.open(VIEWER, CLIP);
+    let told = bench.events.borrow();
     let Some(Event::Request(request)) = told.iter().rev().find(|event| matches!(event, Event::Request(_)))
     else {
         panic!("no request: {told:?}");
@@ -110,102 +112,102 @@
 }
 
 #[test]
-fn a_set_up_decided_under_a_lease_that_ran_out_is_not_written() {
-    let mut stage = Stage::under(Rules::default());
+fn set_up_decided_before_lease_expiry_is_not_sent_after_it() {
+    let mut bench = TestBench::under(Rules::default());
     let id = SessionId("f0-00000001-0000000001".into());
-    stage.world.open(VIEWER, PAID);
-    // The module decides only now; meanwhile the process was stopped for longer than its lease.
-    stage.world.ledger.set_lease_time(|| LEASE + 1);
-    *stage.todo.borrow_mut() =
+    bench.world.open(VIEWER, PAID);
+    // The decision module decides only now, after the process was suspended for longer than its lease.
+    bench.world.ledger.set_lease_time(|| LEASE + 1);
+    *bench.actions.borrow_mut() =
         vec![Action::SetRung(id.clone(), 1), Action::SetUp(id.clone(), ServerId(0), 300 * MS)];
-    stage.world.now += 50 * MS;
-    stage.world.give(Input::List(ListKind::Changes, vec![listed(0, ServerState::Ready, None)]));
-    assert!(stage.world.dials.is_empty() && stage.world.exchanges.is_empty());
-    assert!(matches!(stage.answers()[..], [Answer::Refused(..)]), "{:?}", stage.answers());
-    assert_eq!(stage.outcomes(), [Outcome::NotSent]);
+    bench.world.now += 50 * MS;
+    bench.world.handle_input(Input::List(ListKind::Changes, vec![listed(0, ServerState::Ready, None)]));
+    assert!(bench.world.dials.is_empty() && bench.world.exchanges.is_empty());
+    assert!(matches!(bench.answers()[..], [Answer::Refused(..)]), "{:?}", bench.answers());
+    assert_eq!(bench.outcomes(), [Outcome::NotSent]);
 }
 
 #[test]
-fn an_answer_whose_lease_ran_out_on_the_way_is_not_given_and_its_session_is_released() {
+fn session_started_after_lease_expiry_is_released() {
     for class in [CLIP, PAID] {
-        let mut stage = Stage::under(Rules::default());
-        let (id, conn) = stage.set_up(class);
-        stage.world.ledger.set_lease_time(|| LEASE + 1);
-        stage.world.end_exchange(conn, 8);
-        let answers = stage.answers();
+        let mut bench = TestBench::under(Rules::default());
+        let (id, conn) = bench.set_up(class);
+        bench.world.ledger.set_lease_time(|| LEASE + 1);
+        bench.world.end_exchange(conn, 8);
+        let answers = bench.answers();
         match class {
             CLIP => assert!(matches!(answers[..], [Answer::Refused(..)]), "{answers:?}"),
             _ => assert_eq!(answers, [Answer::Failed(id.clone(), FailReason::GivenUp)], "it ran"),
         }
         let releases =
             |request: &BoxRequest| matches!(request, BoxRequest::Release { session, .. } if *session == id);
-        assert!(stage.world.exchanges.values().any(releases), "{:?}", stage.world.exchanges);
-        assert_eq!(stage.outcomes(), [Outcome::Withdrawn]);
+        assert!(bench.world.exchanges.values().any(releases), "{:?}", bench.world.exchanges);
+        assert_eq!(bench.outcomes(), [Outcome::Withdrawn]);
     }
 }
 
 #[test]
-fn what_plays_plays_on_under_a_lost_lease_and_ends_only_as_its_class_says() {
-    let mut stage = Stage::under(Rules::default());
-    let (id, _) = stage.play();
-    stage.world.ledger.set_lease_time(|| LEASE + 1);
-    stage.world.give(Input::Tick);
-    stage.world.give(stand(closed("clip", false), 2 * LEASE, 2 * LEASE));
-    assert!(stage.world.ledger.contains(&id));
-    let out = stage.world.give(stand(closed("clip", true), 2 * LEASE, 2 * LEASE));
+fn playing_sessions_outlive_the_lease_and_end_only_by_class_rules() {
+    let mut bench = TestBench::under(Rules::default());
+    let (id, _) = bench.play();
+    bench.world.ledger.set_lease_time(|| LEASE + 1);
+    bench.world.handle_input(Input::Tick);
+    bench.world.handle_input(stand(closed("clip", false), 2 * LEASE, 2 * LEASE));
+    assert!(bench.world.ledger.contains(&id));
+    let out = bench.world.handle_input(stand(closed("clip", true), 2 * LEASE, 2 * LEASE));
     assert!(
         out.contains(&Output::Notify(VIEWER, Notification::Ended(id.clone(), EndReason::Rules))),
         "{out:?}"
     );
-    assert!(!stage.world.ledger.contains(&id));
+    assert!(!bench.world.ledger.contains(&id));
 }
 
 #[test]
-fn a_box_that_is_held_gets_nothing_new_and_one_that_drains_is_told_of_as_draining() {
+fn box_orders_hold_and_drain_are_applied() {
     let order = |order| Rules { boxes: [("0".to_owned(), order)].into(), ..Rules::default() };
-    let mut stage = Stage::under(order(Order::Hold));
+    let mut bench = TestBench::under(order(Order::Hold));
     let id = SessionId("f0-00000001-0000000001".into());
-    *stage.todo.borrow_mut() = vec![Action::SetUp(id, ServerId(0), 300 * MS)];
-    stage.world.open(VIEWER, CLIP);
-    assert!(stage.world.dials.is_empty() && stage.world.exchanges.is_empty());
-    assert_eq!((stage.outcomes(), stage.answers()), (vec![Outcome::Full], vec![]), "another box may take it");
+    *bench.actions.borrow_mut() = vec![Action::SetUp(id, ServerId(0), 300 * MS)];
+    bench.world.open(VIEWER, CLIP);
+    assert!(bench.world.dials.is_empty() && bench.world.exchanges.is_empty());
+    assert_eq!((bench.outcomes(), bench.answers()), (vec![Outcome::Full], vec![]), "another box may take it");
 
-    let states = |stage: &Stage| {
-        let told = stage.told.borrow();
+    let states = |bench: &TestBench| {
+        let told = bench.events.borrow();
         let last = told.iter().rev().find_map(|event| match event {
             Event::Servers(_, entries) => Some(entries.iter().map(|entry| entry.state).collect::<Vec<_>>()),
             _ => None,
         });
         last.unwrap_or_default()
     };
-    let mut stage = Stage::under(Rules::default());
-    stage.world.give(Input::List(ListKind::Changes, vec![listed(0, ServerState::Ready, None)]));
-    assert_eq!(states(&stage), [ServerState::Ready]);
-    stage.world.give(stand(order(Order::Drain), LEASE, LEASE));
-    assert_eq!(states(&stage), [ServerState::Draining]);
-    stage.world.give(stand(Rules::default(), LEASE, LEASE));
-    assert_eq!(states(&stage), [ServerState::Ready], "an order that is taken back");
+    let mut bench = TestBench::under(Rules::default());
+    bench.world.handle_input(Input::List(ListKind::Changes, vec![listed(0, ServerState::Ready, None)]));
+    assert_eq!(states(&bench), [ServerState::Ready]);
+    bench.world.handle_input(stand(order(Order::Drain), LEASE, LEASE));
+    assert_eq!(states(&bench), [ServerState::Draining]);
+    bench.world.handle_input(stand(Rules::default(), LEASE, LEASE));
+    assert_eq!(states(&bench), [ServerState::Ready], "an order that is taken back");
 }
 
 proptest! {
-    /// Whatever comes in any order, with rules that change and leases that run out: the guards hold, and no set-up or
-    /// answer goes out that the rules of that moment refuse.
+    /// For random actions, changing rules and expiring leases: no set-up or answer goes out that the rules of
+    /// that moment forbid.
     #[test]
-    fn no_act_is_written_that_the_rules_of_the_moment_refuse(seed in any::<u64>()) {
-        let chaos = Chaos { rng: Pcg32::seed_from_u64(seed), known: Vec::new() };
-        let mut world = World::new(chaos, seed);
+    fn nothing_is_sent_that_the_current_rules_forbid(seed in any::<u64>()) {
+        let decider = RandomDecider { rng: Pcg32::seed_from_u64(seed), known: Vec::new() };
+        let mut world = World::new(decider, seed);
         world = World { ledger: world.ledger.with_rules(under()), ..world };
         let (mut open, mut until) = ([false; 2], 0);
         for _ in 0..300 {
-            if world.below(10) == 0 {
-                let rules = match world.below(3) {
+            if world.random_below(10) == 0 {
+                let rules = match world.random_below(3) {
                     0 => Rules::default(),
-                    1 => closed("clip", world.below(2) == 0),
+                    1 => closed("clip", world.random_below(2) == 0),
                     _ => closed("paid", false),
                 };
                 open = ["clip", "paid"].map(|class| rules.terms(class).open);
-                until = world.now + world.below(2_000) as u64 * MS;
-                world.give(stand(rules, until, until));
+                until = world.now + world.random_below(2_000) as u64 * MS;
+                world.handle_input(stand(rules, until, until));
             }
             let now = world.now;
             world.ledger.set_lease_time(|| now);
@@ -213,11 +215,11 @@
                 world.playing.keys().cloned().collect(),
                 world.exchanges.keys().copied().collect(),
             );
-            world.step();
-            // The clock of leases stands still within the step.
+            world.random_step();
+            // The lease clock does not advance within the step.
             let may = |class: usize| open[class] && now < until;
             for (id, _) in world.playing.iter().filter(|(id, _)| !answered.contains(id)) {
-                prop_assert!(may(world.seen[id].class), "{id:?} plays against the rules");
+                prop_assert!(may(world.traces[id].class), "{id:?} plays against the rules");
             }
             for (conn, request) in world.exchanges.iter().filter(|(conn, _)| !out.contains(conn)) {
                 if let BoxRequest::SetUp { open_request: opening, .. } = request {
--- a/crates/front/src/core/timers.rs
+++ b/crates/front/src/core/timers.rs
@@ -1,4 +1,4 @@
-//! One queue of all that is due, so that the edge needs one timer and never polls.
+//! A single queue of deadlines, so that the engine needs only one timer and never polls.
 
 use std::collections::BTreeSet;
 
@@ -8,38 +8,38 @@
 
 use super::ConnId;
 
-/// What may be due.
+/// A deadline of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Deadline {
-    /// An attempt runs out of time.
+    /// An attempt times out.
     AttemptTimeout(SessionId, u32),
-    /// The module wants to be woken with this tag.
+    /// The decision module asked to be woken with this tag.
     Wake(u64),
     /// A session's answer is overdue.
     AnswerOverdue(SessionId),
-    /// Nobody claimed a resumed session.
+    /// Nobody has claimed a session that waits for its viewer.
     ClaimTimeout(SessionId),
-    /// A moved session is no longer waited for.
+    /// A moved session can no longer be reopened.
     MovedExpiry(SessionId),
-    /// The stream to a box is to be tried again.
+    /// The event stream of a box is to be reopened.
     ReopenStream(ServerId, u64),
-    /// The stream to a box may be silent.
+    /// The event stream of a box may have been silent for too long.
     StreamSilence(ServerId, u64),
-    /// A release is to be tried again.
+    /// A release is to be retried.
     RetryRelease(ServerId, SessionId, u32),
-    /// A box is to be asked again what it holds of a life.
+    /// A box is to be asked again which sessions it holds of an incarnation.
     RetryClaim(ServerId, Life),
-    /// The lease is to be looked at.
+    /// The lease is to be checked.
     CheckLease,
-    /// Nobody has taken over a life of which a box named this session.
+    /// Checks whether an earlier incarnation, of which a box reported this session, has been taken over.
     OrphanSession(ServerId, SessionId, u32),
-    /// A request to a box has taken as long as it may.
+    /// A request to a box has reached its time limit.
     RequestTimeout(u64),
-    /// An idle connection may have been kept long enough.
+    /// An idle connection may be due for closing.
     IdleTimeout(ConnId),
 }
 
-/// The queue; equal entries fall together. `D` is what may be due where the ledger is another one.
+/// The queue. Equal entries are stored once. `D` is the type of deadline.
 #[derive(Clone, Debug)]
 pub struct Timers<D = Deadline> {
     queue: BTreeSet<(Micros, D)>,
@@ -53,29 +53,29 @@
 
 impl<D: Ord> Timers<D> {
     /// Adds an entry.
-    pub fn set(&mut self, at: Micros, due: D) {
-        self.queue.insert((at, due));
+    pub fn set(&mut self, at: Micros, deadline: D) {
+        self.queue.insert((at, deadline));
     }
 
-    /// Takes an entry out that will not be needed, so that the queue is as long as what is under way.
-    pub fn cancel(&mut self, at: Micros, due: D) {
-        self.queue.remove(&(at, due));
+    /// Removes an entry that is no longer needed, so that the queue is only as long as the work in progress.
+    pub fn cancel(&mut self, at: Micros, deadline: D) {
+        self.queue.remove(&(at, deadline));
     }
 
-    /// When the first entry is due.
+    /// When the earliest entry is due.
     pub fn next_at(&self) -> Option<Micros> {
         self.queue.first().map(|(at, _)| *at)
     }
 
-    /// Takes out one entry that is due.
+    /// Removes and returns the earliest entry, if it is due.
     pub fn pop(&mut self, now: Micros) -> Option<D> {
         if self.next_at()? > now {
             return None;
         }
-        self.queue.pop_first().map(|(_, due)| due)
+        self.queue.pop_first().map(|(_, deadline)| deadline)
     }
 
-    /// All entries, the earliest first.
+    /// All entries, earliest first.
     pub fn entries(&self) -> impl Iterator<Item = &(Micros, D)> {
         self.queue.iter()
     }
@@ -85,7 +85,7 @@
         self.queue.len()
     }
 
-    /// Whether nothing is waited for.
+    /// Whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.queue.is_empty()
     }
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -1,5 +1,5 @@
-//! The front's own thread: it feeds the ledger with what the other threads hear, carries out what the ledger
-//! says, and waits until the next of either. It never waits for a peer.
+//! The engine thread: passes messages from the other threads to the ledger, executes its outputs, and waits
+//! for the next message or deadline. It never waits for a peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,52 +21,53 @@
 use crate::session_api::entrance::Entrance;
 use crate::session_api::rpc;
 
-/// The engine's state.
+/// State of the engine.
 pub struct Engine {
-    /// The time.
+    /// Clock of the front.
     pub clock: Clock,
     /// Sessions and attempts.
     pub ledger: Ledger<Controller>,
     /// Connections to boxes and their event streams.
     pub boxes: Boxes,
     /// Follows the box list.
-    pub list: Follower,
-    /// What is told.
+    pub box_list: Follower,
+    /// Incoming messages.
     pub inbox: Receiver<EngineMessage>,
-    /// Calls over their sender's share: heard when there is nothing else.
-    pub over: Overflow<ReceivedMessage>,
-    /// How many these are, for those who would add to them.
-    pub waiting: Arc<AtomicUsize>,
-    /// What opens cost beside their calls.
+    /// Messages from players that have used up their share of this thread, processed when there is nothing
+    /// else to do.
+    pub deferred: Overflow<ReceivedMessage>,
+    /// Number of these messages, shared with the threads that add to them.
+    pub deferred_count: Arc<AtomicUsize>,
+    /// Processing cost of open requests beyond their calls.
     pub aftermath: Aftermath,
-    /// Who is let in.
+    /// Admission of player connections.
     pub entrance: Arc<Entrance>,
-    /// Clients by number.
+    /// Clients by id.
     pub clients: BTreeMap<ClientId, ClientSink>,
-    /// Empty between two inputs; kept for its room.
-    pub out: Vec<Output>,
-    /// Likewise: clients of which something was heard or said.
-    pub touched: BTreeSet<ClientId>,
-    /// Where copies of promises are kept, if they are.
+    /// Output buffer; empty between inputs, kept to reuse its memory.
+    pub outputs: Vec<Output>,
+    /// Clients touched by the current input; likewise reused.
+    pub touched_clients: BTreeSet<ClientId>,
+    /// Replication of session records, if enabled.
     pub copies: Option<Copies>,
-    /// Time during which this process was not running.
+    /// Detects suspensions of this process.
     pub pauses: Pauses,
 }
 
-/// The front's thread looks around this often at least, so that it knows when it was not running.
-const LOOK_AROUND: Micros = 100_000;
+/// Maximum time between checks of the clock, us, which detect that the process was suspended.
+const MAX_WAIT_US: Micros = 100_000;
 
 impl Engine {
     /// Runs until the front ends.
     pub fn run(mut self) {
-        let mut waits: Vec<Sender<Counts>> = Vec::new();
+        let mut shutdown_replies: Vec<Sender<Counts>> = Vec::new();
         loop {
-            // The ledger looks at its timers with every input, so a flood of messages holds none of them up.
-            let finished = match self.hear() {
+            // The ledger checks its deadlines with every input, so a flood of messages delays none of them.
+            let finished = match self.next_message() {
                 Err(RecvTimeoutError::Timeout) => self.input(Input::Tick),
-                Err(RecvTimeoutError::Disconnected) | Ok(EngineMessage::Kill) => return self.die(),
+                Err(RecvTimeoutError::Disconnected) | Ok(EngineMessage::Kill) => return self.stop_now(),
                 Ok(EngineMessage::ShutDown(done)) => {
-                    waits.push(done);
+                    shutdown_replies.push(done);
                     self.input(Input::ShutDown)
                 }
                 Ok(EngineMessage::Status(to)) => {
@@ -77,68 +78,70 @@
                     self.clients.insert(client, port);
                     false
                 }
-                Ok(EngineMessage::DeferredCalls(taken)) => {
-                    self.over.push(taken.client, taken);
+                Ok(EngineMessage::DeferredCalls(received)) => {
+                    self.deferred.push(received.client, received);
                     false
                 }
-                Ok(EngineMessage::Calls(taken)) => {
-                    let mut all = self.earlier(taken.client);
-                    all.push(taken);
-                    all.into_iter().fold(false, |finished, taken| self.calls(taken) | finished)
+                Ok(EngineMessage::Calls(received)) => {
+                    let mut all = self.take_deferred(received.client);
+                    all.push(received);
+                    all.into_iter()
+                        .fold(false, |finished, received| self.handle_call_message(received) | finished)
                 }
                 Ok(EngineMessage::Input(input)) => {
-                    let gone = match &input {
+                    let departed = match &input {
                         Input::ClientClosed(client) | Input::ClientLost(client) => Some(*client),
                         _ => None,
                     };
-                    let begun = self.clock.instant_now();
+                    let started = self.clock.instant_now();
                     let finished = self.input(input);
-                    self.aftermath.spent(self.clock.nanos_since(begun));
-                    if let Some(client) = gone {
+                    self.aftermath.spent(self.clock.nanos_since(started));
+                    if let Some(client) = departed {
                         self.clients.remove(&client);
-                        // What it asked for and nobody has seen yet was never accepted.
-                        self.earlier(client);
+                        // Its deferred messages were not accepted yet and are dropped.
+                        self.take_deferred(client);
                     }
                     finished
                 }
             };
             if finished {
-                for done in waits {
+                for done in shutdown_replies {
                     let _ = done.send(self.ledger.counts());
                 }
-                return self.die();
+                return self.stop_now();
             }
         }
     }
 
-    /// The next message: those that have their turn first, and none later than what is due.
-    fn hear(&mut self) -> Result<EngineMessage, RecvTimeoutError> {
+    /// Receives the next message: messages in order first, deferred ones only if there are none. Returns at
+    /// the next deadline at the latest.
+    fn next_message(&mut self) -> Result<EngineMessage, RecvTimeoutError> {
         match self.inbox.try_recv() {
             Ok(msg) => return Ok(msg),
             Err(TryRecvError::Disconnected) => return Err(RecvTimeoutError::Disconnected),
             Err(TryRecvError::Empty) => {}
         }
-        if let Some(taken) = self.over.pop() {
-            self.waiting.fetch_sub(1, Ordering::Relaxed);
-            return Ok(EngineMessage::Calls(taken));
+        if let Some(received) = self.deferred.pop() {
+            self.deferred_count.fetch_sub(1, Ordering::Relaxed);
+            return Ok(EngineMessage::Calls(received));
         }
-        let around = self.clock.now() + LOOK_AROUND;
-        let due = self.ledger.next_deadline().map_or(around, |due| due.min(around));
+        let latest = self.clock.now() + MAX_WAIT_US;
+        let due = self.ledger.next_deadline().map_or(latest, |due| due.min(latest));
         self.inbox.recv_deadline(self.clock.instant_at(due))
     }
 
-    /// What of this player waits for time: it goes ahead of what the player says now.
-    fn earlier(&mut self, client: ClientId) -> Vec<ReceivedMessage> {
-        let earlier = self.over.all_of(client);
-        self.waiting.fetch_sub(earlier.len(), Ordering::Relaxed);
-        earlier
+    /// Removes the deferred messages of this player, which go ahead of its next one.
+    fn take_deferred(&mut self, client: ClientId) -> Vec<ReceivedMessage> {
+        let take_deferred = self.deferred.all_of(client);
+        self.deferred_count.fetch_sub(take_deferred.len(), Ordering::Relaxed);
+        take_deferred
     }
 
-    /// Takes in a player's message and charges what it cost. Returns whether the front is done.
-    fn calls(&mut self, taken: ReceivedMessage) -> bool {
-        let begun = self.clock.instant_now();
-        let (inputs, share) = match self.clients.get_mut(&taken.client) {
-            Some(ClientSink::Socket(socket)) => (socket.take(taken.message), Arc::clone(&socket.share)),
+    /// Handles a player message and charges its sender for the cost. Returns whether the front is done.
+    fn handle_call_message(&mut self, received: ReceivedMessage) -> bool {
+        let started = self.clock.instant_now();
+        let (inputs, share) = match self.clients.get_mut(&received.client) {
+            Some(ClientSink::Socket(socket)) => (socket.take(received.message), Arc::clone(&socket.share)),
             _ => return false,
         };
         let opens =
@@ -147,63 +150,64 @@
         for input in inputs {
             finished |= self.input(input);
         }
-        let nanos = self.clock.nanos_since(begun).saturating_add(self.aftermath.opened(opens as u64));
-        share.lock().unwrap_or_else(PoisonError::into_inner).cost(taken.charge, nanos);
+        let nanos = self.clock.nanos_since(started).saturating_add(self.aftermath.opened(opens as u64));
+        share.lock().unwrap_or_else(PoisonError::into_inner).cost(received.charge, nanos);
         finished
     }
 
-    /// Tells the door whether a player holds something, where that has changed.
-    fn note_holds(&mut self, client: ClientId) {
+    /// Tells the admission control whether a client has sessions, if that has changed.
+    fn update_admission(&mut self, client: ClientId) {
         let Some(ClientSink::Socket(socket)) = self.clients.get_mut(&client) else { return };
-        let holds = self.ledger.has_sessions(client);
-        if std::mem::replace(&mut socket.holds, holds) != holds {
-            if holds {
+        let has_sessions = self.ledger.has_sessions(client);
+        if std::mem::replace(&mut socket.has_sessions, has_sessions) != has_sessions {
+            if has_sessions {
                 socket.calls.returned();
             }
-            self.entrance.holds(client, holds);
+            self.entrance.holds(client, has_sessions);
         }
     }
 
-    /// Hands one input to the ledger and carries out what it says; returns whether the front is done.
+    /// Passes one input to the ledger and executes the outputs. Returns whether the front is done.
     fn input(&mut self, input: Input) -> bool {
-        let mut out = std::mem::take(&mut self.out);
-        let mut touched = std::mem::take(&mut self.touched);
+        let mut outputs = std::mem::take(&mut self.outputs);
+        let mut touched_clients = std::mem::take(&mut self.touched_clients);
         if let Input::Open(client, ..) | Input::Reopen(client, ..) = &input {
-            touched.insert(*client);
+            touched_clients.insert(*client);
         }
         self.ledger.set_lease_time(salttally_accord::edge::now);
-        // Danger: stopped between a look at the clock for pauses and another one for this input, the process would not know
-        // that it was, and take its own sleep for silence of the boxes: all that they play would be lost. So both go by one.
+        // Danger: if the process were suspended between reading the clock for the pause detection and reading
+        // it for the input, it would not notice, and would take its own suspension for silence of the boxes:
+        // all their sessions would be lost. So both use the same reading.
         let now = self.clock.now();
         if let Some(lost) = self.pauses.called(now) {
             tracing::warn!(ms = lost / 1000, "this process was not running");
-            self.ledger.handle(now, Input::ProcessResumed, &mut out);
+            self.ledger.handle(now, Input::ProcessResumed, &mut outputs);
         }
-        self.pauses.ask(now + LOOK_AROUND);
-        self.ledger.handle(now, input, &mut out);
+        self.pauses.ask(now + MAX_WAIT_US);
+        self.ledger.handle(now, input, &mut outputs);
         let mut finished = false;
-        for output in out.drain(..) {
+        for output in outputs.drain(..) {
             if let Output::Answer(client, ..) | Output::Reply(client, ..) | Output::Notify(client, ..) =
                 &output
             {
-                touched.insert(*client);
+                touched_clients.insert(*client);
             }
             match &output {
                 Output::Answer(client, ticket, answer) => self.answer(*client, *ticket, answer),
                 Output::Reply(client, ticket, reply) => self.reply(*client, *ticket, reply),
-                Output::Notify(client, news) => self.tell(*client, news),
+                Output::Notify(client, notification) => self.notify(*client, notification),
                 Output::Dial(conn, server, address) => self.boxes.dial(*conn, *server, *address),
                 Output::Exchange(conn, request) => {
-                    let writ = self.ledger.write_authority(request);
-                    self.boxes.exchange(*conn, request, writ);
+                    let authority = self.ledger.write_authority(request);
+                    self.boxes.exchange(*conn, request, authority);
                 }
                 Output::CloseConn(conn) => self.boxes.hang(*conn),
                 Output::OpenStream(server, number, address) => self.boxes.listen(*server, *number, *address),
                 Output::CloseStream(_, number) => self.boxes.stop_listening(*number),
-                Output::FollowList => self.list.follow(),
-                Output::StoreRecord(key, body, waits) => {
+                Output::FollowList => self.box_list.follow(),
+                Output::StoreRecord(key, body, shutdown_replies) => {
                     if let Some(copies) = &self.copies {
-                        copies.keep(Arc::clone(key), body.clone(), *waits);
+                        copies.keep(Arc::clone(key), body.clone(), *shutdown_replies);
                     }
                 }
                 Output::DeleteRecord(key) => {
@@ -211,14 +215,14 @@
                         copies.end(Arc::clone(key));
                     }
                 }
-                Output::OrphanFound(life) => {
+                Output::OrphanFound(incarnation) => {
                     if let Some(copies) = &self.copies {
-                        copies.found(Arc::clone(life));
+                        copies.found(Arc::clone(incarnation));
                     }
                 }
-                Output::IncarnationChanged(life) => {
+                Output::IncarnationChanged(incarnation) => {
                     if let Some(copies) = &self.copies {
-                        copies.lives(Arc::clone(life));
+                        copies.lives(Arc::clone(incarnation));
                     }
                 }
                 Output::Log(Level::Debug, text) => tracing::debug!("{text}"),
@@ -227,10 +231,10 @@
                 Output::Finished => finished = true,
             }
         }
-        while let Some(client) = touched.pop_first() {
-            self.note_holds(client);
+        while let Some(client) = touched_clients.pop_first() {
+            self.update_admission(client);
         }
-        (self.out, self.touched) = (out, touched);
+        (self.outputs, self.touched_clients) = (outputs, touched_clients);
         finished
     }
 
@@ -254,11 +258,11 @@
         }
     }
 
-    fn tell(&mut self, client: ClientId, news: &Notification) {
+    fn notify(&mut self, client: ClientId, notification: &Notification) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.write(&rpc::news(news)),
+            Some(ClientSink::Socket(socket)) => socket.write(&rpc::news(notification)),
             Some(ClientSink::Caller(to)) => {
-                let _ = to.send(CallerMessage::Notification(news.clone()));
+                let _ = to.send(CallerMessage::Notification(notification.clone()));
             }
             None => {}
         }
@@ -276,10 +280,10 @@
         }
     }
 
-    /// Closes every socket, with no word to anybody.
-    fn die(mut self) {
+    /// Closes every socket without notifying anybody.
+    fn stop_now(mut self) {
         self.boxes.die();
-        self.list.die();
+        self.box_list.die();
         for port in std::mem::take(&mut self.clients).into_values() {
             if let ClientSink::Socket(socket) = port {
                 socket.outbox.close();
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -1,4 +1,4 @@
-//! The front as a library: started with its settings, asked for sessions in process, ended in order.
+//! The front as a library: start it with settings, open sessions in process, shut it down in order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -35,59 +35,59 @@
 use crate::session_api::server::{Server, Ways};
 use crate::settings::{firm, viewer, Settings};
 
-/// Why a front does not start.
+/// Why a front cannot start.
 #[derive(Debug, Error)]
 pub enum StartError {
-    /// The players' address cannot be bound.
+    /// The address for players cannot be bound.
     #[error("cannot listen for players at {0}: {1}")]
     Listen(SocketAddr, io::Error),
-    /// The record cannot be written.
+    /// The decision record cannot be written.
     #[error("cannot write the record {0}: {1}")]
     Record(String, io::Error),
-    /// No thread to be had.
-    #[error("no thread to be had: {0}")]
+    /// A thread cannot be started.
+    #[error("cannot start a thread: {0}")]
     Thread(io::Error),
 }
 
-/// Why a session cannot be asked for as it stands.
+/// Why a session request is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum OpenError {
-    /// No title of that name.
+    /// Unknown title.
     #[error("no title `{0}` here")]
     Title(String),
-    /// No class of that name.
+    /// Unknown class.
     #[error("no class `{0}` here")]
     Class(String),
-    /// The patience is out of bounds.
-    #[error("a patience of {0} ms; it must lie from {1} to {2}")]
+    /// The patience, ms, is outside the range from the second to the third value.
+    #[error("patience of {0} ms must be between {1} and {2} ms")]
     Patience(u64, u64, u64),
     /// The front has ended.
     #[error("the front has ended")]
     Ended,
 }
 
-/// A session as a caller asks for it; the fields are those of `session.open`.
+/// A session request of a library caller, with the fields of `session.open`.
 #[derive(Clone, Debug, Default)]
 pub struct SessionRequest {
-    /// Who watches.
+    /// The viewer.
     pub viewer: String,
-    /// What is watched.
+    /// The requested title.
     pub title: String,
-    /// Of which class.
+    /// The class of the session.
     pub class: String,
     /// Highest rung that the viewer can use.
     pub top_rung: usize,
-    /// Time before the viewer gives up, ms.
+    /// How long the viewer waits for an answer before giving up, ms.
     pub patience_ms: u64,
-    /// A guess of how long it is watched, seconds.
+    /// Expected viewing time, seconds.
     pub length_hint_s: Option<f64>,
-    /// Not the viewer's first try.
+    /// Whether the viewer has tried before.
     pub returned: bool,
-    /// The session that this front moved and that is opened anew by this.
+    /// The session that this front moved away and that this request reopens.
     pub moved_from: Option<String>,
 }
 
-/// A running front. Dropped, it ends in order.
+/// A running front. Dropping it shuts it down in order.
 pub struct Front {
     settings: Arc<Settings>,
     engine: Sender<EngineMessage>,
@@ -96,19 +96,20 @@
     thread: Option<thread::JoinHandle<()>>,
     recorder: Option<Recorder>,
     seed: u64,
-    life: Life,
+    incarnation: Life,
 }
 
 impl Front {
-    /// Starts a front: it listens for players and follows the box list when this returns.
+    /// Starts a front. When this returns, it accepts players and follows the box list.
     ///
     /// # Errors
-    /// The players' address cannot be bound, the record cannot be written, or there is no thread to be had.
+    /// The address for players cannot be bound, the decision record cannot be written, or a thread cannot be
+    /// started.
     pub fn start(settings: Settings) -> Result<Front, StartError> {
         Front::start_replicated(settings, None)
     }
 
-    /// The same with its promises copied, where the settings have `copies`.
+    /// Starts a front that replicates its session records through `copies`. The settings must have `copies`.
     ///
     /// # Errors
     /// As [`Front::start`].
@@ -116,12 +117,14 @@
         let clock = Clock::start();
         let started = clock.now();
         let settings = Arc::new(settings);
-        // Milliseconds tell two starts apart, and come round after seven weeks, when no session is left of the first.
+        // The milliseconds differ between two starts. They wrap around after seven weeks, when no session of
+        // the first start is left.
         let boot = (started / 1_000) as u32;
         let seed = settings.seed.unwrap_or(started);
-        let born = Born { at: started, front: settings.name.clone(), boot, seed };
+        let recording_start = Born { at: started, front: settings.name.clone(), boot, seed };
         let recorder = settings.record.as_ref().map(|path| {
-            Recorder::create(path, &born).map_err(|e| StartError::Record(path.display().to_string(), e))
+            Recorder::create(path, &recording_start)
+                .map_err(|e| StartError::Record(path.display().to_string(), e))
         });
         let recorder = recorder.transpose()?;
         let (engine, inbox) = crossbeam_channel::unbounded();
@@ -139,7 +142,7 @@
                 ledger = ledger.with_replication();
             }
         }
-        let life = ledger.incarnation();
+        let incarnation = ledger.incarnation();
         if let Some(recorder) = &recorder {
             ledger = ledger.with_tap(Box::new(recorder.tap()));
         }
@@ -147,67 +150,67 @@
         let remembered = Input::List(ListKind::Cached, list.remembered());
         let boxes = Boxes::new(Arc::clone(&settings), engine.clone(), clock);
         let entrance = Arc::new(Entrance::new(clock, settings.edges.door));
-        let over = Arc::new(AtomicUsize::new(0));
-        let running = Engine {
+        let deferred_count = Arc::new(AtomicUsize::new(0));
+        let engine_thread = Engine {
             clock,
             ledger,
             boxes,
-            list,
+            box_list: list,
             inbox,
-            over: Overflow::default(),
-            waiting: Arc::clone(&over),
+            deferred: Overflow::default(),
+            deferred_count: Arc::clone(&deferred_count),
             aftermath: Aftermath::default(),
             entrance: Arc::clone(&entrance),
             clients: BTreeMap::new(),
-            out: Vec::new(),
-            touched: BTreeSet::new(),
+            outputs: Vec::new(),
+            touched_clients: BTreeSet::new(),
             copies,
             pauses: Pauses::new(),
         };
-        // The first thing that the module is told, before any player: it answers by following the list.
+        // The first event for the decision module, before any player: it responds by following the list.
         let _ = engine.send(EngineMessage::Input(remembered));
         let thread = thread::Builder::new()
             .name("front".into())
-            .spawn(move || running.run())
+            .spawn(move || engine_thread.run())
             .map_err(StartError::Thread)?;
         let clients = Arc::new(AtomicU64::new(1));
-        let ways = Ways { engine: engine.clone(), over, flusher };
+        let ways = Ways { engine: engine.clone(), over: deferred_count, flusher };
         let server = Server::start(Arc::clone(&settings), clock, Arc::clone(&clients), entrance, ways)
             .map_err(|error| {
                 let _ = engine.send(EngineMessage::Kill);
                 StartError::Listen(settings.listen, error)
             })?;
-        Ok(Front { settings, engine, clients, server, thread: Some(thread), recorder, seed, life })
+        Ok(Front { settings, engine, clients, server, thread: Some(thread), recorder, seed, incarnation })
     }
 
-    /// Whom to tell what this front stands on, where its settings have `accord`.
+    /// Returns the sink for changes of the agreed rules, the lease and takeovers; for settings with `accord`.
     pub fn coordination_sink(&self) -> impl Fn(Stand) + Send + 'static {
         let engine = self.engine.clone();
-        move |stand| {
-            let _ = engine.send(EngineMessage::Input(Input::Coordination(Box::new(stand))));
+        move |state| {
+            let _ = engine.send(EngineMessage::Input(Input::Coordination(Box::new(state))));
         }
     }
 
-    /// What ids of its sessions begin with, from its start on.
+    /// The incarnation of the front at its start: the prefix of its session ids.
     pub fn incarnation(&self) -> Life {
-        Life::clone(&self.life)
+        Life::clone(&self.incarnation)
     }
 
-    /// Whom to tell of copies and of what other fronts promised, where its settings have `copies`.
+    /// Returns the sink for replication results and takeovers; for settings with `copies`.
     pub fn replication_sink(&self) -> impl Fn(Told) + Send + 'static {
         let engine = self.engine.clone();
         move |told| {
             let input = match told {
                 Told::Kept(key, kept) => Input::RecordStored(key, kept),
-                Told::Adopt(life, epoch, promises) => Input::TakeOver(life, epoch, promises),
-                Told::Replaced(life, _) => Input::TakenOver(life),
-                Told::Gone(life) => Input::TakeoverSuperseded(life),
+                Told::Adopt(incarnation, epoch, promises) => Input::TakeOver(incarnation, epoch, promises),
+                Told::Replaced(incarnation, _) => Input::TakenOver(incarnation),
+                Told::Gone(incarnation) => Input::TakeoverSuperseded(incarnation),
             };
             let _ = engine.send(EngineMessage::Input(input));
         }
     }
 
-    /// Whom to tell of other fronts, as membership knows them.
+    /// Returns the sink for changes of the membership view.
     pub fn peers_sink(&self) -> impl Fn(&[Known]) + Send + 'static {
         let engine = self.engine.clone();
         move |known| {
@@ -218,70 +221,72 @@
         }
     }
 
-    /// Where players connect.
+    /// Address on which the front accepts players.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Seed of the module's draws.
+    /// Seed of the decision module's random numbers.
     pub fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// How the front stands.
+    /// Status of the front.
     pub fn status(&self) -> FrontStatus {
         let (to, answer) = crossbeam_channel::bounded(1);
         let _ = self.engine.send(EngineMessage::Status(to));
         answer.recv_timeout(Duration::from_secs(5)).unwrap_or_default()
     }
 
-    /// Asks for a session. It is accepted when this returns, and its one answer comes within the patience.
+    /// Opens a session. The request is accepted when this returns, and is answered within the patience.
     ///
     /// # Errors
-    /// What is asked for means nothing here; then nothing has been accepted.
-    pub fn open(&self, asked: &SessionRequest) -> Result<Session, OpenError> {
+    /// The request is invalid; nothing has been accepted.
+    pub fn open(&self, request: &SessionRequest) -> Result<Session, OpenError> {
         let settings = &self.settings;
-        let title = settings.titles.get(&asked.title).ok_or_else(|| OpenError::Title(asked.title.clone()))?;
-        let class = settings.class(&asked.class).ok_or_else(|| OpenError::Class(asked.class.clone()))?;
+        let title =
+            settings.titles.get(&request.title).ok_or_else(|| OpenError::Title(request.title.clone()))?;
+        let class = settings.class(&request.class).ok_or_else(|| OpenError::Class(request.class.clone()))?;
         let (least, most) = settings.edges.patience_ms;
-        if !(least..=most).contains(&asked.patience_ms) {
-            return Err(OpenError::Patience(asked.patience_ms, least, most));
+        if !(least..=most).contains(&request.patience_ms) {
+            return Err(OpenError::Patience(request.patience_ms, least, most));
         }
         let opening = OpenRequest {
-            viewer: viewer(&asked.viewer),
-            tenant: firm(&asked.viewer),
+            viewer: viewer(&request.viewer),
+            tenant: firm(&request.viewer),
             title: title.id,
             class,
             first_cell: title.first_cell,
             cell_count: title.cells,
-            top_rung: asked.top_rung,
-            patience: asked.patience_ms * 1000,
-            length_hint: asked.length_hint_s.map(|hint| (hint.clamp(0.0, 1e6) * 1e6) as Micros),
-            returned: asked.returned,
-            moved_from: asked.moved_from.as_deref().map(|id| SessionId(Arc::from(id))),
+            top_rung: request.top_rung,
+            patience: request.patience_ms * 1000,
+            length_hint: request.length_hint_s.map(|hint| (hint.clamp(0.0, 1e6) * 1e6) as Micros),
+            returned: request.returned,
+            moved_from: request.moved_from.as_deref().map(|id| SessionId(Arc::from(id))),
         };
         let client = ClientId(self.clients.fetch_add(1, Ordering::Relaxed));
         let (to, told) = crossbeam_channel::unbounded();
         let attach = self.engine.send(EngineMessage::Attach(client, ClientSink::Caller(to)));
-        let open = self.engine.send(EngineMessage::Input(Input::Open(client, OPEN, opening)));
+        let open = self.engine.send(EngineMessage::Input(Input::Open(client, OPEN_TICKET, opening)));
         if attach.is_err() || open.is_err() {
             return Err(OpenError::Ended);
         }
-        Ok(Session { client, engine: self.engine.clone(), told })
+        Ok(Session { client, engine: self.engine.clone(), messages: told })
     }
 
-    /// Ends in order: accepts nobody any more, answers all that is owed, releases all that plays and tells its
-    /// viewers. Returns what the front has done, or nothing if boxes did not take their releases in `within`.
+    /// Shuts down in order: accepts no further requests, answers pending ones, releases playing sessions and
+    /// notifies their viewers. Returns the counters, or `None` if boxes did not confirm their releases within
+    /// this time.
     pub fn shut_down(mut self, within: Duration) -> Option<Counts> {
         let counts = self.end(within);
-        self.finish();
+        self.join_threads();
         counts
     }
 
-    /// Ends at once with no word to anybody, as a process that is killed: for rehearsals of that.
+    /// Ends at once without notifying anybody, as if the process were killed; for tests of crashes.
     pub fn kill(mut self) {
         let _ = self.engine.send(EngineMessage::Kill);
-        self.finish();
+        self.join_threads();
     }
 
     fn end(&mut self, within: Duration) -> Option<Counts> {
@@ -292,7 +297,7 @@
         counts
     }
 
-    fn finish(&mut self) {
+    fn join_threads(&mut self) {
         self.server.stop();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -307,33 +312,33 @@
     fn drop(&mut self) {
         if self.thread.is_some() {
             self.end(Duration::from_secs(5));
-            self.finish();
+            self.join_threads();
         }
     }
 }
 
-/// The one open call of a caller.
-const OPEN: Ticket = Ticket(1);
-/// Its other calls.
-const OTHER: Ticket = Ticket(2);
+/// Ticket of the open call of a library caller.
+const OPEN_TICKET: Ticket = Ticket(1);
+/// Ticket of its other calls.
+const OTHER_TICKET: Ticket = Ticket(2);
 
-/// A session that a caller of the library asked for. Dropped, it is given up or closed: nothing is left
-/// unanswered and nothing plays for nobody.
+/// A session opened by a library caller. Dropping it cancels or closes the session, so that it is neither
+/// left unanswered nor plays on with no viewer.
 pub struct Session {
     client: ClientId,
     engine: Sender<EngineMessage>,
-    told: Receiver<CallerMessage>,
+    messages: Receiver<CallerMessage>,
 }
 
 impl Session {
-    /// What the session's caller is told next: first the answer, then news. Nothing if that takes longer than
-    /// `within`, or the front has ended.
+    /// The next message to the caller: first the answer, then notifications. `None` after this time, or once
+    /// the front has ended.
     pub fn next(&self, within: Duration) -> Option<CallerMessage> {
-        self.told.recv_timeout(within).ok()
+        self.messages.recv_timeout(within).ok()
     }
 
-    /// Waits for the one answer. Nothing also where the open is not accepted, because the viewer has as many
-    /// sessions as it may; [`Session::next`] tells the two apart.
+    /// Waits for the answer. Also `None` if the request is not accepted because the viewer has too many
+    /// sessions; [`Session::next`] distinguishes the two.
     pub fn answer(&self, within: Duration) -> Option<Answer> {
         match self.next(within)? {
             CallerMessage::Answer(answer) => Some(answer),
@@ -341,7 +346,7 @@
         }
     }
 
-    /// Waits for news.
+    /// Waits for a notification.
     pub fn news(&self, within: Duration) -> Option<Notification> {
         match self.next(within)? {
             CallerMessage::Notification(news) => Some(news),
@@ -349,14 +354,15 @@
         }
     }
 
-    /// Gives the session up before its answer; the answer is then that it failed, unless it was under way.
+    /// Cancels the request before its answer, which is then a failure unless it is already in transit.
     pub fn cancel(&self) {
-        let _ = self.engine.send(EngineMessage::Input(Input::Cancel(self.client, OTHER, OPEN)));
+        let _ = self.engine.send(EngineMessage::Input(Input::Cancel(self.client, OTHER_TICKET, OPEN_TICKET)));
     }
 
-    /// Closes a session that plays. Returns whether it did.
+    /// Closes a playing session. Returns whether it was closed.
     pub fn close(self, session: &SessionId, within: Duration) -> bool {
-        let _ = self.engine.send(EngineMessage::Input(Input::Close(self.client, OTHER, session.clone())));
+        let _ =
+            self.engine.send(EngineMessage::Input(Input::Close(self.client, OTHER_TICKET, session.clone())));
         while let Some(told) = self.next(within) {
             if let CallerMessage::Reply(reply) = told {
                 return matches!(reply, Reply::Closed(_));
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,11 +1,12 @@
-//! The session front: players reach it over WebSocket, it reaches media boxes over HTTP, and every decision on
-//! placement, rungs, moves, refusals and further attempts is [`salttally`]'s.
+//! The session front: players connect over WebSocket, the front controls media boxes over HTTP, and every
+//! decision on placement, rungs, moves, refusals and further attempts is made by [`salttally`].
 //!
-//! [`Front::start`] runs one in this process; the daemon `salttallyd` is that and signals. The parts:
+//! [`Front::start`] runs a front in this process; the daemon `salttallyd` adds signal handling. Modules:
 //!
-//! - [`core`]: sessions, attempts, deadlines and connections as state, with no I/O and no clock. Read it first.
-//! - [`session_api`], [`boxes`], [`box_list`]: the edges, which parse, write and wait.
-//! - [`settings`]: KDL, checked against the rules. [`record`]: every decision, as JSON lines.
+//! - [`core`]: the state machine of sessions, attempts, deadlines and connections, with no I/O and no clock.
+//!   Read it first.
+//! - [`session_api`], [`boxes`], [`box_list`]: network I/O, parsing and encoding.
+//! - [`settings`]: KDL settings and their validation. [`record`]: the record of all decisions, as JSON lines.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/front/tests/decoders.rs
+++ b/crates/front/tests/decoders.rs
@@ -125,7 +125,7 @@
         let cut = cut % whole.len();
         prop_assert_eq!(http::parse_response(&whole[..cut]), Ok(None));
         let more = [whole.as_slice(), b"x"].concat();
-        prop_assert_eq!(http::parse_response(&more), Err(http::HttpError::Surplus(1)));
+        prop_assert_eq!(http::parse_response(&more), Err(http::HttpError::TrailingBytes(1)));
     }
 
     #[test]
@@ -183,11 +183,11 @@
 #[test]
 fn two_lengths_and_transfer_codings_are_told_from_a_response() {
     let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab";
-    assert_eq!(http::parse_response(twice), Err(http::HttpError::Length));
+    assert_eq!(http::parse_response(twice), Err(http::HttpError::ContentLength));
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(http::parse_response(chunked), Err(http::HttpError::Coding));
+    assert_eq!(http::parse_response(chunked), Err(http::HttpError::TransferCoding));
     let endless = [b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'a'; 9000]].concat();
-    assert_eq!(http::parse_response(&endless), Err(http::HttpError::LongHead));
+    assert_eq!(http::parse_response(&endless), Err(http::HttpError::HeadTooLong));
 }
 
 #[test]
