--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -159,7 +159,7 @@
         let settings = Settings::load(config).map_err(|error| error.to_string());
         let file = fs::File::open(record).map_err(|error| error.to_string());
         let done = settings.and_then(|settings| {
-            record::replay(BufReader::new(file?), &settings.module).map_err(|error| error.to_string())
+            record::replay(BufReader::new(file?), &settings.decision).map_err(|error| error.to_string())
         });
         match done {
             Ok(done) => steps += done,
--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -48,7 +48,7 @@
         Ok(settings) => settings,
         Err(error) => return Ok(shown(error)),
     };
-    match record::replay(BufReader::new(File::open(path)?), &settings.module) {
+    match record::replay(BufReader::new(File::open(path)?), &settings.decision) {
         Ok(steps) => {
             println!("{steps} steps, each as the module alone decides it");
             Ok(ExitCode::SUCCESS)
@@ -69,9 +69,9 @@
                 config.display(),
                 settings.name,
                 settings.classes.len(),
-                settings.module.ladder.len(),
+                settings.decision.ladder.len(),
                 settings.titles.len(),
-                settings.module.cells
+                settings.decision.cells
             );
             ExitCode::SUCCESS
         }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -14,7 +14,7 @@
 use salttally_accord::settings::Settings as Accord;
 use salttally_copies::edge as copies;
 use salttally_copies::settings::Settings as Copies;
-use salttally_front::settings::{room, Settings};
+use salttally_front::settings::{process_limits, Settings};
 use salttally_front::Front;
 use salttally_members::edge::{Known, Listener, Running};
 use salttally_members::settings::Settings as Members;
@@ -64,7 +64,7 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let Some(config) = &arguments.config else { return front_node(&arguments) };
-    let mut settings = match Settings::load_within(config, &room::of_process()) {
+    let mut settings = match Settings::load_for_process(config, &process_limits::raise_and_read()) {
         Ok(settings) => settings,
         Err(error) => return refused(*error),
     };
--- a/crates/daemon/tests/bad_days.rs
+++ b/crates/daemon/tests/bad_days.rs
@@ -93,7 +93,8 @@
     assert!(worth(&lines).part() > 0.1, "{:?}", worth(&lines));
     let settings = fronts.settings.expect("f1 was started");
     let file = std::fs::File::open(&file).expect("a record");
-    let steps = replay(std::io::BufReader::new(file), &settings.module).expect("as the module alone decides");
+    let steps =
+        replay(std::io::BufReader::new(file), &settings.decision).expect("as the module alone decides");
     assert!(steps > 100, "{steps}");
     std::fs::remove_dir_all(&record).expect("removed");
 }
--- a/crates/daemon/tests/doors.rs
+++ b/crates/daemon/tests/doors.rs
@@ -159,7 +159,7 @@
         assert!(matches!(drip.read(&mut [0; 64]), Ok(0) | Err(_)), "nothing is said to a drip");
     }
     let door = rig.front(0).look().door;
-    assert!(door.turned.values().sum::<u64>() >= 5, "{door:?}");
+    assert!(door.dropped.values().sum::<u64>() >= 5, "{door:?}");
     rig.end();
 }
 
--- a/crates/daemon/tests/suite.rs
+++ b/crates/daemon/tests/suite.rs
@@ -11,7 +11,7 @@
 
 use rig::{head, script, wait};
 use salttally_front::core::{Answer, Reply};
-use salttally_front::record::lines::{Done, Line as RecordLine, Told};
+use salttally_front::record::lines::{Line as RecordLine, RecordedAction, RecordedEvent};
 use salttally_front::record::replay;
 use salttally_front::settings::Settings;
 use salttally_front::{Asked, Front, Session, ToCaller};
@@ -273,28 +273,31 @@
     let mut ending = false;
     for line in text.lines() {
         let RecordLine::Step(mut step) = serde_json::from_str(line).expect("a line") else { continue };
-        match &mut step.told {
+        match &mut step.event {
             // Wake-ups come by the clock; in this suite they decide nothing, which is asserted here.
-            Told::Wake { .. } => {
-                assert!(step.did.iter().all(|did| matches!(did, Done::WakeAt { .. })), "{line}");
+            RecordedEvent::Wake { .. } => {
+                assert!(
+                    step.actions.iter().all(|did| matches!(did, RecordedAction::WakeAt { .. })),
+                    "{line}"
+                );
                 continue;
             }
-            Told::Started { took, .. } => *took = 0,
+            RecordedEvent::Started { took, .. } => *took = 0,
             // The front's end has the sessions that still play ended; which, is the order of ids.
-            Told::Ended { outcome, .. } if outcome == "withdrawn" => ending |= decisions.len() > 30,
+            RecordedEvent::Ended { outcome, .. } if outcome == "withdrawn" => ending |= decisions.len() > 30,
             _ => {}
         }
         if ending {
             break;
         }
-        for did in &mut step.did {
+        for did in &mut step.actions {
             match did {
-                Done::SetUp { time_out, .. } => *time_out = 0,
-                Done::WakeAt { at, .. } => *at = 0,
+                RecordedAction::SetUp { time_out, .. } => *time_out = 0,
+                RecordedAction::WakeAt { at, .. } => *at = 0,
                 _ => {}
             }
         }
-        let value = json!([step.told, step.did]).to_string();
+        let value = json!([step.event, step.actions]).to_string();
         let start = value.find("f0-").map(|at| value[at..at + 12].to_owned());
         let value = start.map_or(value.clone(), |start| value.replace(&start, "f0-"));
         decisions.push(serde_json::from_str(&value).expect("JSON"));
@@ -330,7 +333,7 @@
         day.stop();
         let settings = Settings::load(&config).expect("holds");
         let file = BufReader::new(fs::File::open(&record).expect("a record"));
-        replay(file, &settings.module).expect("each step as the module alone decides it");
+        replay(file, &settings.decision).expect("each step as the module alone decides it");
         runs.push((name, said, decisions(&record)));
     }
     let (_, said, decided) = &runs[0];
--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -23,7 +23,7 @@
 use crate::settings::Settings;
 
 /// Follows the list while it is told to.
-pub struct Follower {
+pub struct ListFollower {
     settings: Arc<Settings>,
     engine: Sender<Msg>,
     following: Arc<AtomicBool>,
@@ -44,12 +44,12 @@
 /// The list is written to disk this often at most, however fast it changes: read again, it counts as old anyway.
 const SAVE_EVERY: Micros = 1_000_000;
 
-impl Follower {
+impl ListFollower {
     /// Follows nothing yet.
-    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock, started: Micros) -> Follower {
+    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock, started: Micros) -> ListFollower {
         let list = Listing::new(started, settings.limits.clock_skew);
         let known = Known { list, damping: Damping::new(), unsaved: false, saved: 0 };
-        Follower {
+        ListFollower {
             settings,
             engine,
             following: Arc::default(),
@@ -60,8 +60,8 @@
     }
 
     /// The list as it was remembered over a restart, empty where there is none; it may be old.
-    pub fn remembered(&self) -> Vec<Listed> {
-        let Some(path) = &self.settings.remember else { return Vec::new() };
+    pub fn load_remembered(&self) -> Vec<Listed> {
+        let Some(path) = &self.settings.saved_list else { return Vec::new() };
         let Ok(text) = fs::read_to_string(path) else { return Vec::new() };
         match lines::read(&text) {
             Ok(message) => hold(&self.known).list.remember(message.lines),
@@ -91,7 +91,7 @@
     }
 
     /// Closes everything.
-    pub fn die(&self) {
+    pub fn close(&self) {
         self.following.store(true, Ordering::Release);
         self.socket.lock().unwrap_or_else(PoisonError::into_inner).close();
     }
@@ -175,13 +175,13 @@
         }
         known.saved = now;
         let settled = known.damping.settled(now);
-        let text = match &self.settings.remember {
+        let text = match &self.settings.saved_list {
             Some(_) if std::mem::take(&mut known.unsaved) => Some(lines::write(known.list.boxes())),
             _ => None,
         };
         drop(known);
         self.tell((!settled.is_empty()).then_some((ListKind::Changes, settled)));
-        if let (Some(path), Some(text)) = (&self.settings.remember, text) {
+        if let (Some(path), Some(text)) = (&self.settings.saved_list, text) {
             if let Err(error) = write(path, &text) {
                 tracing::warn!(path = %path.display(), %error, "the list is not remembered");
             }
--- a/crates/front/src/boxes/link.rs
+++ b/crates/front/src/boxes/link.rs
@@ -116,7 +116,7 @@
         let last = match self.socket.connect(self.address, &self.settings) {
             Err(error) => StreamNews::NoConnection(error),
             Ok(mut stream) => {
-                let mut meter = Meter::new(self.settings.edges.meter, self.clock.now());
+                let mut meter = Meter::new(self.settings.io.event_meter, self.clock.now());
                 let mut over = None;
                 let ended = follow(&mut stream, "/events", &self.settings, |event, begun| {
                     let all = match event {
--- a/crates/front/src/boxes/mod.rs
+++ b/crates/front/src/boxes/mod.rs
@@ -24,7 +24,7 @@
 use crate::settings::Settings;
 
 /// Connections and streams to boxes.
-pub struct Boxes {
+pub struct BoxConnections {
     settings: Arc<Settings>,
     engine: Sender<Msg>,
     conns: BTreeMap<ConnId, Conn>,
@@ -37,15 +37,15 @@
     requests: Sender<(BoxRequest, Writ)>,
 }
 
-impl Boxes {
+impl BoxConnections {
     /// No connection yet.
-    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock) -> Boxes {
-        Boxes { settings, engine, conns: BTreeMap::new(), streams: BTreeMap::new(), clock }
+    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock) -> BoxConnections {
+        BoxConnections { settings, engine, conns: BTreeMap::new(), streams: BTreeMap::new(), clock }
     }
 
     /// Whether there is room for one more thread.
     fn has_room(&self) -> bool {
-        self.conns.len() + self.streams.len() < self.settings.edges.to_boxes
+        self.conns.len() + self.streams.len() < self.settings.io.max_box_connections
     }
 
     /// Begins to connect.
@@ -71,7 +71,7 @@
     }
 
     /// Sends a request on a connection that stands, by this right.
-    pub fn exchange(&mut self, id: ConnId, request: &BoxRequest, writ: Writ) {
+    pub fn send(&mut self, id: ConnId, request: &BoxRequest, writ: Writ) {
         if let Some(conn) = self.conns.get(&id) {
             // A thread that has ended has told so.
             let _ = conn.requests.send((request.clone(), writ));
@@ -79,14 +79,14 @@
     }
 
     /// Closes a connection.
-    pub fn hang(&mut self, id: ConnId) {
+    pub fn hang_up(&mut self, id: ConnId) {
         if let Some(conn) = self.conns.remove(&id) {
             conn.socket.close();
         }
     }
 
     /// Opens an event stream.
-    pub fn listen(&mut self, server: ServerId, number: u64, address: SocketAddr) {
+    pub fn open_event_stream(&mut self, server: ServerId, number: u64, address: SocketAddr) {
         if !self.has_room() {
             return link::no_stream(&self.engine, server, number);
         }
@@ -108,14 +108,14 @@
     }
 
     /// Closes an event stream.
-    pub fn stop_listening(&mut self, number: u64) {
+    pub fn close_event_stream(&mut self, number: u64) {
         if let Some(socket) = self.streams.remove(&number) {
             socket.close();
         }
     }
 
     /// Closes everything.
-    pub fn die(&mut self) {
+    pub fn close_all(&mut self) {
         for conn in std::mem::take(&mut self.conns).into_values() {
             conn.socket.close();
         }
--- a/crates/front/src/boxes/wire.rs
+++ b/crates/front/src/boxes/wire.rs
@@ -31,7 +31,7 @@
     match request {
         BoxRequest::SetUp { session, attempt, rung, opening, time_out } => {
             let class = settings.classes.get(opening.class).map_or("", String::as_str);
-            let title = settings.title(opening.title);
+            let title = settings.title_name(opening.title);
             let context = Context {
                 // The hash does as the viewer's name: the box hands it back and nothing else.
                 viewer: format!("{:016x}", opening.viewer.0),
@@ -43,14 +43,14 @@
             };
             let body = json!({
                 "session": &*session.0, "attempt": attempt, "title": title, "class": class, "rung": rung,
-                "rate_kb": settings.rate(opening.class, *rung), "time_out_ms": time_out / 1000,
+                "rate_kb": settings.rate_kb(opening.class, *rung), "time_out_ms": time_out / 1000,
                 "context": context
             });
             write("POST", "/sessions", settings, Some(&body))
         }
         BoxRequest::SetRung { session, attempt, rung, class } => {
             let path = format!("/sessions/{}/{attempt}/rung", session.0);
-            let rate = settings.rate(*class, *rung);
+            let rate = settings.rate_kb(*class, *rung);
             write("PUT", &path, settings, Some(&json!({"rung": rung, "rate_kb": rate})))
         }
         BoxRequest::Release { session, attempt } => {
@@ -133,7 +133,7 @@
         return Ok(Vec::new());
     }
     let mut row = Vec::new();
-    for field in &settings.module.reports {
+    for field in &settings.decision.reports {
         let name = match field {
             ReportField::Streams => "streams",
             ReportField::Link | ReportField::LinkCapped => "link",
@@ -204,7 +204,7 @@
             viewer: ViewerId(u64::from_str_radix(&context.viewer, 16).ok()?),
             firm: None,
             title: title.id,
-            class: settings.class(&context.class)?,
+            class: settings.class_index(&context.class)?,
             first_cell: title.first_cell,
             cell_count: title.cells,
             top_rung: context.top_rung,
--- a/crates/front/src/core/tests.rs
+++ b/crates/front/src/core/tests.rs
@@ -113,7 +113,7 @@
 impl<D: Decider> World<D> {
     fn new(decider: D, seed: u64) -> World<D> {
         let settings = settings();
-        let ledger = Ledger::new(decider, settings.module, settings.limits, "f0", 1);
+        let ledger = Ledger::new(decider, settings.decision, settings.limits, "f0", 1);
         let mut world = World {
             ledger,
             rng: Pcg32::seed_from_u64(seed),
@@ -412,7 +412,7 @@
 
     #[test]
     fn the_module_never_meets_the_lock(seed: u64) {
-        let brain = Brain::new(settings().module, seed);
+        let brain = Brain::new(settings().decision, seed);
         let mut world = World::new(brain, seed);
         for _ in 0..400 {
             world.step();
@@ -698,7 +698,7 @@
     let puppet = Puppet::default();
     let told = puppet.told.clone();
     let settings = settings();
-    let mut ledger = Ledger::new(puppet, settings.module, settings.limits, "f0", 1);
+    let mut ledger = Ledger::new(puppet, settings.decision, settings.limits, "f0", 1);
     let mut out = Vec::new();
     let list = vec![listed(0, ServerState::Ready, None)];
     ledger.handle(1, Input::List(ListKind::Remembered, list.clone()), &mut out);
@@ -846,7 +846,7 @@
 fn sessions_found_at_a_box_that_the_first_fresh_list_no_longer_names_are_not_forgotten() {
     let settings = settings();
     let (claim_within, limits) = (settings.limits.claim_within, settings.limits);
-    let mut ledger = Ledger::new(Puppet::default(), settings.module, limits, "f0", 1);
+    let mut ledger = Ledger::new(Puppet::default(), settings.decision, limits, "f0", 1);
     let mut out = Vec::new();
     ledger.handle(1, Input::List(ListKind::Remembered, vec![listed(0, ServerState::Ready, None)]), &mut out);
     let Some(Output::Listen(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
--- a/crates/front/src/core/tests/doors.rs
+++ b/crates/front/src/core/tests/doors.rs
@@ -87,7 +87,7 @@
     let mut limits = limits();
     (limits.per_connection, limits.per_viewer) = (3, 2);
     let puppet = Puppet::default();
-    let mut ledger = Ledger::new(puppet, settings().module, limits, "f0", 1);
+    let mut ledger = Ledger::new(puppet, settings().decision, limits, "f0", 1);
     let mut tickets = 0;
     let mut open = |ledger: &mut Ledger<Puppet>, client: u64, viewer: u64| {
         tickets += 1;
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -11,14 +11,14 @@
 use salttally_copies::edge::Teller as Copies;
 use salttally_members::core::pauses::Pauses;
 
-use crate::box_list::Follower;
-use crate::boxes::Boxes;
+use crate::box_list::ListFollower;
+use crate::boxes::BoxConnections;
 use crate::clock::Clock;
 use crate::core::{Answer, ClientId, Counts, Input, Ledger, Level, News, Output, Reply, Ticket};
 use crate::inside::messages::{Look, Msg, Port, Taken, ToCaller};
-use crate::session_api::core::overflow::Overflow;
-use crate::session_api::core::share::Aftermath;
-use crate::session_api::entrance::Entrance;
+use crate::session_api::connections::Connections;
+use crate::session_api::core::deferred::DeferredQueue;
+use crate::session_api::core::thread_share::OpenOverhead;
 use crate::session_api::rpc;
 
 /// The engine's state.
@@ -28,19 +28,19 @@
     /// Sessions and attempts.
     pub ledger: Ledger<Brain>,
     /// Connections to boxes and their event streams.
-    pub boxes: Boxes,
+    pub boxes: BoxConnections,
     /// Follows the box list.
-    pub list: Follower,
+    pub list: ListFollower,
     /// What is told.
     pub inbox: Receiver<Msg>,
     /// Calls over their sender's share: heard when there is nothing else.
-    pub over: Overflow<Taken>,
+    pub over: DeferredQueue<Taken>,
     /// How many these are, for those who would add to them.
     pub waiting: Arc<AtomicUsize>,
     /// What opens cost beside their calls.
-    pub aftermath: Aftermath,
+    pub aftermath: OpenOverhead,
     /// Who is let in.
-    pub entrance: Arc<Entrance>,
+    pub entrance: Arc<Connections>,
     /// Clients by number.
     pub clients: BTreeMap<ClientId, Port>,
     /// Empty between two inputs; kept for its room.
@@ -93,7 +93,7 @@
                     };
                     let begun = self.clock.moment_now();
                     let finished = self.input(input);
-                    self.aftermath.spent(self.clock.nanos_since(begun));
+                    self.aftermath.record_cost(self.clock.nanos_since(begun));
                     if let Some(client) = gone {
                         self.clients.remove(&client);
                         // What it asked for and nobody has seen yet was never accepted.
@@ -129,7 +129,7 @@
 
     /// What of this player waits for time: it goes ahead of what the player says now.
     fn earlier(&mut self, client: ClientId) -> Vec<Taken> {
-        let earlier = self.over.all_of(client);
+        let earlier = self.over.take_client(client);
         self.waiting.fetch_sub(earlier.len(), Ordering::Relaxed);
         earlier
     }
@@ -147,8 +147,8 @@
         for input in inputs {
             finished |= self.input(input);
         }
-        let nanos = self.clock.nanos_since(begun).saturating_add(self.aftermath.opened(opens as u64));
-        share.lock().unwrap_or_else(PoisonError::into_inner).cost(taken.charge, nanos);
+        let nanos = self.clock.nanos_since(begun).saturating_add(self.aftermath.charge_opens(opens as u64));
+        share.lock().unwrap_or_else(PoisonError::into_inner).settle(taken.charge, nanos);
         finished
     }
 
@@ -158,9 +158,9 @@
         let holds = self.ledger.holds(client);
         if std::mem::replace(&mut socket.holds, holds) != holds {
             if holds {
-                socket.calls.returned();
+                socket.calls.allow_new_sessions();
             }
-            self.entrance.holds(client, holds);
+            self.entrance.set_in_use(client, holds);
         }
     }
 
@@ -194,11 +194,13 @@
                 Output::Dial(conn, server, address) => self.boxes.dial(*conn, *server, *address),
                 Output::Exchange(conn, request) => {
                     let writ = self.ledger.writ(request);
-                    self.boxes.exchange(*conn, request, writ);
+                    self.boxes.send(*conn, request, writ);
                 }
-                Output::Hang(conn) => self.boxes.hang(*conn),
-                Output::Listen(server, number, address) => self.boxes.listen(*server, *number, *address),
-                Output::StopListening(_, number) => self.boxes.stop_listening(*number),
+                Output::Hang(conn) => self.boxes.hang_up(*conn),
+                Output::Listen(server, number, address) => {
+                    self.boxes.open_event_stream(*server, *number, *address)
+                }
+                Output::StopListening(_, number) => self.boxes.close_event_stream(*number),
                 Output::FollowList => self.list.follow(),
                 Output::Keep(key, body, waits) => {
                     if let Some(copies) = &self.copies {
@@ -235,7 +237,7 @@
 
     fn answer(&mut self, client: ClientId, ticket: Ticket, answer: &Answer) {
         match self.clients.get_mut(&client) {
-            Some(Port::Socket(socket)) => socket.answered(ticket, |id| rpc::answer(id, answer)),
+            Some(Port::Socket(socket)) => socket.answered(ticket, |id| rpc::open_response(id, answer)),
             Some(Port::Caller(to)) => {
                 let _ = to.send(ToCaller::Answer(answer.clone()));
             }
@@ -245,7 +247,7 @@
 
     fn reply(&mut self, client: ClientId, ticket: Ticket, reply: &Reply) {
         match self.clients.get_mut(&client) {
-            Some(Port::Socket(socket)) => socket.answered(ticket, |id| rpc::reply(id, reply)),
+            Some(Port::Socket(socket)) => socket.answered(ticket, |id| rpc::call_response(id, reply)),
             Some(Port::Caller(to)) => {
                 let _ = to.send(ToCaller::Reply(reply.clone()));
             }
@@ -255,7 +257,7 @@
 
     fn tell(&mut self, client: ClientId, news: &News) {
         match self.clients.get_mut(&client) {
-            Some(Port::Socket(socket)) => socket.write(&rpc::news(news)),
+            Some(Port::Socket(socket)) => socket.write(&rpc::notification(news)),
             Some(Port::Caller(to)) => {
                 let _ = to.send(ToCaller::News(news.clone()));
             }
@@ -277,8 +279,8 @@
 
     /// Closes every socket, with no word to anybody.
     fn die(mut self) {
-        self.boxes.die();
-        self.list.die();
+        self.boxes.close_all();
+        self.list.close();
         for port in std::mem::take(&mut self.clients).into_values() {
             if let Port::Socket(socket) = port {
                 socket.outbox.close();
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -18,22 +18,22 @@
 use salttally_members::edge::Known;
 use thiserror::Error;
 
-use crate::box_list::Follower;
-use crate::boxes::Boxes;
+use crate::box_list::ListFollower;
+use crate::boxes::BoxConnections;
 use crate::clock::Clock;
 use crate::core::keeping::Other;
 use crate::core::terms::{Names, Terms};
 use crate::core::{Answer, ClientId, Counts, Input, Ledger, News, Opening, Reply, Ticket};
 use crate::engine::Engine;
 use crate::inside::messages::{Look, Msg, Port, ToCaller};
-use crate::record::lines::Born;
+use crate::record::lines::FrontStart;
 use crate::record::Recorder;
-use crate::session_api::core::overflow::Overflow;
-use crate::session_api::core::share::Aftermath;
-use crate::session_api::entrance::Entrance;
+use crate::session_api::connections::Connections;
+use crate::session_api::core::deferred::DeferredQueue;
+use crate::session_api::core::thread_share::OpenOverhead;
 use crate::session_api::outbox;
-use crate::session_api::server::{Server, Ways};
-use crate::settings::{firm, viewer, Settings};
+use crate::session_api::server::{Server, ServerChannels};
+use crate::settings::{tenant_id, viewer_id, Settings};
 
 /// Why a front does not start.
 #[derive(Debug, Error)]
@@ -119,21 +119,21 @@
         // Milliseconds tell two starts apart, and come round after seven weeks, when no session is left of the first.
         let boot = (started / 1_000) as u32;
         let seed = settings.seed.unwrap_or(started);
-        let born = Born { at: started, front: settings.name.clone(), boot, seed };
+        let born = FrontStart { at: started, front: settings.name.clone(), boot, seed };
         let recorder = settings.record.as_ref().map(|path| {
             Recorder::create(path, &born).map_err(|e| StartError::Record(path.display().to_string(), e))
         });
         let recorder = recorder.transpose()?;
         let (engine, inbox) = crossbeam_channel::unbounded();
         let (flusher, full) = crossbeam_channel::unbounded();
-        outbox::flusher(full).map_err(StartError::Thread)?;
+        outbox::spawn_flusher(full).map_err(StartError::Thread)?;
 
-        let brain = Brain::new(settings.module.clone(), seed);
-        let (module, limits) = (settings.module.clone(), settings.limits.clone());
+        let brain = Brain::new(settings.decision.clone(), seed);
+        let (module, limits) = (settings.decision.clone(), settings.limits.clone());
         let mut ledger = Ledger::new(brain, module, limits, &settings.name, boot);
         if settings.accord {
             let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
-            let names = Names { classes: settings.classes.clone(), titles, viewer: Some(viewer) };
+            let names = Names { classes: settings.classes.clone(), titles, viewer: Some(viewer_id) };
             ledger = ledger.under(Terms::new(names));
             if copies.is_some() {
                 ledger = ledger.keeping();
@@ -141,12 +141,12 @@
         }
         let life = ledger.life();
         if let Some(recorder) = &recorder {
-            ledger = ledger.tapped(Box::new(recorder.tap()));
+            ledger = ledger.tapped(Box::new(recorder.observer()));
         }
-        let list = Follower::new(Arc::clone(&settings), engine.clone(), clock, started);
-        let remembered = Input::List(ListKind::Remembered, list.remembered());
-        let boxes = Boxes::new(Arc::clone(&settings), engine.clone(), clock);
-        let entrance = Arc::new(Entrance::new(clock, settings.edges.door));
+        let list = ListFollower::new(Arc::clone(&settings), engine.clone(), clock, started);
+        let remembered = Input::List(ListKind::Remembered, list.load_remembered());
+        let boxes = BoxConnections::new(Arc::clone(&settings), engine.clone(), clock);
+        let entrance = Arc::new(Connections::new(clock, settings.io.admission));
         let over = Arc::new(AtomicUsize::new(0));
         let running = Engine {
             clock,
@@ -154,9 +154,9 @@
             boxes,
             list,
             inbox,
-            over: Overflow::default(),
+            over: DeferredQueue::default(),
             waiting: Arc::clone(&over),
-            aftermath: Aftermath::default(),
+            aftermath: OpenOverhead::default(),
             entrance: Arc::clone(&entrance),
             clients: BTreeMap::new(),
             out: Vec::new(),
@@ -171,7 +171,7 @@
             .spawn(move || running.run())
             .map_err(StartError::Thread)?;
         let clients = Arc::new(AtomicU64::new(1));
-        let ways = Ways { engine: engine.clone(), over, flusher };
+        let ways = ServerChannels { engine: engine.clone(), deferred: over, flusher };
         let server = Server::start(Arc::clone(&settings), clock, Arc::clone(&clients), entrance, ways)
             .map_err(|error| {
                 let _ = engine.send(Msg::Die);
@@ -240,14 +240,15 @@
     pub fn open(&self, asked: &Asked) -> Result<Session, OpenError> {
         let settings = &self.settings;
         let title = settings.titles.get(&asked.title).ok_or_else(|| OpenError::Title(asked.title.clone()))?;
-        let class = settings.class(&asked.class).ok_or_else(|| OpenError::Class(asked.class.clone()))?;
-        let (least, most) = settings.edges.patience_ms;
+        let class =
+            settings.class_index(&asked.class).ok_or_else(|| OpenError::Class(asked.class.clone()))?;
+        let (least, most) = settings.io.patience_ms;
         if !(least..=most).contains(&asked.patience_ms) {
             return Err(OpenError::Patience(asked.patience_ms, least, most));
         }
         let opening = Opening {
-            viewer: viewer(&asked.viewer),
-            firm: firm(&asked.viewer),
+            viewer: viewer_id(&asked.viewer),
+            firm: tenant_id(&asked.viewer),
             title: title.id,
             class,
             first_cell: title.first_cell,
--- a/crates/front/src/inside/messages.rs
+++ b/crates/front/src/inside/messages.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 
 use crate::core::{Answer, ClientId, Counts, Input, News, Reply, Ticket};
-use crate::session_api::core::calls::Calls;
-use crate::session_api::core::door::DoorCounts;
-use crate::session_api::core::share::{Charge, Share};
+use crate::session_api::core::admission::AdmissionCounts;
+use crate::session_api::core::calls::PendingCalls;
+use crate::session_api::core::thread_share::{Charge, ThreadShare};
 use crate::session_api::outbox::{text_frame, Outbox};
 use crate::session_api::rpc::Message;
 
@@ -54,7 +54,7 @@
     /// Players connected, and callers of the library.
     pub clients: usize,
     /// Connections of players, and who was turned away.
-    pub door: DoorCounts,
+    pub door: AdmissionCounts,
 }
 
 /// The way to a client.
@@ -81,16 +81,16 @@
     /// Where it is written to.
     pub outbox: Arc<Outbox>,
     /// The calls.
-    pub calls: Calls,
+    pub calls: PendingCalls,
     /// What it may take of the front's thread.
-    pub share: Arc<Mutex<Share>>,
+    pub share: Arc<Mutex<ThreadShare>>,
     /// It has sessions, or opens that wait.
     pub holds: bool,
 }
 
 impl Port {
     /// The port of a player's connection.
-    pub fn socket(outbox: Arc<Outbox>, calls: Calls, share: Arc<Mutex<Share>>) -> Port {
+    pub fn socket(outbox: Arc<Outbox>, calls: PendingCalls, share: Arc<Mutex<ThreadShare>>) -> Port {
         Port::Socket(Box::new(Socket { outbox, calls, share, holds: false }))
     }
 }
@@ -103,14 +103,14 @@
 
     /// Takes in a message: errors are answered, the rest is for the ledger.
     pub fn take(&mut self, message: Message) -> Vec<Input> {
-        let taken = self.calls.take(message);
-        taken.say.iter().for_each(|value| self.write(value));
+        let taken = self.calls.accept(message);
+        taken.responses.iter().for_each(|value| self.write(value));
         taken.inputs
     }
 
     /// Answers a call, if it still waits.
     pub fn answered(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) {
-        if let Some(value) = self.calls.answered(ticket, write) {
+        if let Some(value) = self.calls.answer(ticket, write) {
             self.write(&value);
         }
     }
--- a/crates/front/src/inside/socket.rs
+++ b/crates/front/src/inside/socket.rs
@@ -34,7 +34,7 @@
 
     /// Connects, unless it has been closed meanwhile.
     pub(crate) fn connect(&self, address: SocketAddr, settings: &Settings) -> Result<TcpStream, DialError> {
-        let stream = TcpStream::connect_timeout(&address, settings.edges.connect)
+        let stream = TcpStream::connect_timeout(&address, settings.io.connect_timeout)
             .map_err(|error| dial_error(&error))?;
         let _ = stream.set_nodelay(true);
         let other = stream.try_clone().map_err(|error| dial_error(&error))?;
--- a/crates/front/src/record/lines.rs
+++ b/crates/front/src/record/lines.rs
@@ -11,14 +11,15 @@
 #[serde(rename_all = "snake_case")]
 pub enum Line {
     /// A front starts.
-    Born(Born),
+    #[serde(rename = "born")]
+    Start(FrontStart),
     /// An event and what the module answered.
     Step(Step),
 }
 
 /// A start.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Born {
+pub struct FrontStart {
     /// When.
     pub at: Micros,
     /// Which front.
@@ -35,20 +36,26 @@
     /// When.
     pub at: Micros,
     /// The event.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub event: RecordedEvent,
     /// The actions.
-    pub did: Vec<Done>,
+    #[serde(rename = "did")]
+    pub actions: Vec<RecordedAction>,
 }
 
 impl Step {
     /// A step as it is recorded.
     pub fn new(at: Micros, event: &Event, actions: &[Action]) -> Step {
-        Step { at, told: Told::from(event), did: actions.iter().map(Done::from).collect() }
+        Step {
+            at,
+            event: RecordedEvent::from(event),
+            actions: actions.iter().map(RecordedAction::from).collect(),
+        }
     }
 
     /// The event as the module takes it.
-    pub fn event(&self) -> Event {
-        self.told.event()
+    pub fn to_event(&self) -> Event {
+        self.event.to_event()
     }
 }
 
@@ -56,10 +63,10 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Told {
-    List { kind: String, boxes: Vec<Entry> },
-    Request(Asked),
-    Resumed { request: Asked, server: u32 },
+pub enum RecordedEvent {
+    List { kind: String, boxes: Vec<RecordedServer> },
+    Request(RecordedRequest),
+    Resumed { request: RecordedRequest, server: u32 },
     Started { session: String, server: u32, took: Micros },
     Ended { session: String, attempt: u32, server: u32, outcome: String, last: bool, report: Vec<f64> },
     InDoubt { session: String, server: u32 },
@@ -74,7 +81,7 @@
 /// [`ServerEntry`] as recorded.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[allow(missing_docs)]
-pub struct Entry {
+pub struct RecordedServer {
     server: u32,
     zone: u32,
     kind: u32,
@@ -87,7 +94,7 @@
 /// [`Request`] as recorded.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[allow(missing_docs)]
-pub struct Asked {
+pub struct RecordedRequest {
     pub session: String,
     pub class: usize,
     pub viewer: u64,
@@ -105,7 +112,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Done {
+pub enum RecordedAction {
     SetUp { session: String, server: u32, time_out: Micros },
     SetRung { session: String, rung: usize },
     Move { session: String },
@@ -145,9 +152,9 @@
     SessionId(Arc::from(name))
 }
 
-impl From<&Request> for Asked {
-    fn from(request: &Request) -> Asked {
-        Asked {
+impl From<&Request> for RecordedRequest {
+    fn from(request: &Request) -> RecordedRequest {
+        RecordedRequest {
             session: name(&request.session),
             class: request.class,
             viewer: request.viewer.0,
@@ -163,7 +170,7 @@
     }
 }
 
-impl Asked {
+impl RecordedRequest {
     fn request(&self) -> Request {
         Request {
             session: id(&self.session),
@@ -181,11 +188,11 @@
     }
 }
 
-impl From<&Event> for Told {
-    fn from(event: &Event) -> Told {
+impl From<&Event> for RecordedEvent {
+    fn from(event: &Event) -> RecordedEvent {
         match event {
             Event::Servers(kind, entries) => {
-                let entry = |entry: &ServerEntry| Entry {
+                let entry = |entry: &ServerEntry| RecordedServer {
                     server: entry.server.0,
                     zone: entry.zone,
                     kind: entry.kind,
@@ -194,14 +201,16 @@
                     units: entry.units,
                     started: entry.started,
                 };
-                Told::List { kind: list_name(*kind), boxes: entries.iter().map(entry).collect() }
+                RecordedEvent::List { kind: list_name(*kind), boxes: entries.iter().map(entry).collect() }
+            }
+            Event::Request(request) => RecordedEvent::Request(request.into()),
+            Event::Resumed(request, server) => {
+                RecordedEvent::Resumed { request: request.into(), server: server.0 }
             }
-            Event::Request(request) => Told::Request(request.into()),
-            Event::Resumed(request, server) => Told::Resumed { request: request.into(), server: server.0 },
             Event::Started { session, server, took } => {
-                Told::Started { session: name(session), server: server.0, took: *took }
+                RecordedEvent::Started { session: name(session), server: server.0, took: *took }
             }
-            Event::Ended { session, attempt, server, outcome, last, report } => Told::Ended {
+            Event::Ended { session, attempt, server, outcome, last, report } => RecordedEvent::Ended {
                 session: name(session),
                 attempt: *attempt,
                 server: server.0,
@@ -209,11 +218,13 @@
                 last: *last,
                 report: report.clone(),
             },
-            Event::InDoubt { session, server } => Told::InDoubt { session: name(session), server: server.0 },
+            Event::InDoubt { session, server } => {
+                RecordedEvent::InDoubt { session: name(session), server: server.0 }
+            }
             Event::Resolved { session, server } => {
-                Told::Resolved { session: name(session), server: server.0 }
+                RecordedEvent::Resolved { session: name(session), server: server.0 }
             }
-            Event::Left(session) => Told::Left { session: name(session) },
+            Event::Left(session) => RecordedEvent::Left { session: name(session) },
             Event::Note { session, server, note } => {
                 let (kind, value) = match note {
                     Note::Delivered(share) => ("delivered", *share),
@@ -221,23 +232,25 @@
                     Note::Link(asked) => ("link", *asked),
                     Note::Uplink(asked) => ("uplink", *asked),
                 };
-                Told::Note { session: name(session), server: server.0, kind: kind.to_owned(), value }
+                RecordedEvent::Note { session: name(session), server: server.0, kind: kind.to_owned(), value }
             }
-            Event::Probed { server, outcome, report } => {
-                Told::Probed { server: server.0, outcome: outcome_name(*outcome), report: report.clone() }
-            }
-            Event::Peer(bytes) => Told::Peer { bytes: bytes.clone() },
-            Event::Wake(tag) => Told::Wake { tag: *tag },
+            Event::Probed { server, outcome, report } => RecordedEvent::Probed {
+                server: server.0,
+                outcome: outcome_name(*outcome),
+                report: report.clone(),
+            },
+            Event::Peer(bytes) => RecordedEvent::Peer { bytes: bytes.clone() },
+            Event::Wake(tag) => RecordedEvent::Wake { tag: *tag },
         }
     }
 }
 
-impl Told {
+impl RecordedEvent {
     /// The event as the module takes it.
-    pub fn event(&self) -> Event {
+    pub fn to_event(&self) -> Event {
         match self {
-            Told::List { kind, boxes } => {
-                let entry = |entry: &Entry| ServerEntry {
+            RecordedEvent::List { kind, boxes } => {
+                let entry = |entry: &RecordedServer| ServerEntry {
                     server: ServerId(entry.server),
                     zone: entry.zone,
                     kind: entry.kind,
@@ -248,12 +261,14 @@
                 };
                 Event::Servers(list_kind(kind), boxes.iter().map(entry).collect())
             }
-            Told::Request(asked) => Event::Request(asked.request()),
-            Told::Resumed { request, server } => Event::Resumed(request.request(), ServerId(*server)),
-            Told::Started { session, server, took } => {
+            RecordedEvent::Request(asked) => Event::Request(asked.request()),
+            RecordedEvent::Resumed { request, server } => {
+                Event::Resumed(request.request(), ServerId(*server))
+            }
+            RecordedEvent::Started { session, server, took } => {
                 Event::Started { session: id(session), server: ServerId(*server), took: *took }
             }
-            Told::Ended { session, attempt, server, outcome: how, last, report } => Event::Ended {
+            RecordedEvent::Ended { session, attempt, server, outcome: how, last, report } => Event::Ended {
                 session: id(session),
                 attempt: *attempt,
                 server: ServerId(*server),
@@ -261,14 +276,14 @@
                 last: *last,
                 report: report.clone(),
             },
-            Told::InDoubt { session, server } => {
+            RecordedEvent::InDoubt { session, server } => {
                 Event::InDoubt { session: id(session), server: ServerId(*server) }
             }
-            Told::Resolved { session, server } => {
+            RecordedEvent::Resolved { session, server } => {
                 Event::Resolved { session: id(session), server: ServerId(*server) }
             }
-            Told::Left { session } => Event::Left(id(session)),
-            Told::Note { session, server, kind, value } => {
+            RecordedEvent::Left { session } => Event::Left(id(session)),
+            RecordedEvent::Note { session, server, kind, value } => {
                 let note = match kind.as_str() {
                     "delivered" => Note::Delivered(*value),
                     "rung" => Note::Rung(*value as usize),
@@ -277,29 +292,31 @@
                 };
                 Event::Note { session: id(session), server: ServerId(*server), note }
             }
-            Told::Probed { server, outcome: how, report } => {
+            RecordedEvent::Probed { server, outcome: how, report } => {
                 Event::Probed { server: ServerId(*server), outcome: outcome(how), report: report.clone() }
             }
-            Told::Peer { bytes } => Event::Peer(bytes.clone()),
-            Told::Wake { tag } => Event::Wake(*tag),
+            RecordedEvent::Peer { bytes } => Event::Peer(bytes.clone()),
+            RecordedEvent::Wake { tag } => Event::Wake(*tag),
         }
     }
 }
 
-impl From<&Action> for Done {
-    fn from(action: &Action) -> Done {
+impl From<&Action> for RecordedAction {
+    fn from(action: &Action) -> RecordedAction {
         match action {
             Action::SetUp(session, server, time_out) => {
-                Done::SetUp { session: name(session), server: server.0, time_out: *time_out }
+                RecordedAction::SetUp { session: name(session), server: server.0, time_out: *time_out }
+            }
+            Action::SetRung(session, rung) => RecordedAction::SetRung { session: name(session), rung: *rung },
+            Action::Move(session) => RecordedAction::Move { session: name(session) },
+            Action::Refuse(session, wait) => {
+                RecordedAction::Refuse { session: name(session), hold_off: *wait }
             }
-            Action::SetRung(session, rung) => Done::SetRung { session: name(session), rung: *rung },
-            Action::Move(session) => Done::Move { session: name(session) },
-            Action::Refuse(session, wait) => Done::Refuse { session: name(session), hold_off: *wait },
-            Action::Fail(session) => Done::Fail { session: name(session) },
-            Action::Probe(server) => Done::Probe { server: server.0 },
-            Action::FollowList => Done::FollowList,
-            Action::WakeAt(tag, at) => Done::WakeAt { tag: *tag, at: *at },
-            Action::Log(text) => Done::Log { text: text.clone() },
+            Action::Fail(session) => RecordedAction::Fail { session: name(session) },
+            Action::Probe(server) => RecordedAction::Probe { server: server.0 },
+            Action::FollowList => RecordedAction::FollowList,
+            Action::WakeAt(tag, at) => RecordedAction::WakeAt { tag: *tag, at: *at },
+            Action::Log(text) => RecordedAction::Log { text: text.clone() },
         }
     }
 }
--- a/crates/front/src/record/mod.rs
+++ b/crates/front/src/record/mod.rs
@@ -18,7 +18,7 @@
 use salttally::interface::{Action, Event, Micros, Settings};
 use thiserror::Error;
 
-use lines::{Born, Line, Step};
+use lines::{FrontStart, Line, Step};
 
 /// Lines that may wait for the disk.
 const WAITING: usize = 65_536;
@@ -32,9 +32,9 @@
 
 impl Recorder {
     /// Creates the file, with its first line.
-    pub fn create(path: &Path, born: &Born) -> io::Result<Recorder> {
+    pub fn create(path: &Path, start: &FrontStart) -> io::Result<Recorder> {
         let mut file = BufWriter::new(File::create(path)?);
-        writeln!(file, "{}", lines::write(&Line::Born(born.clone())))?;
+        writeln!(file, "{}", lines::write(&Line::Start(start.clone())))?;
         let (lines, inbox) = crossbeam_channel::bounded::<String>(WAITING);
         let lost = Arc::new(AtomicU64::new(0));
         let missing = Arc::clone(&lost);
@@ -55,7 +55,7 @@
     }
 
     /// What hands steps to the record.
-    pub fn tap(&self) -> impl FnMut(Micros, &Event, &[Action]) + Send + Sync + 'static {
+    pub fn observer(&self) -> impl FnMut(Micros, &Event, &[Action]) + Send + Sync + 'static {
         let (lines, lost) = (self.lines.clone(), Arc::clone(&self.lost));
         move |at, event, actions| {
             let Some(lines) = &lines else { return };
@@ -116,15 +116,17 @@
         let line = line.map_err(|error| BadRecord::Read(at + 1, error))?;
         let line: Line = serde_json::from_str(&line).map_err(|error| BadRecord::Line(at + 1, error))?;
         match line {
-            Line::Born(born) => brain = Some(Brain::new(settings.clone(), born.seed)),
+            Line::Start(start) => brain = Some(Brain::new(settings.clone(), start.seed)),
             Line::Step(step) => {
                 let brain = brain.as_mut().ok_or(BadRecord::NoStart)?;
                 actions.clear();
-                brain.handle(step.at, &step.event(), &mut actions);
-                let decided: Vec<lines::Done> = actions.iter().map(lines::Done::from).collect();
-                if decided != step.did {
-                    let show = |done: &[lines::Done]| serde_json::to_string(done).unwrap_or_default();
-                    let (recorded, decided) = (show(&step.did), show(&decided));
+                brain.handle(step.at, &step.to_event(), &mut actions);
+                let decided: Vec<lines::RecordedAction> =
+                    actions.iter().map(lines::RecordedAction::from).collect();
+                if decided != step.actions {
+                    let show =
+                        |done: &[lines::RecordedAction]| serde_json::to_string(done).unwrap_or_default();
+                    let (recorded, decided) = (show(&step.actions), show(&decided));
                     return Err(BadRecord::Differs { line: at + 1, recorded, decided });
                 }
                 steps += 1;
--- a/crates/front/src/session_api/entrance.rs
+++ b/crates/front/src/session_api/connections.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use super::core::door::{Door, DoorCounts, DoorLimits, Place, Turned};
+use super::core::admission::{AdmissionCounts, AdmissionLimits, Door, DropReason, Place};
 use super::outbox::Outbox;
 use super::server::farewell;
 use crate::clock::Clock;
@@ -13,7 +13,7 @@
 use tungstenite::protocol::frame::coding::CloseCode;
 
 /// The door of a front and the ways to all who passed it.
-pub struct Entrance {
+pub struct Connections {
     clock: Clock,
     inner: Mutex<Inner>,
     /// Connections inside, for readers that need no more than about how many.
@@ -25,11 +25,11 @@
     ways: BTreeMap<ClientId, Arc<Outbox>>,
 }
 
-impl Entrance {
+impl Connections {
     /// Nobody is in.
-    pub fn new(clock: Clock, limits: DoorLimits) -> Entrance {
+    pub fn new(clock: Clock, limits: AdmissionLimits) -> Connections {
         let inner = Inner { door: Door::new(limits), ways: BTreeMap::new() };
-        Entrance { clock, inner: Mutex::new(inner), inside: AtomicUsize::new(0) }
+        Connections { clock, inner: Mutex::new(inner), inside: AtomicUsize::new(0) }
     }
 
     fn hold(&self) -> MutexGuard<'_, Inner> {
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// Why it is turned away.
-    pub fn knock(&self, id: ClientId, from: IpAddr, way: &Arc<Outbox>) -> Result<(), Turned> {
+    pub fn knock(&self, id: ClientId, from: IpAddr, way: &Arc<Outbox>) -> Result<(), DropReason> {
         let mut inner = self.hold();
         let goes = inner.door.knock(self.clock.now(), id, from)?;
         inner.ways.insert(id, Arc::clone(way));
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// Why there is no place inside.
-    pub fn enter(&self, id: ClientId) -> Result<Place, Turned> {
+    pub fn enter(&self, id: ClientId) -> Result<Place, DropReason> {
         let mut inner = self.hold();
         let (place, goes) = inner.door.enter(self.clock.now(), id)?;
         self.out(inner, goes);
@@ -65,8 +65,8 @@
     }
 
     /// A player holds sessions or open calls from now on, or nothing any more.
-    pub fn holds(&self, id: ClientId, something: bool) {
-        self.hold().door.holds(self.clock.now(), id, something);
+    pub fn set_in_use(&self, id: ClientId, something: bool) {
+        self.hold().door.set_in_use(self.clock.now(), id, something);
     }
 
     /// Whether a player was let into the reserve and has returned to nothing yet.
@@ -88,17 +88,17 @@
     }
 
     /// What stands where, and what was turned away.
-    pub fn counts(&self) -> DoorCounts {
+    pub fn counts(&self) -> AdmissionCounts {
         self.hold().door.counts()
     }
 
-    fn out(&self, mut inner: MutexGuard<'_, Inner>, goes: Option<(ClientId, Turned)>) {
+    fn out(&self, mut inner: MutexGuard<'_, Inner>, goes: Option<(ClientId, DropReason)>) {
         self.inside.store(inner.door.inside(), Ordering::Relaxed);
         let Some((id, why)) = goes else { return };
         let Some(way) = inner.ways.remove(&id) else { return };
         drop(inner);
         tracing::debug!(client = id.0, ?why, "makes room for another");
-        if why == Turned::Shaking {
+        if why == DropReason::Shaking {
             // It has not been promised anything; its thread wakes with an end of the connection.
             way.close();
         } else {
--- a/crates/front/src/session_api/core/door.rs
+++ b/crates/front/src/session_api/core/admission.rs
@@ -14,12 +14,12 @@
 
 use salttally::interface::Micros;
 
-use super::steps::Pace;
+use super::pace::Pace;
 use crate::core::ClientId;
 
 /// Limits of the door.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DoorLimits {
+pub struct AdmissionLimits {
     /// Connections that have shaken hands at most, the reserve counted.
     pub players: usize,
     /// Of those, kept for viewers that come back for a session.
@@ -40,7 +40,7 @@
 
 impl Prefix {
     /// The prefix of this address; one of IPv4 written as IPv6 (RFC 4291 section 2.5.5.2) is taken for what it is.
-    pub fn of(address: IpAddr, limits: &DoorLimits) -> Prefix {
+    pub fn of(address: IpAddr, limits: &AdmissionLimits) -> Prefix {
         let keep = |bits: u128, width: u32, keep: u32| {
             let drop = width.saturating_sub(keep);
             bits.checked_shr(drop).and_then(|kept| kept.checked_shl(drop)).unwrap_or(0)
@@ -55,7 +55,7 @@
 
 /// Why a connection is turned away or out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Turned {
+pub enum DropReason {
     /// All inside hold something, and the reserve is full of viewers that came back.
     Full,
     /// Its address has as many connections as one may have.
@@ -97,7 +97,7 @@
 
 /// What stands where, and what was turned away.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DoorCounts {
+pub struct AdmissionCounts {
     /// Shaking hands.
     pub shaking: usize,
     /// Inside, holding nothing.
@@ -107,13 +107,13 @@
     /// Inside, with a session or an open call.
     pub holding: usize,
     /// Turned away or out so far, by reason.
-    pub turned: BTreeMap<Turned, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
 }
 
 /// The door.
 #[derive(Clone, Debug)]
 pub struct Door {
-    limits: DoorLimits,
+    limits: AdmissionLimits,
     guests: BTreeMap<ClientId, Guest>,
     /// By address: all its connections, and those of them that shake hands by when their time runs out.
     addresses: BTreeMap<Prefix, (usize, BTreeSet<(Micros, ClientId)>)>,
@@ -123,12 +123,12 @@
     idle: BTreeSet<(Micros, ClientId)>,
     reserve: BTreeSet<(Micros, ClientId)>,
     holding: usize,
-    turned: BTreeMap<Turned, u64>,
+    dropped: BTreeMap<DropReason, u64>,
 }
 
 impl Door {
     /// Nobody is in.
-    pub fn new(limits: DoorLimits) -> Door {
+    pub fn new(limits: AdmissionLimits) -> Door {
         Door {
             limits,
             guests: BTreeMap::new(),
@@ -138,7 +138,7 @@
             idle: BTreeSet::new(),
             reserve: BTreeSet::new(),
             holding: 0,
-            turned: BTreeMap::new(),
+            dropped: BTreeMap::new(),
         }
     }
 
@@ -148,19 +148,19 @@
         now: Micros,
         id: ClientId,
         from: IpAddr,
-    ) -> Result<Option<(ClientId, Turned)>, Turned> {
+    ) -> Result<Option<(ClientId, DropReason)>, DropReason> {
         let prefix = Prefix::of(from, &self.limits);
         let count = self.addresses.get(&prefix).map_or(0, |(count, _)| *count);
         if self.limits.per_address > 0 && count >= self.limits.per_address {
-            return Err(self.note(Turned::Address));
+            return Err(self.note(DropReason::Address));
         }
         let goes = if self.shaking >= self.limits.shaking { self.slowest() } else { None };
         if let Some(goes) = goes {
             self.left(goes);
-            self.note(Turned::Shaking);
+            self.note(DropReason::Shaking);
         }
         self.put(id, Guest { prefix, room: Room::Shaking(self.limits.pace.due(now, 0)) });
-        Ok(goes.map(|goes| (goes, Turned::Shaking)))
+        Ok(goes.map(|goes| (goes, DropReason::Shaking)))
     }
 
     /// Of the address with the most handshakes, the one whose time would run out first.
@@ -180,22 +180,22 @@
         &mut self,
         now: Micros,
         id: ClientId,
-    ) -> Result<(Place, Option<(ClientId, Turned)>), Turned> {
+    ) -> Result<(Place, Option<(ClientId, DropReason)>), DropReason> {
         // Turned out meanwhile: there is nobody to let in.
         if !self.guests.get(&id).is_some_and(|guest| matches!(guest.room, Room::Shaking(_))) {
-            return Err(Turned::Shaking);
+            return Err(DropReason::Shaking);
         }
         let ordinary = self.limits.players - self.limits.reserve.min(self.limits.players);
         let (place, goes) = if self.holding + self.idle.len() < ordinary {
             (Place::Ordinary, None)
         } else if let Some((_, idlest)) = self.idle.first() {
-            (Place::Ordinary, Some((*idlest, Turned::Idle)))
+            (Place::Ordinary, Some((*idlest, DropReason::Idle)))
         } else if self.holding + self.reserve.len() < self.limits.players {
             (Place::Reserve, None)
         } else if let Some((_, first)) = self.reserve.first() {
-            (Place::Reserve, Some((*first, Turned::Newcomer)))
+            (Place::Reserve, Some((*first, DropReason::Newcomer)))
         } else {
-            return Err(self.note(Turned::Full));
+            return Err(self.note(DropReason::Full));
         };
         if let Some((goes, why)) = goes {
             self.left(goes);
@@ -207,7 +207,7 @@
     }
 
     /// A player holds sessions or open calls from now on, or nothing any more.
-    pub fn holds(&mut self, now: Micros, id: ClientId, something: bool) {
+    pub fn set_in_use(&mut self, now: Micros, id: ClientId, something: bool) {
         self.change(id, |room| match (something, room) {
             (_, Room::Shaking(_)) | (true, Room::Holding) | (false, Room::Idle(_) | Room::Reserve(_)) => room,
             (true, _) => Room::Holding,
@@ -231,18 +231,18 @@
     }
 
     /// What stands where.
-    pub fn counts(&self) -> DoorCounts {
-        DoorCounts {
+    pub fn counts(&self) -> AdmissionCounts {
+        AdmissionCounts {
             shaking: self.shaking,
             idle: self.idle.len(),
             reserve: self.reserve.len(),
             holding: self.holding,
-            turned: self.turned.clone(),
+            dropped: self.dropped.clone(),
         }
     }
 
-    fn note(&mut self, why: Turned) -> Turned {
-        *self.turned.entry(why).or_insert(0) += 1;
+    fn note(&mut self, why: DropReason) -> DropReason {
+        *self.dropped.entry(why).or_insert(0) += 1;
         why
     }
 
--- a/crates/front/src/session_api/core/backlog.rs
+++ b/crates/front/src/session_api/core/backlog.rs
@@ -9,13 +9,13 @@
 
 /// What is to be done about an outbox.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum BacklogAction {
     /// Nothing: all is written, or somebody tries already.
     Nothing,
     /// Hand it to whoever tries again.
-    Hand,
+    ScheduleFlush,
     /// Close the connection: the player reads nothing.
-    Cut,
+    Disconnect,
 }
 
 /// What waits.
@@ -41,7 +41,7 @@
     }
 
     /// Whether bytes may go straight to the socket: nothing else waits in front of them.
-    pub fn is_clear(&self) -> bool {
+    pub fn accepts_direct_writes(&self) -> bool {
         self.bytes.is_empty() && !self.closed
     }
 
@@ -51,9 +51,9 @@
     }
 
     /// Bytes that the socket did not take.
-    pub fn add(&mut self, rest: &[u8], now: Micros) -> Step {
+    pub fn push_unsent(&mut self, rest: &[u8], now: Micros) -> BacklogAction {
         if self.closed || rest.is_empty() {
-            return Step::Nothing;
+            return BacklogAction::Nothing;
         }
         if self.bytes.len() + rest.len() > self.most {
             return self.cut();
@@ -61,23 +61,23 @@
         self.stuck.get_or_insert(now);
         self.bytes.extend(rest);
         if std::mem::replace(&mut self.handed, true) {
-            Step::Nothing
+            BacklogAction::Nothing
         } else {
-            Step::Hand
+            BacklogAction::ScheduleFlush
         }
     }
 
     /// What to try next.
-    pub fn turn(&self) -> Vec<u8> {
+    pub fn next_chunk(&self) -> Vec<u8> {
         self.bytes.iter().copied().take(TURN).collect()
     }
 
     /// A try ended: the socket took so many bytes, or failed. Tells whether to try again.
-    pub fn tried(&mut self, taken: Option<usize>, now: Micros) -> Step {
+    pub fn record_write(&mut self, taken: Option<usize>, now: Micros) -> BacklogAction {
         let Some(taken) = taken else { return self.cut() };
         if self.closed {
             self.handed = false;
-            return Step::Nothing;
+            return BacklogAction::Nothing;
         }
         if taken > 0 {
             self.bytes.drain(..taken.min(self.bytes.len()));
@@ -85,12 +85,12 @@
         }
         if self.bytes.is_empty() {
             (self.handed, self.stuck) = (false, None);
-            return Step::Nothing;
+            return BacklogAction::Nothing;
         }
         if self.stuck.is_some_and(|since| since + self.stalled <= now) {
             return self.cut();
         }
-        Step::Hand
+        BacklogAction::ScheduleFlush
     }
 
     /// Nothing is written any more, and nothing waits.
@@ -99,9 +99,9 @@
         self.bytes = VecDeque::new();
     }
 
-    fn cut(&mut self) -> Step {
+    fn cut(&mut self) -> BacklogAction {
         self.close();
         self.handed = false;
-        Step::Cut
+        BacklogAction::Disconnect
     }
 }
--- a/crates/front/src/session_api/core/calls.rs
+++ b/crates/front/src/session_api/core/calls.rs
@@ -13,7 +13,7 @@
 
 /// The calls of one player.
 #[derive(Clone, Debug)]
-pub struct Calls {
+pub struct PendingCalls {
     client: ClientId,
     waiting: BTreeMap<Ticket, Waiting>,
     batches: BTreeMap<u64, Batch>,
@@ -40,22 +40,22 @@
 
 /// What follows from a message of the player.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Taken {
+pub struct AcceptedMessage {
     /// For the ledger, in order.
     pub inputs: Vec<Input>,
     /// To be written to the player now.
-    pub say: Vec<Value>,
+    pub responses: Vec<Value>,
 }
 
-impl Calls {
+impl PendingCalls {
     /// A player that has called for nothing yet.
-    pub fn new(client: ClientId, opens_most: usize, only_back: bool) -> Calls {
+    pub fn new(client: ClientId, opens_most: usize, only_back: bool) -> PendingCalls {
         let (waiting, batches) = (BTreeMap::new(), BTreeMap::new());
-        Calls { client, waiting, batches, last: 0, opens_most, only_back }
+        PendingCalls { client, waiting, batches, last: 0, opens_most, only_back }
     }
 
     /// It has returned to a session of its own, and may do what anybody may.
-    pub fn returned(&mut self) {
+    pub fn allow_new_sessions(&mut self) {
         self.only_back = false;
     }
 
@@ -65,11 +65,11 @@
     }
 
     /// Takes a message apart; what is wrong with it is answered at once.
-    pub fn take(&mut self, message: Message) -> Taken {
-        let mut taken = Taken::default();
+    pub fn accept(&mut self, message: Message) -> AcceptedMessage {
+        let mut taken = AcceptedMessage::default();
         match message {
-            Message::Unreadable(error) => taken.say.push(rpc::error(&Value::Null, &error)),
-            Message::One(call) => self.call(call, None, &mut taken),
+            Message::Malformed(error) => taken.responses.push(rpc::error_response(&Value::Null, &error)),
+            Message::Single(call) => self.call(call, None, &mut taken),
             Message::Batch(calls) => {
                 self.last += 1;
                 let number = self.last;
@@ -84,7 +84,7 @@
 
     /// A ticket is answered: what is to be written now, if anything. An answer to a ticket that does not wait is
     /// none: each call is answered once.
-    pub fn answered(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) -> Option<Value> {
+    pub fn answer(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) -> Option<Value> {
         let waiting = self.waiting.remove(&ticket)?;
         let response = waiting.id.as_ref().map(write);
         self.done(response, waiting.batch)
@@ -104,20 +104,20 @@
         (!all.is_empty()).then_some(Value::Array(all))
     }
 
-    fn call(&mut self, call: Call, batch: Option<u64>, taken: &mut Taken) {
+    fn call(&mut self, call: Call, batch: Option<u64>, taken: &mut AcceptedMessage) {
         let method = match call.method {
             Ok(method) => method,
             Err(error) => {
-                let response = call.id.as_ref().map(|id| rpc::error(id, &error));
-                taken.say.extend(self.done(response, batch));
+                let response = call.id.as_ref().map(|id| rpc::error_response(id, &error));
+                taken.responses.extend(self.done(response, batch));
                 return;
             }
         };
         let open = matches!(method, Method::Open(_));
         if let Some(error) = self.wrong_open(open, call.id.as_ref()) {
             let id = call.id.unwrap_or(Value::Null);
-            let response = Some(rpc::error(&id, &error));
-            taken.say.extend(self.done(response, batch));
+            let response = Some(rpc::error_response(&id, &error));
+            taken.responses.extend(self.done(response, batch));
             return;
         }
         // The ticket of an open call that is cancelled is looked for before the cancellation has one itself.
--- a/crates/front/src/session_api/core/overflow.rs
+++ b/crates/front/src/session_api/core/deferred.rs
@@ -10,19 +10,19 @@
 
 /// What waits, in the order in which it came.
 #[derive(Clone, Debug)]
-pub struct Overflow<T> {
+pub struct DeferredQueue<T> {
     waiting: VecDeque<(ClientId, T)>,
     /// How many of each player wait.
     of: BTreeMap<ClientId, usize>,
 }
 
-impl<T> Default for Overflow<T> {
+impl<T> Default for DeferredQueue<T> {
     fn default() -> Self {
-        Overflow { waiting: VecDeque::new(), of: BTreeMap::new() }
+        DeferredQueue { waiting: VecDeque::new(), of: BTreeMap::new() }
     }
 }
 
-impl<T> Overflow<T> {
+impl<T> DeferredQueue<T> {
     /// One more waits.
     pub fn push(&mut self, client: ClientId, message: T) {
         self.waiting.push_back((client, message));
@@ -42,7 +42,7 @@
     }
 
     /// All of this player, in their order: it says something that has its turn, or has gone.
-    pub fn all_of(&mut self, client: ClientId) -> Vec<T> {
+    pub fn take_client(&mut self, client: ClientId) -> Vec<T> {
         if self.of.remove(&client).is_none() {
             return Vec::new();
         }
--- a/crates/front/src/session_api/core/mod.rs
+++ b/crates/front/src/session_api/core/mod.rs
@@ -5,15 +5,15 @@
 //! [`overflow`], what waits until there is time for it;
 //! [`accepting`], how to go on when there are no more files or threads.
 
-pub mod accepting;
+pub mod accept_backoff;
+pub mod admission;
 pub mod backlog;
 pub mod calls;
-pub mod door;
-pub mod gate;
-pub mod overflow;
-pub mod share;
-pub mod steps;
-pub mod watch;
+pub mod deferred;
+pub mod pace;
+pub mod rate_limit;
+pub mod thread_share;
+pub mod watchdog;
 
 #[cfg(test)]
 mod tests;
--- a/crates/front/src/session_api/core/tests.rs
+++ b/crates/front/src/session_api/core/tests.rs
@@ -1,15 +1,15 @@
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
-use super::backlog::{Backlog, Step};
-use super::calls::Calls;
-use super::gate::{Allowance, Allowed, GateLimits, OPEN};
+use super::backlog::{Backlog, BacklogAction};
+use super::calls::PendingCalls;
+use super::rate_limit::{Allowance, Allowed, GateLimits, OPEN};
 use crate::core::{Answer, ClientId, FailReason, Input, Ticket};
 use crate::session_api::rpc;
 use crate::settings::tests::settings;
 use salttally::interface::SessionId;
 
-mod doors;
+mod connections;
 
 const LIMITS: GateLimits = GateLimits { calls_per_s: 10, calls_at_once: 4, surplus: 5, all_per_s: 1_000 };
 
@@ -18,8 +18,8 @@
         "viewer": "ann", "title": "a", "class": "clip", "top_rung": 2, "patience_ms": 1000}})
 }
 
-fn take(calls: &mut Calls, message: &Value) -> super::calls::Taken {
-    calls.take(rpc::read(&message.to_string(), &settings()))
+fn take(calls: &mut PendingCalls, message: &Value) -> super::calls::AcceptedMessage {
+    calls.accept(rpc::parse(&message.to_string(), &settings()))
 }
 
 fn tickets(inputs: &[Input]) -> Vec<Ticket> {
@@ -32,12 +32,12 @@
 }
 
 fn failed(id: &Value) -> Value {
-    rpc::answer(id, &Answer::Failed(SessionId("s".into()), FailReason::GivenUp))
+    rpc::open_response(id, &Answer::Failed(SessionId("s".into()), FailReason::GivenUp))
 }
 
 #[test]
 fn an_open_call_without_an_id_or_with_one_in_use_is_not_accepted() {
-    let mut calls = Calls::new(ClientId(1), 8, false);
+    let mut calls = PendingCalls::new(ClientId(1), 8, false);
     assert_eq!(take(&mut calls, &open(json!(1))).inputs.len(), 1);
     for wrong in [open(json!(1)), open(Value::Null), {
         let mut call = open(json!(2));
@@ -46,13 +46,13 @@
     }] {
         let taken = take(&mut calls, &wrong);
         assert!(taken.inputs.is_empty(), "{wrong} must not be accepted: its answer could not be told");
-        assert_eq!(taken.say[0]["error"]["code"], rpc::INVALID_REQUEST);
+        assert_eq!(taken.responses[0]["error"]["code"], rpc::INVALID_REQUEST);
     }
 }
 
 #[test]
 fn a_cancellation_finds_its_open_call_and_no_other_players() {
-    let mut calls = Calls::new(ClientId(1), 8, false);
+    let mut calls = PendingCalls::new(ClientId(1), 8, false);
     let opened = tickets(&take(&mut calls, &open(json!("mine"))).inputs)[0];
     let cancel =
         |id: &str| json!({"jsonrpc": "2.0", "id": 9, "method": "session.cancel", "params": {"open": id}});
@@ -64,7 +64,7 @@
 
 #[test]
 fn a_batch_is_answered_whole_and_once_and_notifications_not_at_all() {
-    let mut calls = Calls::new(ClientId(1), 8, false);
+    let mut calls = PendingCalls::new(ClientId(1), 8, false);
     let close = |id: Option<u64>| {
         let mut call = json!({"jsonrpc": "2.0", "method": "session.close", "params": {"session": "s"}});
         if let Some(id) = id {
@@ -73,31 +73,31 @@
         call
     };
     let taken = take(&mut calls, &json!([open(json!(1)), close(Some(2)), close(None), 17]));
-    assert!(taken.say.is_empty(), "no part is answered by itself");
+    assert!(taken.responses.is_empty(), "no part is answered by itself");
     let tickets = tickets(&taken.inputs);
-    assert_eq!(calls.answered(tickets[1], failed), None);
-    assert_eq!(calls.answered(tickets[2], failed), None);
-    let all = calls.answered(tickets[0], failed).expect("the last part brings the whole");
+    assert_eq!(calls.answer(tickets[1], failed), None);
+    assert_eq!(calls.answer(tickets[2], failed), None);
+    let all = calls.answer(tickets[0], failed).expect("the last part brings the whole");
     let ids: Vec<&Value> = all.as_array().unwrap().iter().map(|part| &part["id"]).collect();
     assert_eq!(ids, [&Value::Null, &json!(2), &json!(1)], "the notification has no part");
-    assert_eq!(calls.answered(tickets[0], failed), None, "a second answer is none");
+    assert_eq!(calls.answer(tickets[0], failed), None, "a second answer is none");
     let only = take(&mut calls, &json!([close(None)]));
-    assert_eq!(calls.answered(self::tickets(&only.inputs)[0], failed), None);
+    assert_eq!(calls.answer(self::tickets(&only.inputs)[0], failed), None);
     assert_eq!(calls.waiting(), 0);
 }
 
 #[test]
 fn a_second_open_in_a_batch_must_not_hold_the_firsts_answer_back() {
-    let mut calls = Calls::new(ClientId(1), 8, false);
+    let mut calls = PendingCalls::new(ClientId(1), 8, false);
     let taken = take(&mut calls, &json!([open(json!(1)), open(json!(2))]));
     assert_eq!(taken.inputs.len(), 1);
 }
 
 #[test]
 fn a_player_in_the_reserve_may_only_return_until_it_has() {
-    let mut calls = Calls::new(ClientId(1), 8, true);
+    let mut calls = PendingCalls::new(ClientId(1), 8, true);
     assert!(matches!(take(&mut calls, &open(json!(1))).inputs[0], Input::Return(..)));
-    calls.returned();
+    calls.allow_new_sessions();
     assert!(matches!(take(&mut calls, &open(json!(2))).inputs[0], Input::Open(..)));
 }
 
@@ -108,17 +108,17 @@
         {"jsonrpc": "2.0", "id": 2, "method": "session.status", "params": {"session": "s"}},
         {"jsonrpc": "2.0", "method": "session.cancel", "params": {"open": 9}}
     ]);
-    let message = rpc::read(&batch.to_string(), &settings());
+    let message = rpc::parse(&batch.to_string(), &settings());
     assert_eq!(message.weigh(), (2, 1));
-    let dear = rpc::read(&open(json!(1)).to_string(), &settings());
+    let dear = rpc::parse(&open(json!(1)).to_string(), &settings());
     assert_eq!(dear.weigh(), (0, OPEN));
-    let mut calls = Calls::new(ClientId(1), 8, false);
-    let taken = calls.take(message.held_back(1_500));
+    let mut calls = PendingCalls::new(ClientId(1), 8, false);
+    let taken = calls.accept(message.held_back(1_500));
     let freed = |input: &Input| matches!(input, Input::Close(..) | Input::Cancel(..));
     assert!(taken.inputs.len() == 2 && taken.inputs.iter().all(freed), "{:?}", taken.inputs);
     let tickets = tickets(&taken.inputs);
-    assert_eq!(calls.answered(tickets[1], failed), None, "a notification");
-    let all = calls.answered(tickets[0], failed).expect("a batch is answered whole");
+    assert_eq!(calls.answer(tickets[1], failed), None, "a notification");
+    let all = calls.answer(tickets[0], failed).expect("a batch is answered whole");
     assert_eq!(
         (&all[0]["error"]["code"], &all[0]["error"]["data"]["hold_off_ms"]),
         (&json!(-32004), &json!(2))
@@ -127,11 +127,11 @@
 
 #[test]
 fn a_player_with_too_many_unanswered_opens_is_told_and_keeps_the_others() {
-    let mut calls = Calls::new(ClientId(1), 2, false);
+    let mut calls = PendingCalls::new(ClientId(1), 2, false);
     take(&mut calls, &open(json!(1)));
     let second = tickets(&take(&mut calls, &open(json!(2))).inputs)[0];
     assert!(take(&mut calls, &open(json!(3))).inputs.is_empty());
-    calls.answered(second, failed);
+    calls.answer(second, failed);
     assert_eq!(take(&mut calls, &open(json!(4))).inputs.len(), 1);
 }
 
@@ -170,15 +170,15 @@
 #[test]
 fn a_player_that_reads_nothing_is_cut_off_and_one_that_reads_slowly_is_not() {
     let mut backlog = Backlog::new(100, 50);
-    assert_eq!(backlog.add(&[0; 60], 0), Step::Hand);
-    assert_eq!(backlog.add(&[0; 30], 0), Step::Nothing, "somebody tries already");
-    assert_eq!(backlog.tried(Some(10), 40), Step::Hand);
-    assert_eq!(backlog.tried(Some(0), 89), Step::Hand);
-    assert_eq!(backlog.tried(Some(0), 90), Step::Cut);
-    assert!(backlog.is_closed() && backlog.turn().is_empty());
+    assert_eq!(backlog.push_unsent(&[0; 60], 0), BacklogAction::ScheduleFlush);
+    assert_eq!(backlog.push_unsent(&[0; 30], 0), BacklogAction::Nothing, "somebody tries already");
+    assert_eq!(backlog.record_write(Some(10), 40), BacklogAction::ScheduleFlush);
+    assert_eq!(backlog.record_write(Some(0), 89), BacklogAction::ScheduleFlush);
+    assert_eq!(backlog.record_write(Some(0), 90), BacklogAction::Disconnect);
+    assert!(backlog.is_closed() && backlog.next_chunk().is_empty());
     let mut backlog = Backlog::new(100, 50);
-    backlog.add(&[0; 60], 0);
-    assert_eq!(backlog.add(&[0; 41], 0), Step::Cut, "more waits than may");
+    backlog.push_unsent(&[0; 60], 0);
+    assert_eq!(backlog.push_unsent(&[0; 41], 0), BacklogAction::Disconnect, "more waits than may");
 }
 
 proptest! {
@@ -192,14 +192,14 @@
         let mut next = 0u8;
         for (at, size) in adds.iter().enumerate() {
             let bytes: Vec<u8> = (0..*size).map(|_| { next = next.wrapping_add(1); next }).collect();
-            backlog.add(&bytes, at as u64);
+            backlog.push_unsent(&bytes, at as u64);
             put.extend(bytes);
-            let turn = backlog.turn();
+            let turn = backlog.next_chunk();
             let taken = takes.get(at).copied().unwrap_or(0).min(turn.len());
             got.extend_from_slice(&turn[..taken]);
-            backlog.tried(Some(taken), at as u64);
+            backlog.record_write(Some(taken), at as u64);
         }
-        got.extend(backlog.turn());
+        got.extend(backlog.next_chunk());
         prop_assert_eq!(put, got);
     }
 
--- a/crates/front/src/session_api/core/tests/doors.rs
+++ b/crates/front/src/session_api/core/tests/connections.rs
@@ -4,19 +4,19 @@
 
 use proptest::prelude::*;
 
-use super::super::accepting::{Accepting, Shortage};
-use super::super::door::{Door, DoorLimits, Place, Turned};
-use super::super::overflow::Overflow;
-use super::super::share::{Aftermath, Share, Turn};
-use super::super::steps::{Frames, Pace};
-use super::super::watch::{Sight, Watch, WatchLimits};
+use super::super::accept_backoff::{Accepting, Shortage};
+use super::super::admission::{AdmissionLimits, Door, DropReason, Place};
+use super::super::deferred::DeferredQueue;
+use super::super::pace::{Frames, Pace};
+use super::super::thread_share::{OpenOverhead, Priority, ThreadShare};
+use super::super::watchdog::{Sight, Watch, WatchLimits};
 use crate::core::ClientId;
 
 const MS: u64 = 1_000;
 const SECOND: u64 = 1_000 * MS;
 const PACE: Pace = Pace { within: 5 * SECOND, grace: 3 * SECOND, least: 512 };
-const DOOR: DoorLimits =
-    DoorLimits { players: 4, reserve: 1, shaking: 3, per_address: 0, prefix: (24, 64), pace: PACE };
+const DOOR: AdmissionLimits =
+    AdmissionLimits { players: 4, reserve: 1, shaking: 3, per_address: 0, prefix: (24, 64), pace: PACE };
 const WATCH: WatchLimits = WatchLimits {
     handshake: PACE,
     message: Pace { within: 10 * SECOND, ..PACE },
@@ -36,7 +36,7 @@
     ClientId(number)
 }
 
-fn inside(door: &mut Door, now: u64, number: u64) -> Result<Place, Turned> {
+fn inside(door: &mut Door, now: u64, number: u64) -> Result<Place, DropReason> {
     door.knock(now, id(number), from(1)).expect("let in to shake hands");
     door.enter(now, id(number)).map(|(place, _)| place)
 }
@@ -53,9 +53,13 @@
     door.progress(id(1), 0, 200);
     door.progress(id(2), 0, 3);
     door.progress(id(3), 0, 100);
-    assert_eq!(door.knock(SECOND, id(4), from(1)), Ok(Some((id(2), Turned::Shaking))), "the slowest goes");
+    assert_eq!(
+        door.knock(SECOND, id(4), from(1)),
+        Ok(Some((id(2), DropReason::Shaking))),
+        "the slowest goes"
+    );
     assert_eq!(door.enter(SECOND, id(4)), Ok((Place::Ordinary, None)));
-    assert_eq!(door.enter(SECOND, id(2)), Err(Turned::Shaking), "who was turned out is not let in");
+    assert_eq!(door.enter(SECOND, id(2)), Err(DropReason::Shaking), "who was turned out is not let in");
 }
 
 #[test]
@@ -65,20 +69,20 @@
         assert_eq!(door.knock(number, id(number), from(address)), Ok(None));
     }
     // The oldest of all is of address 7; but address 9 has more of them.
-    assert_eq!(door.knock(4, id(4), from(8)), Ok(Some((id(2), Turned::Shaking))));
+    assert_eq!(door.knock(4, id(4), from(8)), Ok(Some((id(2), DropReason::Shaking))));
 }
 
 #[test]
 fn hundreds_behind_one_proxy_are_let_in_unless_a_setting_asks_for_a_cap() {
-    let mut door = Door::new(DoorLimits { players: 400, shaking: 400, ..DOOR });
+    let mut door = Door::new(AdmissionLimits { players: 400, shaking: 400, ..DOOR });
     for number in 0..300 {
         assert_eq!(inside(&mut door, number, number), Ok(Place::Ordinary));
     }
-    let mut door = Door::new(DoorLimits { per_address: 2, ..DOOR });
+    let mut door = Door::new(AdmissionLimits { per_address: 2, ..DOOR });
     assert_eq!(door.knock(0, id(1), from(1)), Ok(None));
     assert_eq!(door.knock(0, id(2), IpAddr::from([10, 0, 1, 200])), Ok(None), "of the same 24 bits");
     let mapped = "::ffff:10.0.1.9".parse().expect("an address");
-    assert_eq!(door.knock(0, id(3), mapped), Err(Turned::Address), "also written as IPv6");
+    assert_eq!(door.knock(0, id(3), mapped), Err(DropReason::Address), "also written as IPv6");
     assert_eq!(door.knock(0, id(3), from(2)), Ok(None));
     door.left(id(1));
     assert_eq!(door.knock(0, id(4), from(1)), Ok(None), "a place is free again");
@@ -90,23 +94,27 @@
     for number in 1..=3 {
         assert_eq!(inside(&mut door, number, number), Ok(Place::Ordinary));
     }
-    door.holds(10, id(1), true);
+    door.set_in_use(10, id(1), true);
     door.knock(20, id(4), from(1)).expect("shakes hands");
-    assert_eq!(door.enter(20, id(4)), Ok((Place::Ordinary, Some((id(2), Turned::Idle)))), "idle for longest");
+    assert_eq!(
+        door.enter(20, id(4)),
+        Ok((Place::Ordinary, Some((id(2), DropReason::Idle)))),
+        "idle for longest"
+    );
     for number in [3, 4] {
-        door.holds(30, id(number), true);
+        door.set_in_use(30, id(number), true);
     }
     assert_eq!(inside(&mut door, 40, 5), Ok(Place::Reserve), "only the reserve is left");
     assert!(door.in_reserve(id(5)));
     door.knock(50, id(6), from(1)).expect("shakes hands");
-    assert_eq!(door.enter(50, id(6)), Ok((Place::Reserve, Some((id(5), Turned::Newcomer)))));
-    door.holds(60, id(6), true);
+    assert_eq!(door.enter(50, id(6)), Ok((Place::Reserve, Some((id(5), DropReason::Newcomer)))));
+    door.set_in_use(60, id(6), true);
     assert!(!door.in_reserve(id(6)));
-    assert_eq!(inside(&mut door, 70, 7), Err(Turned::Full), "all hold something: nobody is turned out");
+    assert_eq!(inside(&mut door, 70, 7), Err(DropReason::Full), "all hold something: nobody is turned out");
     door.left(id(7));
-    door.holds(80, id(3), false);
+    door.set_in_use(80, id(3), false);
     assert_eq!(inside(&mut door, 90, 8), Ok(Place::Ordinary));
-    assert_eq!(door.counts().turned[&Turned::Full], 1);
+    assert_eq!(door.counts().dropped[&DropReason::Full], 1);
 }
 
 proptest! {
@@ -118,7 +126,7 @@
         let (mut now, mut next) = (0, 0);
         let mut known: Vec<ClientId> = Vec::new();
         let mut holding: Vec<ClientId> = Vec::new();
-        let out = |known: &mut Vec<ClientId>, holding: &Vec<ClientId>, goes: Option<(ClientId, Turned)>| {
+        let out = |known: &mut Vec<ClientId>, holding: &Vec<ClientId>, goes: Option<(ClientId, DropReason)>| {
             if let Some((goes, _)) = goes {
                 assert!(!holding.contains(&goes), "{goes:?} held something");
                 let before = known.len();
@@ -142,13 +150,13 @@
                     if let Ok((_, goes)) = door.enter(now, one) {
                         out(&mut known, &holding, goes);
                         if which % 2 == 0 {
-                            door.holds(now, one, true);
+                            door.set_in_use(now, one, true);
                             holding.push(one);
                         }
                     }
                 }
                 (4, Some(one)) => {
-                    door.holds(now, one, false);
+                    door.set_in_use(now, one, false);
                     holding.retain(|other| *other != one);
                 }
                 (5, Some(one)) => {
@@ -337,15 +345,15 @@
 fn cheap_calls_in_a_flood_and_dear_ones_in_a_trickle_weigh_alike() {
     // Of one thread, with 50 inside: each earns 10 ms a second.
     let ahead = |cost_us: u64, pause: u64| {
-        let mut share = Share::new(0);
+        let mut share = ThreadShare::new(0);
         let (mut now, mut spent) = (0, 0);
         while now < 20 * SECOND {
-            let (turn, charge) = share.take(now, 1, 50);
-            if turn == Turn::Ahead {
-                share.cost(charge, cost_us * 1_000);
+            let (turn, charge) = share.charge(now, 1, 50);
+            if turn == Priority::Normal {
+                share.settle(charge, cost_us * 1_000);
                 spent += cost_us;
             } else {
-                share.give_back(charge);
+                share.refund(charge);
             }
             now += pause;
         }
@@ -359,30 +367,30 @@
 
 #[test]
 fn an_honest_player_has_its_turn_beside_thousands_that_flood() {
-    let mut share = Share::new(0);
+    let mut share = ThreadShare::new(0);
     // An open and a close of 300 us each every ten seconds, among 4,000 inside.
     for round in 0..20 {
         for at in [0, 5 * SECOND] {
-            let (turn, charge) = share.take(round * 10 * SECOND + at, 1, 4_000);
-            assert_eq!(turn, Turn::Ahead);
-            share.cost(charge, 300_000);
+            let (turn, charge) = share.charge(round * 10 * SECOND + at, 1, 4_000);
+            assert_eq!(turn, Priority::Normal);
+            share.settle(charge, 300_000);
         }
     }
     // What it is held back for ends, and is no longer than a second.
-    let (_, charge) = share.take(200 * SECOND, 1, 4_000);
-    share.cost(charge, 500_000_000);
-    assert_eq!(share.pause(4_000), SECOND);
+    let (_, charge) = share.charge(200 * SECOND, 1, 4_000);
+    share.settle(charge, 500_000_000);
+    assert_eq!(share.time_until_credit(4_000), SECOND);
 }
 
 #[test]
 fn an_open_bears_what_it_brings_with_it_and_not_what_went_before() {
-    let mut aftermath = Aftermath::default();
-    aftermath.spent(60_000_000_000);
-    assert!(aftermath.opened(1) < 400_000, "a minute of other work is not one open's");
+    let mut aftermath = OpenOverhead::default();
+    aftermath.record_cost(60_000_000_000);
+    assert!(aftermath.charge_opens(1) < 400_000, "a minute of other work is not one open's");
     let borne: u64 = (0..100)
         .map(|_| {
-            aftermath.spent(700_000);
-            aftermath.opened(1)
+            aftermath.record_cost(700_000);
+            aftermath.charge_opens(1)
         })
         .last()
         .expect("some");
@@ -394,32 +402,32 @@
     fn what_was_charged_and_given_back_is_worth_nothing(
         calls in prop::collection::vec((1u64..50, 1u64..2_000_000), 1..50),
     ) {
-        let mut share = Share::new(0);
+        let mut share = ThreadShare::new(0);
         let before = share.clone();
         let mut charges = Vec::new();
         for (count, cost) in calls {
-            let (_, charge) = share.take(0, count, 10);
+            let (_, charge) = share.charge(0, count, 10);
             charges.push(charge);
             // The mean moves meanwhile.
-            let (_, other) = share.take(0, 1, 10);
-            share.cost(other, cost);
-            share.cost(other, 0);
-            share.give_back(other);
+            let (_, other) = share.charge(0, 1, 10);
+            share.settle(other, cost);
+            share.settle(other, 0);
+            share.refund(other);
         }
-        charges.into_iter().for_each(|charge| share.give_back(charge));
-        prop_assert!(share.pause(1) >= before.pause(1));
+        charges.into_iter().for_each(|charge| share.refund(charge));
+        prop_assert!(share.time_until_credit(1) >= before.time_until_credit(1));
     }
 }
 
 #[test]
 fn a_cancellation_must_not_overtake_its_open() {
-    let mut over = Overflow::default();
+    let mut over = DeferredQueue::default();
     for (client, what) in [(1, "open"), (2, "other"), (1, "status")] {
         over.push(id(client), what);
     }
     // The cancellation has its turn; what its sender said before goes ahead of it.
-    assert_eq!(over.all_of(id(1)), ["open", "status"]);
-    assert_eq!((over.all_of(id(1)), over.pop(), over.pop()), (vec![], Some("other"), None));
+    assert_eq!(over.take_client(id(1)), ["open", "status"]);
+    assert_eq!((over.take_client(id(1)), over.pop(), over.pop()), (vec![], Some("other"), None));
 }
 
 proptest! {
@@ -427,7 +435,7 @@
     fn what_a_player_says_is_heard_in_its_order_and_once(
         steps in prop::collection::vec((0u64..3, 0u8..3), 1..100),
     ) {
-        let mut over = Overflow::default();
+        let mut over = DeferredQueue::default();
         let (mut said, mut heard) = (vec![Vec::new(); 3], vec![Vec::new(); 3]);
         for (number, (client, what)) in steps.into_iter().enumerate() {
             let of = client as usize;
@@ -438,7 +446,7 @@
                 }
                 _ => {
                     // One with its turn.
-                    over.all_of(id(client)).into_iter().for_each(|(of, number)| heard[of].push(number));
+                    over.take_client(id(client)).into_iter().for_each(|(of, number)| heard[of].push(number));
                     said[of].push(number);
                     heard[of].push(number);
                 }
--- a/crates/front/src/session_api/core/share.rs
+++ b/crates/front/src/session_api/core/thread_share.rs
@@ -28,11 +28,11 @@
 
 /// How a message goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum Priority {
     /// In its turn.
-    Ahead,
+    Normal,
     /// After all that have their turn, if there is room.
-    Over,
+    Deferred,
 }
 
 /// What calls are charged until their cost is known.
@@ -45,21 +45,21 @@
 /// What opens cost the front's thread beside their calls: connections to boxes that are made, end and are told of,
 /// releases, wakes. It cannot be told whose each is, so each open bears the mean of late.
 #[derive(Clone, Debug, Default)]
-pub struct Aftermath {
+pub struct OpenOverhead {
     /// Spent since the last open, ns.
     spent: u64,
     /// Running mean of what an open brings with it, ns.
     mean: u64,
 }
 
-impl Aftermath {
+impl OpenOverhead {
     /// The thread was at work for something that is nobody's call.
-    pub fn spent(&mut self, nanos: u64) {
+    pub fn record_cost(&mut self, nanos: u64) {
         self.spent = self.spent.saturating_add(nanos);
     }
 
     /// So many opens were taken: what they bear, ns.
-    pub fn opened(&mut self, opens: u64) -> u64 {
+    pub fn charge_opens(&mut self, opens: u64) -> u64 {
         for _ in 0..opens.min(64) {
             let spent = std::mem::take(&mut self.spent).min(AFTERMATH_MOST);
             self.mean = (self.mean * 15 + spent) / 16;
@@ -70,7 +70,7 @@
 
 /// One player's account.
 #[derive(Clone, Debug)]
-pub struct Share {
+pub struct ThreadShare {
     /// Nanoseconds of the front's thread.
     left: i64,
     at: Micros,
@@ -78,10 +78,10 @@
     mean: i64,
 }
 
-impl Share {
+impl ThreadShare {
     /// The account of a connection that has just entered.
-    pub fn new(now: Micros) -> Share {
-        Share { left: FIRST * 1_000, at: now, mean: GUESS * 1_000 }
+    pub fn new(now: Micros) -> ThreadShare {
+        ThreadShare { left: FIRST * 1_000, at: now, mean: GUESS * 1_000 }
     }
 
     fn earn(&mut self, now: Micros, inside: usize) {
@@ -95,21 +95,21 @@
 
     /// Calls have come while so many are inside: whether they have their turn, and what they are charged until their
     /// cost is known: as much as those before them.
-    pub fn take(&mut self, now: Micros, calls: u64, inside: usize) -> (Turn, Charge) {
+    pub fn charge(&mut self, now: Micros, calls: u64, inside: usize) -> (Priority, Charge) {
         self.earn(now, inside);
-        let turn = if self.left > 0 { Turn::Ahead } else { Turn::Over };
+        let turn = if self.left > 0 { Priority::Normal } else { Priority::Deferred };
         let charge = self.mean.saturating_mul(i64::try_from(calls).unwrap_or(i64::MAX));
         self.left = self.left.saturating_sub(charge);
         (turn, Charge { calls, nanos: charge })
     }
 
     /// They were not taken after all.
-    pub fn give_back(&mut self, charge: Charge) {
+    pub fn refund(&mut self, charge: Charge) {
         self.left = self.left.saturating_add(charge.nanos);
     }
 
     /// What they have cost, ns.
-    pub fn cost(&mut self, charge: Charge, nanos: u64) {
+    pub fn settle(&mut self, charge: Charge, nanos: u64) {
         let nanos = i64::try_from(nanos).unwrap_or(i64::MAX);
         let calls = i64::try_from(charge.calls.max(1)).unwrap_or(i64::MAX);
         self.left = self.left.saturating_add(charge.nanos).saturating_sub(nanos);
@@ -117,7 +117,7 @@
     }
 
     /// After how long it has something left again, with so many inside.
-    pub fn pause(&self, inside: usize) -> Micros {
+    pub fn time_until_credit(&self, inside: usize) -> Micros {
         let missing = u64::try_from(self.left.saturating_neg()).unwrap_or(0);
         (missing.saturating_mul(SHARED * inside.max(1) as u64) / 1_000).min(PAUSE_MOST)
     }
--- a/crates/front/src/session_api/core/watch.rs
+++ b/crates/front/src/session_api/core/watchdog.rs
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg32;
 use salttally::interface::Micros;
 
-use super::steps::{Frames, Pace};
+use super::pace::{Frames, Pace};
 
 const SECOND: Micros = 1_000_000;
 
--- a/crates/front/src/session_api/mod.rs
+++ b/crates/front/src/session_api/mod.rs
@@ -5,8 +5,8 @@
 //! players without ever waiting for one; [`entrance`] is the door with the sockets behind it; [`server`] accepts
 //! connections, each with one thread that reads.
 
+pub mod connections;
 pub mod core;
-pub mod entrance;
 pub mod outbox;
 pub mod rpc;
 pub mod server;
--- a/crates/front/src/session_api/outbox.rs
+++ b/crates/front/src/session_api/outbox.rs
@@ -16,7 +16,7 @@
 use tungstenite::protocol::frame::coding::{Data, OpCode};
 use tungstenite::protocol::frame::Frame;
 
-use super::core::backlog::{Backlog, Step};
+use super::core::backlog::{Backlog, BacklogAction};
 use crate::clock::Clock;
 
 /// Pause between two tries while something waits anywhere.
@@ -50,14 +50,14 @@
     pub fn send(self: &Arc<Self>, bytes: &[u8]) {
         let mut backlog = self.hold();
         let mut written = Some(0);
-        if backlog.is_clear() {
+        if backlog.accepts_direct_writes() {
             written = self.push(bytes).ok();
         }
         let step = match written.and_then(|written| bytes.get(written..)) {
-            Some(rest) => backlog.add(rest, self.clock.now()),
-            None => backlog.tried(None, self.clock.now()),
+            Some(rest) => backlog.push_unsent(rest, self.clock.now()),
+            None => backlog.record_write(None, self.clock.now()),
         };
-        if step == Step::Hand && self.flusher.send(Arc::clone(self)).is_err() {
+        if step == BacklogAction::ScheduleFlush && self.flusher.send(Arc::clone(self)).is_err() {
             backlog.close();
         }
         self.act(step);
@@ -80,8 +80,8 @@
         let _ = self.stream.shutdown(Shutdown::Read);
     }
 
-    fn act(&self, step: Step) {
-        if step == Step::Cut {
+    fn act(&self, step: BacklogAction) {
+        if step == BacklogAction::Disconnect {
             tracing::debug!(peer = ?self.stream.peer_addr().ok(), "player reads nothing: cut off");
             let _ = self.stream.shutdown(Shutdown::Both);
         }
@@ -106,16 +106,16 @@
     /// One more try; returns whether something still waits.
     fn flush(&self) -> bool {
         let mut backlog = self.hold();
-        let taken = self.push(&backlog.turn()).ok();
-        let step = backlog.tried(taken, self.clock.now());
+        let taken = self.push(&backlog.next_chunk()).ok();
+        let step = backlog.record_write(taken, self.clock.now());
         self.act(step);
-        step == Step::Hand
+        step == BacklogAction::ScheduleFlush
     }
 }
 
 /// The thread that tries again for all outboxes with something left; it sleeps while there is none, and ends
 /// with the last sender.
-pub fn flusher(inbox: Receiver<Arc<Outbox>>) -> io::Result<thread::JoinHandle<()>> {
+pub fn spawn_flusher(inbox: Receiver<Arc<Outbox>>) -> io::Result<thread::JoinHandle<()>> {
     thread::Builder::new().name("outboxes".into()).stack_size(128 * 1024).spawn(move || {
         let mut full: Vec<Arc<Outbox>> = Vec::new();
         loop {
--- a/crates/front/src/session_api/rpc.rs
+++ b/crates/front/src/session_api/rpc.rs
@@ -5,9 +5,9 @@
 use salttally::interface::{SessionId, ViewerId};
 use serde_json::{json, Map, Value};
 
-use super::core::gate::OPEN;
+use super::core::rate_limit::OPEN;
 use crate::core::{Answer, EndReason, FailReason, HeldBy as Held, News, Opening, Reply};
-use crate::settings::{firm, viewer, Settings};
+use crate::settings::{tenant_id, viewer_id, Settings};
 
 /// Not JSON (JSON-RPC 2.0 section 5.1).
 pub const PARSE_ERROR: i64 = -32700;
@@ -114,11 +114,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
     /// One call.
-    One(Call),
+    Single(Call),
     /// A batch.
     Batch(Vec<Call>),
     /// Nothing that can be told apart; the error is answered with a null id.
-    Unreadable(RpcError),
+    Malformed(RpcError),
 }
 
 impl Call {
@@ -132,8 +132,8 @@
     /// Number of calls in it that free something, and weight of all others.
     pub fn weigh(&self) -> (u64, u64) {
         let calls = match self {
-            Message::Unreadable(_) => return (0, 1),
-            Message::One(call) => std::slice::from_ref(call),
+            Message::Malformed(_) => return (0, 1),
+            Message::Single(call) => std::slice::from_ref(call),
             Message::Batch(calls) => calls,
         };
         calls.iter().fold((0, 0), |(frees, asks), call| match &call.method {
@@ -147,8 +147,8 @@
     pub fn takes(&self) -> u64 {
         let takes = |call: &Call| u64::from(!call.frees() && call.method.is_ok());
         match self {
-            Message::Unreadable(_) => 0,
-            Message::One(call) => takes(call),
+            Message::Malformed(_) => 0,
+            Message::Single(call) => takes(call),
             Message::Batch(calls) => calls.iter().map(takes).sum(),
         }
     }
@@ -162,8 +162,8 @@
             }
         };
         match &mut self {
-            Message::Unreadable(_) => {}
-            Message::One(call) => hold(call),
+            Message::Malformed(_) => {}
+            Message::Single(call) => hold(call),
             Message::Batch(calls) => calls.iter_mut().for_each(hold),
         }
         self
@@ -171,15 +171,15 @@
 }
 
 /// Reads a message. Never fails as a whole: whatever is wrong stands in the call that it is wrong with.
-pub fn read(text: &str, settings: &Settings) -> Message {
+pub fn parse(text: &str, settings: &Settings) -> Message {
     match serde_json::from_str::<Value>(text) {
-        Err(error) => Message::Unreadable(RpcError::new(PARSE_ERROR, format!("not JSON: {error}"))),
+        Err(error) => Message::Malformed(RpcError::new(PARSE_ERROR, format!("not JSON: {error}"))),
         Ok(Value::Array(calls)) if calls.is_empty() => {
-            Message::Unreadable(RpcError::new(INVALID_REQUEST, "an empty batch"))
+            Message::Malformed(RpcError::new(INVALID_REQUEST, "an empty batch"))
         }
         Ok(Value::Array(calls)) if calls.len() > BATCH_MOST => {
             let text = format!("a batch of {} calls, {BATCH_MOST} at most", calls.len());
-            Message::Unreadable(RpcError::new(INVALID_REQUEST, text))
+            Message::Malformed(RpcError::new(INVALID_REQUEST, text))
         }
         Ok(Value::Array(calls)) => {
             // A batch is answered whole, so a second open in it would hold the first one's answer back.
@@ -197,7 +197,7 @@
             };
             Message::Batch(calls.into_iter().map(one).collect())
         }
-        Ok(value) => Message::One(call(value, settings)),
+        Ok(value) => Message::Single(call(value, settings)),
     }
 }
 
@@ -244,7 +244,7 @@
         "session.cancel" => Method::Cancel(given.0.get("open").cloned().unwrap_or(Value::Null)),
         "session.close" => Method::Close(SessionId(Arc::from(given.name("session")?))),
         _ => {
-            let viewer = given.0.get("viewer").map(|_| given.name("viewer").map(viewer)).transpose()?;
+            let viewer = given.0.get("viewer").map(|_| given.name("viewer").map(viewer_id)).transpose()?;
             Method::Status(SessionId(Arc::from(given.name("session")?)), viewer)
         }
     })
@@ -280,8 +280,8 @@
     let title = given.name("title")?;
     let lies = settings.titles.get(title).ok_or_else(|| wrong(format!("no title `{title}` here")))?;
     let class = given.name("class")?;
-    let class = settings.class(class).ok_or_else(|| wrong(format!("no class `{class}` here")))?;
-    let (least, most) = settings.edges.patience_ms;
+    let class = settings.class_index(class).ok_or_else(|| wrong(format!("no class `{class}` here")))?;
+    let (least, most) = settings.io.patience_ms;
     let patience = given.whole("patience_ms")?;
     if !(least..=most).contains(&patience) {
         return Err(wrong(format!("`patience_ms` is {patience}; it must lie from {least} to {most}")));
@@ -297,8 +297,8 @@
     };
     let moved_from = given.0.get("moved_from").map(|_| given.name("moved_from")).transpose()?;
     Ok(Opening {
-        viewer: viewer(given.name("viewer")?),
-        firm: firm(given.name("viewer")?),
+        viewer: viewer_id(given.name("viewer")?),
+        firm: tenant_id(given.name("viewer")?),
         title: lies.id,
         class,
         first_cell: lies.first_cell,
@@ -312,12 +312,12 @@
 }
 
 /// A response with a result.
-pub fn result(id: &Value, result: Value) -> Value {
+pub fn success_response(id: &Value, result: Value) -> Value {
     json!({"jsonrpc": "2.0", "id": id, "result": result})
 }
 
 /// A response with an error.
-pub fn error(id: &Value, error: &RpcError) -> Value {
+pub fn error_response(id: &Value, error: &RpcError) -> Value {
     match error.hold_off {
         None => json!({"jsonrpc": "2.0", "id": id, "error": {"code": error.code, "message": error.message}}),
         Some(after) => failure(id, error.code, &error.message, json!({"hold_off_ms": after.div_ceil(1000)})),
@@ -325,14 +325,14 @@
 }
 
 /// The response to a `session.open`.
-pub fn answer(id: &Value, answer: &Answer) -> Value {
+pub fn open_response(id: &Value, answer: &Answer) -> Value {
     match answer {
         Answer::Plays { session, server, address, rung, rate_kb } => {
             let plays = json!({
                 "session": &*session.0, "box": server.0, "address": address.to_string(),
                 "rung": rung, "rate_kb": rate_kb
             });
-            result(id, plays)
+            success_response(id, plays)
         }
         Answer::Refused(session, hold_off) => {
             let data = json!({"session": &*session.0, "hold_off_ms": hold_off / 1000});
@@ -356,34 +356,34 @@
 
 /// The response to a message of which nothing reaches the front; of a batch, to all of it. Nothing where no call
 /// is answered at all.
-pub fn only_errors(message: &Message) -> Option<Value> {
+pub fn errors_only(message: &Message) -> Option<Value> {
     let one = |call: &Call| match (&call.id, &call.method) {
-        (Some(id), Err(error)) => Some(self::error(id, error)),
+        (Some(id), Err(error)) => Some(error_response(id, error)),
         _ => None,
     };
     match message {
-        Message::One(call) => one(call),
+        Message::Single(call) => one(call),
         Message::Batch(calls) => {
             let all: Vec<Value> = calls.iter().filter_map(one).collect();
             (!all.is_empty()).then_some(Value::Array(all))
         }
-        Message::Unreadable(error) => Some(self::error(&Value::Null, error)),
+        Message::Malformed(error) => Some(error_response(&Value::Null, error)),
     }
 }
 
 /// The response to any other call.
-pub fn reply(id: &Value, reply: &Reply) -> Value {
+pub fn call_response(id: &Value, reply: &Reply) -> Value {
     match reply {
-        Reply::Closed(session) => result(id, json!({"session": &*session.0, "state": "closed"})),
-        Reply::Cancelled => result(id, json!({"state": "cancelled"})),
+        Reply::Closed(session) => success_response(id, json!({"session": &*session.0, "state": "closed"})),
+        Reply::Cancelled => success_response(id, json!({"state": "cancelled"})),
         Reply::Status { session, playing: None } => {
-            result(id, json!({"session": &*session.0, "state": "opening"}))
+            success_response(id, json!({"session": &*session.0, "state": "opening"}))
         }
         Reply::Status { session, playing: Some((server, rung, rate)) } => {
             let state = json!({
                 "session": &*session.0, "state": "playing", "box": server.0, "rung": rung, "rate_kb": rate
             });
-            result(id, state)
+            success_response(id, state)
         }
         Reply::Over(most, of) => {
             let of = match of {
@@ -393,7 +393,7 @@
             failure(id, TOO_MANY_SESSIONS, "too many sessions", json!({"of": of, "most": most}))
         }
         Reply::OnlyBack(hold_off) => {
-            error(id, &RpcError::later(FULL, "full but for viewers that come back", *hold_off))
+            error_response(id, &RpcError::later(FULL, "full but for viewers that come back", *hold_off))
         }
         Reply::Elsewhere(front, address) => {
             let address = address.map(|address| address.to_string());
@@ -401,17 +401,17 @@
             failure(id, ELSEWHERE, "the session is at another front", data)
         }
         Reply::Wait(hold_off) => {
-            error(id, &RpcError::later(BETWEEN, "the session is between two fronts", *hold_off))
+            error_response(id, &RpcError::later(BETWEEN, "the session is between two fronts", *hold_off))
         }
         Reply::Unknown => {
             let text = "no such session or open call on this connection";
-            error(id, &RpcError::new(UNKNOWN_SESSION, text))
+            error_response(id, &RpcError::new(UNKNOWN_SESSION, text))
         }
     }
 }
 
 /// A notification.
-pub fn news(news: &News) -> Value {
+pub fn notification(news: &News) -> Value {
     let (method, params) = match news {
         News::Rung(session, rung, rate) => {
             ("session.rung", json!({"session": &*session.0, "rung": rung, "rate_kb": rate}))
--- a/crates/front/src/session_api/server.rs
+++ b/crates/front/src/session_api/server.rs
@@ -22,14 +22,14 @@
 use tungstenite::protocol::WebSocketConfig;
 use tungstenite::{Error, Message, WebSocket};
 
-use super::core::accepting::{Accepting, Shortage};
+use super::connections::Connections;
+use super::core::accept_backoff::{Accepting, Shortage};
+use super::core::admission::{DropReason, Place};
 use super::core::backlog::Backlog;
-use super::core::calls::Calls;
-use super::core::door::{Place, Turned};
-use super::core::gate::{Allowance, Allowed};
-use super::core::share::{Charge, Share, Turn};
-use super::core::watch::{Sight, Watch};
-use super::entrance::Entrance;
+use super::core::calls::PendingCalls;
+use super::core::rate_limit::{Allowance, Allowed};
+use super::core::thread_share::{Charge, Priority, ThreadShare};
+use super::core::watchdog::{Sight, Watch};
 use super::outbox::{text_frame, Outbox};
 use super::rpc;
 use crate::clock::{timespec, Clock};
@@ -53,11 +53,11 @@
 
 /// The ways from players to the front's thread.
 #[derive(Clone)]
-pub struct Ways {
+pub struct ServerChannels {
     /// All that must be heard.
     pub engine: Sender<Msg>,
     /// How many messages over their senders' shares wait for the front's thread.
-    pub over: Arc<AtomicUsize>,
+    pub deferred: Arc<AtomicUsize>,
     /// Outboxes that the socket did not empty.
     pub flusher: Sender<Arc<Outbox>>,
 }
@@ -76,8 +76,8 @@
         settings: Arc<Settings>,
         clock: Clock,
         clients: Arc<AtomicU64>,
-        entrance: Arc<Entrance>,
-        ways: Ways,
+        entrance: Arc<Connections>,
+        ways: ServerChannels,
     ) -> io::Result<Server> {
         let listener = TcpListener::bind(settings.listen)?;
         let address = listener.local_addr()?;
@@ -111,8 +111,8 @@
     settings: Arc<Settings>,
     clock: Clock,
     clients: Arc<AtomicU64>,
-    entrance: Arc<Entrance>,
-    ways: Ways,
+    entrance: Arc<Connections>,
+    ways: ServerChannels,
     readers: Arc<Readers>,
     stop: Arc<AtomicBool>,
 }
@@ -268,14 +268,15 @@
         let id = ClientId(self.clients.fetch_add(1, Ordering::Relaxed));
         let _ = stream.set_nodelay(true);
         let _ = stream.set_nonblocking(true);
-        let edges = &self.settings.edges;
+        let edges = &self.settings.io;
         // A second net below the pings, for a peer whose machine is gone.
         let socket = SockRef::from(&stream);
-        let alive = TcpKeepalive::new().with_time(edges.keep_alive).with_interval(edges.keep_alive / 3);
+        let alive =
+            TcpKeepalive::new().with_time(edges.tcp_keep_alive).with_interval(edges.tcp_keep_alive / 3);
         let _ = socket.set_tcp_keepalive(&alive.with_retries(3));
-        let _ = socket.set_tcp_user_timeout(Some(edges.keep_alive * 2));
+        let _ = socket.set_tcp_user_timeout(Some(edges.tcp_keep_alive * 2));
         let stream = Arc::new(stream);
-        let backlog = Backlog::new(edges.backlog, edges.stalled.as_micros() as u64);
+        let backlog = Backlog::new(edges.max_backlog_bytes, edges.stall_timeout.as_micros() as u64);
         let outbox = Outbox::new(Arc::clone(&stream), self.clock, backlog, self.ways.flusher.clone());
         if let Err(turned) = self.entrance.knock(id, from.ip(), &outbox) {
             tracing::debug!(?turned, %from, "a player is turned away");
@@ -286,7 +287,7 @@
             self.entrance.left(id);
             return Shortage::of(Some(error.raw_os_error())).map_or(Ok(()), Err);
         }
-        let watch = Watch::new(edges.watch, id.0, self.clock.now());
+        let watch = Watch::new(edges.watchdog, id.0, self.clock.now());
         hall.put(id, Shaking { stream, outbox, watch, head: Vec::new(), due: 0 });
         Ok(())
     }
@@ -340,7 +341,7 @@
 
 /// When whoever finds the door full may come again, s.
 fn retry_after(settings: &Settings) -> u64 {
-    settings.module.max_hold_off.div_ceil(1_000_000)
+    settings.decision.max_hold_off.div_ceil(1_000_000)
 }
 
 /// An answer to whoever finds the door full, with the time to come again in (RFC 9110 section 10.2.3).
@@ -354,8 +355,8 @@
     id: ClientId,
     settings: Arc<Settings>,
     clock: Clock,
-    entrance: Arc<Entrance>,
-    ways: Ways,
+    entrance: Arc<Connections>,
+    ways: ServerChannels,
     outbox: Arc<Outbox>,
 }
 
@@ -368,7 +369,7 @@
     watch: Watch,
     clock: Clock,
     client: ClientId,
-    entrance: Arc<Entrance>,
+    entrance: Arc<Connections>,
     /// Why the watch ended the connection.
     ended: Option<Sight>,
 }
@@ -456,8 +457,8 @@
         };
         let only_back = place == Place::Reserve;
         socket.get_mut().watch.entered(self.clock.now(), only_back);
-        let calls = Calls::new(self.id, self.settings.edges.opens, only_back);
-        let share = Arc::new(Mutex::new(Share::new(self.clock.now())));
+        let calls = PendingCalls::new(self.id, self.settings.io.max_pending_opens, only_back);
+        let share = Arc::new(Mutex::new(ThreadShare::new(self.clock.now())));
         let port = Port::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
         if self.ways.engine.send(Msg::Attach(self.id, port)).is_ok() {
             let duplex = self.read(socket, &share);
@@ -477,16 +478,16 @@
         WebSocketConfig::default()
             .read_buffer_size(4 * 1024)
             .write_buffer_size(0)
-            .max_message_size(Some(self.settings.edges.message))
-            .max_frame_size(Some(self.settings.edges.message))
+            .max_message_size(Some(self.settings.io.max_message_bytes))
+            .max_frame_size(Some(self.settings.io.max_message_bytes))
     }
 
-    fn read(&self, mut socket: WebSocket<Duplex>, share: &Arc<Mutex<Share>>) -> Duplex {
-        let mut allowance = Allowance::new(self.settings.edges.gate, self.clock.now());
+    fn read(&self, mut socket: WebSocket<Duplex>, share: &Arc<Mutex<ThreadShare>>) -> Duplex {
+        let mut allowance = Allowance::new(self.settings.io.call_rate, self.clock.now());
         loop {
             let read = socket.read();
             let message = match read {
-                Ok(Message::Text(text)) => Some(rpc::read(text.as_str(), &self.settings)),
+                Ok(Message::Text(text)) => Some(rpc::parse(text.as_str(), &self.settings)),
                 Ok(Message::Binary(_)) => {
                     farewell(&self.outbox, CloseCode::Unsupported, "calls are text messages");
                     break;
@@ -533,27 +534,27 @@
 
     /// Hands a message on to the front's thread, or answers it here where nothing of it is taken. Returns how long
     /// to wait before reading on, or nothing where the front has ended.
-    fn hand_on(&self, message: rpc::Message, frees: u64, share: &Arc<Mutex<Share>>) -> Option<u64> {
+    fn hand_on(&self, message: rpc::Message, frees: u64, share: &Arc<Mutex<ThreadShare>>) -> Option<u64> {
         let asks = message.takes();
         if frees + asks == 0 {
-            if let Some(errors) = rpc::only_errors(&message) {
+            if let Some(errors) = rpc::errors_only(&message) {
                 self.outbox.send(&text_frame(errors.to_string()));
             }
             return Some(0);
         }
         let inside = self.entrance.inside();
-        let (turn, charge) = hold(share).take(self.clock.now(), frees + asks, inside);
-        if turn == Turn::Ahead {
+        let (turn, charge) = hold(share).charge(self.clock.now(), frees + asks, inside);
+        if turn == Priority::Normal {
             return self.ways.engine.send(Msg::Calls(self.taken(message, charge))).ok().map(|()| 0);
         }
-        let pause = hold(share).pause(inside).max(1_000);
+        let pause = hold(share).time_until_credit(inside).max(1_000);
         if frees == 0 {
             // Counted before it is sent, so that no more than so many are ever under way.
-            if self.ways.over.fetch_add(1, Ordering::Relaxed) < self.settings.edges.calls_over {
+            if self.ways.deferred.fetch_add(1, Ordering::Relaxed) < self.settings.io.max_deferred_calls {
                 return self.ways.engine.send(Msg::Over(self.taken(message, charge))).ok().map(|()| 0);
             }
-            self.ways.over.fetch_sub(1, Ordering::Relaxed);
-            hold(share).give_back(charge);
+            self.ways.deferred.fetch_sub(1, Ordering::Relaxed);
+            hold(share).refund(charge);
             return self.hand_on(message.held_back(pause), 0, share).map(|_| pause);
         }
         // What frees is always taken; its sender is read on the later for it.
@@ -600,7 +601,7 @@
             *refusal.status_mut() = StatusCode::BAD_REQUEST;
             return Err(refusal);
         }
-        *place = self.entrance.enter(self.id).map_err(|turned: Turned| {
+        *place = self.entrance.enter(self.id).map_err(|turned: DropReason| {
             tracing::debug!(client = self.id.0, ?turned, "no place for a player");
             let mut refusal = ErrorResponse::new(Some("the front is full\n".into()));
             *refusal.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
--- a/crates/front/src/settings/check.rs
+++ b/crates/front/src/settings/check.rs
@@ -8,7 +8,7 @@
 
 /// Checks settings against the rules; the error stands at the node that is wrong.
 pub(super) fn rules(root: &Block<'_>, settings: &Settings) -> Read<()> {
-    let module = &settings.module;
+    let module = &settings.decision;
     let ladder = root.need("ladder")?;
     if module.ladder.is_empty() || module.ladder.iter().any(|rung| rung.kb <= 0.0) {
         return Err(ladder.bad("the ladder needs rungs, each with a rate over 0"));
@@ -34,7 +34,7 @@
             return bad("`aim-ms` of 0 can never be met");
         }
         let aim_ms = class.aim / 1000;
-        if aim_ms > settings.edges.patience_ms.1 {
+        if aim_ms > settings.io.patience_ms.1 {
             return bad("`aim-ms` is longer than any viewer may wait (`patience-most-ms`)");
         }
         if class.effect == Effect::Deduplicated && class.window == 0 {
@@ -46,7 +46,7 @@
         if class.rate_factor <= 0.0 || class.gain < 0.0 {
             return bad("`rate-factor` must be over 0 and `gain` not under it");
         }
-        if settings.edges.connect.as_micros() as u64 >= class.aim {
+        if settings.io.connect_timeout.as_micros() as u64 >= class.aim {
             return bad("a dial (`connect-ms`) may not take as long as the class's whole aim");
         }
     }
@@ -93,11 +93,11 @@
         Some(node) => node,
         None => root.need("front")?,
     };
-    let edges = &mut settings.edges;
-    let door = &mut edges.door;
-    if !edges.players_stated {
+    let io = &mut settings.io;
+    let door = &mut io.admission;
+    if !io.players_configured {
         // Kept apart, in the proportion of the defaults: those inside, those that shake hands, and the reserve.
-        let room = usize::try_from(room.players(edges.to_boxes)).unwrap_or(usize::MAX);
+        let room = usize::try_from(room.players(io.max_box_connections)).unwrap_or(usize::MAX);
         door.shaking = door.shaking.min(room / 8);
         door.players = door.players.min(room - door.shaking);
         door.reserve = door.reserve.min(door.players / 8);
@@ -105,14 +105,14 @@
             return Err(node.bad(format!(
                 "this process has no room for players beside {} connections to boxes; lower \
                  `connections-to-boxes` or let it open more files",
-                edges.to_boxes
+                io.max_box_connections
             )));
         }
     }
-    room.holds(door.players + door.shaking, edges.to_boxes).map_err(|error| {
+    room.holds(door.players + door.shaking, io.max_box_connections).map_err(|error| {
         node.bad(format!(
             "`players` {}, `handshakes` {} and `connections-to-boxes` {}: {error}",
-            door.players, door.shaking, edges.to_boxes
+            door.players, door.shaking, io.max_box_connections
         ))
     })
 }
@@ -122,22 +122,22 @@
         Some(node) => node,
         None => root.need("rules")?,
     };
-    let (limits, edges) = (&settings.limits, &settings.edges);
+    let (limits, io) = (&settings.limits, &settings.io);
     let bad = |reason: &str| Err(node.bad(reason));
-    if edges.patience_ms.0 == 0 || edges.patience_ms.0 > edges.patience_ms.1 {
+    if io.patience_ms.0 == 0 || io.patience_ms.0 > io.patience_ms.1 {
         return bad("`patience-least-ms` must be over 0 and not over `patience-most-ms`");
     }
     if limits.silent_after == 0 || limits.lost_after == 0 || limits.ask_within == 0 {
         return bad("`silent-after-ms`, `lost-after-ms` and `ask-within-ms` must be over 0");
     }
-    let (gate, door, watch) = (&edges.gate, &edges.door, &edges.watch);
-    if limits.connections == 0 || door.players == 0 || door.shaking == 0 || edges.opens == 0 {
+    let (gate, door, watch) = (&io.call_rate, &io.admission, &io.watchdog);
+    if limits.connections == 0 || door.players == 0 || door.shaking == 0 || io.max_pending_opens == 0 {
         return bad("`connections-per-box`, `players`, `handshakes` and `opens-per-player` must be over 0");
     }
-    if edges.to_boxes < 8 {
+    if io.max_box_connections < 8 {
         return bad("`connections-to-boxes` must be 8 at least");
     }
-    if limits.per_connection == 0 || limits.per_viewer == 0 || edges.calls_over == 0 {
+    if limits.per_connection == 0 || limits.per_viewer == 0 || io.max_deferred_calls == 0 {
         return bad("`sessions-per-connection`, `sessions-per-viewer` and `calls-over` must be over 0");
     }
     if door.reserve >= door.players {
@@ -158,22 +158,22 @@
     if watch.controls_per_s == 0 || watch.controls_at_once < 4 {
         return bad("`controls-per-s` must be over 0 and `controls-at-once` 4 at least");
     }
-    if watch.return_within == 0 || edges.keep_alive.as_secs() < 1 {
+    if watch.return_within == 0 || io.tcp_keep_alive.as_secs() < 1 {
         return bad("`return-within-ms` must be over 0 and `keep-alive-ms` 1000 at least");
     }
     if gate.calls_per_s == 0 || gate.calls_at_once == 0 || gate.all_per_s == 0 {
         return bad("`calls-per-s`, `calls-at-once` and `calls-per-s-all` must be over 0");
     }
-    let meter = &edges.meter;
+    let meter = &io.event_meter;
     if meter.per_s == 0 || meter.at_once < 1_000 || meter.event_within == 0 {
         return bad(
             "`box-events-per-s` and `box-event-ms` must be over 0, `box-events-at-once` 1000 at least",
         );
     }
-    if edges.message < 256 || edges.backlog < edges.message {
+    if io.max_message_bytes < 256 || io.max_backlog_bytes < io.max_message_bytes {
         return bad("`message-bytes` must be 256 at least and `backlog-bytes` not under it");
     }
-    if edges.connect.is_zero() || edges.stalled.is_zero() {
+    if io.connect_timeout.is_zero() || io.stall_timeout.is_zero() {
         return bad("`connect-ms` and `stalled-ms` must be over 0");
     }
     Ok(())
--- a/crates/front/src/settings/mod.rs
+++ b/crates/front/src/settings/mod.rs
@@ -1,23 +1,23 @@
 //! Settings of a front, read from KDL and checked against the rules before anything starts.
 
 mod check;
+pub mod process_limits;
 mod read;
-pub mod room;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use salttally::interface::{Settings as Module, TitleId, ViewerId};
+use salttally::interface::{Settings as DecisionSettings, TitleId, ViewerId};
 use salttally_settings::{Document, Read};
 
 use crate::boxes::core::MeterLimits;
 use crate::core::room::Room;
 use crate::core::Limits;
-use crate::session_api::core::door::DoorLimits;
-use crate::session_api::core::gate::GateLimits;
-use crate::session_api::core::watch::WatchLimits;
+use crate::session_api::core::admission::AdmissionLimits;
+use crate::session_api::core::rate_limit::GateLimits;
+use crate::session_api::core::watchdog::WatchLimits;
 
 /// Name of the sub-protocol that a player must offer (RFC 6455 section 1.9).
 pub const SUB_PROTOCOL: &str = "session.v1.salttally";
@@ -34,11 +34,11 @@
     /// Where the box list is.
     pub box_list: SocketAddr,
     /// Where the list is remembered over a restart.
-    pub remember: Option<PathBuf>,
+    pub saved_list: Option<PathBuf>,
     /// Where the record of decisions goes.
     pub record: Option<PathBuf>,
     /// What the module is told.
-    pub module: Module,
+    pub decision: DecisionSettings,
     /// Names of the classes, in the module's order.
     pub classes: Vec<String>,
     /// The titles.
@@ -46,7 +46,7 @@
     /// Limits of the ledger.
     pub limits: Limits,
     /// Limits of the edges.
-    pub edges: Edges,
+    pub io: IoLimits,
     /// The front acts on rules that are agreed on.
     pub accord: bool,
 }
@@ -64,35 +64,35 @@
 
 /// Limits of what reads and writes sockets.
 #[derive(Clone, Debug)]
-pub struct Edges {
+pub struct IoLimits {
     /// A dial to a box or to the list takes this long at most.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Who is let in, and who goes to make room.
-    pub door: DoorLimits,
+    pub admission: AdmissionLimits,
     /// How slow a player may be, and when it counts as vanished.
-    pub watch: WatchLimits,
+    pub watchdog: WatchLimits,
     /// A player's connection on which nothing comes for this long is asked by the kernel whether it still stands.
-    pub keep_alive: Duration,
+    pub tcp_keep_alive: Duration,
     /// Largest message of a player, bytes.
-    pub message: usize,
+    pub max_message_bytes: usize,
     /// The number of players is stated, and not what there happens to be room for.
-    pub players_stated: bool,
+    pub players_configured: bool,
     /// Connections to boxes at most, event streams counted; each has a thread.
-    pub to_boxes: usize,
+    pub max_box_connections: usize,
     /// What one box may cost the front's thread.
-    pub meter: MeterLimits,
+    pub event_meter: MeterLimits,
     /// What may wait to be written to a player that does not read, bytes.
-    pub backlog: usize,
+    pub max_backlog_bytes: usize,
     /// A player that reads nothing for this long while something waits is cut off.
-    pub stalled: Duration,
+    pub stall_timeout: Duration,
     /// Least and most patience that a viewer may state, ms.
     pub patience_ms: (u64, u64),
     /// How often one player may ask.
-    pub gate: GateLimits,
+    pub call_rate: GateLimits,
     /// Calls over their senders' shares that may wait for the front's thread.
-    pub calls_over: usize,
+    pub max_deferred_calls: usize,
     /// Open calls of one player that may wait for their answers at once.
-    pub opens: usize,
+    pub max_pending_opens: usize,
 }
 
 impl Settings {
@@ -103,7 +103,7 @@
 
     /// The same for a process that may have so much: as many players as there is room for are taken, and a number
     /// that is stated must fit.
-    pub fn load_within(path: &Path, room: &Room) -> Read<Settings> {
+    pub fn load_for_process(path: &Path, room: &Room) -> Read<Settings> {
         let document = Document::load(path)?;
         let mut settings = Settings::from_document(&document)?;
         check::room(&document.root(), &mut settings, room)?;
@@ -123,30 +123,30 @@
     }
 
     /// Place of a class.
-    pub fn class(&self, name: &str) -> Option<usize> {
+    pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
 
     /// Rate of a rung for a class, kB a second.
-    pub fn rate(&self, class: usize, rung: usize) -> f64 {
-        let factor = self.module.classes.get(class).map_or(1.0, |class| class.rate_factor);
-        self.module.ladder.get(rung).map_or(0.0, |step| step.kb * factor)
+    pub fn rate_kb(&self, class: usize, rung: usize) -> f64 {
+        let factor = self.decision.classes.get(class).map_or(1.0, |class| class.rate_factor);
+        self.decision.ladder.get(rung).map_or(0.0, |step| step.kb * factor)
     }
 
     /// Name of a title, for the boxes.
-    pub fn title(&self, id: TitleId) -> &str {
+    pub fn title_name(&self, id: TitleId) -> &str {
         self.titles.iter().find(|(_, title)| title.id == id).map_or("", |(name, _)| name)
     }
 }
 
 /// The module's number for a viewer: a hash of the name that the player gives.
-pub fn viewer(name: &str) -> ViewerId {
+pub fn viewer_id(name: &str) -> ViewerId {
     ViewerId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
 }
 
 /// The number of a viewer's firm: of what stands ahead of the first slash in its name.
-pub fn firm(name: &str) -> Option<ViewerId> {
-    name.split_once('/').map(|(firm, _)| viewer(firm))
+pub fn tenant_id(name: &str) -> Option<ViewerId> {
+    name.split_once('/').map(|(tenant, _)| viewer_id(tenant))
 }
 
 #[cfg(test)]
--- a/crates/front/src/settings/room.rs
+++ b/crates/front/src/settings/process_limits.rs
@@ -8,7 +8,7 @@
 const MAPS: u64 = 65_530;
 
 /// Raises the limit of open files to what this process may have at most, and tells what that is.
-pub fn of_process() -> Room {
+pub fn raise_and_read() -> Room {
     let limit = getrlimit(Resource::Nofile);
     // Refused, the limit stays as it is.
     let _ = setrlimit(Resource::Nofile, Rlimit { current: limit.maximum, maximum: limit.maximum });
--- a/crates/front/src/settings/read.rs
+++ b/crates/front/src/settings/read.rs
@@ -8,13 +8,13 @@
 use salttally::interface::*;
 use salttally_settings::{Block, Node, Read};
 
-use super::{Edges, Settings, Title};
+use super::{IoLimits, Settings, Title};
 use crate::boxes::core::MeterLimits;
 use crate::core::Limits;
-use crate::session_api::core::door::DoorLimits;
-use crate::session_api::core::gate::GateLimits;
-use crate::session_api::core::steps::Pace;
-use crate::session_api::core::watch::WatchLimits;
+use crate::session_api::core::admission::AdmissionLimits;
+use crate::session_api::core::pace::Pace;
+use crate::session_api::core::rate_limit::GateLimits;
+use crate::session_api::core::watchdog::WatchLimits;
 
 fn micros(ms: f64) -> Micros {
     (ms.clamp(0.0, 1e12) * 1000.0).round() as Micros
@@ -41,7 +41,7 @@
 
     let list = root.need("box-list")?;
     let box_list = address(&list)?;
-    let remember = list.maybe::<String>("remember")?;
+    let saved_list = list.maybe::<String>("remember")?;
     list.done()?;
 
     let ladder = ladder(&root.need("ladder")?.children())?;
@@ -55,9 +55,9 @@
     if let Some(twice) = names.iter().enumerate().find(|(at, name)| names[..*at].contains(name)) {
         return Err(root.all("class")[twice.0].bad(format!("class `{}` stands twice", twice.1)));
     }
-    let module = module(root, zone, fronts, classes, ladder)?;
-    let titles = titles(root, module.cells)?;
-    let (limits, edges) = limits(root)?;
+    let decision = module(root, zone, fronts, classes, ladder)?;
+    let titles = titles(root, decision.cells)?;
+    let (limits, io) = limits(root)?;
     // Who else is there is read and checked by a package of its own.
     root.all("members");
     root.all("copies");
@@ -68,13 +68,13 @@
         seed,
         listen,
         box_list,
-        remember: remember.map(PathBuf::from),
+        saved_list: saved_list.map(PathBuf::from),
         record: record.map(PathBuf::from),
-        module,
+        decision,
         classes: names,
         titles,
         limits,
-        edges,
+        io,
         accord,
     })
 }
@@ -248,7 +248,7 @@
     Ok(titles)
 }
 
-fn limits(root: &Block<'_>) -> Read<(Limits, Edges)> {
+fn limits(root: &Block<'_>) -> Read<(Limits, IoLimits)> {
     let rules = root.need("rules")?.children();
     let answer_slack = micros(rules.or("answer-slack-ms", 40.0)?);
     let node = root.one("limits")?;
@@ -281,9 +281,9 @@
     };
     let handshake = pace("handshake-ms", 5_000.0)?;
     let stated = block.one("players")?.map(|node| node.argument()).transpose()?;
-    let edges = Edges {
-        connect: time("connect-ms", 250)?,
-        door: DoorLimits {
+    let io = IoLimits {
+        connect_timeout: time("connect-ms", 250)?,
+        admission: AdmissionLimits {
             players: stated.unwrap_or(12_000),
             reserve: block.or("reserve", 500)?,
             shaking: block.or("handshakes", 1_000)?,
@@ -291,7 +291,7 @@
             prefix: (block.or("prefix-v4", 32)?, block.or("prefix-v6", 64)?),
             pace: handshake,
         },
-        watch: WatchLimits {
+        watchdog: WatchLimits {
             handshake,
             message: pace("message-ms", 10_000.0)?,
             ping_every: ms("ping-every-ms", 20_000.0)?,
@@ -301,27 +301,27 @@
             controls_at_once: block.or("controls-at-once", 16)?,
             return_within: ms("return-within-ms", 3_000.0)?,
         },
-        keep_alive: time("keep-alive-ms", 30_000)?,
-        players_stated: stated.is_some(),
-        to_boxes: block.or("connections-to-boxes", 2_048)?,
-        meter: MeterLimits {
+        tcp_keep_alive: time("keep-alive-ms", 30_000)?,
+        players_configured: stated.is_some(),
+        max_box_connections: block.or("connections-to-boxes", 2_048)?,
+        event_meter: MeterLimits {
             per_s: block.or("box-events-per-s", 4_000)?,
             at_once: block.or("box-events-at-once", 40_000)?,
             event_within: ms("box-event-ms", 10_000.0)?,
         },
-        message: block.or("message-bytes", 16_384)?,
-        backlog: block.or("backlog-bytes", 262_144)?,
-        stalled: time("stalled-ms", 10_000)?,
+        max_message_bytes: block.or("message-bytes", 16_384)?,
+        max_backlog_bytes: block.or("backlog-bytes", 262_144)?,
+        stall_timeout: time("stalled-ms", 10_000)?,
         patience_ms: (block.or("patience-least-ms", 100)?, block.or("patience-most-ms", 60_000)?),
-        gate: GateLimits {
+        call_rate: GateLimits {
             calls_per_s: block.or("calls-per-s", 1_000)?,
             calls_at_once: block.or("calls-at-once", 2_000)?,
             surplus: block.or("calls-surplus", 1_000)?,
             all_per_s: block.or("calls-per-s-all", 5_000)?,
         },
-        calls_over: block.or("calls-over", 512)?,
-        opens: block.or("opens-per-player", 64)?,
+        max_deferred_calls: block.or("calls-over", 512)?,
+        max_pending_opens: block.or("opens-per-player", 64)?,
     };
     block.done()?;
-    Ok((limits, edges))
+    Ok((limits, io))
 }
--- a/crates/front/src/settings/tests.rs
+++ b/crates/front/src/settings/tests.rs
@@ -63,14 +63,14 @@
     let load = |limits: &str, files: u64| {
         let path = dir.join("front.kdl");
         std::fs::write(&path, format!("{SMALL}\nlimits {{ {limits} }}\n")).expect("written");
-        Settings::load_within(&path, &Room { files, maps: 65_530 })
+        Settings::load_for_process(&path, &Room { files, maps: 65_530 })
     };
     let error = load("players 900; connections-to-boxes 100", 1_024).expect_err("refused").to_string();
     assert!(
         error.contains(":15:1") && error.contains("`players` 900") && error.contains("2164 files"),
         "{error}"
     );
-    let door = load("connections-to-boxes 100", 1_024).expect("holds").edges.door;
+    let door = load("connections-to-boxes 100", 1_024).expect("holds").io.admission;
     assert_eq!((door.players, door.shaking, door.reserve), (665, 95, 83));
     let error = load("", 1_024).expect_err("refused").to_string();
     assert!(error.contains("no room for players beside 2048"), "{error}");
--- a/crates/front/tests/decoders.rs
+++ b/crates/front/tests/decoders.rs
@@ -73,7 +73,7 @@
 fn set_up() -> BoxRequest {
     let text = json!({"jsonrpc": "2.0", "id": 1, "method": "session.open", "params": {
         "viewer": "v", "title": "a", "class": "clip", "top_rung": 1, "patience_ms": 1000}});
-    let Message::One(call) = rpc::read(&text.to_string(), &settings()) else { panic!("a call") };
+    let Message::Single(call) = rpc::parse(&text.to_string(), &settings()) else { panic!("a call") };
     let Ok(rpc::Method::Open(opening)) = call.method else { panic!("an open call") };
     BoxRequest::SetUp { session: SessionId("f0-1-1".into()), attempt: 0, rung: 1, opening, time_out: 1000 }
 }
@@ -81,21 +81,21 @@
 proptest! {
     #[test]
     fn any_text_is_a_message_or_an_error(text in "\\PC{0,200}") {
-        rpc::read(&text, &settings());
+        rpc::parse(&text, &settings());
     }
 
     #[test]
     fn any_json_is_a_message_and_each_wrong_call_has_an_error(value in json_value()) {
-        match rpc::read(&value.to_string(), &settings()) {
-            Message::One(call) => prop_assert!(call.method.is_err() || call.id.is_some() || value.is_object()),
+        match rpc::parse(&value.to_string(), &settings()) {
+            Message::Single(call) => prop_assert!(call.method.is_err() || call.id.is_some() || value.is_object()),
             Message::Batch(calls) => prop_assert!(!calls.is_empty()),
-            Message::Unreadable(error) => prop_assert!(error.code < 0),
+            Message::Malformed(error) => prop_assert!(error.code < 0),
         }
     }
 
     #[test]
     fn a_call_with_one_part_changed_is_accepted_within_its_bounds_or_refused(call in bent_call()) {
-        let Message::One(read) = rpc::read(&call.to_string(), &settings()) else { panic!("one call") };
+        let Message::Single(read) = rpc::parse(&call.to_string(), &settings()) else { panic!("one call") };
         if let Ok(rpc::Method::Open(opening)) = read.method {
             prop_assert!(opening.class == 0 && opening.title.0 == 1);
             prop_assert!((100_000..=60_000_000).contains(&opening.patience));
--- a/crates/front/tests/openrpc.rs
+++ b/crates/front/tests/openrpc.rs
@@ -53,10 +53,10 @@
     let plays = Answer::Plays { session: id(), server: ServerId(1), address, rung: 1, rate_kb: 2.5 };
     let playing = Reply::Status { session: id(), playing: Some((ServerId(1), 1, 2.5)) };
     for (name, response) in [
-        ("session.open", rpc::answer(&json!(1), &plays)),
-        ("session.cancel", rpc::reply(&json!(1), &Reply::Cancelled)),
-        ("session.close", rpc::reply(&json!(1), &Reply::Closed(id()))),
-        ("session.status", rpc::reply(&json!(1), &playing)),
+        ("session.open", rpc::open_response(&json!(1), &plays)),
+        ("session.cancel", rpc::call_response(&json!(1), &Reply::Cancelled)),
+        ("session.close", rpc::call_response(&json!(1), &Reply::Closed(id()))),
+        ("session.status", rpc::call_response(&json!(1), &playing)),
     ] {
         let described = fields(&method(&document, name)["result"]["schema"]["properties"]);
         assert_eq!(fields(&response["result"]), described, "{name}");
@@ -72,27 +72,27 @@
     };
     let reasons = [FailReason::GivenUp, FailReason::Cancelled, FailReason::Overdue, FailReason::ShuttingDown];
     for reason in reasons {
-        let real = rpc::answer(&json!(1), &Answer::Failed(id(), reason));
+        let real = rpc::open_response(&json!(1), &Answer::Failed(id(), reason));
         let described = error("session.open", rpc::FAILED);
         let words = described["data"]["reason"].as_str().expect("reasons");
         let word = real["error"]["data"]["reason"].as_str().expect("a reason");
         assert!(words.split(" | ").any(|known| known == word), "{word} is not described");
         assert_eq!(real["error"]["message"], described["message"]);
     }
-    let real = rpc::answer(&json!(1), &Answer::Refused(id(), 1_500_000));
+    let real = rpc::open_response(&json!(1), &Answer::Refused(id(), 1_500_000));
     assert_eq!(real["error"]["data"], json!({"session": "s", "hold_off_ms": 1500}));
     assert_eq!(real["error"]["message"], error("session.open", rpc::REFUSED)["message"]);
     for of in [HeldBy::Connection, HeldBy::Viewer] {
-        let real = rpc::reply(&json!(1), &Reply::Over(64, of));
+        let real = rpc::call_response(&json!(1), &Reply::Over(64, of));
         let described = error("session.open", rpc::TOO_MANY_SESSIONS);
         assert_eq!(real["error"]["message"], described["message"]);
         let word = real["error"]["data"]["of"].as_str().expect("whose");
         assert!(described["data"]["of"].as_str().is_some_and(|words| words.contains(word)));
     }
-    let real = rpc::reply(&json!(1), &Reply::OnlyBack(2_000_000));
+    let real = rpc::call_response(&json!(1), &Reply::OnlyBack(2_000_000));
     assert_eq!(real["error"]["message"], error("session.open", rpc::FULL)["message"]);
     assert_eq!(real["error"]["data"], json!({"hold_off_ms": 2000}));
-    let real = rpc::reply(&json!(1), &Reply::Unknown);
+    let real = rpc::call_response(&json!(1), &Reply::Unknown);
     for name in ["session.cancel", "session.close", "session.status"] {
         assert_eq!(real["error"]["message"], error(name, rpc::UNKNOWN_SESSION)["message"]);
     }
@@ -106,7 +106,7 @@
     assert_eq!(names, rpc::NOTIFICATIONS);
     let all = [News::Rung(id(), 1, 2.0), News::Move(id()), News::Ended(id(), EndReason::Lost)];
     for (news, described) in all.iter().zip(described) {
-        let real = rpc::news(news);
+        let real = rpc::notification(news);
         assert_eq!(real["method"], described["name"]);
         let fields: BTreeSet<&str> =
             real["params"].as_object().expect("params").keys().map(String::as_str).collect();
--- a/crates/platform/src/node/connection.rs
+++ b/crates/platform/src/node/connection.rs
@@ -6,7 +6,7 @@
 use rustix::io::Errno;
 use rustix::net::SendFlags;
 use salttally::interface::Micros;
-use salttally_front::session_api::core::backlog::{Backlog, Step};
+use salttally_front::session_api::core::backlog::{Backlog, BacklogAction};
 
 use super::End;
 use crate::wire::{kind, Decoder, Message};
@@ -100,7 +100,7 @@
     /// Whether something waits that the socket has not taken.
     pub fn waits(&self) -> bool {
         match &self.kept {
-            Kept::Backlog(backlog) => !backlog.is_clear(),
+            Kept::Backlog(backlog) => !backlog.accepts_direct_writes(),
             Kept::Rest(rest) => rest.is_some(),
         }
     }
@@ -140,18 +140,18 @@
     now: Micros,
 ) -> Result<(Flushed, usize), ()> {
     let mut sent = 0;
-    if backlog.is_clear() {
+    if backlog.accepts_direct_writes() {
         sent = send_all(stream, outgoing)?;
     }
     let rest = std::mem::take(outgoing).split_off(sent);
-    if backlog.add(&rest, now) == Step::Cut {
+    if backlog.push_unsent(&rest, now) == BacklogAction::Disconnect {
         return Err(());
     }
-    while !backlog.is_clear() {
-        let taken = send(stream, &backlog.turn())?;
+    while !backlog.accepts_direct_writes() {
+        let taken = send(stream, &backlog.next_chunk())?;
         sent += taken;
-        match backlog.tried(Some(taken), now) {
-            Step::Cut => return Err(()),
+        match backlog.record_write(Some(taken), now) {
+            BacklogAction::Disconnect => return Err(()),
             _ if taken == 0 => return Ok((Flushed::Waits, sent)),
             _ => {}
         }
--- a/crates/trial/src/whole.rs
+++ b/crates/trial/src/whole.rs
@@ -501,10 +501,10 @@
         let settings = &self.settings;
         let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
         let names = Names { classes: settings.classes.clone(), titles, viewer: None };
-        let brain = Brain::new(settings.module.clone(), seed);
+        let brain = Brain::new(settings.decision.clone(), seed);
         // The time of the start, in milliseconds, as in service.
         let started = (self.now / MS) as u32;
-        let ledger = Ledger::new(brain, settings.module.clone(), settings.limits.clone(), &name, started);
+        let ledger = Ledger::new(brain, settings.decision.clone(), settings.limits.clone(), &name, started);
         let ledger = ledger.under(Terms::new(names)).keeping();
         let own = copies::Own {
             name: Name::clone(&name),
