--- a/crates/front/src/box_list/lines.rs
+++ b/crates/front/src/box_list/lines.rs
@@ -1,4 +1,4 @@
-//! Lines of the box list as JSON. Knows no socket.
+//! Messages of the box list as JSON, without I/O.
 
 use std::net::SocketAddr;
 
@@ -26,14 +26,14 @@
     kind: u32,
     cell: u32,
     state: State,
-    #[serde(default = "one")]
+    #[serde(default = "default_units")]
     units: f64,
-    /// Unix time of its latest start, ms; left out where that is long ago.
+    /// Unix time of the latest start of the box, ms; absent if that is long ago.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     started_ms: Option<u64>,
 }
 
-fn one() -> f64 {
+fn default_units() -> f64 {
     1.0
 }
 
@@ -48,16 +48,16 @@
 /// A message of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// Its place in the row of messages of this connection.
+    /// Its sequence number on this connection.
     pub revision: u64,
-    /// Time of which it speaks, us since the Unix epoch.
+    /// The time as of which it is valid, us since the Unix epoch.
     pub as_of: Micros,
-    /// Its lines; none in a sign of life.
+    /// Its lines; empty in a heartbeat.
     pub lines: Vec<Listed>,
 }
 
-/// Reads a message of the list.
-pub fn read(text: &str) -> serde_json::Result<Message> {
+/// Parses a message of the list.
+pub fn parse(text: &str) -> serde_json::Result<Message> {
     let list: List = serde_json::from_str(text)?;
     let listed = |line: Line| Listed {
         entry: ServerEntry {
@@ -73,14 +73,15 @@
             units: line.units,
             started: line.started_ms.map(|ms| ms.saturating_mul(1000)),
         },
-        // An address of IPv4 written as one of IPv6 is the same: a box must not stand under two names.
+        // An IPv4-mapped IPv6 address is the same as the IPv4 address; otherwise two boxes could be listed
+        // under one address.
         address: SocketAddr::new(line.address.ip().to_canonical(), line.address.port()),
     };
     let lines = list.boxes.into_iter().map(listed).collect();
     Ok(Message { revision: list.revision, as_of: list.as_of_ms.saturating_mul(1000), lines })
 }
 
-/// Writes a list.
+/// Writes a whole list.
 pub fn write<'a>(lines: impl Iterator<Item = &'a Listed>) -> String {
     let line = |line: &Listed| Line {
         id: line.entry.server.0,
@@ -96,7 +97,7 @@
         units: line.entry.units,
         started_ms: line.entry.started.map(|at| at / 1000),
     };
-    // Plain data of our own: writing it does not fail.
+    // Serializing plain data does not fail.
     serde_json::to_string(&List { revision: 0, as_of_ms: 0, boxes: lines.map(line).collect() })
         .unwrap_or_default()
 }
@@ -106,11 +107,11 @@
     use super::*;
 
     #[test]
-    fn a_box_must_not_stand_under_two_names_by_writing_its_address_otherwise() {
+    fn an_ipv4_mapped_address_equals_the_ipv4_address() {
         let text = r#"{"revision": 1, "as_of_ms": 1, "boxes": [
             {"box": 1, "address": "127.0.0.1:9", "cell": 0, "state": "ready"},
             {"box": 2, "address": "[::ffff:127.0.0.1]:9", "cell": 0, "state": "ready"}]}"#;
-        let message = read(text).expect("a list");
+        let message = parse(text).expect("a list");
         assert_eq!(message.lines[0].address, message.lines[1].address);
     }
 }
--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -1,6 +1,6 @@
 //! Follows the box list: server-sent events over HTTP, first the whole list, then changes. Described in
-//! `docs/box-api.md`. [`core`] holds the list; when to follow it, and to follow it again after a loss, is the
-//! module's word.
+//! `docs/box-api.md`. [`core`] holds the list. The decision module says when to follow it, and to follow it
+//! again after a loss.
 
 pub mod core;
 pub mod lines;
@@ -13,8 +13,8 @@
 use crossbeam_channel::Sender;
 use salttally::interface::{ListKind, Micros};
 
-use self::core::damping::Damping;
-use self::core::{Listing, Told};
+use self::core::damping::FlapDamping;
+use self::core::{BoxList, ListUpdate};
 use crate::clock::Clock;
 use crate::core::{Input, Listed};
 use crate::inside::follow::follow;
@@ -22,184 +22,187 @@
 use crate::inside::socket::{spawn, Socket};
 use crate::settings::Settings;
 
-/// Follows the list while it is told to.
+/// Follows the box list on a thread of its own.
 pub struct ListFollower {
     settings: Arc<Settings>,
     engine: Sender<Msg>,
     following: Arc<AtomicBool>,
     socket: Arc<Mutex<Arc<Socket>>>,
-    known: Arc<Mutex<Known>>,
+    state: Arc<Mutex<ListState>>,
     clock: Clock,
 }
 
-/// The list as it is known, and what is kept back of it.
-struct Known {
-    list: Listing,
-    damping: Damping,
-    /// Something has changed that is not remembered yet.
+/// The list as received, and the lines that are withheld by flap damping.
+struct ListState {
+    list: BoxList,
+    damping: FlapDamping,
+    /// The list has changed since it was last saved.
     unsaved: bool,
-    saved: Micros,
+    saved_at: Micros,
 }
 
-/// The list is written to disk this often at most, however fast it changes: read again, it counts as old anyway.
-const SAVE_EVERY: Micros = 1_000_000;
+/// The list is saved at most this often, however fast it changes; a saved list counts as old in any case.
+const SAVE_INTERVAL_US: Micros = 1_000_000;
 
 impl ListFollower {
-    /// Follows nothing yet.
+    /// Does not follow the list yet.
     pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock, started: Micros) -> ListFollower {
-        let list = Listing::new(started, settings.limits.clock_skew);
-        let known = Known { list, damping: Damping::new(), unsaved: false, saved: 0 };
+        let list = BoxList::new(started, settings.limits.clock_skew);
+        let state = ListState { list, damping: FlapDamping::new(), unsaved: false, saved_at: 0 };
         ListFollower {
             settings,
             engine,
             following: Arc::default(),
             socket: Arc::default(),
-            known: Arc::new(Mutex::new(known)),
+            state: Arc::new(Mutex::new(state)),
             clock,
         }
     }
 
-    /// The list as it was remembered over a restart, empty where there is none; it may be old.
+    /// Loads the list that was saved before a restart; empty if there is none. It may be old.
     pub fn load_remembered(&self) -> Vec<Listed> {
         let Some(path) = &self.settings.saved_list else { return Vec::new() };
         let Ok(text) = fs::read_to_string(path) else { return Vec::new() };
-        match lines::read(&text) {
-            Ok(message) => hold(&self.known).list.remember(message.lines),
+        match lines::parse(&text) {
+            Ok(message) => lock(&self.state).list.restore(message.lines),
             Err(error) => {
-                tracing::warn!(path = %path.display(), %error, "the remembered list is not used");
+                tracing::warn!(path = %path.display(), %error, "cannot use the saved box list");
                 Vec::new()
             }
         }
     }
 
-    /// Begins to follow, if that is not under way.
+    /// Starts to follow the list, unless that is in progress.
     pub fn follow(&mut self) {
         if self.following.swap(true, Ordering::AcqRel) {
             return;
         }
-        let run = Run {
+        let thread = FollowThread {
             settings: Arc::clone(&self.settings),
             engine: self.engine.clone(),
             following: Arc::clone(&self.following),
             socket: Arc::default(),
-            known: Arc::clone(&self.known),
+            state: Arc::clone(&self.state),
             clock: self.clock,
         };
-        *self.socket.lock().unwrap_or_else(PoisonError::into_inner) = Arc::clone(&run.socket);
+        *self.socket.lock().unwrap_or_else(PoisonError::into_inner) = Arc::clone(&thread.socket);
         let (following, engine) = (Arc::clone(&self.following), self.engine.clone());
-        spawn("box-list", move || run.run(), move || lost(&following, &engine));
+        spawn("box-list", move || thread.run(), move || report_lost(&following, &engine));
     }
 
-    /// Closes everything.
+    /// Closes the connection and follows the list no more.
     pub fn close(&self) {
         self.following.store(true, Ordering::Release);
         self.socket.lock().unwrap_or_else(PoisonError::into_inner).close();
     }
 }
 
-fn lost(following: &AtomicBool, engine: &Sender<Msg>) {
-    // First free to be followed again: the loss has the module ask for that.
+fn report_lost(following: &AtomicBool, engine: &Sender<Msg>) {
+    // Cleared before the loss is reported, since the decision module answers the report by following the list
+    // again.
     following.store(false, Ordering::Release);
     let _ = engine.send(Msg::Core(Input::List(ListKind::Lost, Vec::new())));
 }
 
-struct Run {
+struct FollowThread {
     settings: Arc<Settings>,
     engine: Sender<Msg>,
     following: Arc<AtomicBool>,
     socket: Arc<Socket>,
-    known: Arc<Mutex<Known>>,
+    state: Arc<Mutex<ListState>>,
     clock: Clock,
 }
 
-fn hold(known: &Mutex<Known>) -> MutexGuard<'_, Known> {
-    known.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(state: &Mutex<ListState>) -> MutexGuard<'_, ListState> {
+    state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Run {
+impl FollowThread {
     fn run(self) {
         if let Ok(mut stream) = self.socket.connect(self.settings.box_list, &self.settings) {
-            // Signs of life come on this stream too: without any, the list is not followed.
-            let patience = std::time::Duration::from_micros(self.settings.limits.silent_after.max(1));
-            let _ = stream.set_read_timeout(Some(patience));
+            // Heartbeats come on this stream too; without any for this long the connection is given up.
+            let read_timeout = std::time::Duration::from_micros(self.settings.limits.silent_after.max(1));
+            let _ = stream.set_read_timeout(Some(read_timeout));
             let ended = follow(&mut stream, "/boxes", &self.settings, |event, _| {
-                let told = match event {
+                let update = match event {
                     None => Ok(()),
-                    Some(event) => self.told(&event.name, &event.data),
+                    Some(event) => self.handle_event(&event.name, &event.data),
                 };
-                // Signs of life come several times a second: often enough to look at what has settled.
-                self.settle();
-                told
+                // Heartbeats come several times a second, often enough to check for settled boxes.
+                self.release_settled();
+                update
             });
             if let Some(reason) = ended {
                 tracing::warn!("box list: {reason}");
             }
         }
         self.socket.close();
-        hold(&self.known).list.lost();
-        lost(&self.following, &self.engine);
+        lock(&self.state).list.on_disconnect();
+        report_lost(&self.following, &self.engine);
     }
 
-    /// Takes in an event. A list that cannot be taken whole is not taken in part: the old one stays.
-    fn told(&self, name: &str, data: &str) -> Result<(), String> {
-        let message = lines::read(data).map_err(|error| format!("not a list: {error}"))?;
+    /// Handles an event. A list that cannot be applied as a whole is not applied at all, and the old one
+    /// stays.
+    fn handle_event(&self, name: &str, data: &str) -> Result<(), String> {
+        let message = lines::parse(data).map_err(|error| format!("not a list: {error}"))?;
         let now = self.clock.now();
-        let mut known = hold(&self.known);
+        let mut state = lock(&self.state);
         let kind = match name {
             "whole" => ListKind::Whole,
             "changes" => ListKind::Changes,
-            // A sign of life; other kinds of message may come from a newer list.
+            // A heartbeat; a newer list may also send messages of other kinds.
             _ => {
-                let told = known.list.beat(message.as_of);
-                let told = told.map(|(kind, lines)| (kind, known.damping.pass(now, kind, lines)));
-                drop(known);
-                self.tell(told);
+                let update = state.list.on_heartbeat(message.as_of);
+                let update = update.map(|(kind, lines)| (kind, state.damping.filter(now, kind, lines)));
+                drop(state);
+                self.send(update);
                 return Ok(());
             }
         };
-        let applied = known.list.apply(kind, message.revision, message.as_of, message.lines);
-        let told = applied.map_err(|error| error.to_string())?;
-        known.unsaved = true;
-        let told = told.map(|(kind, lines)| (kind, known.damping.pass(now, kind, lines)));
-        drop(known);
-        self.tell(told);
+        let applied = state.list.apply(kind, message.revision, message.as_of, message.lines);
+        let update = applied.map_err(|error| error.to_string())?;
+        state.unsaved = true;
+        let update = update.map(|(kind, lines)| (kind, state.damping.filter(now, kind, lines)));
+        drop(state);
+        self.send(update);
         Ok(())
     }
 
-    /// Tells what has settled, and remembers the list where that is due.
-    fn settle(&self) {
+    /// Reports boxes that have settled, and saves the list if that is due.
+    fn release_settled(&self) {
         let now = self.clock.now();
-        let mut known = hold(&self.known);
-        if known.saved + SAVE_EVERY > now {
+        let mut state = lock(&self.state);
+        if state.saved_at + SAVE_INTERVAL_US > now {
             return;
         }
-        known.saved = now;
-        let settled = known.damping.settled(now);
+        state.saved_at = now;
+        let settled = state.damping.release_settled(now);
         let text = match &self.settings.saved_list {
-            Some(_) if std::mem::take(&mut known.unsaved) => Some(lines::write(known.list.boxes())),
+            Some(_) if std::mem::take(&mut state.unsaved) => Some(lines::write(state.list.boxes())),
             _ => None,
         };
-        drop(known);
-        self.tell((!settled.is_empty()).then_some((ListKind::Changes, settled)));
+        drop(state);
+        self.send((!settled.is_empty()).then_some((ListKind::Changes, settled)));
         if let (Some(path), Some(text)) = (&self.settings.saved_list, text) {
-            if let Err(error) = write(path, &text) {
-                tracing::warn!(path = %path.display(), %error, "the list is not remembered");
+            if let Err(error) = write_atomically(path, &text) {
+                tracing::warn!(path = %path.display(), %error, "cannot save the box list");
             }
         }
     }
 
-    fn tell(&self, told: Option<Told>) {
-        // A whole list says something also where it names nobody.
+    fn send(&self, update: Option<ListUpdate>) {
+        // A whole list is also reported when it is empty.
         if let Some((kind, lines)) =
-            told.filter(|(kind, lines)| *kind != ListKind::Changes || !lines.is_empty())
+            update.filter(|(kind, lines)| *kind != ListKind::Changes || !lines.is_empty())
         {
             let _ = self.engine.send(Msg::Core(Input::List(kind, lines)));
         }
     }
 }
 
-/// Writes beside and renames: a front killed meanwhile finds the old list whole, or the new one.
-fn write(path: &Path, text: &str) -> std::io::Result<()> {
+/// Writes a new file and renames it: if the front is killed meanwhile, either the old or the new list is
+/// complete.
+fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
     let beside = path.with_extension("new");
     fs::write(&beside, text)?;
     fs::rename(&beside, path)
--- a/crates/front/src/boxes/core.rs
+++ b/crates/front/src/boxes/core.rs
@@ -1,62 +1,65 @@
-//! What one box may cost the front's thread.
+//! Limit on the events of one box.
 //!
-//! Danger: a box that tells without end, by fault or by intent. Each of its events is taken in by the front's one
-//! thread, before the answers of viewers at other boxes. So what comes on a box's event stream is metered before it
-//! gets there: each event weighs what it costs, the stream earns so much a second, and a box over that is cut off.
+//! Danger: a box that sends events without end, by fault or by intent. The engine thread handles each of them
+//! before the answers of viewers at other boxes. So the events of a stream are metered before they reach that
+//! thread: each event has a weight by its cost, the stream earns weight per second, and a box that exceeds
+//! this is disconnected.
 //!
-//! Danger: an event that is begun and never ended, a byte at a time, looks like a box that lives.
+//! Danger: an event that is sent a byte at a time and never ends looks like a box that is alive.
 
 use salttally::interface::Micros;
 
 use crate::core::StreamNews;
 
-/// What one box may cost.
+/// Limits of one event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MeterLimits {
-    /// Weight of events that a box may send in a second.
-    pub per_s: u64,
-    /// Weight that it may send at once after a rest: a list of all that it holds among them.
-    pub at_once: u64,
-    /// An event is whole within this.
-    pub event_within: Micros,
+    /// Weight of events per second that a box may send.
+    pub weight_per_s: u64,
+    /// Weight of events that it may send at once after a pause, for instance the list of all its sessions.
+    pub burst: u64,
+    /// Time in which an event has to be complete.
+    pub event_timeout: Micros,
 }
 
-/// Why a box is cut off.
+/// Why a box is disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
-    /// It told more than it may.
-    Events(u64),
-    /// It began an event and did not end it.
-    Unended(Micros),
+pub enum LimitExceeded {
+    /// Its events exceed this weight per second.
+    EventRate(u64),
+    /// It did not complete an event within this time, us.
+    UnfinishedEvent(Micros),
 }
 
-impl std::fmt::Display for Over {
+impl std::fmt::Display for LimitExceeded {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Over::Events(per_s) => write!(f, "its events weigh over {per_s} a second (`box-events-per-s`)"),
-            Over::Unended(within) => {
-                write!(f, "an event is begun and not ended after {} ms (`box-event-ms`)", within / 1_000)
+            LimitExceeded::EventRate(per_s) => {
+                write!(f, "its events exceed a weight of {per_s} per second (`box-events-per-s`)")
+            }
+            LimitExceeded::UnfinishedEvent(timeout_us) => {
+                write!(f, "an event was not complete after {} ms (`box-event-ms`)", timeout_us / 1_000)
             }
         }
     }
 }
 
-/// The meter of one stream.
+/// Meter of one event stream.
 #[derive(Clone, Debug)]
 pub struct Meter {
     limits: MeterLimits,
-    /// Millionths of weight.
-    left: u64,
-    at: Micros,
-    begun: Option<Micros>,
+    /// Weight that may still be sent, in millionths.
+    credit: u64,
+    updated_at: Micros,
+    event_begun: Option<Micros>,
 }
 
 const SCALE: u64 = 1_000_000;
 
-/// What news cost the front's thread, in signs of life.
-pub fn weight(news: &StreamNews) -> u64 {
-    match news {
-        // Each session named is looked for, and one that nobody knows is released.
+/// Weight of an event: its cost on the engine thread, in heartbeats.
+pub fn weight(event: &StreamNews) -> u64 {
+    match event {
+        // Each session in the list is looked up, and an unknown one is released.
         StreamNews::Up(held) => 4 + 4 * held.len() as u64,
         StreamNews::Began(_) | StreamNews::Ended(..) => 4,
         StreamNews::Note(..) => 2,
@@ -66,37 +69,38 @@
 }
 
 impl Meter {
-    /// That of a stream that is opened now.
+    /// The meter of a new stream.
     pub fn new(limits: MeterLimits, now: Micros) -> Meter {
-        Meter { limits, left: limits.at_once * SCALE, at: now, begun: None }
+        Meter { limits, credit: limits.burst * SCALE, updated_at: now, event_begun: None }
     }
 
-    /// News have come.
+    /// Charges received events.
     ///
     /// # Errors
-    /// They are more than the box may send: they are not to be handed on.
-    pub fn take(&mut self, now: Micros, news: &[StreamNews]) -> Result<(), Over> {
-        let since = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        let earned = since.saturating_mul(self.limits.per_s);
-        self.left = self.left.saturating_add(earned).min(self.limits.at_once * SCALE);
-        let cost = news.iter().map(weight).sum::<u64>().saturating_mul(SCALE);
-        self.left = self.left.checked_sub(cost).ok_or(Over::Events(self.limits.per_s))?;
+    /// The box sends more than it may; these events must not be handled.
+    pub fn charge(&mut self, now: Micros, events: &[StreamNews]) -> Result<(), LimitExceeded> {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        let earned = elapsed.saturating_mul(self.limits.weight_per_s);
+        self.credit = self.credit.saturating_add(earned).min(self.limits.burst * SCALE);
+        let cost = events.iter().map(weight).sum::<u64>().saturating_mul(SCALE);
+        self.credit =
+            self.credit.checked_sub(cost).ok_or(LimitExceeded::EventRate(self.limits.weight_per_s))?;
         Ok(())
     }
 
-    /// Bytes have come; after them an event is begun and not ended, or none is.
+    /// Checks the event that is incomplete after the latest bytes, if there is one.
     ///
     /// # Errors
-    /// It has been begun for too long.
-    pub fn unended(&mut self, now: Micros, begun: bool) -> Result<(), Over> {
-        if !begun {
-            self.begun = None;
+    /// It has been incomplete for too long.
+    pub fn check_unfinished_event(&mut self, now: Micros, unfinished: bool) -> Result<(), LimitExceeded> {
+        if !unfinished {
+            self.event_begun = None;
             return Ok(());
         }
-        let since = *self.begun.get_or_insert(now);
-        if now.saturating_sub(since) >= self.limits.event_within {
-            return Err(Over::Unended(self.limits.event_within));
+        let begun = *self.event_begun.get_or_insert(now);
+        if now.saturating_sub(begun) >= self.limits.event_timeout {
+            return Err(LimitExceeded::UnfinishedEvent(self.limits.event_timeout));
         }
         Ok(())
     }
@@ -107,46 +111,50 @@
     use super::*;
     use proptest::prelude::*;
 
-    const LIMITS: MeterLimits = MeterLimits { per_s: 2_000, at_once: 8_000, event_within: 10_000_000 };
+    const LIMITS: MeterLimits = MeterLimits { weight_per_s: 2_000, burst: 8_000, event_timeout: 10_000_000 };
 
     #[test]
-    fn a_box_that_tells_without_end_is_cut_off_and_one_with_a_thousand_sessions_is_not() {
+    fn a_box_that_floods_events_exceeds_the_limit_and_one_with_a_thousand_sessions_does_not() {
         let mut meter = Meter::new(LIMITS, 0);
-        // 500 notes of their link and 400 of what was delivered a second, for a minute.
+        // 500 link notes and 400 delivery notes per second, for a minute.
         let busy = (0..60_000u64).all(|ms| {
             let note = (ms % 10 < 9).then_some(StreamNews::Note(
                 salttally::interface::SessionId("s".into()),
                 salttally::interface::Note::Link(0.5),
             ));
-            meter.take(ms * 1_000, note.as_slice()).is_ok()
+            meter.charge(ms * 1_000, note.as_slice()).is_ok()
         });
         assert!(busy);
         let mut meter = Meter::new(LIMITS, 0);
-        let beats = (0..100_000u64).take_while(|us| meter.take(*us, &[StreamNews::Beat]).is_ok()).count();
-        assert!((8_000..8_300).contains(&beats), "{beats} of 100,000 in a tenth of a second");
+        let accepted =
+            (0..100_000u64).take_while(|us| meter.charge(*us, &[StreamNews::Beat]).is_ok()).count();
+        assert!((8_000..8_300).contains(&accepted), "{accepted} of 100,000 in a tenth of a second");
     }
 
     #[test]
-    fn an_event_begun_and_never_ended_is_no_sign_of_life() {
+    fn an_event_that_never_ends_is_no_heartbeat() {
         let mut meter = Meter::new(LIMITS, 0);
-        let second = 1_000_000;
-        assert!((0..10).all(|s| meter.unended(s * second, true).is_ok()));
-        assert_eq!(meter.unended(10 * second, true), Err(Over::Unended(10 * second)));
-        assert_eq!(meter.unended(11 * second, false), Ok(()));
-        assert_eq!(meter.unended(12 * second, true), Ok(()), "another one");
+        let second_us = 1_000_000;
+        assert!((0..10).all(|s| meter.check_unfinished_event(s * second_us, true).is_ok()));
+        assert_eq!(
+            meter.check_unfinished_event(10 * second_us, true),
+            Err(LimitExceeded::UnfinishedEvent(10 * second_us))
+        );
+        assert_eq!(meter.check_unfinished_event(11 * second_us, false), Ok(()));
+        assert_eq!(meter.check_unfinished_event(12 * second_us, true), Ok(()), "a new event");
     }
 
     proptest! {
         #[test]
-        fn no_box_costs_more_than_it_may(steps in prop::collection::vec((0u64..5_000, 1usize..40), 1..400)) {
+        fn no_box_exceeds_its_limit(steps in prop::collection::vec((0u64..5_000, 1usize..40), 1..400)) {
             let mut meter = Meter::new(LIMITS, 0);
-            let (mut now, mut taken) = (0, 0);
-            for (pause, beats) in steps {
+            let (mut now, mut accepted) = (0, 0);
+            for (pause, heartbeats) in steps {
                 now += pause;
-                if meter.take(now, &vec![StreamNews::Beat; beats]).is_ok() {
-                    taken += beats as u64;
+                if meter.charge(now, &vec![StreamNews::Beat; heartbeats]).is_ok() {
+                    accepted += heartbeats as u64;
                 }
-                prop_assert!(taken <= 8_000 + now * 2_000 / 1_000_000 + 1);
+                prop_assert!(accepted <= 8_000 + now * 2_000 / 1_000_000 + 1);
             }
         }
     }
--- a/crates/front/src/boxes/link.rs
+++ b/crates/front/src/boxes/link.rs
@@ -1,4 +1,5 @@
-//! The threads of connections and streams: they connect, write, read and tell; they decide nothing.
+//! The threads of connections and event streams. They connect, write, read and report results; they make no
+//! decisions.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,19 +18,20 @@
 use crate::inside::socket::Socket;
 use crate::settings::Settings;
 
-/// Tells that a connection had no thread: nothing was sent, and the box is not to blame.
-pub fn no_thread(engine: &Sender<Msg>, id: ConnId) {
+/// Reports that there was no thread for a connection. Nothing was sent, and it says nothing about the box.
+pub fn report_dial_without_thread(engine: &Sender<Msg>, id: ConnId) {
     let _ = engine.send(Msg::Core(Input::Dialed(id, Err(DialError::TimedOut))));
 }
 
-/// Tells that a stream had no thread; the box is not to blame, so this is no refusal.
-pub fn no_stream(engine: &Sender<Msg>, server: ServerId, number: u64) {
+/// Reports that there was no thread for an event stream. It says nothing about the box, so this is no
+/// refusal.
+pub fn report_stream_without_thread(engine: &Sender<Msg>, server: ServerId, number: u64) {
     let news = StreamNews::NoConnection(DialError::TimedOut);
     let _ = engine.send(Msg::Core(Input::Stream(server, number, news)));
 }
 
 /// A connection that carries requests.
-pub struct Exchanger {
+pub struct RequestConnection {
     pub id: ConnId,
     pub server: ServerId,
     pub address: SocketAddr,
@@ -38,8 +40,8 @@
     pub socket: Arc<Socket>,
 }
 
-impl Exchanger {
-    /// Connects, then carries requests until it is hung up.
+impl RequestConnection {
+    /// Connects, then carries requests until the connection is closed.
     pub fn run(self, requests: &Receiver<(BoxRequest, Writ)>) {
         let stream = self.socket.connect(self.address, &self.settings);
         let result = stream.as_ref().map(|_| ()).map_err(|error| *error);
@@ -57,40 +59,41 @@
     }
 
     fn exchange(&self, stream: &mut TcpStream, request: &BoxRequest, writ: Writ) -> ExchangeEnd {
-        if !still_open(stream) {
+        if !is_idle_and_open(stream) {
             return ExchangeEnd::Stale;
         }
-        let bytes = wire::request(request, writ.epoch, &self.settings);
-        // Danger: the process was stopped since this was decided, and its lease has run out.
+        let bytes = wire::encode_request(request, writ.epoch, &self.settings);
+        // Danger: the process may have been stopped since the decision, and its lease may have expired.
         if writ.until.is_some_and(|until| salttally_accord::edge::now() >= until) {
             return ExchangeEnd::Unwritten;
         }
-        // All of it or an incomplete request, which the box must not run (RFC 9112 section 8).
+        // Either the whole request is written, or an incomplete one, which the box must not run (RFC 9112
+        // section 8).
         if stream.write_all(&bytes).is_err() {
             return ExchangeEnd::Unwritten;
         }
         let mut bytes = Vec::new();
-        let mut part = [0; 2048];
+        let mut buffer = [0; 2048];
         loop {
-            match stream.read(&mut part) {
+            match stream.read(&mut buffer) {
                 Ok(0) => return ExchangeEnd::Broken,
-                Ok(count) => bytes.extend_from_slice(&part[..count]),
+                Ok(count) => bytes.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(_) => return ExchangeEnd::Broken,
             }
             match http::response(&bytes) {
                 Ok(None) => {}
-                Ok(Some(response)) => return wire::answer(request, &response, &self.settings),
+                Ok(Some(response)) => return wire::parse_response(request, &response, &self.settings),
                 Err(error) => return ExchangeEnd::Malformed(error.to_string()),
             }
         }
     }
 }
 
-/// Whether a connection that carried nothing for a while still stands: closed, or with bytes that nobody asked
-/// for, it must not be written to. Danger: a box that has just restarted resets what is written, and a set-up
-/// that never ran counts as one that may have.
-fn still_open(stream: &TcpStream) -> bool {
+/// Whether a connection that was idle is still usable: one that is closed, or has unrequested bytes, must not
+/// be written to. Danger: a box that has just restarted resets such a connection, and a set-up written to it
+/// counts as one that may have run although it never did.
+fn is_idle_and_open(stream: &TcpStream) -> bool {
     let mut byte = [std::mem::MaybeUninit::<u8>::uninit()];
     let flags = libc::MSG_PEEK | libc::MSG_DONTWAIT;
     match SockRef::from(stream).recv_with_flags(&mut byte, flags) {
@@ -99,8 +102,8 @@
     }
 }
 
-/// An event stream.
-pub struct Listener {
+/// The event stream of a box.
+pub struct EventStream {
     pub server: ServerId,
     pub number: u64,
     pub address: SocketAddr,
@@ -110,30 +113,33 @@
     pub clock: Clock,
 }
 
-impl Listener {
-    /// Connects and tells what comes until it ends.
+impl EventStream {
+    /// Connects and reports events until the stream ends.
     pub fn run(self) {
         let last = match self.socket.connect(self.address, &self.settings) {
             Err(error) => StreamNews::NoConnection(error),
             Ok(mut stream) => {
                 let mut meter = Meter::new(self.settings.io.event_meter, self.clock.now());
-                let mut over = None;
-                let ended = follow(&mut stream, "/events", &self.settings, |event, begun| {
-                    let all = match event {
+                let mut exceeded = None;
+                let ended = follow(&mut stream, "/events", &self.settings, |event, unfinished| {
+                    let events = match event {
                         None => vec![StreamNews::Beat],
-                        Some(event) => wire::news(event, &self.settings)?,
+                        Some(event) => wire::parse_event(event, &self.settings)?,
                     };
                     let now = self.clock.now();
-                    if let Err(why) = meter.take(now, &all).and_then(|()| meter.unended(now, begun)) {
-                        over = Some(why);
-                        return Err(why.to_string());
+                    if let Err(reason) = meter
+                        .charge(now, &events)
+                        .and_then(|()| meter.check_unfinished_event(now, unfinished))
+                    {
+                        exceeded = Some(reason);
+                        return Err(reason.to_string());
                     }
-                    all.into_iter().for_each(|news| self.tell(news));
+                    events.into_iter().for_each(|news| self.report(news));
                     Ok(())
                 });
-                match (over, ended) {
-                    // The ledger tells that once, however often it happens.
-                    (Some(why), _) => StreamNews::CutOff(why.to_string()),
+                match (exceeded, ended) {
+                    // The engine logs this, and only once, however often it happens.
+                    (Some(reason), _) => StreamNews::CutOff(reason.to_string()),
                     (None, reason) => {
                         if let Some(reason) = reason {
                             tracing::warn!(server = self.server.0, "event stream: {reason}");
@@ -143,12 +149,12 @@
                 }
             }
         };
-        // Whoever is cut off must not be able to go on writing.
+        // A box that was disconnected must not be able to go on writing.
         self.socket.close();
-        self.tell(last);
+        self.report(last);
     }
 
-    fn tell(&self, news: StreamNews) {
+    fn report(&self, news: StreamNews) {
         let _ = self.engine.send(Msg::Core(Input::Stream(self.server, self.number, news)));
     }
 }
--- a/crates/front/src/boxes/mod.rs
+++ b/crates/front/src/boxes/mod.rs
@@ -1,8 +1,9 @@
-//! Client of media boxes: HTTP/1.1 with keep-alive connections, and one event stream for each box. Described in
-//! `docs/box-api.md`.
+//! Client of media boxes: HTTP/1.1 over keep-alive connections, and one event stream for each box. Described
+//! in `docs/box-api.md`.
 //!
-//! [`core`] decides what one box may cost; [`http`] and [`events`] read bytes and know no socket; [`wire`] is what the bodies say. Each connection and
-//! each stream has a thread of its own that does what the ledger says and tells what came of it.
+//! [`core`] limits what one box may cost; [`http`] and [`events`] parse bytes without I/O; [`wire`] encodes
+//! and parses bodies. Each connection and each stream has a thread of its own that carries out what the
+//! engine orders and reports the result.
 
 pub mod core;
 mod link;
@@ -23,39 +24,39 @@
 use crate::inside::socket::{spawn, Socket};
 use crate::settings::Settings;
 
-/// Connections and streams to boxes.
+/// Connections and event streams to boxes.
 pub struct BoxConnections {
     settings: Arc<Settings>,
     engine: Sender<Msg>,
-    conns: BTreeMap<ConnId, Conn>,
+    connections: BTreeMap<ConnId, Connection>,
     streams: BTreeMap<u64, Arc<Socket>>,
     clock: Clock,
 }
 
-struct Conn {
+struct Connection {
     socket: Arc<Socket>,
     requests: Sender<(BoxRequest, Writ)>,
 }
 
 impl BoxConnections {
-    /// No connection yet.
+    /// No connections.
     pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock) -> BoxConnections {
-        BoxConnections { settings, engine, conns: BTreeMap::new(), streams: BTreeMap::new(), clock }
+        BoxConnections { settings, engine, connections: BTreeMap::new(), streams: BTreeMap::new(), clock }
     }
 
-    /// Whether there is room for one more thread.
-    fn has_room(&self) -> bool {
-        self.conns.len() + self.streams.len() < self.settings.io.max_box_connections
+    /// Whether one more thread is allowed.
+    fn has_capacity(&self) -> bool {
+        self.connections.len() + self.streams.len() < self.settings.io.max_box_connections
     }
 
-    /// Begins to connect.
+    /// Starts to connect.
     pub fn dial(&mut self, id: ConnId, server: ServerId, address: SocketAddr) {
-        if !self.has_room() {
-            return link::no_thread(&self.engine, id);
+        if !self.has_capacity() {
+            return link::report_dial_without_thread(&self.engine, id);
         }
         let (requests, inbox) = crossbeam_channel::unbounded();
         let socket = Arc::new(Socket::default());
-        let conn = link::Exchanger {
+        let connection = link::RequestConnection {
             id,
             server,
             address,
@@ -63,35 +64,35 @@
             engine: self.engine.clone(),
             socket: Arc::clone(&socket),
         };
-        self.conns.insert(id, Conn { socket, requests });
-        spawn("box", move || conn.run(&inbox), {
+        self.connections.insert(id, Connection { socket, requests });
+        spawn("box", move || connection.run(&inbox), {
             let engine = self.engine.clone();
-            move || link::no_thread(&engine, id)
+            move || link::report_dial_without_thread(&engine, id)
         });
     }
 
-    /// Sends a request on a connection that stands, by this right.
+    /// Sends a request on an open connection, with the lease and epoch that it is sent under.
     pub fn send(&mut self, id: ConnId, request: &BoxRequest, writ: Writ) {
-        if let Some(conn) = self.conns.get(&id) {
-            // A thread that has ended has told so.
-            let _ = conn.requests.send((request.clone(), writ));
+        if let Some(connection) = self.connections.get(&id) {
+            // If the thread has ended, it has reported that.
+            let _ = connection.requests.send((request.clone(), writ));
         }
     }
 
     /// Closes a connection.
     pub fn hang_up(&mut self, id: ConnId) {
-        if let Some(conn) = self.conns.remove(&id) {
-            conn.socket.close();
+        if let Some(connection) = self.connections.remove(&id) {
+            connection.socket.close();
         }
     }
 
     /// Opens an event stream.
     pub fn open_event_stream(&mut self, server: ServerId, number: u64, address: SocketAddr) {
-        if !self.has_room() {
-            return link::no_stream(&self.engine, server, number);
+        if !self.has_capacity() {
+            return link::report_stream_without_thread(&self.engine, server, number);
         }
         let socket = Arc::new(Socket::default());
-        let listener = link::Listener {
+        let stream = link::EventStream {
             server,
             number,
             address,
@@ -101,9 +102,9 @@
             clock: self.clock,
         };
         self.streams.insert(number, socket);
-        spawn("events", move || listener.run(), {
+        spawn("events", move || stream.run(), {
             let engine = self.engine.clone();
-            move || link::no_stream(&engine, server, number)
+            move || link::report_stream_without_thread(&engine, server, number)
         });
     }
 
@@ -114,10 +115,10 @@
         }
     }
 
-    /// Closes everything.
+    /// Closes all connections and event streams.
     pub fn close_all(&mut self) {
-        for conn in std::mem::take(&mut self.conns).into_values() {
-            conn.socket.close();
+        for connection in std::mem::take(&mut self.connections).into_values() {
+            connection.socket.close();
         }
         for socket in std::mem::take(&mut self.streams).into_values() {
             socket.close();
--- a/crates/front/src/boxes/wire.rs
+++ b/crates/front/src/boxes/wire.rs
@@ -1,4 +1,4 @@
-//! What requests to boxes and their answers say; see `docs/box-api.md`.
+//! Encodes requests to boxes, and parses their responses and events; see `docs/box-api.md`.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::core::{BoxAnswer, BoxRequest, ExchangeEnd, Held, Opening, StreamNews};
 use crate::settings::Settings;
 
-/// What a box keeps of a session for the front that set it up, and gives back after the front's restart.
+/// What a box stores with a session for the front that set it up, and returns after a restart of the front.
 #[derive(Debug, Deserialize, Serialize)]
 struct Context {
     viewer: String,
@@ -23,17 +23,17 @@
     length_hint_s: Option<f64>,
 }
 
-/// Writes a request as bytes.
-pub fn request(request: &BoxRequest, epoch: Option<u64>, settings: &Settings) -> Vec<u8> {
-    let write = |method: &str, path: &str, settings: &Settings, body: Option<&Value>| {
-        write(method, path, epoch, settings, body)
+/// Encodes a request.
+pub fn encode_request(request: &BoxRequest, epoch: Option<u64>, settings: &Settings) -> Vec<u8> {
+    let encode_with_epoch = |method: &str, path: &str, settings: &Settings, body: Option<&Value>| {
+        encode(method, path, epoch, settings, body)
     };
     match request {
         BoxRequest::SetUp { session, attempt, rung, opening, time_out } => {
             let class = settings.classes.get(opening.class).map_or("", String::as_str);
             let title = settings.title_name(opening.title);
             let context = Context {
-                // The hash does as the viewer's name: the box hands it back and nothing else.
+                // The hash serves in place of the viewer's name: the box only stores it and returns it.
                 viewer: format!("{:016x}", opening.viewer.0),
                 title: title.to_owned(),
                 class: class.to_owned(),
@@ -46,24 +46,30 @@
                 "rate_kb": settings.rate_kb(opening.class, *rung), "time_out_ms": time_out / 1000,
                 "context": context
             });
-            write("POST", "/sessions", settings, Some(&body))
+            encode_with_epoch("POST", "/sessions", settings, Some(&body))
         }
         BoxRequest::SetRung { session, attempt, rung, class } => {
             let path = format!("/sessions/{}/{attempt}/rung", session.0);
             let rate = settings.rate_kb(*class, *rung);
-            write("PUT", &path, settings, Some(&json!({"rung": rung, "rate_kb": rate})))
+            encode_with_epoch("PUT", &path, settings, Some(&json!({"rung": rung, "rate_kb": rate})))
         }
         BoxRequest::Release { session, attempt } => {
-            write("DELETE", &format!("/sessions/{}/{attempt}", session.0), settings, None)
+            encode_with_epoch("DELETE", &format!("/sessions/{}/{attempt}", session.0), settings, None)
         }
         BoxRequest::Claim { life, epoch } => {
-            write("PUT", &format!("/lives/{life}"), settings, Some(&json!({"epoch": epoch})))
+            encode_with_epoch("PUT", &format!("/lives/{life}"), settings, Some(&json!({"epoch": epoch})))
         }
-        BoxRequest::Probe => write("GET", "/load", settings, None),
+        BoxRequest::Probe => encode_with_epoch("GET", "/load", settings, None),
     }
 }
 
-fn write(method: &str, path: &str, epoch: Option<u64>, settings: &Settings, body: Option<&Value>) -> Vec<u8> {
+fn encode(
+    method: &str,
+    path: &str,
+    epoch: Option<u64>,
+    settings: &Settings,
+    body: Option<&Value>,
+) -> Vec<u8> {
     let body = body.map_or(String::new(), Value::to_string);
     let name = &settings.name;
     let epoch = epoch.map_or(String::new(), |epoch| format!("Epoch: {epoch}\r\n"));
@@ -76,7 +82,7 @@
 }
 
 #[derive(Deserialize)]
-struct Body {
+struct ResponseBody {
     #[serde(default)]
     session: Option<String>,
     #[serde(default)]
@@ -87,32 +93,35 @@
     sessions: Value,
 }
 
-/// What a response to this request says.
-pub fn answer(request: &BoxRequest, response: &Response, settings: &Settings) -> ExchangeEnd {
+/// Parses the response to a request.
+pub fn parse_response(request: &BoxRequest, response: &Response, settings: &Settings) -> ExchangeEnd {
     let malformed = |reason: String| ExchangeEnd::Malformed(reason);
-    let body: Body = match serde_json::from_slice(&response.body) {
+    let body: ResponseBody = match serde_json::from_slice(&response.body) {
         Ok(body) => body,
         Err(error) => {
-            return malformed(format!("answered {} with a body that is none: {error}", response.status))
+            return malformed(format!("answered {} with an invalid body: {error}", response.status))
         }
     };
-    let report = match report(&body.load, settings) {
+    let report = match parse_load_report(&body.load, settings) {
         Ok(report) => report,
         Err(reason) => return malformed(reason),
     };
     if let (BoxRequest::Claim { .. }, 200) = (request, response.status) {
-        let held: Vec<HeldBody> = match serde_json::from_value(body.sessions) {
+        let held: Vec<HeldSession> = match serde_json::from_value(body.sessions) {
             Ok(held) => held,
-            Err(error) => return malformed(format!("sessions of a life that cannot be read: {error}")),
+            Err(error) => return malformed(format!("invalid sessions of a claimed life: {error}")),
         };
-        let held = held.into_iter().map(|held| self::held(held, settings)).collect();
+        let held = held.into_iter().map(|held| held_session(held, settings)).collect();
         return ExchangeEnd::Claimed { held, keep: response.keep };
     }
     let answer = match (request, response.status) {
         (BoxRequest::SetUp { session, attempt, .. }, 201) => {
-            let told = body.session.as_deref().zip(body.attempt);
-            if told != Some((&*session.0, *attempt)) {
-                return malformed(format!("answered for {told:?}, asked was {} {attempt}", session.0));
+            let answered = body.session.as_deref().zip(body.attempt);
+            if answered != Some((&*session.0, *attempt)) {
+                return malformed(format!(
+                    "answered for {answered:?} to a request for {} {attempt}",
+                    session.0
+                ));
             }
             BoxAnswer::Done
         }
@@ -127,12 +136,12 @@
     ExchangeEnd::Answered { answer, report, keep: response.keep }
 }
 
-/// A load report, in the order of the settings; a figure that is missing leaves the whole out.
-fn report(load: &Value, settings: &Settings) -> Result<Vec<f64>, String> {
+/// Parses a load report, in the order of the settings; a report without one of the numbers is an error.
+fn parse_load_report(load: &Value, settings: &Settings) -> Result<Vec<f64>, String> {
     if load.is_null() {
         return Ok(Vec::new());
     }
-    let mut row = Vec::new();
+    let mut figures = Vec::new();
     for field in &settings.decision.reports {
         let name = match field {
             ReportField::Streams => "streams",
@@ -141,15 +150,15 @@
             ReportField::Other => continue,
         };
         let Some(value) = load.get(name).and_then(Value::as_f64).filter(|v| *v >= 0.0) else {
-            return Err(format!("a load report without a figure `{name}`"));
+            return Err(format!("load report has no number `{name}`"));
         };
-        row.push(if *field == ReportField::LinkCapped { value.min(1.0) } else { value });
+        figures.push(if *field == ReportField::LinkCapped { value.min(1.0) } else { value });
     }
-    Ok(row)
+    Ok(figures)
 }
 
 #[derive(Deserialize)]
-struct HeldBody {
+struct HeldSession {
     session: String,
     attempt: u32,
     rung: usize,
@@ -157,25 +166,25 @@
     context: Value,
 }
 
-/// What an event of a box says; nothing for one of a kind that is not known, which a newer box may send.
-pub fn news(event: &Event, settings: &Settings) -> Result<Vec<StreamNews>, String> {
+/// Parses an event. An event of an unknown kind, which a newer box may send, counts as a heartbeat.
+pub fn parse_event(event: &Event, settings: &Settings) -> Result<Vec<StreamNews>, String> {
     let bad = |error: serde_json::Error| format!("event `{}`: {error}", event.name);
     let data: Value = serde_json::from_str(&event.data).map_err(bad)?;
     let session = || {
         let name = data.get("session").and_then(Value::as_str);
-        name.map(|name| SessionId(Arc::from(name))).ok_or(format!("event `{}` names no session", event.name))
+        name.map(|name| SessionId(Arc::from(name))).ok_or(format!("event `{}` has no session", event.name))
     };
     let figure = |key: &str| data.get(key).and_then(Value::as_f64).filter(|v| *v >= 0.0);
-    let missing = |key: &str| format!("event `{}` without a figure `{key}`", event.name);
+    let missing = |key: &str| format!("event `{}` has no number `{key}`", event.name);
     Ok(match event.name.as_str() {
         "held" => {
             let sessions = data.get("sessions").cloned().unwrap_or(Value::Null);
-            let sessions: Vec<HeldBody> = serde_json::from_value(sessions).map_err(bad)?;
-            vec![StreamNews::Up(sessions.into_iter().map(|held| self::held(held, settings)).collect())]
+            let sessions: Vec<HeldSession> = serde_json::from_value(sessions).map_err(bad)?;
+            vec![StreamNews::Up(sessions.into_iter().map(|held| held_session(held, settings)).collect())]
         }
         "began" => {
-            let body: HeldBody = serde_json::from_value(data).map_err(bad)?;
-            vec![StreamNews::Began(held(body, settings))]
+            let body: HeldSession = serde_json::from_value(data).map_err(bad)?;
+            vec![StreamNews::Began(held_session(body, settings))]
         }
         "delivered" => {
             let share = figure("share").ok_or_else(|| missing("share"))?;
@@ -197,7 +206,7 @@
     })
 }
 
-fn held(body: HeldBody, settings: &Settings) -> Held {
+fn held_session(body: HeldSession, settings: &Settings) -> Held {
     let opening = serde_json::from_value::<Context>(body.context).ok().and_then(|context| {
         let title = settings.titles.get(&context.title)?;
         Some(Opening {
--- a/crates/front/src/record/lines.rs
+++ b/crates/front/src/record/lines.rs
@@ -1,50 +1,50 @@
-//! Lines of a record, and the module's events and actions as they stand in them. Times are the front's clock,
-//! microseconds.
+//! Lines of a record: the events and actions of the decision module in their recorded form. Times are in
+//! microseconds of the front's clock.
 
 use std::sync::Arc;
 
 use salttally::interface::*;
 use serde::{Deserialize, Serialize};
 
-/// A line.
+/// A line of a record.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
-    /// A front starts.
+    /// The start of a front.
     #[serde(rename = "born")]
     Start(FrontStart),
-    /// An event and what the module answered.
+    /// An event, with the actions that the decision module answered.
     Step(Step),
 }
 
-/// A start.
+/// The start of a front.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct FrontStart {
-    /// When.
+    /// Time of the start.
     pub at: Micros,
-    /// Which front.
+    /// Name of the front.
     pub front: String,
-    /// Which of its starts.
+    /// Number that tells this start from earlier ones.
     pub boot: u32,
-    /// Seed of the module's draws.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
 }
 
-/// An event and what the module answered.
+/// An event, with the actions that the decision module answered.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Step {
-    /// When.
+    /// Time of the event.
     pub at: Micros,
     /// The event.
     #[serde(rename = "told")]
     pub event: RecordedEvent,
-    /// The actions.
+    /// The actions, in order.
     #[serde(rename = "did")]
     pub actions: Vec<RecordedAction>,
 }
 
 impl Step {
-    /// A step as it is recorded.
+    /// Builds the recorded form of a step.
     pub fn new(at: Micros, event: &Event, actions: &[Action]) -> Step {
         Step {
             at,
@@ -53,13 +53,13 @@
         }
     }
 
-    /// The event as the module takes it.
+    /// The event in the form that the decision module takes.
     pub fn to_event(&self) -> Event {
         self.event.to_event()
     }
 }
 
-/// [`Event`] as recorded.
+/// Recorded form of [`Event`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -78,7 +78,7 @@
     Wake { tag: u64 },
 }
 
-/// [`ServerEntry`] as recorded.
+/// Recorded form of [`ServerEntry`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[allow(missing_docs)]
 pub struct RecordedServer {
@@ -91,7 +91,7 @@
     started: Option<Micros>,
 }
 
-/// [`Request`] as recorded.
+/// Recorded form of [`Request`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[allow(missing_docs)]
 pub struct RecordedRequest {
@@ -108,7 +108,7 @@
     pub again: bool,
 }
 
-/// [`Action`] as recorded.
+/// Recorded form of [`Action`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
@@ -124,8 +124,9 @@
     Log { text: String },
 }
 
-/// Names of a plain enum, there and back; the last stands for a name that is not known.
-macro_rules! named {
+/// Defines the functions from an enum to its names and back. The value after the semicolon stands for unknown
+/// names.
+macro_rules! enum_names {
     ($kind:ty, $to:ident, $from:ident, $($name:literal => $value:path),+; $other:path) => {
         fn $to(value: $kind) -> String {
             match value { $($value => $name,)+ }.to_owned()
@@ -135,27 +136,27 @@
         }
     };
 }
-named!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Whole,
+enum_names!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Whole,
     "remembered" => ListKind::Remembered, "lost" => ListKind::Lost; ListKind::Lost);
-named!(ServerState, state_name, state, "ready" => ServerState::Ready, "draining" => ServerState::Draining,
+enum_names!(ServerState, state_name, state, "ready" => ServerState::Ready, "draining" => ServerState::Draining,
     "gone" => ServerState::Gone; ServerState::Gone);
-named!(Outcome, outcome_name, outcome, "ok" => Outcome::Ok, "failed" => Outcome::Failed,
+enum_names!(Outcome, outcome_name, outcome, "ok" => Outcome::Ok, "failed" => Outcome::Failed,
     "full" => Outcome::Full, "timed_out" => Outcome::TimedOut, "no_connection" => Outcome::NoConnection,
     "broken" => Outcome::Broken, "withdrawn" => Outcome::Withdrawn, "not_sent" => Outcome::NotSent;
     Outcome::Failed);
 
-fn name(id: &SessionId) -> String {
+fn session_name(id: &SessionId) -> String {
     id.0.to_string()
 }
 
-fn id(name: &str) -> SessionId {
+fn session_id(name: &str) -> SessionId {
     SessionId(Arc::from(name))
 }
 
 impl From<&Request> for RecordedRequest {
     fn from(request: &Request) -> RecordedRequest {
         RecordedRequest {
-            session: name(&request.session),
+            session: session_name(&request.session),
             class: request.class,
             viewer: request.viewer.0,
             title: request.title.0,
@@ -171,9 +172,9 @@
 }
 
 impl RecordedRequest {
-    fn request(&self) -> Request {
+    fn to_request(&self) -> Request {
         Request {
-            session: id(&self.session),
+            session: session_id(&self.session),
             class: self.class,
             viewer: ViewerId(self.viewer),
             title: TitleId(self.title),
@@ -208,10 +209,10 @@
                 RecordedEvent::Resumed { request: request.into(), server: server.0 }
             }
             Event::Started { session, server, took } => {
-                RecordedEvent::Started { session: name(session), server: server.0, took: *took }
+                RecordedEvent::Started { session: session_name(session), server: server.0, took: *took }
             }
             Event::Ended { session, attempt, server, outcome, last, report } => RecordedEvent::Ended {
-                session: name(session),
+                session: session_name(session),
                 attempt: *attempt,
                 server: server.0,
                 outcome: outcome_name(*outcome),
@@ -219,12 +220,12 @@
                 report: report.clone(),
             },
             Event::InDoubt { session, server } => {
-                RecordedEvent::InDoubt { session: name(session), server: server.0 }
+                RecordedEvent::InDoubt { session: session_name(session), server: server.0 }
             }
             Event::Resolved { session, server } => {
-                RecordedEvent::Resolved { session: name(session), server: server.0 }
+                RecordedEvent::Resolved { session: session_name(session), server: server.0 }
             }
-            Event::Left(session) => RecordedEvent::Left { session: name(session) },
+            Event::Left(session) => RecordedEvent::Left { session: session_name(session) },
             Event::Note { session, server, note } => {
                 let (kind, value) = match note {
                     Note::Delivered(share) => ("delivered", *share),
@@ -232,7 +233,12 @@
                     Note::Link(asked) => ("link", *asked),
                     Note::Uplink(asked) => ("uplink", *asked),
                 };
-                RecordedEvent::Note { session: name(session), server: server.0, kind: kind.to_owned(), value }
+                RecordedEvent::Note {
+                    session: session_name(session),
+                    server: server.0,
+                    kind: kind.to_owned(),
+                    value,
+                }
             }
             Event::Probed { server, outcome, report } => RecordedEvent::Probed {
                 server: server.0,
@@ -246,7 +252,7 @@
 }
 
 impl RecordedEvent {
-    /// The event as the module takes it.
+    /// The event in the form that the decision module takes.
     pub fn to_event(&self) -> Event {
         match self {
             RecordedEvent::List { kind, boxes } => {
@@ -261,28 +267,28 @@
                 };
                 Event::Servers(list_kind(kind), boxes.iter().map(entry).collect())
             }
-            RecordedEvent::Request(asked) => Event::Request(asked.request()),
+            RecordedEvent::Request(request) => Event::Request(request.to_request()),
             RecordedEvent::Resumed { request, server } => {
-                Event::Resumed(request.request(), ServerId(*server))
+                Event::Resumed(request.to_request(), ServerId(*server))
             }
             RecordedEvent::Started { session, server, took } => {
-                Event::Started { session: id(session), server: ServerId(*server), took: *took }
+                Event::Started { session: session_id(session), server: ServerId(*server), took: *took }
             }
-            RecordedEvent::Ended { session, attempt, server, outcome: how, last, report } => Event::Ended {
-                session: id(session),
+            RecordedEvent::Ended { session, attempt, server, outcome: name, last, report } => Event::Ended {
+                session: session_id(session),
                 attempt: *attempt,
                 server: ServerId(*server),
-                outcome: outcome(how),
+                outcome: outcome(name),
                 last: *last,
                 report: report.clone(),
             },
             RecordedEvent::InDoubt { session, server } => {
-                Event::InDoubt { session: id(session), server: ServerId(*server) }
+                Event::InDoubt { session: session_id(session), server: ServerId(*server) }
             }
             RecordedEvent::Resolved { session, server } => {
-                Event::Resolved { session: id(session), server: ServerId(*server) }
+                Event::Resolved { session: session_id(session), server: ServerId(*server) }
             }
-            RecordedEvent::Left { session } => Event::Left(id(session)),
+            RecordedEvent::Left { session } => Event::Left(session_id(session)),
             RecordedEvent::Note { session, server, kind, value } => {
                 let note = match kind.as_str() {
                     "delivered" => Note::Delivered(*value),
@@ -290,10 +296,10 @@
                     "uplink" => Note::Uplink(*value),
                     _ => Note::Link(*value),
                 };
-                Event::Note { session: id(session), server: ServerId(*server), note }
+                Event::Note { session: session_id(session), server: ServerId(*server), note }
             }
-            RecordedEvent::Probed { server, outcome: how, report } => {
-                Event::Probed { server: ServerId(*server), outcome: outcome(how), report: report.clone() }
+            RecordedEvent::Probed { server, outcome: name, report } => {
+                Event::Probed { server: ServerId(*server), outcome: outcome(name), report: report.clone() }
             }
             RecordedEvent::Peer { bytes } => Event::Peer(bytes.clone()),
             RecordedEvent::Wake { tag } => Event::Wake(*tag),
@@ -304,15 +310,19 @@
 impl From<&Action> for RecordedAction {
     fn from(action: &Action) -> RecordedAction {
         match action {
-            Action::SetUp(session, server, time_out) => {
-                RecordedAction::SetUp { session: name(session), server: server.0, time_out: *time_out }
+            Action::SetUp(session, server, time_out) => RecordedAction::SetUp {
+                session: session_name(session),
+                server: server.0,
+                time_out: *time_out,
+            },
+            Action::SetRung(session, rung) => {
+                RecordedAction::SetRung { session: session_name(session), rung: *rung }
             }
-            Action::SetRung(session, rung) => RecordedAction::SetRung { session: name(session), rung: *rung },
-            Action::Move(session) => RecordedAction::Move { session: name(session) },
+            Action::Move(session) => RecordedAction::Move { session: session_name(session) },
             Action::Refuse(session, wait) => {
-                RecordedAction::Refuse { session: name(session), hold_off: *wait }
+                RecordedAction::Refuse { session: session_name(session), hold_off: *wait }
             }
-            Action::Fail(session) => RecordedAction::Fail { session: name(session) },
+            Action::Fail(session) => RecordedAction::Fail { session: session_name(session) },
             Action::Probe(server) => RecordedAction::Probe { server: server.0 },
             Action::FollowList => RecordedAction::FollowList,
             Action::WakeAt(tag, at) => RecordedAction::WakeAt { tag: *tag, at: *at },
@@ -321,8 +331,8 @@
     }
 }
 
-/// Writes a line, without its end.
-pub fn write(line: &Line) -> String {
-    // Plain data of our own: writing it does not fail.
+/// Writes a line, without a line end.
+pub fn write_line(line: &Line) -> String {
+    // Serializing plain data does not fail.
     serde_json::to_string(line).unwrap_or_default()
 }
--- a/crates/front/src/record/mod.rs
+++ b/crates/front/src/record/mod.rs
@@ -1,8 +1,9 @@
-//! The record of decisions: each event that the module was told and what it answered, as JSON lines.
+//! The record of decisions: each event of the decision module with the actions it answered, as JSON lines.
 //!
-//! A record and the settings are enough to make every decision again, see [`replay()`]: a front whose record
-//! replays to the same actions has taken all its decisions from the module. Writing never holds the front up;
-//! lines that the disk does not take in time are left out and counted, and a record with a gap does not replay.
+//! A record and the settings suffice to repeat every decision, see [`replay()`]. If a record replays to the
+//! same actions, the front took all its decisions from the decision module. Writing never blocks the front:
+//! lines that the disk does not take in time are dropped and counted, and a record with a gap does not
+//! replay.
 
 pub mod lines;
 
@@ -20,114 +21,115 @@
 
 use lines::{FrontStart, Line, Step};
 
-/// Lines that may wait for the disk.
-const WAITING: usize = 65_536;
+/// Maximum number of lines that wait for the disk.
+const MAX_QUEUED_LINES: usize = 65_536;
 
-/// Where lines go.
+/// Writes a record on a thread of its own.
 pub struct Recorder {
     lines: Option<Sender<String>>,
-    lost: Arc<AtomicU64>,
+    dropped: Arc<AtomicU64>,
     writer: Option<thread::JoinHandle<()>>,
 }
 
 impl Recorder {
-    /// Creates the file, with its first line.
+    /// Creates the file and writes the first line.
     pub fn create(path: &Path, start: &FrontStart) -> io::Result<Recorder> {
         let mut file = BufWriter::new(File::create(path)?);
-        writeln!(file, "{}", lines::write(&Line::Start(start.clone())))?;
-        let (lines, inbox) = crossbeam_channel::bounded::<String>(WAITING);
-        let lost = Arc::new(AtomicU64::new(0));
-        let missing = Arc::clone(&lost);
+        writeln!(file, "{}", lines::write_line(&Line::Start(start.clone())))?;
+        let (lines, inbox) = crossbeam_channel::bounded::<String>(MAX_QUEUED_LINES);
+        let dropped = Arc::new(AtomicU64::new(0));
+        let writer_dropped = Arc::clone(&dropped);
         let write = move || {
             while let Ok(line) = inbox.recv() {
                 if writeln!(file, "{line}").is_err() {
-                    missing.fetch_add(1, Ordering::Relaxed);
+                    writer_dropped.fetch_add(1, Ordering::Relaxed);
                 }
-                // A killed front leaves what it has told, but for the last moments.
+                // Flushed when idle, so that the record of a killed front lacks only its last moments.
                 if inbox.is_empty() && file.flush().is_err() {
-                    missing.fetch_add(1, Ordering::Relaxed);
+                    writer_dropped.fetch_add(1, Ordering::Relaxed);
                 }
             }
             let _ = file.flush();
         };
         let writer = thread::Builder::new().name("record".into()).stack_size(128 * 1024).spawn(write)?;
-        Ok(Recorder { lines: Some(lines), lost, writer: Some(writer) })
+        Ok(Recorder { lines: Some(lines), dropped, writer: Some(writer) })
     }
 
-    /// What hands steps to the record.
+    /// An observer of the decision module that adds its steps to the record.
     pub fn observer(&self) -> impl FnMut(Micros, &Event, &[Action]) + Send + Sync + 'static {
-        let (lines, lost) = (self.lines.clone(), Arc::clone(&self.lost));
+        let (lines, dropped) = (self.lines.clone(), Arc::clone(&self.dropped));
         move |at, event, actions| {
             let Some(lines) = &lines else { return };
-            let line = lines::write(&Line::Step(Step::new(at, event, actions)));
+            let line = lines::write_line(&Line::Step(Step::new(at, event, actions)));
             if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) = lines.try_send(line) {
-                lost.fetch_add(1, Ordering::Relaxed);
+                dropped.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 
-    /// Lines that were left out.
-    pub fn lost(&self) -> u64 {
-        self.lost.load(Ordering::Relaxed)
+    /// Number of lines that were dropped.
+    pub fn dropped_lines(&self) -> u64 {
+        self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Writes out what waits; all taps must be gone.
+    /// Writes the lines that wait; all observers must have been dropped before.
     pub fn finish(&mut self) {
         self.lines = None;
         if let Some(writer) = self.writer.take() {
             let _ = writer.join();
         }
-        if self.lost() > 0 {
-            tracing::warn!(lost = self.lost(), "lines of the record were left out");
+        if self.dropped_lines() > 0 {
+            tracing::warn!(lost = self.dropped_lines(), "lines of the record were left out");
         }
     }
 }
 
 /// Why a record does not replay.
 #[derive(Debug, Error)]
-pub enum BadRecord {
+pub enum RecordError {
     /// The file cannot be read.
     #[error("line {0}: {1}")]
     Read(usize, io::Error),
-    /// Not a line of a record.
+    /// A line is no valid line of a record.
     #[error("line {0}: {1}")]
     Line(usize, serde_json::Error),
-    /// It does not begin with a start.
-    #[error("line 1: a record begins with the front's start")]
+    /// The record does not begin with the start of a front.
+    #[error("line 1: a record must begin with the start of a front")]
     NoStart,
-    /// The module decides otherwise.
-    #[error("line {line}: the record has {recorded}, the module decides {decided}")]
+    /// The decision module decides differently.
+    #[error("line {line}: recorded {recorded}, but the decision module decides {decided}")]
     Differs {
-        /// Where.
+        /// Line number.
         line: usize,
-        /// As recorded.
+        /// The recorded actions.
         recorded: String,
-        /// As decided now.
+        /// The actions decided now.
         decided: String,
     },
 }
 
-/// Decides everything in a record again. Returns the number of steps that were the same; the first that is
-/// not is an error.
-pub fn replay(record: impl BufRead, settings: &Settings) -> Result<usize, BadRecord> {
+/// Repeats every decision of a record. Returns the number of steps that were the same; the first that differs
+/// is an error.
+pub fn replay(record: impl BufRead, settings: &Settings) -> Result<usize, RecordError> {
     let mut brain = None;
     let (mut steps, mut actions) = (0, Vec::new());
     for (at, line) in record.lines().enumerate() {
-        let line = line.map_err(|error| BadRecord::Read(at + 1, error))?;
-        let line: Line = serde_json::from_str(&line).map_err(|error| BadRecord::Line(at + 1, error))?;
+        let line = line.map_err(|error| RecordError::Read(at + 1, error))?;
+        let line: Line = serde_json::from_str(&line).map_err(|error| RecordError::Line(at + 1, error))?;
         match line {
             Line::Start(start) => brain = Some(Brain::new(settings.clone(), start.seed)),
             Line::Step(step) => {
-                let brain = brain.as_mut().ok_or(BadRecord::NoStart)?;
+                let brain = brain.as_mut().ok_or(RecordError::NoStart)?;
                 actions.clear();
                 brain.handle(step.at, &step.to_event(), &mut actions);
                 let decided: Vec<lines::RecordedAction> =
                     actions.iter().map(lines::RecordedAction::from).collect();
                 if decided != step.actions {
-                    let show =
-                        |done: &[lines::RecordedAction]| serde_json::to_string(done).unwrap_or_default();
+                    let show = |actions: &[lines::RecordedAction]| {
+                        serde_json::to_string(actions).unwrap_or_default()
+                    };
                     let (recorded, decided) = (show(&step.actions), show(&decided));
-                    return Err(BadRecord::Differs { line: at + 1, recorded, decided });
+                    return Err(RecordError::Differs { line: at + 1, recorded, decided });
                 }
                 steps += 1;
             }
--- a/crates/front/src/session_api/connections.rs
+++ b/crates/front/src/session_api/connections.rs
@@ -1,110 +1,117 @@
-//! The door with the sockets behind it: whoever must go for another is cut off here.
+//! The open connections of players: admission control together with the sockets. Connections that are dropped
+//! to make room are closed here.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-use super::core::admission::{AdmissionCounts, AdmissionLimits, Door, DropReason, Place};
+use super::core::admission::{Admission, AdmissionCounts, AdmissionLimits, DropReason, Slot};
 use super::outbox::Outbox;
-use super::server::farewell;
+use super::server::send_close;
 use crate::clock::Clock;
 use crate::core::ClientId;
 use tungstenite::protocol::frame::coding::CloseCode;
 
-/// The door of a front and the ways to all who passed it.
+/// The open connections of a front.
 pub struct Connections {
     clock: Clock,
-    inner: Mutex<Inner>,
-    /// Connections inside, for readers that need no more than about how many.
-    inside: AtomicUsize,
+    state: Mutex<State>,
+    /// Number of established connections, for readers that can do with a recent value.
+    established: AtomicUsize,
 }
 
-struct Inner {
-    door: Door,
-    ways: BTreeMap<ClientId, Arc<Outbox>>,
+struct State {
+    admission: Admission,
+    outboxes: BTreeMap<ClientId, Arc<Outbox>>,
 }
 
 impl Connections {
-    /// Nobody is in.
+    /// No connections.
     pub fn new(clock: Clock, limits: AdmissionLimits) -> Connections {
-        let inner = Inner { door: Door::new(limits), ways: BTreeMap::new() };
-        Connections { clock, inner: Mutex::new(inner), inside: AtomicUsize::new(0) }
+        let state = State { admission: Admission::new(limits), outboxes: BTreeMap::new() };
+        Connections { clock, state: Mutex::new(state), established: AtomicUsize::new(0) }
     }
 
-    fn hold(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A connection has come.
+    /// Admits a new connection to the handshake.
     ///
     /// # Errors
-    /// Why it is turned away.
-    pub fn knock(&self, id: ClientId, from: IpAddr, way: &Arc<Outbox>) -> Result<(), DropReason> {
-        let mut inner = self.hold();
-        let goes = inner.door.knock(self.clock.now(), id, from)?;
-        inner.ways.insert(id, Arc::clone(way));
-        self.out(inner, goes);
+    /// Why it is rejected.
+    pub fn begin_handshake(
+        &self,
+        id: ClientId,
+        from: IpAddr,
+        outbox: &Arc<Outbox>,
+    ) -> Result<(), DropReason> {
+        let mut state = self.lock();
+        let dropped = state.admission.begin_handshake(self.clock.now(), id, from)?;
+        state.outboxes.insert(id, Arc::clone(outbox));
+        self.close_dropped(state, dropped);
         Ok(())
     }
 
-    /// A handshake that began then has brought so many bytes.
-    pub fn progress(&self, id: ClientId, (begun, bytes): (u64, u64)) {
-        self.hold().door.progress(id, begun, bytes);
+    /// Updates the deadline of a handshake that began at `begun` and has received `bytes` so far.
+    pub fn handshake_progress(&self, id: ClientId, (begun, bytes): (u64, u64)) {
+        self.lock().admission.handshake_progress(id, begun, bytes);
     }
 
-    /// A handshake is whole.
+    /// Admits a connection whose handshake is complete.
     ///
     /// # Errors
-    /// Why there is no place inside.
-    pub fn enter(&self, id: ClientId) -> Result<Place, DropReason> {
-        let mut inner = self.hold();
-        let (place, goes) = inner.door.enter(self.clock.now(), id)?;
-        self.out(inner, goes);
-        Ok(place)
+    /// Why it is rejected.
+    pub fn finish_handshake(&self, id: ClientId) -> Result<Slot, DropReason> {
+        let mut state = self.lock();
+        let (slot, dropped) = state.admission.finish_handshake(self.clock.now(), id)?;
+        self.close_dropped(state, dropped);
+        Ok(slot)
     }
 
-    /// A player holds sessions or open calls from now on, or nothing any more.
-    pub fn set_in_use(&self, id: ClientId, something: bool) {
-        self.hold().door.set_in_use(self.clock.now(), id, something);
+    /// Records whether a player has sessions or pending opens.
+    pub fn set_in_use(&self, id: ClientId, in_use: bool) {
+        self.lock().admission.set_in_use(self.clock.now(), id, in_use);
     }
 
-    /// Whether a player was let into the reserve and has returned to nothing yet.
+    /// Whether a player is in the reserve and has not returned to a session yet.
     pub fn in_reserve(&self, id: ClientId) -> bool {
-        self.hold().door.in_reserve(id)
+        self.lock().admission.in_reserve(id)
     }
 
-    /// A connection has ended.
-    pub fn left(&self, id: ClientId) {
-        let mut inner = self.hold();
-        inner.door.left(id);
-        inner.ways.remove(&id);
-        self.inside.store(inner.door.inside(), Ordering::Relaxed);
+    /// Removes a connection that has ended.
+    pub fn remove(&self, id: ClientId) {
+        let mut state = self.lock();
+        state.admission.remove(id);
+        state.outboxes.remove(&id);
+        self.established.store(state.admission.established(), Ordering::Relaxed);
     }
 
-    /// Connections inside.
-    pub fn inside(&self) -> usize {
-        self.inside.load(Ordering::Relaxed)
+    /// Number of established connections.
+    pub fn established(&self) -> usize {
+        self.established.load(Ordering::Relaxed)
     }
 
-    /// What stands where, and what was turned away.
+    /// Connections by state, and the number of dropped ones.
     pub fn counts(&self) -> AdmissionCounts {
-        self.hold().door.counts()
+        self.lock().admission.counts()
     }
 
-    fn out(&self, mut inner: MutexGuard<'_, Inner>, goes: Option<(ClientId, DropReason)>) {
-        self.inside.store(inner.door.inside(), Ordering::Relaxed);
-        let Some((id, why)) = goes else { return };
-        let Some(way) = inner.ways.remove(&id) else { return };
-        drop(inner);
-        tracing::debug!(client = id.0, ?why, "makes room for another");
-        if why == DropReason::Shaking {
-            // It has not been promised anything; its thread wakes with an end of the connection.
-            way.close();
+    fn close_dropped(&self, mut state: MutexGuard<'_, State>, dropped: Option<(ClientId, DropReason)>) {
+        self.established.store(state.admission.established(), Ordering::Relaxed);
+        let Some((id, reason)) = dropped else { return };
+        let Some(outbox) = state.outboxes.remove(&id) else { return };
+        drop(state);
+        tracing::debug!(client = id.0, why = ?reason, "makes room for another");
+        if reason == DropReason::Handshake {
+            // No close frame before the handshake is complete. The thread that reads the connection finds its
+            // end.
+            outbox.close();
         } else {
-            farewell(&way, CloseCode::Again, "the front is full, and this connection holds nothing");
-            way.end();
-            way.stop_reading();
+            send_close(&outbox, CloseCode::Again, "the front is full, and this connection holds nothing");
+            outbox.finish();
+            outbox.stop_reading();
         }
     }
 }
--- a/crates/front/src/session_api/core/accept_backoff.rs
+++ b/crates/front/src/session_api/core/accept_backoff.rs
@@ -1,34 +1,35 @@
-//! Accepting while something runs out.
+//! Backoff of the accept loop while the process lacks files, memory or threads.
 //!
-//! Danger: no file, thread or memory to be had. A loop that tries again at once takes a whole core from what plays,
-//! and writes a line of log each time. So each shortage in a row doubles the pause, and is told once in a while
-//! with how often it was met.
+//! Danger: an accept loop that retries at once during such a shortage occupies a whole core, which the
+//! running sessions need, and writes a log line per attempt. So each consecutive shortage doubles the pause,
+//! and the log reports a shortage only now and then, with the number of occurrences.
 
 use std::collections::BTreeMap;
 
 use salttally::interface::Micros;
 
-/// First pause; it doubles.
-const PAUSE_FIRST: Micros = 5_000;
-/// Longest pause: whoever waits to be accepted waits no longer than this for room that there is.
-const PAUSE_MOST: Micros = 320_000;
-/// A shortage is told this often at most.
-const TELL_EVERY: Micros = 10_000_000;
+/// First pause; it doubles with each consecutive shortage.
+const FIRST_PAUSE_US: Micros = 5_000;
+/// Longest pause: it bounds how long a waiting connection is left in the queue once resources are free again.
+const MAX_PAUSE_US: Micros = 320_000;
+/// Minimum time between two log lines about the same shortage.
+const REPORT_INTERVAL_US: Micros = 10_000_000;
 
-/// What there is none of.
+/// A resource that ran out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Shortage {
-    /// Files of this process or of the machine.
+    /// File descriptors of this process or of the machine.
     Files,
-    /// Memory, of the kernel's or for buffers.
+    /// Kernel or buffer memory.
     Memory,
     /// Threads.
     Threads,
 }
 
 impl Shortage {
-    /// What an error of `accept` says; one of the connection alone, such as a reset before it was accepted, is none.
-    pub fn of(error: Option<i32>) -> Option<Shortage> {
+    /// The shortage behind an error of `accept`. Errors of a single connection, such as a reset before it was
+    /// accepted, are no shortage.
+    pub fn from_os_error(error: Option<i32>) -> Option<Shortage> {
         match error? {
             libc::EMFILE | libc::ENFILE => Some(Shortage::Files),
             libc::ENOMEM | libc::ENOBUFS => Some(Shortage::Memory),
@@ -37,39 +38,39 @@
     }
 }
 
-/// What follows from a shortage.
+/// What to do about a shortage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Step {
-    /// Pause before the next is accepted.
+pub struct Backoff {
+    /// Time to wait before the next `accept`.
     pub pause: Micros,
-    /// It is told now, with how often it was met since it was told last.
-    pub tell: Option<u64>,
+    /// If set, log the shortage now, with the number of occurrences since the last report.
+    pub report: Option<u64>,
 }
 
-/// How accepting goes.
+/// Exponential backoff of the accept loop.
 #[derive(Clone, Debug, Default)]
-pub struct Accepting {
-    in_a_row: u32,
-    met: BTreeMap<Shortage, (u64, Option<Micros>)>,
+pub struct AcceptBackoff {
+    consecutive: u32,
+    shortages: BTreeMap<Shortage, (u64, Option<Micros>)>,
 }
 
-impl Accepting {
-    /// One was accepted.
-    pub fn went_well(&mut self) {
-        self.in_a_row = 0;
+impl AcceptBackoff {
+    /// Records a successful accept.
+    pub fn reset(&mut self) {
+        self.consecutive = 0;
     }
 
-    /// One could not be taken.
-    pub fn short(&mut self, now: Micros, of: Shortage) -> Step {
-        let pause = (PAUSE_FIRST << self.in_a_row.min(16)).min(PAUSE_MOST);
-        self.in_a_row = self.in_a_row.saturating_add(1);
-        let (met, told) = self.met.entry(of).or_default();
-        *met += 1;
-        let due = told.is_none_or(|told| told + TELL_EVERY <= now);
-        let tell = due.then(|| std::mem::take(met));
+    /// Records a failed accept and returns how to back off.
+    pub fn record(&mut self, now: Micros, shortage: Shortage) -> Backoff {
+        let pause = (FIRST_PAUSE_US << self.consecutive.min(16)).min(MAX_PAUSE_US);
+        self.consecutive = self.consecutive.saturating_add(1);
+        let (count, reported_at) = self.shortages.entry(shortage).or_default();
+        *count += 1;
+        let due = reported_at.is_none_or(|reported_at| reported_at + REPORT_INTERVAL_US <= now);
+        let report = due.then(|| std::mem::take(count));
         if due {
-            *told = Some(now);
+            *reported_at = Some(now);
         }
-        Step { pause, tell }
+        Backoff { pause, report }
     }
 }
--- a/crates/front/src/session_api/core/admission.rs
+++ b/crates/front/src/session_api/core/admission.rs
@@ -1,13 +1,15 @@
-//! Who is let in, and who goes to make room.
+//! Admission control: which connections are accepted, and which are dropped to make room.
 //!
-//! Danger: a door that is full turns away whoever comes next, and whoever fills it with handshakes that never end,
-//! or with connections that never ask for anything, has locked everybody out. So a full door makes room:
+//! Danger: a server that is full rejects every new client, so a peer that opens handshakes and never ends
+//! them, or connections that never request anything, could lock out everybody else. So a full server makes
+//! room:
 //!
-//! - as many shake hands as may: of the address with the most of them, the one whose time would run out first goes;
-//! - as many are inside as may: the one that has held nothing for the longest goes. A player with a session, or with
-//!   an open call that waits, is never turned out for another;
-//! - where all inside hold something, a reserve is left for viewers that come back for a session they have: whoever
-//!   enters it may only return to one, and the longest there goes first.
+//! - Too many handshakes: of the address prefix with the most handshakes, the one with the earliest deadline
+//!   is dropped.
+//! - Too many connections: the one that has been idle for the longest is dropped. A player with a session or
+//!   with a pending open is never dropped for another.
+//! - All connections in use: a reserve is left for viewers that return to an existing session. A connection
+//!   in the reserve may only do that, and the oldest one there is dropped first.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::IpAddr;
@@ -17,288 +19,308 @@
 use super::pace::Pace;
 use crate::core::ClientId;
 
-/// Limits of the door.
+/// Limits of admission control.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Connections that have shaken hands at most, the reserve counted.
+    /// Maximum number of connections after their handshakes, including the reserve.
     pub players: usize,
-    /// Of those, kept for viewers that come back for a session.
+    /// How many of `players` are reserved for viewers that return to an existing session.
     pub reserve: usize,
-    /// Connections that shake hands at most.
-    pub shaking: usize,
-    /// Connections of one address at most; 0 for any number.
+    /// Maximum number of connections in the handshake.
+    pub handshakes: usize,
+    /// Maximum number of connections per address prefix; 0 for no limit.
     pub per_address: usize,
-    /// Bits of an IPv4 address that make it one, and of an IPv6 address.
-    pub prefix: (u32, u32),
-    /// Pace of a handshake.
+    /// Bits of an IPv4 address, and of an IPv6 address, that count as one address prefix.
+    pub prefix_bits: (u32, u32),
+    /// Deadline and minimum rate of a handshake.
     pub pace: Pace,
 }
 
-/// The part of an address that is counted as one peer.
+/// An address prefix, whose connections are counted together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Prefix(u128);
 
 impl Prefix {
-    /// The prefix of this address; one of IPv4 written as IPv6 (RFC 4291 section 2.5.5.2) is taken for what it is.
-    pub fn of(address: IpAddr, limits: &AdmissionLimits) -> Prefix {
-        let keep = |bits: u128, width: u32, keep: u32| {
-            let drop = width.saturating_sub(keep);
-            bits.checked_shr(drop).and_then(|kept| kept.checked_shl(drop)).unwrap_or(0)
+    /// The prefix of this address. An IPv4-mapped IPv6 address (RFC 4291 section 2.5.5.2) counts as the IPv4
+    /// address.
+    pub fn new(address: IpAddr, limits: &AdmissionLimits) -> Prefix {
+        let truncate = |address: u128, width: u32, keep: u32| {
+            let low_bits = width.saturating_sub(keep);
+            address.checked_shr(low_bits).and_then(|kept| kept.checked_shl(low_bits)).unwrap_or(0)
         };
         match address.to_canonical() {
-            // Marked by the bit over its width, so that it meets no address of IPv6 that is in use.
-            IpAddr::V4(four) => Prefix(1 << 32 | keep(u128::from(u32::from(four)), 32, limits.prefix.0)),
-            IpAddr::V6(six) => Prefix(keep(u128::from(six), 128, limits.prefix.1)),
+            // The bit above the 32 address bits keeps IPv4 prefixes apart from all IPv6 prefixes in use.
+            IpAddr::V4(v4) => Prefix(1 << 32 | truncate(u128::from(u32::from(v4)), 32, limits.prefix_bits.0)),
+            IpAddr::V6(v6) => Prefix(truncate(u128::from(v6), 128, limits.prefix_bits.1)),
         }
     }
 }
 
-/// Why a connection is turned away or out.
+/// Why a connection is rejected or dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// All inside hold something, and the reserve is full of viewers that came back.
+    /// All connections are in use, and all in the reserve belong to returned viewers.
     Full,
-    /// Its address has as many connections as one may have.
-    Address,
-    /// It shook hands, and another wanted to.
-    Shaking,
-    /// It held nothing for the longest, and another wanted in.
+    /// Its address prefix has the maximum number of connections.
+    AddressLimit,
+    /// It was dropped in its handshake to make room for another handshake.
+    Handshake,
+    /// It had been idle for the longest and was dropped to make room for another connection.
     Idle,
-    /// It was in the reserve for the longest without returning to a session, and another wanted in.
-    Newcomer,
+    /// It had been in the reserve for the longest without returning to a session and was dropped to make room
+    /// for another connection.
+    NotReturned,
 }
 
-/// A place inside.
+/// The kind of slot that a connection is admitted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// Like anybody's.
-    Ordinary,
-    /// In the reserve: only to return to a session.
+pub enum Slot {
+    /// A slot without restrictions.
+    Regular,
+    /// A slot of the reserve: the player may only return to an existing session.
     Reserve,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Room {
-    /// Its time runs out then.
-    Shaking(Micros),
-    /// It holds nothing, since then.
+enum State {
+    /// In the handshake; the value is its deadline.
+    Handshake(Micros),
+    /// Without sessions and pending opens; the value is when that began.
     Idle(Micros),
-    /// In the reserve, since then.
+    /// In the reserve; the value is when it was admitted.
     Reserve(Micros),
-    /// It holds sessions or waits for an answer.
-    Holding,
+    /// With sessions or pending opens.
+    InUse,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Guest {
+struct Connection {
     prefix: Prefix,
-    room: Room,
+    state: State,
 }
 
-/// What stands where, and what was turned away.
+/// Connections by state, and the number of dropped ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AdmissionCounts {
-    /// Shaking hands.
-    pub shaking: usize,
-    /// Inside, holding nothing.
+    /// Connections in the handshake.
+    pub handshakes: usize,
+    /// Established connections without sessions and pending opens.
     pub idle: usize,
-    /// Inside, in the reserve.
+    /// Established connections in the reserve.
     pub reserve: usize,
-    /// Inside, with a session or an open call.
-    pub holding: usize,
-    /// Turned away or out so far, by reason.
+    /// Established connections with a session or a pending open.
+    pub in_use: usize,
+    /// Connections rejected or dropped so far, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
 }
 
-/// The door.
+/// Admission control of a front's connections.
 #[derive(Clone, Debug)]
-pub struct Door {
+pub struct Admission {
     limits: AdmissionLimits,
-    guests: BTreeMap<ClientId, Guest>,
-    /// By address: all its connections, and those of them that shake hands by when their time runs out.
+    connections: BTreeMap<ClientId, Connection>,
+    /// For each address prefix the number of its connections, and those in the handshake ordered by deadline.
     addresses: BTreeMap<Prefix, (usize, BTreeSet<(Micros, ClientId)>)>,
-    /// Addresses by how many shake hands.
-    crowds: BTreeSet<(usize, Prefix)>,
-    shaking: usize,
+    /// Address prefixes ordered by their number of handshakes.
+    handshake_counts: BTreeSet<(usize, Prefix)>,
+    handshakes: usize,
     idle: BTreeSet<(Micros, ClientId)>,
     reserve: BTreeSet<(Micros, ClientId)>,
-    holding: usize,
+    in_use: usize,
     dropped: BTreeMap<DropReason, u64>,
 }
 
-impl Door {
-    /// Nobody is in.
-    pub fn new(limits: AdmissionLimits) -> Door {
-        Door {
+impl Admission {
+    /// Admission control without connections.
+    pub fn new(limits: AdmissionLimits) -> Admission {
+        Admission {
             limits,
-            guests: BTreeMap::new(),
+            connections: BTreeMap::new(),
             addresses: BTreeMap::new(),
-            crowds: BTreeSet::new(),
-            shaking: 0,
+            handshake_counts: BTreeSet::new(),
+            handshakes: 0,
             idle: BTreeSet::new(),
             reserve: BTreeSet::new(),
-            holding: 0,
+            in_use: 0,
             dropped: BTreeMap::new(),
         }
     }
 
-    /// A connection has come. Let in, it shakes hands; who goes for that is returned.
-    pub fn knock(
+    /// Admits a new connection to the handshake. Returns the connection that is dropped for it, if any.
+    pub fn begin_handshake(
         &mut self,
         now: Micros,
         id: ClientId,
         from: IpAddr,
     ) -> Result<Option<(ClientId, DropReason)>, DropReason> {
-        let prefix = Prefix::of(from, &self.limits);
+        let prefix = Prefix::new(from, &self.limits);
         let count = self.addresses.get(&prefix).map_or(0, |(count, _)| *count);
         if self.limits.per_address > 0 && count >= self.limits.per_address {
-            return Err(self.note(DropReason::Address));
+            return Err(self.count_drop(DropReason::AddressLimit));
         }
-        let goes = if self.shaking >= self.limits.shaking { self.slowest() } else { None };
-        if let Some(goes) = goes {
-            self.left(goes);
-            self.note(DropReason::Shaking);
+        let dropped = if self.handshakes >= self.limits.handshakes { self.handshake_to_drop() } else { None };
+        if let Some(dropped) = dropped {
+            self.remove(dropped);
+            self.count_drop(DropReason::Handshake);
         }
-        self.put(id, Guest { prefix, room: Room::Shaking(self.limits.pace.due(now, 0)) });
-        Ok(goes.map(|goes| (goes, DropReason::Shaking)))
+        self.insert(id, Connection { prefix, state: State::Handshake(self.limits.pace.due(now, 0)) });
+        Ok(dropped.map(|dropped| (dropped, DropReason::Handshake)))
     }
 
-    /// Of the address with the most handshakes, the one whose time would run out first.
-    fn slowest(&self) -> Option<ClientId> {
-        let (_, prefix) = self.crowds.last()?;
+    /// The handshake with the earliest deadline, of the address prefix with the most handshakes.
+    fn handshake_to_drop(&self) -> Option<ClientId> {
+        let (_, prefix) = self.handshake_counts.last()?;
         self.addresses.get(prefix)?.1.first().map(|(_, id)| *id)
     }
 
-    /// A handshake that began then has brought so many bytes by now.
-    pub fn progress(&mut self, id: ClientId, begun: Micros, bytes: u64) {
+    /// Updates the deadline of a handshake that began at `begun` and has received `bytes` so far.
+    pub fn handshake_progress(&mut self, id: ClientId, begun: Micros, bytes: u64) {
         let due = self.limits.pace.due(begun, bytes);
-        self.change(id, |room| if let Room::Shaking(_) = room { Room::Shaking(due) } else { room });
+        self.update_state(
+            id,
+            |state| if let State::Handshake(_) = state { State::Handshake(due) } else { state },
+        );
     }
 
-    /// A handshake is whole: whether there is a place inside, and who goes for it.
-    pub fn enter(
+    /// Admits a connection whose handshake is complete. Returns its slot and the connection that is dropped
+    /// for it, if any.
+    pub fn finish_handshake(
         &mut self,
         now: Micros,
         id: ClientId,
-    ) -> Result<(Place, Option<(ClientId, DropReason)>), DropReason> {
-        // Turned out meanwhile: there is nobody to let in.
-        if !self.guests.get(&id).is_some_and(|guest| matches!(guest.room, Room::Shaking(_))) {
-            return Err(DropReason::Shaking);
+    ) -> Result<(Slot, Option<(ClientId, DropReason)>), DropReason> {
+        // It has been dropped meanwhile.
+        if !self
+            .connections
+            .get(&id)
+            .is_some_and(|connection| matches!(connection.state, State::Handshake(_)))
+        {
+            return Err(DropReason::Handshake);
         }
-        let ordinary = self.limits.players - self.limits.reserve.min(self.limits.players);
-        let (place, goes) = if self.holding + self.idle.len() < ordinary {
-            (Place::Ordinary, None)
-        } else if let Some((_, idlest)) = self.idle.first() {
-            (Place::Ordinary, Some((*idlest, DropReason::Idle)))
-        } else if self.holding + self.reserve.len() < self.limits.players {
-            (Place::Reserve, None)
+        let regular = self.limits.players - self.limits.reserve.min(self.limits.players);
+        let (slot, dropped) = if self.in_use + self.idle.len() < regular {
+            (Slot::Regular, None)
+        } else if let Some((_, longest_idle)) = self.idle.first() {
+            (Slot::Regular, Some((*longest_idle, DropReason::Idle)))
+        } else if self.in_use + self.reserve.len() < self.limits.players {
+            (Slot::Reserve, None)
         } else if let Some((_, first)) = self.reserve.first() {
-            (Place::Reserve, Some((*first, DropReason::Newcomer)))
+            (Slot::Reserve, Some((*first, DropReason::NotReturned)))
         } else {
-            return Err(self.note(DropReason::Full));
+            return Err(self.count_drop(DropReason::Full));
         };
-        if let Some((goes, why)) = goes {
-            self.left(goes);
-            self.note(why);
+        if let Some((dropped, reason)) = dropped {
+            self.remove(dropped);
+            self.count_drop(reason);
         }
-        let room = if place == Place::Ordinary { Room::Idle(now) } else { Room::Reserve(now) };
-        self.change(id, |_| room);
-        Ok((place, goes))
+        let state = if slot == Slot::Regular { State::Idle(now) } else { State::Reserve(now) };
+        self.update_state(id, |_| state);
+        Ok((slot, dropped))
     }
 
-    /// A player holds sessions or open calls from now on, or nothing any more.
-    pub fn set_in_use(&mut self, now: Micros, id: ClientId, something: bool) {
-        self.change(id, |room| match (something, room) {
-            (_, Room::Shaking(_)) | (true, Room::Holding) | (false, Room::Idle(_) | Room::Reserve(_)) => room,
-            (true, _) => Room::Holding,
-            (false, Room::Holding) => Room::Idle(now),
+    /// Records whether a player has sessions or pending opens.
+    pub fn set_in_use(&mut self, now: Micros, id: ClientId, in_use: bool) {
+        self.update_state(id, |state| match (in_use, state) {
+            (_, State::Handshake(_)) | (true, State::InUse) | (false, State::Idle(_) | State::Reserve(_)) => {
+                state
+            }
+            (true, _) => State::InUse,
+            (false, State::InUse) => State::Idle(now),
         });
     }
 
-    /// Whether a player is in the reserve and has returned to nothing yet.
+    /// Whether a player is in the reserve and has not returned to a session yet.
     pub fn in_reserve(&self, id: ClientId) -> bool {
-        self.guests.get(&id).is_some_and(|guest| matches!(guest.room, Room::Reserve(_)))
+        self.connections.get(&id).is_some_and(|connection| matches!(connection.state, State::Reserve(_)))
     }
 
-    /// A connection has ended, or is about to.
-    pub fn left(&mut self, id: ClientId) {
-        self.take(id);
+    /// Removes a connection that has ended or is being closed.
+    pub fn remove(&mut self, id: ClientId) {
+        self.detach(id);
     }
 
-    /// Connections inside.
-    pub fn inside(&self) -> usize {
-        self.guests.len() - self.shaking
+    /// Number of connections after their handshakes.
+    pub fn established(&self) -> usize {
+        self.connections.len() - self.handshakes
     }
 
-    /// What stands where.
+    /// Connections by state, and the number of dropped ones.
     pub fn counts(&self) -> AdmissionCounts {
         AdmissionCounts {
-            shaking: self.shaking,
+            handshakes: self.handshakes,
             idle: self.idle.len(),
             reserve: self.reserve.len(),
-            holding: self.holding,
+            in_use: self.in_use,
             dropped: self.dropped.clone(),
         }
     }
 
-    fn note(&mut self, why: DropReason) -> DropReason {
-        *self.dropped.entry(why).or_insert(0) += 1;
-        why
+    fn count_drop(&mut self, reason: DropReason) -> DropReason {
+        *self.dropped.entry(reason).or_insert(0) += 1;
+        reason
     }
 
-    fn change(&mut self, id: ClientId, room: impl FnOnce(Room) -> Room) {
-        let Some(guest) = self.guests.get(&id).copied() else { return };
-        let room = room(guest.room);
-        if room != guest.room {
-            self.take(id);
-            self.put(id, Guest { room, ..guest });
+    fn update_state(&mut self, id: ClientId, state: impl FnOnce(State) -> State) {
+        let Some(connection) = self.connections.get(&id).copied() else { return };
+        let state = state(connection.state);
+        if state != connection.state {
+            self.detach(id);
+            self.insert(id, Connection { state, ..connection });
         }
     }
 
-    fn put(&mut self, id: ClientId, guest: Guest) {
-        self.guests.insert(id, guest);
-        self.addresses.entry(guest.prefix).or_default().0 += 1;
-        match guest.room {
-            Room::Shaking(due) => self.crowd(guest.prefix, |crowd| crowd.insert((due, id))),
-            Room::Idle(since) => {
+    fn insert(&mut self, id: ClientId, connection: Connection) {
+        self.connections.insert(id, connection);
+        self.addresses.entry(connection.prefix).or_default().0 += 1;
+        match connection.state {
+            State::Handshake(due) => {
+                self.update_handshakes(connection.prefix, |handshakes| handshakes.insert((due, id)))
+            }
+            State::Idle(since) => {
                 self.idle.insert((since, id));
             }
-            Room::Reserve(since) => {
+            State::Reserve(since) => {
                 self.reserve.insert((since, id));
             }
-            Room::Holding => self.holding += 1,
+            State::InUse => self.in_use += 1,
         }
     }
 
-    fn take(&mut self, id: ClientId) {
-        let Some(guest) = self.guests.remove(&id) else { return };
-        match guest.room {
-            Room::Shaking(due) => self.crowd(guest.prefix, |crowd| crowd.remove(&(due, id))),
-            Room::Idle(since) => {
+    fn detach(&mut self, id: ClientId) {
+        let Some(connection) = self.connections.remove(&id) else { return };
+        match connection.state {
+            State::Handshake(due) => {
+                self.update_handshakes(connection.prefix, |handshakes| handshakes.remove(&(due, id)))
+            }
+            State::Idle(since) => {
                 self.idle.remove(&(since, id));
             }
-            Room::Reserve(since) => {
+            State::Reserve(since) => {
                 self.reserve.remove(&(since, id));
             }
-            Room::Holding => self.holding -= 1,
+            State::InUse => self.in_use -= 1,
         }
-        if let Some((count, _)) = self.addresses.get_mut(&guest.prefix) {
+        if let Some((count, _)) = self.addresses.get_mut(&connection.prefix) {
             *count -= 1;
             if *count == 0 {
-                self.addresses.remove(&guest.prefix);
+                self.addresses.remove(&connection.prefix);
             }
         }
     }
 
-    fn crowd(&mut self, prefix: Prefix, change: impl FnOnce(&mut BTreeSet<(Micros, ClientId)>) -> bool) {
-        let Some((_, crowd)) = self.addresses.get_mut(&prefix) else { return };
-        let before = crowd.len();
-        change(crowd);
-        let after = crowd.len();
-        self.shaking = self.shaking + after - before;
-        self.crowds.remove(&(before, prefix));
+    fn update_handshakes(
+        &mut self,
+        prefix: Prefix,
+        change: impl FnOnce(&mut BTreeSet<(Micros, ClientId)>) -> bool,
+    ) {
+        let Some((_, handshakes)) = self.addresses.get_mut(&prefix) else { return };
+        let before = handshakes.len();
+        change(handshakes);
+        let after = handshakes.len();
+        self.handshakes = self.handshakes + after - before;
+        self.handshake_counts.remove(&(before, prefix));
         if after > 0 {
-            self.crowds.insert((after, prefix));
+            self.handshake_counts.insert((after, prefix));
         }
     }
 }
--- a/crates/front/src/session_api/core/calls.rs
+++ b/crates/front/src/session_api/core/calls.rs
@@ -1,8 +1,9 @@
-//! The calls of one player that wait for an answer.
+//! The pending calls of one player.
 //!
-//! JSON-RPC lets a client choose its ids, leave them out, and put calls into batches that are answered whole. Here
-//! each call becomes a ticket; the ledger answers tickets, and what is written follows from that: one response for
-//! each call with an id, none for a notification, one array for a batch when its last part is there.
+//! A JSON-RPC client chooses its ids, may leave them out, and may send calls in batches that are answered as
+//! a whole. Here each call gets a ticket, and the engine answers tickets. From that follows what is written:
+//! one response per call with an id, none for a notification, and one array per batch once its last call is
+//! answered.
 
 use std::collections::BTreeMap;
 
@@ -11,154 +12,155 @@
 use super::super::rpc::{self, Call, Message, Method, RpcError};
 use crate::core::{ClientId, Input, Ticket};
 
-/// The calls of one player.
+/// The pending calls of one player.
 #[derive(Clone, Debug)]
 pub struct PendingCalls {
     client: ClientId,
-    waiting: BTreeMap<Ticket, Waiting>,
+    pending: BTreeMap<Ticket, PendingCall>,
     batches: BTreeMap<u64, Batch>,
-    last: u64,
-    /// Opens that may wait for their answers at once.
-    opens_most: usize,
-    /// Let into the reserve: it may only return to a session.
-    only_back: bool,
+    last_number: u64,
+    /// Maximum number of unanswered opens.
+    max_pending_opens: usize,
+    /// The connection is in the reserve: it may only return to an existing session.
+    reserve_only: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
-    /// None for a notification: it is never answered.
+struct PendingCall {
+    /// `None` for a notification, which gets no response.
     id: Option<Value>,
-    open: bool,
+    is_open: bool,
     batch: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
 struct Batch {
-    missing: usize,
+    remaining: usize,
     responses: Vec<Value>,
 }
 
-/// What follows from a message of the player.
+/// The result of accepting a message of the player.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AcceptedMessage {
-    /// For the ledger, in order.
+    /// Inputs for the engine, in order.
     pub inputs: Vec<Input>,
-    /// To be written to the player now.
+    /// Responses to write to the player now.
     pub responses: Vec<Value>,
 }
 
 impl PendingCalls {
-    /// A player that has called for nothing yet.
-    pub fn new(client: ClientId, opens_most: usize, only_back: bool) -> PendingCalls {
-        let (waiting, batches) = (BTreeMap::new(), BTreeMap::new());
-        PendingCalls { client, waiting, batches, last: 0, opens_most, only_back }
+    /// No pending calls.
+    pub fn new(client: ClientId, max_pending_opens: usize, reserve_only: bool) -> PendingCalls {
+        let (pending, batches) = (BTreeMap::new(), BTreeMap::new());
+        PendingCalls { client, pending, batches, last_number: 0, max_pending_opens, reserve_only }
     }
 
-    /// It has returned to a session of its own, and may do what anybody may.
+    /// Lifts the restriction of the reserve: the player has returned to a session of its own.
     pub fn allow_new_sessions(&mut self) {
-        self.only_back = false;
+        self.reserve_only = false;
     }
 
-    /// Number of calls that wait for an answer.
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Number of calls without an answer.
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
     }
 
-    /// Takes a message apart; what is wrong with it is answered at once.
+    /// Assigns tickets to the calls of a message. Invalid calls get an error response at once.
     pub fn accept(&mut self, message: Message) -> AcceptedMessage {
-        let mut taken = AcceptedMessage::default();
+        let mut accepted = AcceptedMessage::default();
         match message {
-            Message::Malformed(error) => taken.responses.push(rpc::error_response(&Value::Null, &error)),
-            Message::Single(call) => self.call(call, None, &mut taken),
+            Message::Malformed(error) => accepted.responses.push(rpc::error_response(&Value::Null, &error)),
+            Message::Single(call) => self.accept_call(call, None, &mut accepted),
             Message::Batch(calls) => {
-                self.last += 1;
-                let number = self.last;
-                self.batches.insert(number, Batch { missing: calls.len(), responses: Vec::new() });
+                self.last_number += 1;
+                let number = self.last_number;
+                self.batches.insert(number, Batch { remaining: calls.len(), responses: Vec::new() });
                 for call in calls {
-                    self.call(call, Some(number), &mut taken);
+                    self.accept_call(call, Some(number), &mut accepted);
                 }
             }
         }
-        taken
+        accepted
     }
 
-    /// A ticket is answered: what is to be written now, if anything. An answer to a ticket that does not wait is
-    /// none: each call is answered once.
+    /// Answers a ticket. Returns what to write now, if anything. A ticket that is not pending gives nothing,
+    /// so that each call is answered once.
     pub fn answer(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) -> Option<Value> {
-        let waiting = self.waiting.remove(&ticket)?;
-        let response = waiting.id.as_ref().map(write);
-        self.done(response, waiting.batch)
+        let pending = self.pending.remove(&ticket)?;
+        let response = pending.id.as_ref().map(write);
+        self.complete(response, pending.batch)
     }
 
-    /// A part is done, with its response if it has one.
-    fn done(&mut self, response: Option<Value>, batch: Option<u64>) -> Option<Value> {
+    /// Completes one call, with its response if it has one. Returns what to write now.
+    fn complete(&mut self, response: Option<Value>, batch: Option<u64>) -> Option<Value> {
         let Some(number) = batch else { return response };
         let batch = self.batches.get_mut(&number)?;
         batch.responses.extend(response);
-        batch.missing = batch.missing.saturating_sub(1);
-        if batch.missing > 0 {
+        batch.remaining = batch.remaining.saturating_sub(1);
+        if batch.remaining > 0 {
             return None;
         }
-        let all = self.batches.remove(&number)?.responses;
-        // A batch of notifications alone is answered by nothing at all (JSON-RPC 2.0 section 6).
-        (!all.is_empty()).then_some(Value::Array(all))
+        let responses = self.batches.remove(&number)?.responses;
+        // A batch that holds only notifications gets no response (JSON-RPC 2.0 section 6).
+        (!responses.is_empty()).then_some(Value::Array(responses))
     }
 
-    fn call(&mut self, call: Call, batch: Option<u64>, taken: &mut AcceptedMessage) {
+    fn accept_call(&mut self, call: Call, batch: Option<u64>, accepted: &mut AcceptedMessage) {
         let method = match call.method {
             Ok(method) => method,
             Err(error) => {
                 let response = call.id.as_ref().map(|id| rpc::error_response(id, &error));
-                taken.responses.extend(self.done(response, batch));
+                accepted.responses.extend(self.complete(response, batch));
                 return;
             }
         };
-        let open = matches!(method, Method::Open(_));
-        if let Some(error) = self.wrong_open(open, call.id.as_ref()) {
+        let is_open = matches!(method, Method::Open(_));
+        if let Some(error) = self.check_open(is_open, call.id.as_ref()) {
             let id = call.id.unwrap_or(Value::Null);
             let response = Some(rpc::error_response(&id, &error));
-            taken.responses.extend(self.done(response, batch));
+            accepted.responses.extend(self.complete(response, batch));
             return;
         }
-        // The ticket of an open call that is cancelled is looked for before the cancellation has one itself.
-        let named = match &method {
-            Method::Cancel(id) => self.open_of(Some(id)),
+        // The cancelled open is looked up before the cancellation itself becomes a pending call.
+        let cancelled = match &method {
+            Method::Cancel(id) => self.find_open(Some(id)),
             _ => None,
         };
-        self.last += 1;
-        let ticket = Ticket(self.last);
-        self.waiting.insert(ticket, Waiting { id: call.id, open, batch });
+        self.last_number += 1;
+        let ticket = Ticket(self.last_number);
+        self.pending.insert(ticket, PendingCall { id: call.id, is_open, batch });
         let client = self.client;
-        taken.inputs.push(match method {
-            Method::Open(opening) if self.only_back => Input::Return(client, ticket, opening),
+        accepted.inputs.push(match method {
+            Method::Open(opening) if self.reserve_only => Input::Return(client, ticket, opening),
             Method::Open(opening) => Input::Open(client, ticket, opening),
-            // No ticket is 0: an id that names no open call finds none.
-            Method::Cancel(_) => Input::Cancel(client, ticket, named.unwrap_or(Ticket(0))),
+            // No call has ticket 0, so an id that matches no pending open cancels nothing.
+            Method::Cancel(_) => Input::Cancel(client, ticket, cancelled.unwrap_or(Ticket(0))),
             Method::Close(session) => Input::Close(client, ticket, session),
             Method::Status(session, viewer) => Input::Status(client, ticket, session, viewer),
         });
     }
 
-    fn open_of(&self, id: Option<&Value>) -> Option<Ticket> {
-        let same = |waiting: &Waiting| waiting.open && waiting.id.as_ref() == id;
-        self.waiting.iter().find(|(_, waiting)| same(waiting)).map(|(ticket, _)| *ticket)
+    fn find_open(&self, id: Option<&Value>) -> Option<Ticket> {
+        let matches = |pending: &PendingCall| pending.is_open && pending.id.as_ref() == id;
+        self.pending.iter().find(|(_, pending)| matches(pending)).map(|(ticket, _)| *ticket)
     }
 
-    /// Why an open call is not accepted, whose one answer could not be told from another or not be given at all.
-    fn wrong_open(&self, open: bool, id: Option<&Value>) -> Option<RpcError> {
-        let error = |message: String| Some(RpcError::new(rpc::INVALID_REQUEST, message));
-        if !open {
+    /// Why an open call is rejected: it could not be answered, its answer could not be told from another, or
+    /// too many opens are pending.
+    fn check_open(&self, is_open: bool, id: Option<&Value>) -> Option<RpcError> {
+        let reject = |message: String| Some(RpcError::new(rpc::INVALID_REQUEST, message));
+        if !is_open {
             return None;
         }
         if id.is_none_or(Value::is_null) {
-            return error("session.open needs an id: it has an answer".into());
+            return reject("session.open needs an id: it has an answer".into());
         }
-        if self.open_of(id).is_some() {
-            return error("an open call with this id is not answered yet".into());
+        if self.find_open(id).is_some() {
+            return reject("an open call with this id is not answered yet".into());
         }
-        let opens = self.waiting.values().filter(|waiting| waiting.open).count();
-        if opens >= self.opens_most {
-            return error(format!("{opens} open calls wait already: wait for an answer"));
+        let opens = self.pending.values().filter(|pending| pending.is_open).count();
+        if opens >= self.max_pending_opens {
+            return reject(format!("{opens} open calls wait already: wait for an answer"));
         }
         None
     }
--- a/crates/front/src/session_api/core/deferred.rs
+++ b/crates/front/src/session_api/core/deferred.rs
@@ -1,59 +1,62 @@
-//! Messages over their senders' shares, until the front's thread has nothing else to do.
+//! Messages of senders that have used up their share of the engine thread. They wait until the engine thread
+//! is idle.
 //!
-//! Danger: a cancellation that overtakes its open. What frees has its turn at once, and an open of the same player
-//! may wait here: taken in that order, the open would play for a viewer that has given up. So whatever of a player
-//! waits here goes ahead of anything else that it says.
+//! Danger: a cancellation that overtakes its open. Calls that free something are handled at once, while an
+//! open of the same player may wait here. Handled in that order, the session would play for a viewer that has
+//! given up. So all deferred messages of a player are handled before any later message of that player.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::core::ClientId;
 
-/// What waits, in the order in which it came.
+/// The deferred messages, in order of arrival.
 #[derive(Clone, Debug)]
 pub struct DeferredQueue<T> {
-    waiting: VecDeque<(ClientId, T)>,
-    /// How many of each player wait.
-    of: BTreeMap<ClientId, usize>,
+    messages: VecDeque<(ClientId, T)>,
+    /// Number of deferred messages per player.
+    counts: BTreeMap<ClientId, usize>,
 }
 
 impl<T> Default for DeferredQueue<T> {
     fn default() -> Self {
-        DeferredQueue { waiting: VecDeque::new(), of: BTreeMap::new() }
+        DeferredQueue { messages: VecDeque::new(), counts: BTreeMap::new() }
     }
 }
 
 impl<T> DeferredQueue<T> {
-    /// One more waits.
+    /// Adds a message.
     pub fn push(&mut self, client: ClientId, message: T) {
-        self.waiting.push_back((client, message));
-        *self.of.entry(client).or_insert(0) += 1;
+        self.messages.push_back((client, message));
+        *self.counts.entry(client).or_insert(0) += 1;
     }
 
-    /// The next, when there is time for it.
+    /// Removes the oldest message.
     pub fn pop(&mut self) -> Option<T> {
-        let (client, message) = self.waiting.pop_front()?;
-        if let Some(count) = self.of.get_mut(&client) {
+        let (client, message) = self.messages.pop_front()?;
+        if let Some(count) = self.counts.get_mut(&client) {
             *count -= 1;
             if *count == 0 {
-                self.of.remove(&client);
+                self.counts.remove(&client);
             }
         }
         Some(message)
     }
 
-    /// All of this player, in their order: it says something that has its turn, or has gone.
+    /// Removes all messages of a player, in order: a later message of the player is about to be handled, or
+    /// the player has disconnected.
     pub fn take_client(&mut self, client: ClientId) -> Vec<T> {
-        if self.of.remove(&client).is_none() {
+        if self.counts.remove(&client).is_none() {
             return Vec::new();
         }
-        let (own, others) = std::mem::take(&mut self.waiting).into_iter().partition(|(of, _)| *of == client);
-        self.waiting = others;
-        let own: VecDeque<(ClientId, T)> = own;
-        own.into_iter().map(|(_, message)| message).collect()
+        let (taken, others) =
+            std::mem::take(&mut self.messages).into_iter().partition(|(sender, _)| *sender == client);
+        self.messages = others;
+        let taken: VecDeque<(ClientId, T)> = taken;
+        taken.into_iter().map(|(_, message)| message).collect()
     }
 
-    /// Whether none does.
+    /// Whether there are no deferred messages.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.messages.is_empty()
     }
 }
--- a/crates/front/src/session_api/core/mod.rs
+++ b/crates/front/src/session_api/core/mod.rs
@@ -1,9 +1,13 @@
-//! What is decided and remembered between a player's socket and the ledger, with no I/O: [`calls`], which of a
-//! player's calls wait for an answer; [`backlog`], what waits to be written and when a player is cut off;
-//! [`door`], who is let in and who goes to make room; [`steps`] and [`watch`], how slow a peer may be and when it
-//! counts as vanished; [`gate`], how often one player may ask; [`share`], what its calls may cost the front;
-//! [`overflow`], what waits until there is time for it;
-//! [`accepting`], how to go on when there are no more files or threads.
+//! The state between a player's socket and the engine, without I/O:
+//!
+//! - [`calls`]: the calls of a player that wait for an answer.
+//! - [`backlog`]: the bytes that wait to be written, and when a player that does not read is disconnected.
+//! - [`admission`]: which connections are accepted, and which are dropped to make room.
+//! - [`pace`] and [`watchdog`]: how slow a peer may be, and when it counts as unresponsive.
+//! - [`rate_limit`]: how many calls a player may make.
+//! - [`thread_share`]: how much time of the engine thread its calls may take.
+//! - [`deferred`]: messages that wait until the engine thread is idle.
+//! - [`accept_backoff`]: how to go on accepting when files, memory or threads have run out.
 
 pub mod accept_backoff;
 pub mod admission;
--- a/crates/front/src/session_api/core/pace.rs
+++ b/crates/front/src/session_api/core/pace.rs
@@ -1,109 +1,109 @@
-//! Steps of a peer and their one deadline.
+//! Deadline and minimum rate of a handshake or message.
 //!
-//! Danger: a time-out asked of each wait. A peer that sends one byte just before each of them ends holds its place
-//! for as long as it likes, and with a few hundred connections takes the front from everybody. So a step (a
-//! handshake, a message from its first byte to its last) has one deadline as a whole, and within it a least pace:
-//! the deadline of a peer that sends nothing more comes sooner than that of one that is merely slow.
+//! Danger: a time-out per read. A peer that sends one byte just before each time-out keeps its connection for
+//! as long as it likes, and a few hundred such connections lock everybody else out. So each step (a
+//! handshake, or a message from its first byte to its last) has one deadline as a whole, and within it a
+//! minimum rate: a peer that sends nothing more reaches its deadline sooner than one that is merely slow.
 
 use salttally::interface::Micros;
 
-const SECOND: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
 /// How slow a step may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
-    /// The whole step takes this long at most.
-    pub within: Micros,
-    /// Nothing is asked of its pace for this long: a line may be far away.
+    /// Maximum duration of the whole step.
+    pub timeout: Micros,
+    /// The minimum rate does not apply for this long, since the network path may be slow.
     pub grace: Micros,
-    /// After the grace, bytes a second since the begin.
-    pub least: u64,
+    /// Minimum rate after the grace period, in bytes per second since the step began.
+    pub min_bytes_per_s: u64,
 }
 
 impl Pace {
-    /// When a step that began then and has brought so many bytes runs out of time.
+    /// The deadline of a step that began at `begun` and has received `bytes` so far.
     pub fn due(&self, begun: Micros, bytes: u64) -> Micros {
-        let earned = bytes.saturating_mul(SECOND) / self.least.max(1);
-        begun.saturating_add(self.within.min(self.grace.saturating_add(earned)))
+        let earned = bytes.saturating_mul(SECOND_US) / self.min_bytes_per_s.max(1);
+        begun.saturating_add(self.timeout.min(self.grace.saturating_add(earned)))
     }
 }
 
-/// Where a player's bytes stand between two messages (RFC 6455 section 5.2): it reads heads of frames and counts
-/// payloads, and takes no frame for right or wrong, which the WebSocket's reader does.
+/// Finds message boundaries in the bytes of a player (RFC 6455 section 5.2). It reads frame headers and skips
+/// payloads; it does not validate frames, which the WebSocket library does.
 #[derive(Clone, Debug, Default)]
-pub struct Frames {
+pub struct FrameScanner {
     head: Vec<u8>,
-    payload: u64,
-    last_is_final: bool,
-    last_is_control: bool,
-    /// A message of several frames is open.
-    open: bool,
+    payload_left: u64,
+    frame_is_final: bool,
+    frame_is_control: bool,
+    /// A fragmented message has begun and not ended.
+    in_fragmented_message: bool,
     step: Option<(Micros, u64)>,
-    controls: u64,
+    control_frames: u64,
 }
 
-impl Frames {
-    /// Takes in bytes that came now.
+impl FrameScanner {
+    /// Takes in bytes that were received at `now`.
     pub fn push(&mut self, now: Micros, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let step = self.step.get_or_insert((now, 0));
-            if self.payload > 0 {
-                let taken = self.payload.min(bytes.len() as u64);
+            if self.payload_left > 0 {
+                let taken = self.payload_left.min(bytes.len() as u64);
                 step.1 += taken;
-                self.payload -= taken;
+                self.payload_left -= taken;
                 bytes = &bytes[taken as usize..];
-                if self.payload > 0 {
+                if self.payload_left > 0 {
                     return;
                 }
             } else {
                 step.1 += 1;
                 self.head.push(bytes[0]);
                 bytes = &bytes[1..];
-                let Some(payload) = payload_of(&self.head) else { continue };
-                self.last_is_final = self.head[0] & 0x80 != 0;
-                self.last_is_control = self.head[0] & 0x08 != 0;
+                let Some(payload) = payload_length(&self.head) else { continue };
+                self.frame_is_final = self.head[0] & 0x80 != 0;
+                self.frame_is_control = self.head[0] & 0x08 != 0;
                 self.head.clear();
-                self.payload = payload;
+                self.payload_left = payload;
                 if payload > 0 {
                     continue;
                 }
             }
-            self.frame_ends();
+            self.finish_frame();
         }
     }
 
-    fn frame_ends(&mut self) {
-        if self.last_is_control {
-            self.controls += 1;
+    fn finish_frame(&mut self) {
+        if self.frame_is_control {
+            self.control_frames += 1;
         } else {
-            self.open = !self.last_is_final;
+            self.in_fragmented_message = !self.frame_is_final;
         }
-        // A control frame within a message of several frames ends nothing: its sender goes on with the message.
-        if !self.open {
+        // A control frame within a fragmented message does not end the step: the message goes on.
+        if !self.in_fragmented_message {
             self.step = None;
         }
     }
 
-    /// Begin and bytes of the step under way: a message, or a control frame between messages.
-    pub fn step(&self) -> Option<(Micros, u64)> {
+    /// Begin and received bytes of the current step: a message, or a control frame between messages.
+    pub fn in_progress(&self) -> Option<(Micros, u64)> {
         self.step
     }
 
-    /// Nothing was read for this long, by no fault of the peer.
-    pub fn held_up(&mut self, pause: Micros) {
+    /// Excludes a pause in which the front itself did not read.
+    pub fn exclude_pause(&mut self, pause: Micros) {
         if let Some((begun, _)) = &mut self.step {
             *begun = begun.saturating_add(pause);
         }
     }
 
-    /// Control frames that were whole since this was asked last.
-    pub fn controls(&mut self) -> u64 {
-        std::mem::take(&mut self.controls)
+    /// Number of complete control frames since the last call.
+    pub fn take_control_frames(&mut self) -> u64 {
+        std::mem::take(&mut self.control_frames)
     }
 }
 
-/// Length of the payload after a head, once the head is whole.
-fn payload_of(head: &[u8]) -> Option<u64> {
+/// Length of the payload, once the frame header is complete.
+fn payload_length(head: &[u8]) -> Option<u64> {
     let second = *head.get(1)?;
     let mask = if second & 0x80 != 0 { 4 } else { 0 };
     let (length, extended) = match second & 0x7f {
--- a/crates/front/src/session_api/core/rate_limit.rs
+++ b/crates/front/src/session_api/core/rate_limit.rs
@@ -1,85 +1,89 @@
-//! How often one player may ask.
+//! Rate limit of the calls of one player.
 //!
-//! Each player has an allowance of calls that ask for something, which fills up with time. What is over it is told
-//! so at once, costs the front's own thread nothing, and has its sender's next bytes read the later. The more players
-//! are inside the smaller the allowance of each, so that all of them together do not ask for more than the front
-//! can do. What frees (close, cancel) is not counted here.
+//! Each player has a token bucket for calls that request something. A call over the limit is answered with an
+//! error at once, costs the engine thread nothing, and delays the next read from that player. The more
+//! players are connected, the smaller the rate of each, so that all of them together do not request more than
+//! the front can handle. Calls that free something (close, cancel) are not counted here.
 //!
-//! Danger: an allowance for each player alone is no limit. Four thousand that keep to theirs ask for more than there
-//! is, and those that only watch a film wait behind them.
+//! Danger: a limit per player alone is no limit. 4,000 players that keep to theirs request more than the
+//! front can handle, and viewers that only watch wait behind them.
 
 use salttally::interface::Micros;
 
-const SECOND: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
-/// Limits of the allowance.
+/// Limits of the call rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GateLimits {
-    /// Calls that one player may make in a second.
+pub struct RateLimits {
+    /// Calls per second that one player may make.
     pub calls_per_s: u64,
-    /// Calls that it may make at once after a rest.
-    pub calls_at_once: u64,
-    /// Calls over its allowance after which a player is cut off.
-    pub surplus: u64,
-    /// Calls that all players together may make in a second, shared out evenly over those inside.
-    pub all_per_s: u64,
+    /// Calls that one player may make at once after a pause.
+    pub burst: u64,
+    /// Calls over the limit after which a player is disconnected.
+    pub max_excess: u64,
+    /// Calls per second that all players together may make, shared evenly among the connections.
+    pub total_calls_per_s: u64,
 }
 
-/// Calls that a `session.open` weighs: it has the module decide and a box set up, where a status only looks.
-pub const OPEN: u64 = 10;
-/// The smallest allowance at once: opening a session or two, and looking after them.
-const AT_ONCE_LEAST: u64 = 2 * OPEN;
-/// A part of the common allowance is kept for this long.
-const KEPT_S: u64 = 4;
+/// Weight of a `session.open` in calls: it takes a decision and a set-up at a box, where a status is only a
+/// lookup.
+pub const OPEN_WEIGHT: u64 = 10;
+/// Smallest burst: a session or two are opened and managed.
+const MIN_BURST: u64 = 2 * OPEN_WEIGHT;
+/// Seconds of its rate that a player may save up.
+const BURST_S: u64 = 4;
 
-/// What becomes of a player's calls.
+/// The verdict on the calls of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Allowed {
-    /// They are taken.
-    Yes,
-    /// Over the allowance: told so, to ask again after this long.
-    Later(Micros),
-    /// Over it for so long that the player is cut off.
-    Cut,
+pub enum RateDecision {
+    /// Handle them.
+    Allow,
+    /// Over the limit: answer with an error, with the time after which to retry.
+    RetryAfter(Micros),
+    /// Over the limit for too long: disconnect the player.
+    Disconnect,
 }
 
-/// One player's allowance of calls: it fills up evenly, holds so many, and is counted in micro-calls so that no
-/// rounding is lost between two calls.
+/// Token bucket of one player. Tokens are counted in millionths of a call, so that nothing is lost to
+/// rounding between two calls.
 #[derive(Clone, Debug)]
-pub struct Allowance {
-    limits: GateLimits,
-    left: u64,
-    at: Micros,
-    surplus: u64,
+pub struct CallAllowance {
+    limits: RateLimits,
+    credit: u64,
+    updated_at: Micros,
+    excess: u64,
 }
 
-impl Allowance {
-    /// That of a player who has just come. Danger: whoever is cut off comes again, and must not find a full one.
-    pub fn new(limits: GateLimits, now: Micros) -> Allowance {
-        Allowance { limits, left: limits.calls_at_once.min(AT_ONCE_LEAST) * SECOND, at: now, surplus: 0 }
+impl CallAllowance {
+    /// The bucket of a new connection. Danger: a player that was disconnected connects again and must not
+    /// find a full bucket.
+    pub fn new(limits: RateLimits, now: Micros) -> CallAllowance {
+        CallAllowance { limits, credit: limits.burst.min(MIN_BURST) * SECOND_US, updated_at: now, excess: 0 }
     }
 
-    /// Calls of this weight have come in one message, while so many are inside.
-    pub fn take(&mut self, weight: u64, now: Micros, inside: usize) -> Allowed {
+    /// Takes the tokens for a message of this weight; `connections` is the number of established connections.
+    pub fn charge(&mut self, weight: u64, now: Micros, connections: usize) -> RateDecision {
         let limits = &self.limits;
-        let per_s = (limits.all_per_s / inside.max(1) as u64).clamp(1, limits.calls_per_s.max(1));
-        let at_once = (per_s * KEPT_S).max(AT_ONCE_LEAST).min(limits.calls_at_once);
-        let since = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        let most = at_once * SECOND;
-        self.left = self.left.saturating_add(since.saturating_mul(per_s)).min(most);
-        let cost = weight.max(1).saturating_mul(SECOND);
-        if cost <= self.left {
-            self.left -= cost;
-            self.surplus = 0;
-            return Allowed::Yes;
+        let per_s =
+            (limits.total_calls_per_s / connections.max(1) as u64).clamp(1, limits.calls_per_s.max(1));
+        let burst = (per_s * BURST_S).max(MIN_BURST).min(limits.burst);
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        let max_credit = burst * SECOND_US;
+        self.credit = self.credit.saturating_add(elapsed.saturating_mul(per_s)).min(max_credit);
+        let cost = weight.max(1).saturating_mul(SECOND_US);
+        if cost <= self.credit {
+            self.credit -= cost;
+            self.excess = 0;
+            return RateDecision::Allow;
         }
-        self.surplus += weight.max(1);
-        if self.surplus > self.limits.surplus {
-            return Allowed::Cut;
+        self.excess += weight.max(1);
+        if self.excess > self.limits.max_excess {
+            return RateDecision::Disconnect;
         }
-        // A message larger than the whole allowance never fits; it is told the time of a full one.
-        let missing = cost.min(most) - self.left.min(cost.min(most));
-        Allowed::Later(missing.div_ceil(per_s))
+        // A message that weighs more than a full bucket never fits; it gets the time until the bucket is
+        // full.
+        let missing = cost.min(max_credit) - self.credit.min(cost.min(max_credit));
+        RateDecision::RetryAfter(missing.div_ceil(per_s))
     }
 }
--- a/crates/front/src/session_api/core/thread_share.rs
+++ b/crates/front/src/session_api/core/thread_share.rs
@@ -1,124 +1,131 @@
-//! One player's share of the front's thread.
+//! The share of the engine thread that one player may use.
 //!
-//! What a call costs is known once it has been handled: an open asks the module, a status hardly anything. So a
-//! connection is charged what its calls have cost, in microseconds of the front's one thread, and earns its part of
-//! half of that thread evenly, the same for all that are inside. While it has something left its calls go ahead of
-//! others'; after that they have what is left over, and where nothing is they are told to come again. That is fair
-//! queueing by deficit (Shreedhar and Varghese, SIGCOMM 1995) with the charge made afterwards.
+//! The cost of a call is known only once it has been handled: an open runs the decision module, a status
+//! costs hardly anything. So a connection is charged the time that its calls took on the engine thread, and
+//! earns an equal part of half of that thread. While its credit is positive, its calls are handled before
+//! those of connections without credit. The others get the time that is left, and where none is left they are
+//! told to retry. This is deficit round robin (Shreedhar and Varghese, SIGCOMM 1995) with the charge made
+//! afterwards.
 //!
-//! Danger: a flood of cheap calls, and a trickle of dear ones, must weigh alike: a count of calls sees only the
-//! first. Danger: what frees a place (close, cancel) must not be held back for a flood, or the flood keeps what it
-//! holds; it is always taken, and its sender's next bytes are read later.
+//! Danger: a flood of cheap calls and a trickle of expensive ones must weigh alike, and a count of calls sees
+//! only the flood. Danger: calls that free a place (close, cancel) must not be delayed by a flood, or the
+//! flood keeps what it holds. They are always handled, and the next read from their sender is delayed.
 
 use salttally::interface::Micros;
 
-/// Part of the front's thread that is shared out evenly; the rest is for boxes, list and timers.
-const SHARED: u64 = 2;
-/// What is earned is kept for this long at most.
-const KEPT: Micros = 4_000_000;
-/// A connection begins with this much, us, and is let go so far ahead of what is known of its calls: any open call
-/// has its turn as long as something is left.
-const FIRST: i64 = 200;
-/// The longest that a sender is held back before its next bytes are read; it must not miss its pings.
-const PAUSE_MOST: Micros = 1_000_000;
-/// An open after a long rest does not bear all that the front did meanwhile, ns.
-const AFTERMATH_MOST: u64 = 5_000_000;
-/// Cost that a call is taken for before any has been handled, us.
-const GUESS: i64 = 50;
+/// One part in this many of the engine thread is shared evenly by players; the rest is for boxes, the box
+/// list and timers.
+const SHARE_DIVISOR: u64 = 2;
+/// Longest time over which credit adds up.
+const CREDIT_WINDOW_US: Micros = 4_000_000;
+/// Initial credit of a connection, and the lower bound of its credit limit. As long as any credit is left, an
+/// open is handled at normal priority, even if it will cost more than that.
+const INITIAL_CREDIT_US: i64 = 200;
+/// Longest delay before the next read from a sender; it must not miss its pings.
+const MAX_PAUSE_US: Micros = 1_000_000;
+/// Upper bound of the time that one open is charged for: an open after a long pause is not charged all of the
+/// front's work since.
+const MAX_OPEN_OVERHEAD_NS: u64 = 5_000_000;
+/// Assumed cost of a call before one has been handled.
+const INITIAL_CALL_COST_US: i64 = 50;
 
-/// How a message goes on.
+/// Priority of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Priority {
-    /// In its turn.
+    /// Handled in order of arrival.
     Normal,
-    /// After all that have their turn, if there is room.
+    /// Handled when the engine thread is otherwise idle, if the queue has room.
     Deferred,
 }
 
-/// What calls are charged until their cost is known.
+/// The preliminary charge for calls, until their cost is known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Charge {
     calls: u64,
     nanos: i64,
 }
 
-/// What opens cost the front's thread beside their calls: connections to boxes that are made, end and are told of,
-/// releases, wakes. It cannot be told whose each is, so each open bears the mean of late.
+/// The cost of opens beside the calls themselves: connections to boxes that are made, end and are reported,
+/// releases, timers. It can't be attributed to single opens, so each open is charged the recent mean.
 #[derive(Clone, Debug, Default)]
 pub struct OpenOverhead {
-    /// Spent since the last open, ns.
-    spent: u64,
-    /// Running mean of what an open brings with it, ns.
-    mean: u64,
+    /// Time spent since the last open, ns.
+    unassigned_ns: u64,
+    /// Running mean of the overhead per open, ns.
+    mean_ns: u64,
 }
 
 impl OpenOverhead {
-    /// The thread was at work for something that is nobody's call.
+    /// Adds time that the engine thread spent on work that belongs to no call.
     pub fn record_cost(&mut self, nanos: u64) {
-        self.spent = self.spent.saturating_add(nanos);
+        self.unassigned_ns = self.unassigned_ns.saturating_add(nanos);
     }
 
-    /// So many opens were taken: what they bear, ns.
+    /// Returns the overhead to charge for this many opens, ns.
     pub fn charge_opens(&mut self, opens: u64) -> u64 {
         for _ in 0..opens.min(64) {
-            let spent = std::mem::take(&mut self.spent).min(AFTERMATH_MOST);
-            self.mean = (self.mean * 15 + spent) / 16;
+            let spent = std::mem::take(&mut self.unassigned_ns).min(MAX_OPEN_OVERHEAD_NS);
+            self.mean_ns = (self.mean_ns * 15 + spent) / 16;
         }
-        self.mean.saturating_mul(opens)
+        self.mean_ns.saturating_mul(opens)
     }
 }
 
-/// One player's account.
+/// The account of one player.
 #[derive(Clone, Debug)]
 pub struct ThreadShare {
-    /// Nanoseconds of the front's thread.
-    left: i64,
-    at: Micros,
+    /// Credit in nanoseconds of the engine thread.
+    credit_ns: i64,
+    updated_at: Micros,
     /// Running mean of the cost of a call, ns.
-    mean: i64,
+    mean_ns: i64,
 }
 
 impl ThreadShare {
-    /// The account of a connection that has just entered.
+    /// The account of a new connection.
     pub fn new(now: Micros) -> ThreadShare {
-        ThreadShare { left: FIRST * 1_000, at: now, mean: GUESS * 1_000 }
+        ThreadShare {
+            credit_ns: INITIAL_CREDIT_US * 1_000,
+            updated_at: now,
+            mean_ns: INITIAL_CALL_COST_US * 1_000,
+        }
     }
 
-    fn earn(&mut self, now: Micros, inside: usize) {
-        let since = now.saturating_sub(self.at);
-        self.at = self.at.max(now);
-        let of = SHARED * inside.max(1) as u64;
-        let earned = |time: Micros| i64::try_from(time.saturating_mul(1_000) / of).unwrap_or(i64::MAX);
-        let most = earned(KEPT).max(FIRST * 1_000);
-        self.left = self.left.saturating_add(earned(since)).min(most);
+    fn earn(&mut self, now: Micros, connections: usize) {
+        let elapsed = now.saturating_sub(self.updated_at);
+        self.updated_at = self.updated_at.max(now);
+        let divisor = SHARE_DIVISOR * connections.max(1) as u64;
+        let earned = |time: Micros| i64::try_from(time.saturating_mul(1_000) / divisor).unwrap_or(i64::MAX);
+        let max_credit = earned(CREDIT_WINDOW_US).max(INITIAL_CREDIT_US * 1_000);
+        self.credit_ns = self.credit_ns.saturating_add(earned(elapsed)).min(max_credit);
     }
 
-    /// Calls have come while so many are inside: whether they have their turn, and what they are charged until their
-    /// cost is known: as much as those before them.
-    pub fn charge(&mut self, now: Micros, calls: u64, inside: usize) -> (Priority, Charge) {
-        self.earn(now, inside);
-        let turn = if self.left > 0 { Priority::Normal } else { Priority::Deferred };
-        let charge = self.mean.saturating_mul(i64::try_from(calls).unwrap_or(i64::MAX));
-        self.left = self.left.saturating_sub(charge);
-        (turn, Charge { calls, nanos: charge })
+    /// Charges calls at the mean cost of earlier ones until their real cost is known; `connections` is the
+    /// number of established connections. Returns the priority of the calls.
+    pub fn charge(&mut self, now: Micros, calls: u64, connections: usize) -> (Priority, Charge) {
+        self.earn(now, connections);
+        let priority = if self.credit_ns > 0 { Priority::Normal } else { Priority::Deferred };
+        let charge = self.mean_ns.saturating_mul(i64::try_from(calls).unwrap_or(i64::MAX));
+        self.credit_ns = self.credit_ns.saturating_sub(charge);
+        (priority, Charge { calls, nanos: charge })
     }
 
-    /// They were not taken after all.
+    /// Takes back the charge for calls that were not handled.
     pub fn refund(&mut self, charge: Charge) {
-        self.left = self.left.saturating_add(charge.nanos);
+        self.credit_ns = self.credit_ns.saturating_add(charge.nanos);
     }
 
-    /// What they have cost, ns.
+    /// Replaces the charge by the real cost, ns.
     pub fn settle(&mut self, charge: Charge, nanos: u64) {
         let nanos = i64::try_from(nanos).unwrap_or(i64::MAX);
         let calls = i64::try_from(charge.calls.max(1)).unwrap_or(i64::MAX);
-        self.left = self.left.saturating_add(charge.nanos).saturating_sub(nanos);
-        self.mean += (nanos / calls - self.mean) / 8;
+        self.credit_ns = self.credit_ns.saturating_add(charge.nanos).saturating_sub(nanos);
+        self.mean_ns += (nanos / calls - self.mean_ns) / 8;
     }
 
-    /// After how long it has something left again, with so many inside.
-    pub fn time_until_credit(&self, inside: usize) -> Micros {
-        let missing = u64::try_from(self.left.saturating_neg()).unwrap_or(0);
-        (missing.saturating_mul(SHARED * inside.max(1) as u64) / 1_000).min(PAUSE_MOST)
+    /// Time until the credit is positive again, with this many connections.
+    pub fn time_until_credit(&self, connections: usize) -> Micros {
+        let missing = u64::try_from(self.credit_ns.saturating_neg()).unwrap_or(0);
+        (missing.saturating_mul(SHARE_DIVISOR * connections.max(1) as u64) / 1_000).min(MAX_PAUSE_US)
     }
 }
--- a/crates/front/src/session_api/core/watchdog.rs
+++ b/crates/front/src/session_api/core/watchdog.rs
@@ -1,193 +1,195 @@
-//! One player's connection as it is watched: which step it is in, when that runs out of time, when a ping is due
-//! and when a player counts as vanished. The thread that reads the connection asks for the next moment, waits
-//! until then at most, and does what is said.
+//! Watchdog of one player's connection: the deadline of the current step, when the next ping is due, and when
+//! the player counts as unresponsive. The thread that reads the connection waits until
+//! [`Watchdog::next_check`] at most and carries out the verdict of [`Watchdog::check`].
 //!
-//! Danger: a player whose machine is gone sends no FIN. Its session would hold a place, and in a paid class a seat,
-//! for as long as the title plays. So a player that says nothing is pinged (RFC 6455 section 5.5.2), and one that
-//! says nothing to several pings is silent. Any byte shows that it lives.
+//! Danger: a player whose machine is gone sends no FIN. Its session would hold a place, and in a paid class a
+//! seat, for as long as the title plays. So a player that sends nothing is pinged (RFC 6455 section 5.5.2),
+//! and one that leaves several consecutive pings unanswered is unresponsive. Any byte counts as an answer.
 //!
-//! Danger: pings of a player, which must be answered (section 5.5.2). A flood of them costs an answer each, so they are
-//! counted before any is answered, and whoever sends far too many is cut off.
+//! Danger: a player's own pings, each of which has to be answered (section 5.5.2). They are counted before
+//! any of them is answered, and a player that floods them is disconnected.
 //!
-//! Danger: pings of thousands of connections that were opened together come together. So each pause is drawn.
+//! Danger: thousands of connections that were opened together would be pinged together. So each ping interval
+//! is randomized.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use salttally::interface::Micros;
 
-use super::pace::{Frames, Pace};
+use super::pace::{FrameScanner, Pace};
 
-const SECOND: Micros = 1_000_000;
+const SECOND_US: Micros = 1_000_000;
 
-/// How players are watched.
+/// Limits of a player's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct WatchLimits {
+pub struct WatchdogLimits {
     /// Pace of the opening handshake.
     pub handshake: Pace,
     /// Pace of a message.
     pub message: Pace,
-    /// A player that is quiet for about so long is pinged.
-    pub ping_every: Micros,
-    /// A ping is answered within this.
-    pub pong_within: Micros,
-    /// So many pings without an answer make a silent player.
-    pub pings: u32,
-    /// Control frames that a player may send in a second: each ping costs an answer.
-    pub controls_per_s: u64,
+    /// Mean time without bytes from a player after which it is pinged.
+    pub ping_interval: Micros,
+    /// Time in which a ping has to be answered.
+    pub pong_timeout: Micros,
+    /// Number of consecutive unanswered pings after which a player is unresponsive.
+    pub max_missed_pings: u32,
+    /// Control frames per second that a player may send; a ping among them costs an answer.
+    pub control_frames_per_s: u64,
     /// Control frames that it may send at once.
-    pub controls_at_once: u64,
-    /// A connection let into the reserve must return to a session within this.
-    pub return_within: Micros,
+    pub control_frame_burst: u64,
+    /// Time in which a connection in the reserve has to return to a session.
+    pub return_timeout: Micros,
 }
 
-/// What is to be done about a player now.
+/// What to do about a connection now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sight {
-    /// Wait on.
-    Fine,
-    /// Ping it.
-    Ping,
-    /// Cut it off: a step has taken too long.
-    Slow,
-    /// Cut it off: it is gone without a word. Its sessions may be found again.
-    Silent,
-    /// Cut it off: it sends far too many control frames. Said before they are answered.
-    Noisy,
-    /// Cut it off: it was let into the reserve and returned to nothing.
-    Newcomer,
+pub enum Verdict {
+    /// Keep reading.
+    Continue,
+    /// Send a ping.
+    SendPing,
+    /// Disconnect: a step has passed its deadline.
+    TooSlow,
+    /// Disconnect: the player is unresponsive. Its sessions are kept for a while, in case it comes back.
+    Unresponsive,
+    /// Disconnect before answering: the player sends too many control frames.
+    ControlFlood,
+    /// Disconnect: the connection is in the reserve and has not returned to a session in time.
+    NotReturned,
 }
 
 #[derive(Clone, Debug)]
 enum Phase {
-    Shaking { begun: Micros, bytes: u64 },
-    Inside,
+    Handshake { begun: Micros, bytes: u64 },
+    Established,
 }
 
-/// One player's connection.
+/// Watchdog of one player's connection.
 #[derive(Clone, Debug)]
-pub struct Watch {
-    limits: WatchLimits,
+pub struct Watchdog {
+    limits: WatchdogLimits,
     phase: Phase,
-    frames: Frames,
-    draws: Pcg32,
+    frames: FrameScanner,
+    rng: Pcg32,
     /// When the next ping is due, or the answer to the last one.
-    next: Micros,
-    unanswered: u32,
-    /// Control frames that it may send yet, in millionths, and as of when.
-    controls: (u64, Micros),
-    noisy: bool,
-    /// In the reserve, until then.
-    reserve: Option<Micros>,
+    ping_due: Micros,
+    unanswered_pings: u32,
+    /// Control frames that the player may still send, in millionths, and the time of that count.
+    control_credit: (u64, Micros),
+    control_flood: bool,
+    /// When a connection in the reserve must have returned to a session.
+    return_by: Option<Micros>,
 }
 
-impl Watch {
-    /// A connection that has just come; `seed` is its own.
-    pub fn new(limits: WatchLimits, seed: u64, now: Micros) -> Watch {
-        Watch {
+impl Watchdog {
+    /// A new connection; `seed` randomizes its ping intervals.
+    pub fn new(limits: WatchdogLimits, seed: u64, now: Micros) -> Watchdog {
+        Watchdog {
             limits,
-            phase: Phase::Shaking { begun: now, bytes: 0 },
-            frames: Frames::default(),
-            draws: Pcg32::seed_from_u64(seed),
-            next: Micros::MAX,
-            unanswered: 0,
-            controls: (limits.controls_at_once * SECOND, now),
-            noisy: false,
-            reserve: None,
+            phase: Phase::Handshake { begun: now, bytes: 0 },
+            frames: FrameScanner::default(),
+            rng: Pcg32::seed_from_u64(seed),
+            ping_due: Micros::MAX,
+            unanswered_pings: 0,
+            control_credit: (limits.control_frame_burst * SECOND_US, now),
+            control_flood: false,
+            return_by: None,
         }
     }
 
-    /// Bytes have come.
-    pub fn heard(&mut self, now: Micros, bytes: &[u8]) {
+    /// Takes in received bytes.
+    pub fn on_bytes(&mut self, now: Micros, bytes: &[u8]) {
         match &mut self.phase {
-            Phase::Shaking { bytes: so_far, .. } => *so_far += bytes.len() as u64,
-            Phase::Inside => {
+            Phase::Handshake { bytes: received, .. } => *received += bytes.len() as u64,
+            Phase::Established => {
                 self.frames.push(now, bytes);
-                self.quiet_from(now);
-                let (left, at) = self.controls;
-                let earned = now.saturating_sub(at).saturating_mul(self.limits.controls_per_s);
-                let most = (self.limits.controls_at_once * SECOND).max(left);
-                let left = left.saturating_add(earned).min(most);
-                let sent = self.frames.controls().saturating_mul(SECOND);
-                self.noisy |= sent > left;
-                self.controls = (left.saturating_sub(sent), now.max(at));
+                self.schedule_ping(now);
+                let (credit, updated_at) = self.control_credit;
+                let earned = now.saturating_sub(updated_at).saturating_mul(self.limits.control_frames_per_s);
+                let max_credit = (self.limits.control_frame_burst * SECOND_US).max(credit);
+                let credit = credit.saturating_add(earned).min(max_credit);
+                let sent = self.frames.take_control_frames().saturating_mul(SECOND_US);
+                self.control_flood |= sent > credit;
+                self.control_credit = (credit.saturating_sub(sent), now.max(updated_at));
             }
         }
     }
 
-    /// It has shaken hands; `reserve` tells whether it was let into the reserve.
-    pub fn entered(&mut self, now: Micros, reserve: bool) {
-        self.phase = Phase::Inside;
-        self.reserve = reserve.then(|| now.saturating_add(self.limits.return_within));
-        self.quiet_from(now);
+    /// The handshake is complete; `in_reserve` tells whether the connection is in the reserve.
+    pub fn on_established(&mut self, now: Micros, in_reserve: bool) {
+        self.phase = Phase::Established;
+        self.return_by = in_reserve.then(|| now.saturating_add(self.limits.return_timeout));
+        self.schedule_ping(now);
     }
 
-    /// It has returned to a session of its own: it is no newcomer.
-    pub fn returned(&mut self) {
-        self.reserve = None;
+    /// The player has returned to a session of its own: the deadline of the reserve no longer applies.
+    pub fn on_returned(&mut self) {
+        self.return_by = None;
     }
 
-    fn quiet_from(&mut self, now: Micros) {
-        self.unanswered = 0;
-        // From three quarters of the pause to five quarters.
-        let quarter = self.limits.ping_every / 4;
-        let drawn = quarter * 3 + u64::from(self.draws.next_u32()) * (quarter * 2) / u64::from(u32::MAX);
-        self.next = now.saturating_add(drawn);
+    fn schedule_ping(&mut self, now: Micros) {
+        self.unanswered_pings = 0;
+        // Between 3/4 and 5/4 of the interval.
+        let quarter = self.limits.ping_interval / 4;
+        let delay = quarter * 3 + u64::from(self.rng.next_u32()) * (quarter * 2) / u64::from(u32::MAX);
+        self.ping_due = now.saturating_add(delay);
     }
 
-    fn step_due(&self) -> Micros {
+    fn step_deadline(&self) -> Micros {
         match &self.phase {
-            Phase::Shaking { begun, bytes } => self.limits.handshake.due(*begun, *bytes),
-            Phase::Inside => {
-                self.frames.step().map_or(Micros::MAX, |(begun, bytes)| self.limits.message.due(begun, bytes))
-            }
+            Phase::Handshake { begun, bytes } => self.limits.handshake.due(*begun, *bytes),
+            Phase::Established => self
+                .frames
+                .in_progress()
+                .map_or(Micros::MAX, |(begun, bytes)| self.limits.message.due(begun, bytes)),
         }
     }
 
-    /// The front itself has read nothing for this long: that is not the player's slowness.
-    pub fn held_up(&mut self, pause: Micros) {
-        self.frames.held_up(pause);
-        self.next = self.next.saturating_add(pause);
+    /// Excludes a pause in which the front itself did not read.
+    pub fn exclude_pause(&mut self, pause: Micros) {
+        self.frames.exclude_pause(pause);
+        self.ping_due = self.ping_due.saturating_add(pause);
     }
 
-    /// When to look again, if nothing is heard before.
-    pub fn due(&self) -> Micros {
-        self.step_due().min(self.next).min(self.reserve.unwrap_or(Micros::MAX))
+    /// When to call [`Watchdog::check`] again if no bytes arrive before.
+    pub fn next_check(&self) -> Micros {
+        self.step_deadline().min(self.ping_due).min(self.return_by.unwrap_or(Micros::MAX))
     }
 
-    /// Begin and bytes of the handshake, while it is under way.
-    pub fn shaking(&self) -> Option<(Micros, u64)> {
+    /// Begin and received bytes of the handshake, while it is in progress.
+    pub fn handshake_progress(&self) -> Option<(Micros, u64)> {
         match &self.phase {
-            Phase::Shaking { begun, bytes } => Some((*begun, *bytes)),
-            Phase::Inside => None,
+            Phase::Handshake { begun, bytes } => Some((*begun, *bytes)),
+            Phase::Established => None,
         }
     }
 
-    /// Whether it has sent far too many control frames.
-    pub fn noisy(&self) -> bool {
-        self.noisy
+    /// Whether the player has sent too many control frames.
+    pub fn control_flood(&self) -> bool {
+        self.control_flood
     }
 
-    /// Looks at the connection; a ping that is told is taken for sent.
-    pub fn look(&mut self, now: Micros) -> Sight {
-        if self.noisy {
-            return Sight::Noisy;
+    /// Checks the connection. A ping that it asks for counts as sent.
+    pub fn check(&mut self, now: Micros) -> Verdict {
+        if self.control_flood {
+            return Verdict::ControlFlood;
         }
-        if self.step_due() <= now {
-            return Sight::Slow;
+        if self.step_deadline() <= now {
+            return Verdict::TooSlow;
         }
-        if self.reserve.is_some_and(|until| until <= now) {
-            return Sight::Newcomer;
+        if self.return_by.is_some_and(|until| until <= now) {
+            return Verdict::NotReturned;
         }
-        if self.next > now {
-            return Sight::Fine;
+        if self.ping_due > now {
+            return Verdict::Continue;
         }
-        if self.unanswered >= self.limits.pings {
-            return Sight::Silent;
+        if self.unanswered_pings >= self.limits.max_missed_pings {
+            return Verdict::Unresponsive;
         }
-        self.unanswered += 1;
-        // Its pong is asked for.
-        self.controls.0 = self.controls.0.saturating_add(SECOND);
-        self.next = now.saturating_add(self.limits.pong_within);
-        Sight::Ping
+        self.unanswered_pings += 1;
+        // The front asks for this pong itself.
+        self.control_credit.0 = self.control_credit.0.saturating_add(SECOND_US);
+        self.ping_due = now.saturating_add(self.limits.pong_timeout);
+        Verdict::SendPing
     }
 }
--- a/crates/front/src/session_api/outbox.rs
+++ b/crates/front/src/session_api/outbox.rs
@@ -1,9 +1,9 @@
-//! Writes to players without ever waiting for one.
+//! Writes to players without blocking.
 //!
-//! Danger: a player that reads nothing. Its socket fills, and whoever writes to it next would wait, with every
-//! other viewer's answer behind. So each write takes what the socket takes now; the rest waits in the outbox,
-//! and one thread for all of them tries again. An outbox that grows too long, or stays full for too long, has
-//! its connection closed, which gives up that player's sessions and nobody else's.
+//! Danger: a player that does not read. Its socket buffer fills up, and a blocking write would delay the
+//! answers of all other viewers. So each write gives the socket what it takes now, the rest waits in the
+//! outbox, and one thread flushes all outboxes. An outbox that grows too long, or is stalled for too long,
+//! has its connection closed, which gives up that player's sessions and nobody else's.
 
 use std::io;
 use std::net::{Shutdown, TcpStream};
@@ -19,10 +19,10 @@
 use super::core::backlog::{Backlog, BacklogAction};
 use crate::clock::Clock;
 
-/// Pause between two tries while something waits anywhere.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Time between two flushes while any outbox has bytes left.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The way to one player.
+/// Output of one player's connection.
 #[derive(Debug)]
 pub struct Outbox {
     stream: Arc<TcpStream>,
@@ -32,7 +32,7 @@
 }
 
 impl Outbox {
-    /// The way to the player on this socket.
+    /// The output of this socket.
     pub fn new(
         stream: Arc<TcpStream>,
         clock: Clock,
@@ -42,100 +42,100 @@
         Arc::new(Outbox { stream, clock, backlog: Mutex::new(backlog), flusher })
     }
 
-    fn hold(&self) -> MutexGuard<'_, Backlog> {
+    fn lock(&self) -> MutexGuard<'_, Backlog> {
         self.backlog.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends bytes that belong together; they are written whole or the connection is closed.
+    /// Sends bytes that belong together: either all of them are written, or the connection is closed.
     pub fn send(self: &Arc<Self>, bytes: &[u8]) {
-        let mut backlog = self.hold();
+        let mut backlog = self.lock();
         let mut written = Some(0);
         if backlog.accepts_direct_writes() {
-            written = self.push(bytes).ok();
+            written = self.write(bytes).ok();
         }
-        let step = match written.and_then(|written| bytes.get(written..)) {
+        let action = match written.and_then(|written| bytes.get(written..)) {
             Some(rest) => backlog.push_unsent(rest, self.clock.now()),
             None => backlog.record_write(None, self.clock.now()),
         };
-        if step == BacklogAction::ScheduleFlush && self.flusher.send(Arc::clone(self)).is_err() {
+        if action == BacklogAction::ScheduleFlush && self.flusher.send(Arc::clone(self)).is_err() {
             backlog.close();
         }
-        self.act(step);
+        self.apply(action);
     }
 
-    /// Closes the connection; what waits is lost.
+    /// Closes the connection and discards the waiting bytes.
     pub fn close(&self) {
-        self.hold().close();
+        self.lock().close();
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 
-    /// Sends nothing more; what was written still reaches the player.
-    pub fn end(&self) {
-        self.hold().close();
+    /// Ends the output; bytes that the socket has taken still reach the player.
+    pub fn finish(&self) {
+        self.lock().close();
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Whoever reads from it finds the end.
+    /// Ends the input: a pending read returns the end of the stream.
     pub fn stop_reading(&self) {
         let _ = self.stream.shutdown(Shutdown::Read);
     }
 
-    fn act(&self, step: BacklogAction) {
-        if step == BacklogAction::Disconnect {
-            tracing::debug!(peer = ?self.stream.peer_addr().ok(), "player reads nothing: cut off");
+    fn apply(&self, action: BacklogAction) {
+        if action == BacklogAction::Disconnect {
+            tracing::debug!(peer = ?self.stream.peer_addr().ok(), "player does not read; disconnecting");
             let _ = self.stream.shutdown(Shutdown::Both);
         }
     }
 
     /// Writes as much as the socket takes now.
-    fn push(&self, bytes: &[u8]) -> io::Result<usize> {
-        let mut done = 0;
-        while done < bytes.len() {
+    fn write(&self, bytes: &[u8]) -> io::Result<usize> {
+        let mut written = 0;
+        while written < bytes.len() {
             let flags = libc::MSG_DONTWAIT | libc::MSG_NOSIGNAL;
-            match SockRef::from(&*self.stream).send_with_flags(&bytes[done..], flags) {
+            match SockRef::from(&*self.stream).send_with_flags(&bytes[written..], flags) {
                 Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-                Ok(taken) => done += taken,
+                Ok(count) => written += count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(error) => return Err(error),
             }
         }
-        Ok(done)
+        Ok(written)
     }
 
-    /// One more try; returns whether something still waits.
+    /// Flushes once; returns whether bytes still wait.
     fn flush(&self) -> bool {
-        let mut backlog = self.hold();
-        let taken = self.push(&backlog.next_chunk()).ok();
-        let step = backlog.record_write(taken, self.clock.now());
-        self.act(step);
-        step == BacklogAction::ScheduleFlush
+        let mut backlog = self.lock();
+        let written = self.write(&backlog.next_chunk()).ok();
+        let action = backlog.record_write(written, self.clock.now());
+        self.apply(action);
+        action == BacklogAction::ScheduleFlush
     }
 }
 
-/// The thread that tries again for all outboxes with something left; it sleeps while there is none, and ends
-/// with the last sender.
+/// Starts the thread that flushes outboxes. It sleeps while none has bytes left, and ends when all senders
+/// are gone.
 pub fn spawn_flusher(inbox: Receiver<Arc<Outbox>>) -> io::Result<thread::JoinHandle<()>> {
     thread::Builder::new().name("outboxes".into()).stack_size(128 * 1024).spawn(move || {
-        let mut full: Vec<Arc<Outbox>> = Vec::new();
+        let mut pending: Vec<Arc<Outbox>> = Vec::new();
         loop {
-            if full.is_empty() {
+            if pending.is_empty() {
                 match inbox.recv() {
-                    Ok(outbox) => full.push(outbox),
+                    Ok(outbox) => pending.push(outbox),
                     Err(_) => return,
                 }
             }
-            match inbox.recv_timeout(PAUSE) {
-                Ok(outbox) => full.push(outbox),
+            match inbox.recv_timeout(FLUSH_INTERVAL) {
+                Ok(outbox) => pending.push(outbox),
                 Err(RecvTimeoutError::Timeout) => {}
-                Err(RecvTimeoutError::Disconnected) => thread::sleep(PAUSE),
+                Err(RecvTimeoutError::Disconnected) => thread::sleep(FLUSH_INTERVAL),
             }
-            full.retain(|outbox| outbox.flush());
+            pending.retain(|outbox| outbox.flush());
         }
     })
 }
 
-/// One text message as a frame of its own.
+/// A text message as a single frame.
 pub fn text_frame(text: String) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(text.len() + 10);
     let frame = Frame::message(text.into_bytes(), OpCode::Data(Data::Text), true);
--- a/crates/front/src/session_api/rpc.rs
+++ b/crates/front/src/session_api/rpc.rs
@@ -1,43 +1,43 @@
-//! Messages of the session API: JSON-RPC 2.0, read and written.
+//! Messages of the session API: parses and writes JSON-RPC 2.0.
 
 use std::sync::Arc;
 
 use salttally::interface::{SessionId, ViewerId};
 use serde_json::{json, Map, Value};
 
-use super::core::rate_limit::OPEN;
-use crate::core::{Answer, EndReason, FailReason, HeldBy as Held, News, Opening, Reply};
+use super::core::rate_limit::OPEN_WEIGHT;
+use crate::core::{Answer, EndReason, FailReason, HeldBy, News, Opening, Reply};
 use crate::settings::{tenant_id, viewer_id, Settings};
 
 /// Not JSON (JSON-RPC 2.0 section 5.1).
 pub const PARSE_ERROR: i64 = -32700;
-/// Not a request.
+/// Not a valid request.
 pub const INVALID_REQUEST: i64 = -32600;
 /// No such method.
 pub const METHOD_NOT_FOUND: i64 = -32601;
-/// Wrong parameters.
+/// Invalid parameters.
 pub const INVALID_PARAMS: i64 = -32602;
-/// The session is refused; `data.hold_off_ms` tells when to ask again.
+/// The session was refused; `data.hold_off_ms` tells when to retry.
 pub const REFUSED: i64 = -32001;
 /// The session failed.
 pub const FAILED: i64 = -32002;
-/// The player has made more calls than it may; `data.hold_off_ms` tells when to go on.
+/// The player has made too many calls; `data.hold_off_ms` tells when to continue.
 pub const TOO_MANY_CALLS: i64 = -32004;
-/// No session or open call of that name is this connection's.
+/// This connection has no such session or pending open.
 pub const UNKNOWN_SESSION: i64 = -32003;
-/// The connection or the viewer has as many sessions as it may.
+/// The connection or the viewer has the maximum number of sessions.
 pub const TOO_MANY_SESSIONS: i64 = -32005;
-/// The front is full: only viewers that come back for a session are let in.
-pub const FULL: i64 = -32006;
+/// The front is full and accepts only viewers that return to an existing session.
+pub const FRONT_FULL: i64 = -32006;
 /// The session is at another front.
-pub const ELSEWHERE: i64 = -32007;
-/// The session is between two fronts: one is gone, and another is about to go on.
-pub const BETWEEN: i64 = -32008;
+pub const AT_OTHER_FRONT: i64 = -32007;
+/// The session is between two fronts: one is gone, and another has not taken it over yet.
+pub const BETWEEN_FRONTS: i64 = -32008;
 
-/// A method, its parameters and whether each must be there.
+/// Methods, with their parameters and whether each parameter is required.
 pub type MethodTable = [(&'static str, &'static [(&'static str, bool)])];
 
-/// All methods that a player may call.
+/// The methods that a player may call.
 pub const METHODS: &MethodTable = &[
     (
         "session.open",
@@ -57,43 +57,43 @@
     ("session.status", &[("session", true), ("viewer", false)]),
 ];
 
-/// All notifications that a front sends.
+/// The notifications that a front sends.
 pub const NOTIFICATIONS: &[&str] = &["session.rung", "session.move", "session.ended"];
 
-/// Longest name of a viewer, title or class, bytes.
-const NAME_MOST: usize = 128;
-/// Calls of a batch at most.
-const BATCH_MOST: usize = 64;
+/// Maximum length of the name of a viewer, title or class.
+const MAX_NAME_BYTES: usize = 128;
+/// Maximum number of calls in a batch.
+const MAX_BATCH_CALLS: usize = 64;
 
-/// An error as JSON-RPC has it.
+/// A JSON-RPC error.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RpcError {
-    /// Code.
+    /// Error code.
     pub code: i64,
-    /// A sentence.
+    /// One sentence that describes the error.
     pub message: String,
-    /// When to ask again, us from now.
-    pub hold_off: Option<u64>,
+    /// Time after which to retry, us.
+    pub retry_after: Option<u64>,
 }
 
 impl RpcError {
-    /// An error that asking again does not cure.
+    /// An error that retrying does not cure.
     pub fn new(code: i64, message: impl Into<String>) -> RpcError {
-        RpcError { code, message: message.into(), hold_off: None }
+        RpcError { code, message: message.into(), retry_after: None }
     }
 
-    /// An error of asking too early.
-    pub fn later(code: i64, message: impl Into<String>, hold_off: u64) -> RpcError {
-        RpcError { hold_off: Some(hold_off), ..RpcError::new(code, message) }
+    /// An error of a call that came too early.
+    pub fn with_retry_after(code: i64, message: impl Into<String>, retry_after: u64) -> RpcError {
+        RpcError { retry_after: Some(retry_after), ..RpcError::new(code, message) }
     }
 }
 
-/// What a player calls for.
+/// A call's method with its parameters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Method {
     /// `session.open`.
     Open(Opening),
-    /// `session.cancel` of the open call with this id.
+    /// `session.cancel` of the pending open with this id.
     Cancel(Value),
     /// `session.close`.
     Close(SessionId),
@@ -101,91 +101,91 @@
     Status(SessionId, Option<ViewerId>),
 }
 
-/// One call: its id, which a notification has not, and the method or what is wrong with it.
+/// A call: its id, if it has one, and its method, or the error if it is invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Call {
-    /// Id; none for a notification, which is never answered.
+    /// The id; `None` for a notification, which gets no response.
     pub id: Option<Value>,
-    /// What is called for.
+    /// The method, or what is wrong with the call.
     pub method: Result<Method, RpcError>,
 }
 
 /// A message of a player.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// One call.
+    /// A single call.
     Single(Call),
-    /// A batch.
+    /// A batch of calls.
     Batch(Vec<Call>),
-    /// Nothing that can be told apart; the error is answered with a null id.
+    /// Not a JSON-RPC message; the response is an error with a null id.
     Malformed(RpcError),
 }
 
 impl Call {
-    /// Whether it frees what others wait for.
-    pub fn frees(&self) -> bool {
+    /// Whether the call frees resources that others wait for.
+    pub fn is_release(&self) -> bool {
         matches!(self.method, Ok(Method::Cancel(_) | Method::Close(_)))
     }
 }
 
 impl Message {
-    /// Number of calls in it that free something, and weight of all others.
-    pub fn weigh(&self) -> (u64, u64) {
+    /// The number of calls that free something, and the total weight of all others.
+    pub fn weights(&self) -> (u64, u64) {
         let calls = match self {
             Message::Malformed(_) => return (0, 1),
             Message::Single(call) => std::slice::from_ref(call),
             Message::Batch(calls) => calls,
         };
-        calls.iter().fold((0, 0), |(frees, asks), call| match &call.method {
-            _ if call.frees() => (frees + 1, asks),
-            Ok(Method::Open(_)) => (frees, asks + OPEN),
-            _ => (frees, asks + 1),
+        calls.iter().fold((0, 0), |(releases, requests), call| match &call.method {
+            _ if call.is_release() => (releases + 1, requests),
+            Ok(Method::Open(_)) => (releases, requests + OPEN_WEIGHT),
+            _ => (releases, requests + 1),
         })
     }
 
-    /// Number of calls in it that ask for something and mean something: the front's thread must see them.
-    pub fn takes(&self) -> u64 {
-        let takes = |call: &Call| u64::from(!call.frees() && call.method.is_ok());
+    /// Number of valid calls that request something: these have to reach the engine.
+    pub fn engine_requests(&self) -> u64 {
+        let requests = |call: &Call| u64::from(!call.is_release() && call.method.is_ok());
         match self {
             Message::Malformed(_) => 0,
-            Message::Single(call) => takes(call),
-            Message::Batch(calls) => calls.iter().map(takes).sum(),
+            Message::Single(call) => requests(call),
+            Message::Batch(calls) => calls.iter().map(requests).sum(),
         }
     }
 
-    /// Has all calls that ask for something answered that they are too many; those that free something stand.
-    pub fn held_back(mut self, after: u64) -> Message {
-        let hold = |call: &mut Call| {
-            if !call.frees() {
-                // A notification is not answered, and not told of this either.
-                call.method = Err(RpcError::later(TOO_MANY_CALLS, "too many calls", after));
+    /// Rejects all calls that request something with an error; calls that free something stay.
+    pub fn reject_requests(mut self, delay: u64) -> Message {
+        let reject = |call: &mut Call| {
+            if !call.is_release() {
+                // A notification gets no response, so its sender is not told.
+                call.method = Err(RpcError::with_retry_after(TOO_MANY_CALLS, "too many calls", delay));
             }
         };
         match &mut self {
             Message::Malformed(_) => {}
-            Message::Single(call) => hold(call),
-            Message::Batch(calls) => calls.iter_mut().for_each(hold),
+            Message::Single(call) => reject(call),
+            Message::Batch(calls) => calls.iter_mut().for_each(reject),
         }
         self
     }
 }
 
-/// Reads a message. Never fails as a whole: whatever is wrong stands in the call that it is wrong with.
+/// Parses a message. This never fails as a whole: an invalid call carries its own error.
 pub fn parse(text: &str, settings: &Settings) -> Message {
     match serde_json::from_str::<Value>(text) {
         Err(error) => Message::Malformed(RpcError::new(PARSE_ERROR, format!("not JSON: {error}"))),
         Ok(Value::Array(calls)) if calls.is_empty() => {
             Message::Malformed(RpcError::new(INVALID_REQUEST, "an empty batch"))
         }
-        Ok(Value::Array(calls)) if calls.len() > BATCH_MOST => {
-            let text = format!("a batch of {} calls, {BATCH_MOST} at most", calls.len());
+        Ok(Value::Array(calls)) if calls.len() > MAX_BATCH_CALLS => {
+            let text = format!("a batch of {} calls, {MAX_BATCH_CALLS} at most", calls.len());
             Message::Malformed(RpcError::new(INVALID_REQUEST, text))
         }
         Ok(Value::Array(calls)) => {
-            // A batch is answered whole, so a second open in it would hold the first one's answer back.
+            // A batch is answered as a whole, so a second open would delay the answer of the first.
             let mut opens = 0;
-            let one = |value: Value| {
-                let mut call = call(value, settings);
+            let parse_one = |value: Value| {
+                let mut call = parse_call(value, settings);
                 if matches!(call.method, Ok(Method::Open(_))) {
                     opens += 1;
                     if opens > 1 {
@@ -195,14 +195,15 @@
                 }
                 call
             };
-            Message::Batch(calls.into_iter().map(one).collect())
+            Message::Batch(calls.into_iter().map(parse_one).collect())
         }
-        Ok(value) => Message::Single(call(value, settings)),
+        Ok(value) => Message::Single(parse_call(value, settings)),
     }
 }
 
-fn call(value: Value, settings: &Settings) -> Call {
-    // What is not even a request is answered with a null id; a notification is one only if all else is right.
+fn parse_call(value: Value, settings: &Settings) -> Call {
+    // A value that is no request is answered with a null id. Only a valid request without an id is a
+    // notification.
     let wrong =
         |text: &str| Call { id: Some(Value::Null), method: Err(RpcError::new(INVALID_REQUEST, text)) };
     let Value::Object(mut call) = value else { return wrong("a call is an object") };
@@ -219,28 +220,28 @@
     }
     let Some(Value::String(name)) = call.remove("method") else { return bad("`method` must be a string") };
     let method = match call.remove("params") {
-        None => params(&name, Map::new(), settings),
-        Some(Value::Object(given)) => params(&name, given, settings),
+        None => parse_params(&name, Map::new(), settings),
+        Some(Value::Object(given)) => parse_params(&name, given, settings),
         Some(Value::Array(_)) => Err(RpcError::new(INVALID_PARAMS, "parameters go by name")),
         Some(_) => return bad("`params` must be an object"),
     };
     Call { id, method }
 }
 
-fn params(name: &str, given: Map<String, Value>, settings: &Settings) -> Result<Method, RpcError> {
+fn parse_params(name: &str, given: Map<String, Value>, settings: &Settings) -> Result<Method, RpcError> {
     let Some((_, known)) = METHODS.iter().find(|(method, _)| *method == name) else {
         return Err(RpcError::new(METHOD_NOT_FOUND, format!("no method `{name}`")));
     };
     let wrong = |text: String| RpcError::new(INVALID_PARAMS, text);
-    if let Some(odd) = given.keys().find(|key| !known.iter().any(|(known, _)| known == key)) {
-        return Err(wrong(format!("`{name}` has no parameter `{odd}`")));
+    if let Some(unknown) = given.keys().find(|key| !known.iter().any(|(known, _)| known == key)) {
+        return Err(wrong(format!("`{name}` has no parameter `{unknown}`")));
     }
     if let Some((missing, _)) = known.iter().find(|(key, must)| *must && !given.contains_key(*key)) {
         return Err(wrong(format!("`{missing}` is missing")));
     }
     let given = Params(given);
     Ok(match name {
-        "session.open" => Method::Open(opening(&given, settings)?),
+        "session.open" => Method::Open(parse_opening(&given, settings)?),
         "session.cancel" => Method::Cancel(given.0.get("open").cloned().unwrap_or(Value::Null)),
         "session.close" => Method::Close(SessionId(Arc::from(given.name("session")?))),
         _ => {
@@ -254,13 +255,14 @@
 
 impl Params {
     fn name(&self, key: &str) -> Result<&str, RpcError> {
-        let text = self.0.get(key).and_then(Value::as_str).filter(|t| !t.is_empty() && t.len() <= NAME_MOST);
+        let text =
+            self.0.get(key).and_then(Value::as_str).filter(|t| !t.is_empty() && t.len() <= MAX_NAME_BYTES);
         text.ok_or_else(|| {
-            RpcError::new(INVALID_PARAMS, format!("`{key}` must be a string of 1 to {NAME_MOST} bytes"))
+            RpcError::new(INVALID_PARAMS, format!("`{key}` must be a string of 1 to {MAX_NAME_BYTES} bytes"))
         })
     }
 
-    fn whole(&self, key: &str) -> Result<u64, RpcError> {
+    fn whole_number(&self, key: &str) -> Result<u64, RpcError> {
         self.0.get(key).and_then(Value::as_u64).ok_or_else(|| {
             RpcError::new(INVALID_PARAMS, format!("`{key}` must be a whole number, 0 or more"))
         })
@@ -275,16 +277,16 @@
     }
 }
 
-fn opening(given: &Params, settings: &Settings) -> Result<Opening, RpcError> {
+fn parse_opening(given: &Params, settings: &Settings) -> Result<Opening, RpcError> {
     let wrong = |text: String| RpcError::new(INVALID_PARAMS, text);
     let title = given.name("title")?;
-    let lies = settings.titles.get(title).ok_or_else(|| wrong(format!("no title `{title}` here")))?;
+    let title_entry = settings.titles.get(title).ok_or_else(|| wrong(format!("no title `{title}` here")))?;
     let class = given.name("class")?;
     let class = settings.class_index(class).ok_or_else(|| wrong(format!("no class `{class}` here")))?;
-    let (least, most) = settings.io.patience_ms;
-    let patience = given.whole("patience_ms")?;
-    if !(least..=most).contains(&patience) {
-        return Err(wrong(format!("`patience_ms` is {patience}; it must lie from {least} to {most}")));
+    let (min, max) = settings.io.patience_ms;
+    let patience = given.whole_number("patience_ms")?;
+    if !(min..=max).contains(&patience) {
+        return Err(wrong(format!("`patience_ms` is {patience}; it must lie from {min} to {max}")));
     }
     let length = match given.0.get("length_hint_s") {
         None => None,
@@ -299,11 +301,11 @@
     Ok(Opening {
         viewer: viewer_id(given.name("viewer")?),
         firm: tenant_id(given.name("viewer")?),
-        title: lies.id,
+        title: title_entry.id,
         class,
-        first_cell: lies.first_cell,
-        cell_count: lies.cells,
-        top_rung: usize::try_from(given.whole("top_rung")?).unwrap_or(usize::MAX),
+        first_cell: title_entry.first_cell,
+        cell_count: title_entry.cells,
+        top_rung: usize::try_from(given.whole_number("top_rung")?).unwrap_or(usize::MAX),
         patience: patience * 1000,
         length,
         returned: given.flag("returned")?,
@@ -318,9 +320,11 @@
 
 /// A response with an error.
 pub fn error_response(id: &Value, error: &RpcError) -> Value {
-    match error.hold_off {
+    match error.retry_after {
         None => json!({"jsonrpc": "2.0", "id": id, "error": {"code": error.code, "message": error.message}}),
-        Some(after) => failure(id, error.code, &error.message, json!({"hold_off_ms": after.div_ceil(1000)})),
+        Some(after) => {
+            error_with_data(id, error.code, &error.message, json!({"hold_off_ms": after.div_ceil(1000)}))
+        }
     }
 }
 
@@ -334,9 +338,9 @@
             });
             success_response(id, plays)
         }
-        Answer::Refused(session, hold_off) => {
-            let data = json!({"session": &*session.0, "hold_off_ms": hold_off / 1000});
-            failure(id, REFUSED, "refused", data)
+        Answer::Refused(session, retry_after) => {
+            let data = json!({"session": &*session.0, "hold_off_ms": retry_after / 1000});
+            error_with_data(id, REFUSED, "refused", data)
         }
         Answer::Failed(session, reason) => {
             let reason = match reason {
@@ -345,17 +349,17 @@
                 FailReason::Overdue => "overdue",
                 FailReason::ShuttingDown => "shutting-down",
             };
-            failure(id, FAILED, "failed", json!({"session": &*session.0, "reason": reason}))
+            error_with_data(id, FAILED, "failed", json!({"session": &*session.0, "reason": reason}))
         }
     }
 }
 
-fn failure(id: &Value, code: i64, message: &str, data: Value) -> Value {
+fn error_with_data(id: &Value, code: i64, message: &str, data: Value) -> Value {
     json!({"jsonrpc": "2.0", "id": id, "error": {"code": code, "message": message, "data": data}})
 }
 
-/// The response to a message of which nothing reaches the front; of a batch, to all of it. Nothing where no call
-/// is answered at all.
+/// The response to a message that has no call for the engine; for a batch, to all of it. `None` if no call
+/// gets a response.
 pub fn errors_only(message: &Message) -> Option<Value> {
     let one = |call: &Call| match (&call.id, &call.method) {
         (Some(id), Err(error)) => Some(error_response(id, error)),
@@ -385,24 +389,26 @@
             });
             success_response(id, state)
         }
-        Reply::Over(most, of) => {
-            let of = match of {
-                Held::Connection => "connection",
-                Held::Viewer => "viewer",
+        Reply::Over(limit, scope) => {
+            let scope = match scope {
+                HeldBy::Connection => "connection",
+                HeldBy::Viewer => "viewer",
             };
-            failure(id, TOO_MANY_SESSIONS, "too many sessions", json!({"of": of, "most": most}))
-        }
-        Reply::OnlyBack(hold_off) => {
-            error_response(id, &RpcError::later(FULL, "full but for viewers that come back", *hold_off))
+            error_with_data(id, TOO_MANY_SESSIONS, "too many sessions", json!({"of": scope, "most": limit}))
         }
+        Reply::OnlyBack(retry_after) => error_response(
+            id,
+            &RpcError::with_retry_after(FRONT_FULL, "full but for viewers that come back", *retry_after),
+        ),
         Reply::Elsewhere(front, address) => {
             let address = address.map(|address| address.to_string());
             let data = json!({"front": &**front, "address": address});
-            failure(id, ELSEWHERE, "the session is at another front", data)
-        }
-        Reply::Wait(hold_off) => {
-            error_response(id, &RpcError::later(BETWEEN, "the session is between two fronts", *hold_off))
+            error_with_data(id, AT_OTHER_FRONT, "the session is at another front", data)
         }
+        Reply::Wait(retry_after) => error_response(
+            id,
+            &RpcError::with_retry_after(BETWEEN_FRONTS, "the session is between two fronts", *retry_after),
+        ),
         Reply::Unknown => {
             let text = "no such session or open call on this connection";
             error_response(id, &RpcError::new(UNKNOWN_SESSION, text))
