--- a/crates/front/src/session_api/server.rs
+++ b/crates/front/src/session_api/server.rs
@@ -1,5 +1,5 @@
-//! Accepts players. Handshakes are read by one thread for all of them; then each connection has one that reads, and
-//! answers are written by the front's own thread.
+//! Accepts players over WebSocket. One thread reads all handshakes; then each connection has a thread that
+//! reads its messages. Answers are written by the engine thread.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, Read, Write};
@@ -23,13 +23,13 @@
 use tungstenite::{Error, Message, WebSocket};
 
 use super::connections::Connections;
-use super::core::accept_backoff::{Accepting, Shortage};
-use super::core::admission::{DropReason, Place};
+use super::core::accept_backoff::{AcceptBackoff, Shortage};
+use super::core::admission::{DropReason, Slot};
 use super::core::backlog::Backlog;
 use super::core::calls::PendingCalls;
-use super::core::rate_limit::{Allowance, Allowed};
+use super::core::rate_limit::{CallAllowance, RateDecision};
 use super::core::thread_share::{Charge, Priority, ThreadShare};
-use super::core::watchdog::{Sight, Watch};
+use super::core::watchdog::{Verdict, Watchdog};
 use super::outbox::{text_frame, Outbox};
 use super::rpc;
 use crate::clock::{timespec, Clock};
@@ -37,67 +37,73 @@
 use crate::inside::messages::{Msg, Port, Taken};
 use crate::settings::{Settings, SUB_PROTOCOL};
 
-/// Stack of a thread that reads one player: a message, its JSON and the WebSocket's buffers, which are on the heap.
-const STACK: usize = 128 * 1024;
-/// A connection that is told why it ends is read on for this long, so that the reason is not lost by a reset.
-const LINGER: Duration = Duration::from_millis(100);
-/// Threads that wait for a next player at most, and for how long.
-const IDLE_MOST: usize = 256;
-const IDLE: Duration = Duration::from_secs(1);
-/// Connections that are taken in one after another.
-const AT_ONCE: usize = 64;
-/// Bytes of a request that are waited for; the WebSocket's reader says what is wrong with a longer one.
-const HEAD_MOST: usize = 8 * 1024;
-/// A player is read on after this at the latest, us: its pongs and its end are among what it sends.
-const PAUSE_MOST: u64 = 1_000_000;
-
-/// The ways from players to the front's thread.
+/// Stack of a thread that reads one player. It holds a message, its JSON and the WebSocket buffers, which are
+/// on the heap.
+const READER_STACK_BYTES: usize = 128 * 1024;
+/// How long a connection is still read after its close frame, so that a reset does not destroy the close
+/// reason.
+const CLOSE_LINGER: Duration = Duration::from_millis(100);
+/// Maximum number of reader threads that wait for their next player.
+const MAX_IDLE_READERS: usize = 256;
+/// How long such a thread waits.
+const READER_IDLE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of connections accepted before the handshakes are read again.
+const ACCEPT_BATCH: usize = 64;
+/// Maximum bytes of a request that are read in the handshake loop; the WebSocket library reports the error of
+/// a longer one.
+const MAX_REQUEST_BYTES: usize = 8 * 1024;
+/// Longest delay before the next read from a player: its pongs and its close are among what it sends.
+const MAX_PAUSE_US: u64 = 1_000_000;
+
+/// Channels from the connections to other threads.
 #[derive(Clone)]
 pub struct ServerChannels {
-    /// All that must be heard.
+    /// To the engine thread.
     pub engine: Sender<Msg>,
-    /// How many messages over their senders' shares wait for the front's thread.
+    /// Number of messages of players without credit that wait for the engine thread.
     pub deferred: Arc<AtomicUsize>,
-    /// Outboxes that the socket did not empty.
+    /// Outboxes that the socket did not empty, for the flusher thread.
     pub flusher: Sender<Arc<Outbox>>,
 }
 
-/// What accepts players, and how it is stopped.
+/// The listener and its thread.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
-    stopping: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Server {
-    /// Binds and begins to accept.
+    /// Binds the address and starts to accept players.
     pub fn start(
         settings: Arc<Settings>,
         clock: Clock,
         clients: Arc<AtomicU64>,
-        entrance: Arc<Connections>,
-        ways: ServerChannels,
+        connections: Arc<Connections>,
+        channels: ServerChannels,
     ) -> io::Result<Server> {
         let listener = TcpListener::bind(settings.listen)?;
         let address = listener.local_addr()?;
-        let stopping = Arc::new(AtomicBool::new(false));
-        let (readers, stop) = (Readers::new(), Arc::clone(&stopping));
-        let acceptor = Acceptor { settings, clock, clients, entrance, ways, readers, stop };
+        let stop_requested = Arc::new(AtomicBool::new(false));
+        let (readers, stop) = (Readers::new(), Arc::clone(&stop_requested));
+        let acceptor =
+            Acceptor { settings, clock, clients, connections, channels, readers, stop_requested: stop };
         let accept = move || acceptor.run(&listener);
-        let thread = thread::Builder::new().name("players".into()).stack_size(STACK).spawn(accept)?;
-        Ok(Server { address, stopping, thread: Some(thread) })
+        let thread =
+            thread::Builder::new().name("players".into()).stack_size(READER_STACK_BYTES).spawn(accept)?;
+        Ok(Server { address, stop_requested, thread: Some(thread) })
     }
 
-    /// Where players connect.
+    /// The address that players connect to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Accepts nobody any more.
+    /// Stops accepting players.
     pub fn stop(&mut self) {
-        self.stopping.store(true, Ordering::Release);
-        // A connection of our own wakes the thread that accepts.
+        self.stop_requested.store(true, Ordering::Release);
+        // A connection from this process wakes the accept thread.
         let _ = TcpStream::connect_timeout(&self.address, Duration::from_secs(1));
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -105,248 +111,254 @@
     }
 }
 
-/// Takes connections in and reads their handshakes, all of them in one thread: a peer that drips costs a socket and a
-/// few bytes until its request is whole, and no thread.
+/// Accepts connections and reads their handshakes, all in one thread: a peer that sends its request byte by
+/// byte costs a socket and a small buffer until the request is complete, and no thread.
 struct Acceptor {
     settings: Arc<Settings>,
     clock: Clock,
     clients: Arc<AtomicU64>,
-    entrance: Arc<Connections>,
-    ways: ServerChannels,
+    connections: Arc<Connections>,
+    channels: ServerChannels,
     readers: Arc<Readers>,
-    stop: Arc<AtomicBool>,
+    stop_requested: Arc<AtomicBool>,
 }
 
-/// A connection whose request is not whole yet.
-struct Shaking {
+/// A connection whose request is not complete yet.
+struct Handshake {
     stream: Arc<TcpStream>,
     outbox: Arc<Outbox>,
-    watch: Watch,
-    head: Vec<u8>,
+    watchdog: Watchdog,
+    request: Vec<u8>,
     due: u64,
 }
 
-/// Those, and when the time of each runs out.
-struct Hall {
+/// All such connections, ordered by their next check.
+struct Handshakes {
     poll: OwnedFd,
-    shaking: BTreeMap<ClientId, Shaking>,
+    by_client: BTreeMap<ClientId, Handshake>,
     due: BTreeSet<(u64, ClientId)>,
 }
 
-impl Hall {
-    fn put(&mut self, id: ClientId, mut one: Shaking) {
-        one.due = one.watch.due();
-        self.due.insert((one.due, id));
-        self.shaking.insert(id, one);
+impl Handshakes {
+    fn insert(&mut self, id: ClientId, mut handshake: Handshake) {
+        handshake.due = handshake.watchdog.next_check();
+        self.due.insert((handshake.due, id));
+        self.by_client.insert(id, handshake);
     }
 
-    fn take(&mut self, id: ClientId) -> Option<Shaking> {
-        let one = self.shaking.remove(&id)?;
-        self.due.remove(&(one.due, id));
-        Some(one)
+    fn take(&mut self, id: ClientId) -> Option<Handshake> {
+        let handshake = self.by_client.remove(&id)?;
+        self.due.remove(&(handshake.due, id));
+        Some(handshake)
     }
 }
 
-/// Threads that read players, and wait a while for the next one when theirs has left. Danger: players that come and go
-/// by the thousand a second would have as many threads made and ended, each with memory that is mapped and unmapped
-/// under one lock of the whole process.
+/// Threads that read players. A thread whose player has left waits a while for the next one. Danger: with
+/// thousands of players per second that come and go, creating and ending a thread for each would map and
+/// unmap its memory under one lock of the whole process.
 struct Readers {
-    give: Sender<Job>,
-    take: Receiver<Job>,
-    idle: AtomicUsize,
+    jobs_in: Sender<ReaderJob>,
+    jobs_out: Receiver<ReaderJob>,
+    idle_count: AtomicUsize,
 }
 
-type Job = (Player, Shaking);
+type ReaderJob = (Player, Handshake);
 
 impl Readers {
     fn new() -> Arc<Readers> {
-        // Without room of its own: a job is taken by a thread that waits, or by none.
-        let (give, take) = crossbeam_channel::bounded(0);
-        Arc::new(Readers { give, take, idle: AtomicUsize::new(0) })
+        // Without a buffer: a job is taken by a waiting thread or by none.
+        let (jobs_in, jobs_out) = crossbeam_channel::bounded(0);
+        Arc::new(Readers { jobs_in, jobs_out, idle_count: AtomicUsize::new(0) })
     }
 
-    /// Has a thread serve this player, one that waits or a new one.
-    fn serve(self: &Arc<Self>, job: Job) -> io::Result<()> {
-        let job = match self.give.try_send(job) {
+    /// Serves a player on a waiting thread or on a new one.
+    fn serve(self: &Arc<Self>, job: ReaderJob) -> io::Result<()> {
+        let job = match self.jobs_in.try_send(job) {
             Ok(()) => return Ok(()),
             Err(TrySendError::Full(job) | TrySendError::Disconnected(job)) => job,
         };
         let readers = Arc::clone(self);
-        let run = move || readers.work(job);
-        thread::Builder::new().name("player".into()).stack_size(STACK).spawn(run).map(|_| ())
+        let run = move || readers.run(job);
+        thread::Builder::new().name("player".into()).stack_size(READER_STACK_BYTES).spawn(run).map(|_| ())
     }
 
-    fn work(&self, mut job: Job) {
+    fn run(&self, mut job: ReaderJob) {
         loop {
-            let (player, shaking) = job;
-            player.serve(shaking);
-            player.entrance.left(player.id);
+            let (player, handshake) = job;
+            player.serve(handshake);
+            player.connections.remove(player.id);
             drop(player);
-            let next = match self.idle.fetch_add(1, Ordering::Relaxed) {
-                few if few < IDLE_MOST => self.take.recv_timeout(IDLE).ok(),
+            let next = match self.idle_count.fetch_add(1, Ordering::Relaxed) {
+                idle if idle < MAX_IDLE_READERS => self.jobs_out.recv_timeout(READER_IDLE_TIMEOUT).ok(),
                 _ => None,
             };
-            self.idle.fetch_sub(1, Ordering::Relaxed);
+            self.idle_count.fetch_sub(1, Ordering::Relaxed);
             let Some(next) = next else { return };
             job = next;
         }
     }
 }
 
-/// Stands for the listener among the clients' numbers.
-const LISTENER: u64 = u64::MAX;
+/// Event data of the listener; no client has this number.
+const LISTENER_EVENT: u64 = u64::MAX;
 
 impl Acceptor {
     fn run(&self, listener: &TcpListener) {
-        let watched = listener.set_nonblocking(true).map_err(|error| error.to_string());
-        let made = epoll::create(epoll::CreateFlags::CLOEXEC).map_err(|error| error.to_string());
-        let poll = watched.and(made).and_then(|poll| {
-            let listens = EventData::new_u64(LISTENER);
-            let added = epoll::add(&poll, listener, listens, EventFlags::IN);
+        let nonblocking = listener.set_nonblocking(true).map_err(|error| error.to_string());
+        let created = epoll::create(epoll::CreateFlags::CLOEXEC).map_err(|error| error.to_string());
+        let poll = nonblocking.and(created).and_then(|poll| {
+            let event = EventData::new_u64(LISTENER_EVENT);
+            let added = epoll::add(&poll, listener, event, EventFlags::IN);
             added.map(|()| poll).map_err(|error| error.to_string())
         });
         let poll = match poll {
             Ok(poll) => poll,
             Err(error) => return tracing::error!(error, "players cannot be accepted"),
         };
-        let mut hall = Hall { poll, shaking: BTreeMap::new(), due: BTreeSet::new() };
-        let mut accepting = Accepting::default();
+        let mut handshakes = Handshakes { poll, by_client: BTreeMap::new(), due: BTreeSet::new() };
+        let mut backoff = AcceptBackoff::default();
         let mut events = Vec::with_capacity(256);
-        while !self.stop.load(Ordering::Acquire) {
+        while !self.stop_requested.load(Ordering::Acquire) {
             let now = self.clock.now();
-            let next = hall.due.first().map_or(1_000_000, |(due, _)| due.saturating_sub(now).min(1_000_000));
+            let next =
+                handshakes.due.first().map_or(1_000_000, |(due, _)| due.saturating_sub(now).min(1_000_000));
             let wait = timespec(next.max(1_000));
             events.clear();
-            // Interrupted, it is looked again.
-            let _ = epoll::wait(&hall.poll, spare_capacity(&mut events), Some(&wait));
+            // After an interruption there are no events.
+            let _ = epoll::wait(&handshakes.poll, spare_capacity(&mut events), Some(&wait));
             for event in &events {
                 match event.data.u64() {
-                    LISTENER => self.accept_some(listener, &mut hall, &mut accepting),
+                    LISTENER_EVENT => self.accept_some(listener, &mut handshakes, &mut backoff),
                     id => {
-                        if let Err(shortage) = self.hear(ClientId(id), &mut hall) {
-                            self.note(&mut accepting, Some(shortage));
+                        if let Err(shortage) = self.read_handshake(ClientId(id), &mut handshakes) {
+                            self.record_accept(&mut backoff, Some(shortage));
                         }
                     }
                 }
             }
             let now = self.clock.now();
-            while let Some((_, id)) = hall.due.first().copied().filter(|(due, _)| *due <= now) {
-                if let Some(one) = hall.take(id) {
-                    tracing::debug!(client = id.0, "a handshake has taken too long");
-                    one.outbox.close();
-                    self.entrance.left(id);
+            while let Some((_, id)) = handshakes.due.first().copied().filter(|(due, _)| *due <= now) {
+                if let Some(handshake) = handshakes.take(id) {
+                    tracing::debug!(client = id.0, "handshake timed out");
+                    handshake.outbox.close();
+                    self.connections.remove(id);
                 }
             }
         }
     }
 
-    /// Takes in a few of those that wait, so that those that shake hands are heard in between.
-    fn accept_some(&self, listener: &TcpListener, hall: &mut Hall, accepting: &mut Accepting) {
-        for _ in 0..AT_ONCE {
+    /// Accepts a limited number of connections, so that handshakes are read in between.
+    fn accept_some(&self, listener: &TcpListener, handshakes: &mut Handshakes, backoff: &mut AcceptBackoff) {
+        for _ in 0..ACCEPT_BATCH {
             let shortage = match listener.accept() {
-                Ok((stream, from)) => self.accepted(stream, from, hall).err(),
+                Ok((stream, from)) => self.start_handshake(stream, from, handshakes).err(),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Err(error) => Shortage::of(error.raw_os_error()),
+                Err(error) => Shortage::from_os_error(error.raw_os_error()),
             };
-            self.note(accepting, shortage);
+            self.record_accept(backoff, shortage);
             if shortage.is_some() {
                 return;
             }
         }
     }
 
-    fn note(&self, accepting: &mut Accepting, shortage: Option<Shortage>) {
-        let Some(shortage) = shortage else { return accepting.went_well() };
-        let step = accepting.short(self.clock.now(), shortage);
-        if let Some(times) = step.tell {
+    fn record_accept(&self, backoff: &mut AcceptBackoff, shortage: Option<Shortage>) {
+        let Some(shortage) = shortage else { return backoff.reset() };
+        let outcome = backoff.record(self.clock.now(), shortage);
+        if let Some(times) = outcome.report {
             tracing::warn!(?shortage, times, "players cannot be taken: what is open goes on");
         }
-        thread::sleep(Duration::from_micros(step.pause));
+        thread::sleep(Duration::from_micros(outcome.pause));
     }
 
-    fn accepted(&self, stream: TcpStream, from: SocketAddr, hall: &mut Hall) -> Result<(), Shortage> {
+    fn start_handshake(
+        &self,
+        stream: TcpStream,
+        from: SocketAddr,
+        handshakes: &mut Handshakes,
+    ) -> Result<(), Shortage> {
         let id = ClientId(self.clients.fetch_add(1, Ordering::Relaxed));
         let _ = stream.set_nodelay(true);
         let _ = stream.set_nonblocking(true);
-        let edges = &self.settings.io;
-        // A second net below the pings, for a peer whose machine is gone.
+        let limits = &self.settings.io;
+        // TCP keep-alive finds peers whose machine is gone, in case the pings do not.
         let socket = SockRef::from(&stream);
-        let alive =
-            TcpKeepalive::new().with_time(edges.tcp_keep_alive).with_interval(edges.tcp_keep_alive / 3);
-        let _ = socket.set_tcp_keepalive(&alive.with_retries(3));
-        let _ = socket.set_tcp_user_timeout(Some(edges.tcp_keep_alive * 2));
+        let keep_alive =
+            TcpKeepalive::new().with_time(limits.tcp_keep_alive).with_interval(limits.tcp_keep_alive / 3);
+        let _ = socket.set_tcp_keepalive(&keep_alive.with_retries(3));
+        let _ = socket.set_tcp_user_timeout(Some(limits.tcp_keep_alive * 2));
         let stream = Arc::new(stream);
-        let backlog = Backlog::new(edges.max_backlog_bytes, edges.stall_timeout.as_micros() as u64);
-        let outbox = Outbox::new(Arc::clone(&stream), self.clock, backlog, self.ways.flusher.clone());
-        if let Err(turned) = self.entrance.knock(id, from.ip(), &outbox) {
-            tracing::debug!(?turned, %from, "a player is turned away");
-            outbox.send(&busy(&self.settings));
+        let backlog = Backlog::new(limits.max_backlog_bytes, limits.stall_timeout.as_micros() as u64);
+        let outbox = Outbox::new(Arc::clone(&stream), self.clock, backlog, self.channels.flusher.clone());
+        if let Err(reason) = self.connections.begin_handshake(id, from.ip(), &outbox) {
+            tracing::debug!(turned = ?reason, %from, "a player is turned away");
+            outbox.send(&service_unavailable(&self.settings));
             return Ok(());
         }
-        if let Err(error) = epoll::add(&hall.poll, &*stream, EventData::new_u64(id.0), EventFlags::IN) {
-            self.entrance.left(id);
-            return Shortage::of(Some(error.raw_os_error())).map_or(Ok(()), Err);
+        if let Err(error) = epoll::add(&handshakes.poll, &*stream, EventData::new_u64(id.0), EventFlags::IN) {
+            self.connections.remove(id);
+            return Shortage::from_os_error(Some(error.raw_os_error())).map_or(Ok(()), Err);
         }
-        let watch = Watch::new(edges.watchdog, id.0, self.clock.now());
-        hall.put(id, Shaking { stream, outbox, watch, head: Vec::new(), due: 0 });
+        let watchdog = Watchdog::new(limits.watchdog, id.0, self.clock.now());
+        handshakes.insert(id, Handshake { stream, outbox, watchdog, request: Vec::new(), due: 0 });
         Ok(())
     }
 
-    /// Something has come on a connection that shakes hands, or its end.
-    fn hear(&self, id: ClientId, hall: &mut Hall) -> Result<(), Shortage> {
-        let Some(mut one) = hall.take(id) else { return Ok(()) };
-        let mut part = [0; 2048];
-        let count = match (&*one.stream).read(&mut part) {
+    /// Reads a connection that is in the handshake and has data or has ended.
+    fn read_handshake(&self, id: ClientId, handshakes: &mut Handshakes) -> Result<(), Shortage> {
+        let Some(mut handshake) = handshakes.take(id) else { return Ok(()) };
+        let mut buffer = [0; 2048];
+        let count = match (&*handshake.stream).read(&mut buffer) {
             Ok(count) => count,
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
-                hall.put(id, one);
+                handshakes.insert(id, handshake);
                 return Ok(());
             }
             Err(_) => 0,
         };
         if count == 0 {
-            // It has left, or made room for another.
-            self.entrance.left(id);
+            // The peer has closed, or was dropped to make room for another.
+            self.connections.remove(id);
             return Ok(());
         }
-        one.head.extend_from_slice(&part[..count]);
-        one.watch.heard(self.clock.now(), &part[..count]);
-        let whole = one.head.windows(4).rev().any(|end| end == b"\r\n\r\n");
-        if !whole && one.head.len() < HEAD_MOST {
-            if let Some(so_far) = one.watch.shaking() {
-                self.entrance.progress(id, so_far);
+        handshake.request.extend_from_slice(&buffer[..count]);
+        handshake.watchdog.on_bytes(self.clock.now(), &buffer[..count]);
+        let complete = handshake.request.windows(4).rev().any(|end| end == b"\r\n\r\n");
+        if !complete && handshake.request.len() < MAX_REQUEST_BYTES {
+            if let Some(progress) = handshake.watchdog.handshake_progress() {
+                self.connections.handshake_progress(id, progress);
             }
-            hall.put(id, one);
+            handshakes.insert(id, handshake);
             return Ok(());
         }
-        let _ = epoll::delete(&hall.poll, &*one.stream);
-        let _ = one.stream.set_nonblocking(false);
+        let _ = epoll::delete(&handshakes.poll, &*handshake.stream);
+        let _ = handshake.stream.set_nonblocking(false);
         let player = Player {
             id,
             settings: Arc::clone(&self.settings),
             clock: self.clock,
-            entrance: Arc::clone(&self.entrance),
-            ways: self.ways.clone(),
-            outbox: Arc::clone(&one.outbox),
+            connections: Arc::clone(&self.connections),
+            channels: self.channels.clone(),
+            outbox: Arc::clone(&handshake.outbox),
         };
-        let outbox = Arc::clone(&one.outbox);
-        if self.readers.serve((player, one)).is_err() {
-            outbox.send(&busy(&self.settings));
-            self.entrance.left(id);
+        let outbox = Arc::clone(&handshake.outbox);
+        if self.readers.serve((player, handshake)).is_err() {
+            outbox.send(&service_unavailable(&self.settings));
+            self.connections.remove(id);
             return Err(Shortage::Threads);
         }
         Ok(())
     }
 }
 
-/// When whoever finds the door full may come again, s.
-fn retry_after(settings: &Settings) -> u64 {
+/// Seconds after which a rejected player may retry.
+fn retry_after_s(settings: &Settings) -> u64 {
     settings.decision.max_hold_off.div_ceil(1_000_000)
 }
 
-/// An answer to whoever finds the door full, with the time to come again in (RFC 9110 section 10.2.3).
-fn busy(settings: &Settings) -> Vec<u8> {
-    let after = retry_after(settings);
+/// The response to a rejected connection, with the time after which to retry (RFC 9110 section 10.2.3).
+fn service_unavailable(settings: &Settings) -> Vec<u8> {
+    let after = retry_after_s(settings);
     let head = "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n";
     format!("{head}Retry-After: {after}\r\n\r\n").into_bytes()
 }
@@ -355,63 +367,66 @@
     id: ClientId,
     settings: Arc<Settings>,
     clock: Clock,
-    entrance: Arc<Connections>,
-    ways: ServerChannels,
+    connections: Arc<Connections>,
+    channels: ServerChannels,
     outbox: Arc<Outbox>,
 }
 
-/// The two ways of a player's socket: reads are watched, writes go through the outbox and never wait.
+/// A player's socket as the WebSocket library sees it: reads are checked by the watchdog, writes go through
+/// the outbox and never block.
 struct Duplex {
     read: Arc<TcpStream>,
-    /// What was read of it before it had this thread.
-    head: io::Cursor<Vec<u8>>,
+    /// The bytes that were read before this thread took over.
+    request: io::Cursor<Vec<u8>>,
     write: Arc<Outbox>,
-    watch: Watch,
+    watchdog: Watchdog,
     clock: Clock,
     client: ClientId,
-    entrance: Arc<Connections>,
-    /// Why the watch ended the connection.
-    ended: Option<Sight>,
+    connections: Arc<Connections>,
+    /// Why the watchdog ended the connection.
+    verdict: Option<Verdict>,
 }
 
 impl Read for Duplex {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
-        let before = self.head.read(buffer)?;
-        if before > 0 {
-            return Ok(before);
+        let count = self.request.read(buffer)?;
+        if count > 0 {
+            return Ok(count);
         }
         loop {
             let now = self.clock.now();
-            match self.watch.look(now) {
-                Sight::Fine => {}
-                Sight::Ping => self.write.send(&ping()),
-                Sight::Newcomer if !self.entrance.in_reserve(self.client) => self.watch.returned(),
-                sight => {
-                    self.ended = Some(sight);
+            match self.watchdog.check(now) {
+                Verdict::Continue => {}
+                Verdict::SendPing => self.write.send(&ping()),
+                Verdict::NotReturned if !self.connections.in_reserve(self.client) => {
+                    self.watchdog.on_returned()
+                }
+                verdict => {
+                    self.verdict = Some(verdict);
                     return Err(io::ErrorKind::TimedOut.into());
                 }
             }
-            let wait = self.watch.due().saturating_sub(now).clamp(1_000, 3_600_000_000);
+            let wait = self.watchdog.next_check().saturating_sub(now).clamp(1_000, 3_600_000_000);
             self.read.set_read_timeout(Some(Duration::from_micros(wait)))?;
             match (&*self.read).read(buffer) {
                 Ok(count) => {
-                    self.watch.heard(self.clock.now(), &buffer[..count]);
-                    if let Some(so_far) = self.watch.shaking() {
-                        self.entrance.progress(self.client, so_far);
+                    self.watchdog.on_bytes(self.clock.now(), &buffer[..count]);
+                    if let Some(progress) = self.watchdog.handshake_progress() {
+                        self.connections.handshake_progress(self.client, progress);
                     }
-                    if self.watch.noisy() {
-                        // Before the WebSocket's reader sees them, and answers each.
+                    if self.watchdog.control_flood() {
+                        // Disconnect before the WebSocket library sees the control frames and answers each.
                         continue;
                     }
                     return Ok(count);
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
-                // The second net: the peer's machine is gone or cannot be reached.
+                // TCP keep-alive or user time-out: the peer's machine is gone or unreachable.
                 Err(error) => {
                     use io::ErrorKind::{HostUnreachable, NetworkUnreachable, TimedOut};
                     if matches!(error.kind(), TimedOut | HostUnreachable | NetworkUnreachable) {
-                        self.ended = Some(Sight::Silent);
+                        self.verdict = Some(Verdict::Unresponsive);
                     }
                     return Err(error);
                 }
@@ -432,49 +447,50 @@
 }
 
 impl Player {
-    /// Serves one connection to its end.
-    fn serve(&self, shaking: Shaking) {
+    /// Serves one connection until it ends.
+    fn serve(&self, handshake: Handshake) {
         let duplex = Duplex {
-            read: shaking.stream,
-            head: io::Cursor::new(shaking.head),
+            read: handshake.stream,
+            request: io::Cursor::new(handshake.request),
             write: Arc::clone(&self.outbox),
-            watch: shaking.watch,
+            watchdog: handshake.watchdog,
             clock: self.clock,
             client: self.id,
-            entrance: Arc::clone(&self.entrance),
-            ended: None,
+            connections: Arc::clone(&self.connections),
+            verdict: None,
         };
-        let mut place = Place::Ordinary;
+        let mut slot = Slot::Regular;
         #[allow(clippy::result_large_err)]
-        let enter = |request: &Request, response: Response| self.negotiate(request, response, &mut place);
+        let enter = |request: &Request, response: Response| self.negotiate(request, response, &mut slot);
         let mut socket = match tungstenite::accept_hdr_with_config(duplex, enter, Some(self.config())) {
             Ok(socket) => socket,
             Err(error) => {
-                tracing::debug!(client = self.id.0, %error, "no handshake");
-                self.outbox.end();
+                tracing::debug!(client = self.id.0, %error, "handshake failed");
+                self.outbox.finish();
                 return;
             }
         };
-        let only_back = place == Place::Reserve;
-        socket.get_mut().watch.entered(self.clock.now(), only_back);
-        let calls = PendingCalls::new(self.id, self.settings.io.max_pending_opens, only_back);
+        let in_reserve = slot == Slot::Reserve;
+        socket.get_mut().watchdog.on_established(self.clock.now(), in_reserve);
+        let calls = PendingCalls::new(self.id, self.settings.io.max_pending_opens, in_reserve);
         let share = Arc::new(Mutex::new(ThreadShare::new(self.clock.now())));
         let port = Port::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
-        if self.ways.engine.send(Msg::Attach(self.id, port)).is_ok() {
+        if self.channels.engine.send(Msg::Attach(self.id, port)).is_ok() {
             let duplex = self.read(socket, &share);
-            let lost = matches!(duplex.ended, Some(Sight::Silent | Sight::Slow));
-            let gone = if lost { Input::ClientLost(self.id) } else { Input::ClientGone(self.id) };
-            let _ = self.ways.engine.send(Msg::Core(gone));
-            // Bytes left unread would have the close answered by a reset, and the reason for it lost.
-            self.outbox.end();
-            let _ = duplex.read.set_read_timeout(Some(LINGER));
+            let may_return = matches!(duplex.verdict, Some(Verdict::Unresponsive | Verdict::TooSlow));
+            let input = if may_return { Input::ClientLost(self.id) } else { Input::ClientGone(self.id) };
+            let _ = self.channels.engine.send(Msg::Core(input));
+            // With unread bytes the kernel would answer the close by a reset, and the peer would lose the
+            // close reason.
+            self.outbox.finish();
+            let _ = duplex.read.set_read_timeout(Some(CLOSE_LINGER));
             let _ = io::copy(&mut (&*duplex.read).take(1 << 20), &mut io::sink());
         }
         self.outbox.close();
     }
 
     fn config(&self) -> WebSocketConfig {
-        // The library's buffers of 128 kB a connection would be most of its memory.
+        // The library's default buffers of 128 kB per connection would be most of its memory.
         WebSocketConfig::default()
             .read_buffer_size(4 * 1024)
             .write_buffer_size(0)
@@ -483,97 +499,109 @@
     }
 
     fn read(&self, mut socket: WebSocket<Duplex>, share: &Arc<Mutex<ThreadShare>>) -> Duplex {
-        let mut allowance = Allowance::new(self.settings.io.call_rate, self.clock.now());
+        let mut allowance = CallAllowance::new(self.settings.io.call_rate, self.clock.now());
         loop {
             let read = socket.read();
             let message = match read {
                 Ok(Message::Text(text)) => Some(rpc::parse(text.as_str(), &self.settings)),
                 Ok(Message::Binary(_)) => {
-                    farewell(&self.outbox, CloseCode::Unsupported, "calls are text messages");
+                    send_close(&self.outbox, CloseCode::Unsupported, "calls are text messages");
                     break;
                 }
-                // Pings are answered by the library as it reads on.
+                // The library answers pings in its next read.
                 Ok(_) => None,
                 Err(error) => {
-                    self.failed(&error, socket.get_ref().ended);
+                    self.report_end(&error, socket.get_ref().verdict);
                     break;
                 }
             };
-            let (frees, asks) = message.as_ref().map_or((0, 0), rpc::Message::weigh);
-            let allowed = match asks {
-                0 => Allowed::Yes,
-                some => allowance.take(some, self.clock.now(), self.entrance.inside()),
+            let (releases, requests) = message.as_ref().map_or((0, 0), rpc::Message::weights);
+            let allowed = match requests {
+                0 => RateDecision::Allow,
+                weight => allowance.charge(weight, self.clock.now(), self.connections.established()),
             };
             let pause = match (allowed, message) {
-                (Allowed::Cut, _) => {
-                    farewell(&self.outbox, CloseCode::Policy, "far too many calls");
+                (RateDecision::Disconnect, _) => {
+                    send_close(&self.outbox, CloseCode::Policy, "far too many calls");
                     break;
                 }
                 (_, None) => Some(0),
-                (Allowed::Yes, Some(message)) => self.hand_on(message, frees, share),
-                (Allowed::Later(after), Some(message)) => {
-                    let more = self.hand_on(message.held_back(after), frees, share);
-                    more.map(|pause| pause.max(after))
+                (RateDecision::Allow, Some(message)) => self.forward(message, releases, share),
+                (RateDecision::RetryAfter(delay), Some(message)) => {
+                    let pause = self.forward(message.reject_requests(delay), releases, share);
+                    pause.map(|pause| pause.max(delay))
                 }
             };
-            // Told at once, and read on later: whoever asks for too much fills its own socket, and nobody's thread.
-            match pause.map(|pause| pause.min(PAUSE_MOST)) {
+            // The error is sent at once and the next read is delayed: a player that requests too much fills
+            // its own socket buffer and occupies no other thread.
+            match pause.map(|pause| pause.min(MAX_PAUSE_US)) {
                 None => break,
                 Some(0) => {}
                 Some(pause) => {
-                    // Gone meanwhile, nothing of what it sent is of use to anybody; its thread must not stay.
-                    if hung_up(&socket.get_ref().read, pause) {
+                    // If the peer has left meanwhile, its messages are of no use, and this thread must not
+                    // stay.
+                    if wait_for_hang_up(&socket.get_ref().read, pause) {
                         break;
                     }
-                    socket.get_mut().watch.held_up(pause);
+                    socket.get_mut().watchdog.exclude_pause(pause);
                 }
             }
         }
         socket.into_inner()
     }
 
-    /// Hands a message on to the front's thread, or answers it here where nothing of it is taken. Returns how long
-    /// to wait before reading on, or nothing where the front has ended.
-    fn hand_on(&self, message: rpc::Message, frees: u64, share: &Arc<Mutex<ThreadShare>>) -> Option<u64> {
-        let asks = message.takes();
-        if frees + asks == 0 {
+    /// Forwards a message to the engine thread, or answers it here if it has no call for the engine. Returns
+    /// how long to wait before the next read, us, or `None` if the front has ended.
+    fn forward(&self, message: rpc::Message, releases: u64, share: &Arc<Mutex<ThreadShare>>) -> Option<u64> {
+        let requests = message.engine_requests();
+        if releases + requests == 0 {
             if let Some(errors) = rpc::errors_only(&message) {
                 self.outbox.send(&text_frame(errors.to_string()));
             }
             return Some(0);
         }
-        let inside = self.entrance.inside();
-        let (turn, charge) = hold(share).charge(self.clock.now(), frees + asks, inside);
-        if turn == Priority::Normal {
-            return self.ways.engine.send(Msg::Calls(self.taken(message, charge))).ok().map(|()| 0);
+        let connections = self.connections.established();
+        let (priority, charge) = lock(share).charge(self.clock.now(), releases + requests, connections);
+        if priority == Priority::Normal {
+            return self
+                .channels
+                .engine
+                .send(Msg::Calls(self.pending_message(message, charge)))
+                .ok()
+                .map(|()| 0);
         }
-        let pause = hold(share).time_until_credit(inside).max(1_000);
-        if frees == 0 {
-            // Counted before it is sent, so that no more than so many are ever under way.
-            if self.ways.deferred.fetch_add(1, Ordering::Relaxed) < self.settings.io.max_deferred_calls {
-                return self.ways.engine.send(Msg::Over(self.taken(message, charge))).ok().map(|()| 0);
+        let pause = lock(share).time_until_credit(connections).max(1_000);
+        if releases == 0 {
+            // Counted before it is sent, so that the limit also holds for concurrent senders.
+            if self.channels.deferred.fetch_add(1, Ordering::Relaxed) < self.settings.io.max_deferred_calls {
+                return self
+                    .channels
+                    .engine
+                    .send(Msg::Over(self.pending_message(message, charge)))
+                    .ok()
+                    .map(|()| 0);
             }
-            self.ways.deferred.fetch_sub(1, Ordering::Relaxed);
-            hold(share).refund(charge);
-            return self.hand_on(message.held_back(pause), 0, share).map(|_| pause);
+            self.channels.deferred.fetch_sub(1, Ordering::Relaxed);
+            lock(share).refund(charge);
+            return self.forward(message.reject_requests(pause), 0, share).map(|_| pause);
         }
-        // What frees is always taken; its sender is read on the later for it.
-        let message = if asks > 0 { message.held_back(pause) } else { message };
-        self.ways.engine.send(Msg::Calls(self.taken(message, charge))).ok().map(|()| pause)
+        // Calls that free something are always handled; instead the next read from the sender is delayed.
+        let message = if requests > 0 { message.reject_requests(pause) } else { message };
+        self.channels.engine.send(Msg::Calls(self.pending_message(message, charge))).ok().map(|()| pause)
     }
 
-    fn taken(&self, message: rpc::Message, charge: Charge) -> Taken {
+    fn pending_message(&self, message: rpc::Message, charge: Charge) -> Taken {
         Taken { client: self.id, message, charge }
     }
 
-    /// Tells the player why its connection ends, as RFC 6455 section 7.4.1 has the codes.
-    fn failed(&self, error: &Error, ended: Option<Sight>) {
-        tracing::debug!(client = self.id.0, %error, ?ended, "connection ends");
-        let (code, reason) = match (error, ended) {
-            (_, Some(Sight::Slow)) => (CloseCode::Policy, "a message was begun and not ended".into()),
-            (_, Some(Sight::Silent)) => (CloseCode::Policy, "pings were not answered".into()),
-            (_, Some(Sight::Noisy)) => (CloseCode::Policy, "far too many control frames".into()),
-            (_, Some(Sight::Newcomer)) => {
+    /// Sends the player the reason for the end of its connection, as a close code of RFC 6455 section 7.4.1.
+    fn report_end(&self, error: &Error, verdict: Option<Verdict>) {
+        tracing::debug!(client = self.id.0, %error, ended = ?verdict, "connection ends");
+        let (code, reason) = match (error, verdict) {
+            (_, Some(Verdict::TooSlow)) => (CloseCode::Policy, "a message was begun and not ended".into()),
+            (_, Some(Verdict::Unresponsive)) => (CloseCode::Policy, "pings were not answered".into()),
+            (_, Some(Verdict::ControlFlood)) => (CloseCode::Policy, "far too many control frames".into()),
+            (_, Some(Verdict::NotReturned)) => {
                 (CloseCode::Again, "the front is full: only viewers that come back are let in".into())
             }
             (Error::Utf8(_), _) => (CloseCode::Invalid, error.to_string()),
@@ -581,17 +609,18 @@
             (Error::Protocol(_), _) => (CloseCode::Protocol, error.to_string()),
             _ => return,
         };
-        farewell(&self.outbox, code, &reason);
+        send_close(&self.outbox, code, &reason);
     }
 
-    /// The player must offer the sub-protocol: what it speaks otherwise is not known. And there must be a place.
-    // The library gives the size of the error.
+    /// Accepts or rejects an opening handshake. The player must offer the sub-protocol, as its protocol would
+    /// be unknown otherwise, and there must be a free slot.
+    // The library determines the size of the error.
     #[allow(clippy::result_large_err)]
     fn negotiate(
         &self,
         request: &Request,
         mut response: Response,
-        place: &mut Place,
+        slot: &mut Slot,
     ) -> Result<Response, ErrorResponse> {
         let offered = request.headers().get_all("Sec-WebSocket-Protocol");
         let names = offered.iter().filter_map(|value| value.to_str().ok()).flat_map(|value| value.split(','));
@@ -601,11 +630,11 @@
             *refusal.status_mut() = StatusCode::BAD_REQUEST;
             return Err(refusal);
         }
-        *place = self.entrance.enter(self.id).map_err(|turned: DropReason| {
-            tracing::debug!(client = self.id.0, ?turned, "no place for a player");
+        *slot = self.connections.finish_handshake(self.id).map_err(|reason: DropReason| {
+            tracing::debug!(client = self.id.0, turned = ?reason, "connection rejected after its handshake");
             let mut refusal = ErrorResponse::new(Some("the front is full\n".into()));
             *refusal.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            refusal.headers_mut().insert("Retry-After", HeaderValue::from(retry_after(&self.settings)));
+            refusal.headers_mut().insert("Retry-After", HeaderValue::from(retry_after_s(&self.settings)));
             refusal
         })?;
         response.headers_mut().insert("Sec-WebSocket-Protocol", HeaderValue::from_static(SUB_PROTOCOL));
@@ -613,20 +642,21 @@
     }
 }
 
-/// Waits for this long, or until the peer has hung up. Danger: a thread that sleeps on for a peer that has left, while
-/// that comes again at once, is one more thread each time.
-fn hung_up(stream: &TcpStream, pause: u64) -> bool {
-    let mut ends = [PollFd::new(stream, PollFlags::RDHUP)];
-    poll(&mut ends, Some(&timespec(pause))).is_ok_and(|ready| ready > 0)
+/// Waits for `pause`, us, or until the peer has hung up, and returns whether it has. Danger: if the thread
+/// kept sleeping for a peer that has left and reconnects at once, each reconnect would add a thread.
+fn wait_for_hang_up(stream: &TcpStream, pause: u64) -> bool {
+    let mut events = [PollFd::new(stream, PollFlags::RDHUP)];
+    poll(&mut events, Some(&timespec(pause))).is_ok_and(|ready| ready > 0)
 }
 
-fn hold<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Writes the frame by which a connection ends, and why.
-pub fn farewell(outbox: &Arc<Outbox>, code: CloseCode, reason: &str) {
-    // A control frame holds 125 bytes at most (RFC 6455 section 5.5), and no half a character.
+/// Sends a close frame with a code and a reason.
+pub fn send_close(outbox: &Arc<Outbox>, code: CloseCode, reason: &str) {
+    // A control frame has at most 125 bytes of payload (RFC 6455 section 5.5), and a character must not be
+    // cut in half.
     let reason: String = reason.chars().filter(char::is_ascii).take(100).collect();
     let frame = Frame::close(Some(CloseFrame { code, reason: reason.into() }));
     let mut bytes = Vec::new();
@@ -635,7 +665,7 @@
     }
 }
 
-/// A ping with nothing in it.
+/// An empty ping.
 fn ping() -> Vec<u8> {
     let mut bytes = Vec::with_capacity(2);
     // Writing to memory does not fail.
--- a/crates/front/src/settings/mod.rs
+++ b/crates/front/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a front, read from KDL and checked against the rules before anything starts.
+//! Settings of a front, read from KDL and checked against the rules at the start.
 
 mod check;
 pub mod process_limits;
@@ -16,82 +16,82 @@
 use crate::core::room::Room;
 use crate::core::Limits;
 use crate::session_api::core::admission::AdmissionLimits;
-use crate::session_api::core::rate_limit::GateLimits;
-use crate::session_api::core::watchdog::WatchLimits;
+use crate::session_api::core::rate_limit::RateLimits;
+use crate::session_api::core::watchdog::WatchdogLimits;
 
 /// Name of the sub-protocol that a player must offer (RFC 6455 section 1.9).
 pub const SUB_PROTOCOL: &str = "session.v1.salttally";
 
-/// All that a front is configured with.
+/// The settings of a front.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The front's name: the same at each start, no other front's.
+    /// Name of the front: unique in the fleet, and the same at each start.
     pub name: String,
-    /// Seed of the module's draws; drawn anew at each start if it is not given.
+    /// Seed of the decision module's random numbers; chosen at each start if not given.
     pub seed: Option<u64>,
-    /// Where players connect.
+    /// Address that players connect to.
     pub listen: SocketAddr,
-    /// Where the box list is.
+    /// Address of the box list.
     pub box_list: SocketAddr,
-    /// Where the list is remembered over a restart.
+    /// File in which the box list is saved for the next start.
     pub saved_list: Option<PathBuf>,
-    /// Where the record of decisions goes.
+    /// File for the record of decisions.
     pub record: Option<PathBuf>,
-    /// What the module is told.
+    /// Settings of the decision module.
     pub decision: DecisionSettings,
-    /// Names of the classes, in the module's order.
+    /// Names of the classes, in the order of the decision module.
     pub classes: Vec<String>,
-    /// The titles.
+    /// The titles by name.
     pub titles: BTreeMap<String, Title>,
-    /// Limits of the ledger.
+    /// Limits of the session engine.
     pub limits: Limits,
-    /// Limits of the edges.
+    /// Limits of sockets and connections.
     pub io: IoLimits,
-    /// The front acts on rules that are agreed on.
+    /// Whether the front acts on rules that the fronts agree on.
     pub accord: bool,
 }
 
-/// Where a title lies.
+/// Where a title is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Title {
-    /// The module's number for it.
+    /// Number of the title in the decision module.
     pub id: TitleId,
-    /// First cell that holds it.
+    /// First cell that holds the title.
     pub first_cell: u32,
-    /// Cells in a row that hold it.
+    /// Number of consecutive cells that hold it.
     pub cells: u32,
 }
 
-/// Limits of what reads and writes sockets.
+/// Limits of sockets and connections.
 #[derive(Clone, Debug)]
 pub struct IoLimits {
-    /// A dial to a box or to the list takes this long at most.
+    /// Time-out for connecting to a box or to the box list.
     pub connect_timeout: Duration,
-    /// Who is let in, and who goes to make room.
+    /// Which connections of players are accepted, and which are dropped to make room.
     pub admission: AdmissionLimits,
-    /// How slow a player may be, and when it counts as vanished.
-    pub watchdog: WatchLimits,
-    /// A player's connection on which nothing comes for this long is asked by the kernel whether it still stands.
+    /// How slow a player may be, and when it counts as unresponsive.
+    pub watchdog: WatchdogLimits,
+    /// Idle time of a player's connection after which the kernel sends TCP keep-alive probes.
     pub tcp_keep_alive: Duration,
-    /// Largest message of a player, bytes.
+    /// Maximum size of a player's message.
     pub max_message_bytes: usize,
-    /// The number of players is stated, and not what there happens to be room for.
+    /// Whether the number of players is configured, or derived from the process limits.
     pub players_configured: bool,
-    /// Connections to boxes at most, event streams counted; each has a thread.
+    /// Maximum number of connections to boxes, including event streams; each has a thread.
     pub max_box_connections: usize,
-    /// What one box may cost the front's thread.
+    /// Limits on the events of one box.
     pub event_meter: MeterLimits,
-    /// What may wait to be written to a player that does not read, bytes.
+    /// Maximum number of bytes that wait to be written to one player.
     pub max_backlog_bytes: usize,
-    /// A player that reads nothing for this long while something waits is cut off.
+    /// A player that takes no bytes for this long, while some wait, is disconnected.
     pub stall_timeout: Duration,
-    /// Least and most patience that a viewer may state, ms.
+    /// Minimum and maximum patience that a viewer may state, ms.
     pub patience_ms: (u64, u64),
-    /// How often one player may ask.
-    pub call_rate: GateLimits,
-    /// Calls over their senders' shares that may wait for the front's thread.
+    /// Rate limit for the calls of one player.
+    pub call_rate: RateLimits,
+    /// Maximum number of messages of players without credit that wait for the engine thread.
     pub max_deferred_calls: usize,
-    /// Open calls of one player that may wait for their answers at once.
+    /// Maximum number of pending opens of one player.
     pub max_pending_opens: usize,
 }
 
@@ -101,50 +101,50 @@
         Settings::from_document(&Document::load(path)?)
     }
 
-    /// The same for a process that may have so much: as many players as there is room for are taken, and a number
-    /// that is stated must fit.
-    pub fn load_for_process(path: &Path, room: &Room) -> Read<Settings> {
+    /// Reads and checks a file for a process with these limits. If the number of players is not configured it
+    /// is derived from the limits; a configured number must fit them.
+    pub fn load_for_process(path: &Path, process: &Room) -> Read<Settings> {
         let document = Document::load(path)?;
         let mut settings = Settings::from_document(&document)?;
-        check::room(&document.root(), &mut settings, room)?;
+        check::fit_to_process(&document.root(), &mut settings, process)?;
         Ok(settings)
     }
 
-    /// Reads and checks a text; `name` stands in errors as the file's name.
+    /// Reads and checks a text; `name` is the file name in errors.
     pub fn parse(name: &str, text: &str) -> Read<Settings> {
         Settings::from_document(&Document::parse(name, text)?)
     }
 
     fn from_document(document: &Document) -> Read<Settings> {
         let root = document.root();
-        let settings = read::settings(&root)?;
-        check::rules(&root, &settings)?;
+        let settings = read::read_settings(&root)?;
+        check::check_rules(&root, &settings)?;
         Ok(settings)
     }
 
-    /// Place of a class.
+    /// Index of a class by name.
     pub fn class_index(&self, name: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == name)
     }
 
-    /// Rate of a rung for a class, kB a second.
+    /// Rate of a rung for a class, kB per second.
     pub fn rate_kb(&self, class: usize, rung: usize) -> f64 {
         let factor = self.decision.classes.get(class).map_or(1.0, |class| class.rate_factor);
-        self.decision.ladder.get(rung).map_or(0.0, |step| step.kb * factor)
+        self.decision.ladder.get(rung).map_or(0.0, |rung| rung.kb * factor)
     }
 
-    /// Name of a title, for the boxes.
+    /// Name of a title, for requests to boxes.
     pub fn title_name(&self, id: TitleId) -> &str {
         self.titles.iter().find(|(_, title)| title.id == id).map_or("", |(name, _)| name)
     }
 }
 
-/// The module's number for a viewer: a hash of the name that the player gives.
+/// The decision module's number for a viewer: a hash of the name that the player sends.
 pub fn viewer_id(name: &str) -> ViewerId {
     ViewerId(xxhash_rust::xxh3::xxh3_64(name.as_bytes()))
 }
 
-/// The number of a viewer's firm: of what stands ahead of the first slash in its name.
+/// The number of a viewer's tenant, which is the part of its name before the first slash.
 pub fn tenant_id(name: &str) -> Option<ViewerId> {
     name.split_once('/').map(|(tenant, _)| viewer_id(tenant))
 }
--- a/crates/front/src/settings/read.rs
+++ b/crates/front/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! From KDL nodes to settings.
+//! Reads settings from KDL nodes.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,52 +13,54 @@
 use crate::core::Limits;
 use crate::session_api::core::admission::AdmissionLimits;
 use crate::session_api::core::pace::Pace;
-use crate::session_api::core::rate_limit::GateLimits;
-use crate::session_api::core::watchdog::WatchLimits;
+use crate::session_api::core::rate_limit::RateLimits;
+use crate::session_api::core::watchdog::WatchdogLimits;
 
-fn micros(ms: f64) -> Micros {
+fn micros_from_ms(ms: f64) -> Micros {
     (ms.clamp(0.0, 1e12) * 1000.0).round() as Micros
 }
 
-fn address(node: &Node<'_>) -> Read<SocketAddr> {
+fn parse_address(node: &Node<'_>) -> Read<SocketAddr> {
     let text: String = node.argument()?;
     text.parse().map_err(|_| node.bad(format!("`{text}` is no address and port, as 127.0.0.1:7001")))
 }
 
-pub(super) fn settings(root: &Block<'_>) -> Read<Settings> {
+pub(super) fn read_settings(root: &Block<'_>) -> Read<Settings> {
     let front = root.need("front")?;
     let name: String = front.argument()?;
     if name.is_empty() || !name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit()) {
-        return Err(front.bad("the name of a front is of small letters and digits"));
+        return Err(front.bad("the name of a front consists of lowercase letters and digits"));
     }
     let seed = front.maybe("seed")?;
     front.done()?;
-    let inner = front.children();
-    let listen = address(&inner.need("listen")?)?;
-    let record = inner.one("record")?.map(|node| node.argument::<String>()).transpose()?;
-    let (zone, fronts) = (inner.or("zone", 0)?, inner.or("fronts", 1)?);
-    inner.done()?;
+    let front_children = front.children();
+    let listen = parse_address(&front_children.need("listen")?)?;
+    let record = front_children.one("record")?.map(|node| node.argument::<String>()).transpose()?;
+    let (zone, fronts) = (front_children.or("zone", 0)?, front_children.or("fronts", 1)?);
+    front_children.done()?;
 
-    let list = root.need("box-list")?;
-    let box_list = address(&list)?;
-    let saved_list = list.maybe::<String>("remember")?;
-    list.done()?;
+    let list_node = root.need("box-list")?;
+    let box_list = parse_address(&list_node)?;
+    let saved_list = list_node.maybe::<String>("remember")?;
+    list_node.done()?;
 
-    let ladder = ladder(&root.need("ladder")?.children())?;
+    let ladder = read_ladder(&root.need("ladder")?.children())?;
     let (names, classes): (Vec<String>, Vec<Class>) = root
         .all("class")
         .iter()
-        .map(|node| class(node, ladder.len()))
+        .map(|node| read_class(node, ladder.len()))
         .collect::<Read<Vec<_>>>()?
         .into_iter()
         .unzip();
-    if let Some(twice) = names.iter().enumerate().find(|(at, name)| names[..*at].contains(name)) {
-        return Err(root.all("class")[twice.0].bad(format!("class `{}` stands twice", twice.1)));
+    if let Some((index, duplicate)) =
+        names.iter().enumerate().find(|(index, name)| names[..*index].contains(name))
+    {
+        return Err(root.all("class")[index].bad(format!("class `{duplicate}` stands twice")));
     }
-    let decision = module(root, zone, fronts, classes, ladder)?;
-    let titles = titles(root, decision.cells)?;
-    let (limits, io) = limits(root)?;
-    // Who else is there is read and checked by a package of its own.
+    let decision = read_decision_settings(root, zone, fronts, classes, ladder)?;
+    let titles = read_titles(root, decision.cells)?;
+    let (limits, io) = read_limits(root)?;
+    // These blocks are read and checked by packages of their own.
     root.all("members");
     root.all("copies");
     let accord = !root.all("accord").is_empty();
@@ -79,7 +81,7 @@
     })
 }
 
-fn ladder(block: &Block<'_>) -> Read<Vec<Rung>> {
+fn read_ladder(block: &Block<'_>) -> Read<Vec<Rung>> {
     let rung = |node: &Node<'_>| -> Read<Rung> {
         let rung = Rung { kb: node.need("kb")?, worth: node.need("worth")? };
         node.done()?;
@@ -90,7 +92,7 @@
     Ok(rungs)
 }
 
-fn class(node: &Node<'_>, rungs: usize) -> Read<(String, Class)> {
+fn read_class(node: &Node<'_>, rungs: usize) -> Read<(String, Class)> {
     let effect = match node.or("effect", "safe".to_owned())?.as_str() {
         "safe" => Effect::Safe,
         "deduplicated" => Effect::Deduplicated,
@@ -104,10 +106,10 @@
         other => return Err(node.bad(format!("group `{other}` is none of all, zone, cell"))),
     };
     let class = Class {
-        aim: micros(node.need("aim-ms")?),
+        aim: micros_from_ms(node.need("aim-ms")?),
         effect,
         group,
-        window: micros(node.or("window-ms", 0.0)?),
+        window: micros_from_ms(node.or("window-ms", 0.0)?),
         gain: node.or("gain", 1.0)?,
         floor: node.or("floor", 0)?,
         top: node.or("top", rungs.saturating_sub(1))?,
@@ -120,7 +122,7 @@
     Ok((name, class))
 }
 
-fn module(
+fn read_decision_settings(
     root: &Block<'_>,
     zone: u32,
     fronts: u32,
@@ -136,12 +138,12 @@
     let refuses_from = fleet.or("refuses-from", 0.0)?;
     let shared_adds = fleet.or("shared-adds", 1.0)?;
     fleet.done()?;
-    let inside = fleet.children();
-    let kind_streams = match inside.one("kind-streams")? {
+    let fleet_children = fleet.children();
+    let kind_streams = match fleet_children.one("kind-streams")? {
         None => Vec::new(),
         Some(node) => node.arguments()?,
     };
-    let reports = match inside.one("reports")? {
+    let reports = match fleet_children.one("reports")? {
         None => Vec::new(),
         Some(node) => {
             let field = |name: String| match name.as_str() {
@@ -154,7 +156,7 @@
             node.arguments::<String>()?.into_iter().map(field).collect::<Read<Vec<_>>>()?
         }
     };
-    inside.done()?;
+    fleet_children.done()?;
 
     let rules = root.need("rules")?.children();
     if let Some(copies) = rules.one("second-copies")? {
@@ -162,7 +164,7 @@
     }
     let budget = rules.one("budget")?;
     let budget = budget.map(|node| -> Read<Budget> {
-        let window = micros(node.need("window-ms")?);
+        let window = micros_from_ms(node.need("window-ms")?);
         let budget = Budget { window, free: node.or("free", 0.0)?, share: node.or("share", 0.0)? };
         node.done()?;
         Ok(budget)
@@ -187,13 +189,13 @@
         max_attempts: rules.or("attempts", 3)?,
         probes: false,
         probe_price: 0.0,
-        max_hold_off: micros(rules.or("hold-off-ms", 1000.0)?),
-        drain_grace: micros(rules.value("drain-grace-ms")?),
-        warm_up: micros(rules.value("warm-up-ms")?),
+        max_hold_off: micros_from_ms(rules.or("hold-off-ms", 1000.0)?),
+        drain_grace: micros_from_ms(rules.value("drain-grace-ms")?),
+        warm_up: micros_from_ms(rules.value("warm-up-ms")?),
         cold_from: rules.value("cold-from")?,
         fall_multiple: rules.value("fall-multiple")?,
-        fall_window: micros(rules.value("fall-ms")?),
-        // The front asks for the list at the module's word: at its start, and again when it was lost.
+        fall_window: micros_from_ms(rules.value("fall-ms")?),
+        // The front requests the list when the decision module asks for it: at the start, and after a loss.
         list_on_demand: true,
         ask_within: 0,
         budget: budget.transpose()?,
@@ -202,16 +204,16 @@
     };
     rules.or("answer-slack-ms", 0.0)?;
     rules.done()?;
-    prices_and_notes(root, settings)
+    read_prices_and_notes(root, settings)
 }
 
-fn prices_and_notes(
+fn read_prices_and_notes(
     root: &Block<'_>,
     mut settings: salttally::interface::Settings,
 ) -> Read<salttally::interface::Settings> {
     if let Some(notes) = root.one("notes")? {
-        settings.note_every = micros(notes.need("every-ms")?);
-        settings.note_age = micros(notes.or("age-ms", 0.0)?);
+        settings.note_every = micros_from_ms(notes.need("every-ms")?);
+        settings.note_age = micros_from_ms(notes.or("age-ms", 0.0)?);
         notes.done()?;
     }
     if let Some(prices) = root.one("prices")? {
@@ -226,7 +228,7 @@
     Ok(settings)
 }
 
-fn titles(root: &Block<'_>, cells: u32) -> Read<BTreeMap<String, Title>> {
+fn read_titles(root: &Block<'_>, cells: u32) -> Read<BTreeMap<String, Title>> {
     let mut titles = BTreeMap::new();
     for (at, node) in root.all("title").iter().enumerate() {
         let name: String = node.argument()?;
@@ -248,13 +250,13 @@
     Ok(titles)
 }
 
-fn limits(root: &Block<'_>) -> Read<(Limits, IoLimits)> {
+fn read_limits(root: &Block<'_>) -> Read<(Limits, IoLimits)> {
     let rules = root.need("rules")?.children();
-    let answer_slack = micros(rules.or("answer-slack-ms", 40.0)?);
+    let answer_slack = micros_from_ms(rules.or("answer-slack-ms", 40.0)?);
     let node = root.one("limits")?;
     let empty = salttally_settings::Document::parse("defaults", "")?;
     let block = node.as_ref().map_or_else(|| empty.root(), Node::children);
-    let ms = |name: &str, default: f64| -> Read<Micros> { Ok(micros(block.or(name, default)?)) };
+    let ms = |name: &str, default: f64| -> Read<Micros> { Ok(micros_from_ms(block.or(name, default)?)) };
     let time =
         |name: &str, default: u64| -> Read<Duration> { Ok(Duration::from_millis(block.or(name, default)?)) };
     let limits = Limits {
@@ -274,50 +276,50 @@
     };
     let pace = |name: &str, within: f64| -> Read<Pace> {
         Ok(Pace {
-            within: ms(name, within)?,
+            timeout: ms(name, within)?,
             grace: ms("slow-grace-ms", 3_000.0)?,
-            least: block.or("least-bytes-per-s", 512)?,
+            min_bytes_per_s: block.or("least-bytes-per-s", 512)?,
         })
     };
     let handshake = pace("handshake-ms", 5_000.0)?;
-    let stated = block.one("players")?.map(|node| node.argument()).transpose()?;
+    let configured_players = block.one("players")?.map(|node| node.argument()).transpose()?;
     let io = IoLimits {
         connect_timeout: time("connect-ms", 250)?,
         admission: AdmissionLimits {
-            players: stated.unwrap_or(12_000),
+            players: configured_players.unwrap_or(12_000),
             reserve: block.or("reserve", 500)?,
-            shaking: block.or("handshakes", 1_000)?,
+            handshakes: block.or("handshakes", 1_000)?,
             per_address: block.or("per-address", 0)?,
-            prefix: (block.or("prefix-v4", 32)?, block.or("prefix-v6", 64)?),
+            prefix_bits: (block.or("prefix-v4", 32)?, block.or("prefix-v6", 64)?),
             pace: handshake,
         },
-        watchdog: WatchLimits {
+        watchdog: WatchdogLimits {
             handshake,
             message: pace("message-ms", 10_000.0)?,
-            ping_every: ms("ping-every-ms", 20_000.0)?,
-            pong_within: ms("pong-within-ms", 5_000.0)?,
-            pings: block.or("pings-missed", 3)?,
-            controls_per_s: block.or("controls-per-s", 2)?,
-            controls_at_once: block.or("controls-at-once", 16)?,
-            return_within: ms("return-within-ms", 3_000.0)?,
+            ping_interval: ms("ping-every-ms", 20_000.0)?,
+            pong_timeout: ms("pong-within-ms", 5_000.0)?,
+            max_missed_pings: block.or("pings-missed", 3)?,
+            control_frames_per_s: block.or("controls-per-s", 2)?,
+            control_frame_burst: block.or("controls-at-once", 16)?,
+            return_timeout: ms("return-within-ms", 3_000.0)?,
         },
         tcp_keep_alive: time("keep-alive-ms", 30_000)?,
-        players_configured: stated.is_some(),
+        players_configured: configured_players.is_some(),
         max_box_connections: block.or("connections-to-boxes", 2_048)?,
         event_meter: MeterLimits {
-            per_s: block.or("box-events-per-s", 4_000)?,
-            at_once: block.or("box-events-at-once", 40_000)?,
-            event_within: ms("box-event-ms", 10_000.0)?,
+            weight_per_s: block.or("box-events-per-s", 4_000)?,
+            burst: block.or("box-events-at-once", 40_000)?,
+            event_timeout: ms("box-event-ms", 10_000.0)?,
         },
         max_message_bytes: block.or("message-bytes", 16_384)?,
         max_backlog_bytes: block.or("backlog-bytes", 262_144)?,
         stall_timeout: time("stalled-ms", 10_000)?,
         patience_ms: (block.or("patience-least-ms", 100)?, block.or("patience-most-ms", 60_000)?),
-        call_rate: GateLimits {
+        call_rate: RateLimits {
             calls_per_s: block.or("calls-per-s", 1_000)?,
-            calls_at_once: block.or("calls-at-once", 2_000)?,
-            surplus: block.or("calls-surplus", 1_000)?,
-            all_per_s: block.or("calls-per-s-all", 5_000)?,
+            burst: block.or("calls-at-once", 2_000)?,
+            max_excess: block.or("calls-surplus", 1_000)?,
+            total_calls_per_s: block.or("calls-per-s-all", 5_000)?,
         },
         max_deferred_calls: block.or("calls-over", 512)?,
         max_pending_opens: block.or("opens-per-player", 64)?,
--- a/crates/front/src/settings/tests.rs
+++ b/crates/front/src/settings/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Settings of the smallest front that has everything.
+/// Settings of a small front with at least one entry of each kind.
 pub(crate) const SMALL: &str = r#"
 front "f0" seed=7 { listen "127.0.0.1:0"; }
 box-list "127.0.0.1:1"
@@ -16,7 +16,7 @@
 rules { drain-grace-ms 250; warm-up-ms 4000; cold-from 0.4; fall-multiple 2.0; fall-ms 1000; attempts 3; }
 "#;
 
-/// These settings, read.
+/// The parsed settings.
 pub(crate) fn settings() -> Settings {
     Settings::parse("small.kdl", SMALL).unwrap_or_else(|error| panic!("{error}"))
 }
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn a_time_out_of_all_patience_is_refused() {
+fn a_minimum_patience_above_the_maximum_is_refused() {
     let text = format!("{SMALL}\nlimits {{ patience-least-ms 10; patience-most-ms 5; }}\n");
     let error = Settings::parse("small.kdl", &text).expect_err("must be refused").to_string();
     assert!(error.contains("patience-most-ms"), "{error}");
 }
 
 #[test]
-fn more_players_than_the_process_has_files_for_are_refused_where_stated_and_lowered_where_not() {
+fn too_many_players_for_the_process_are_refused_if_configured_and_lowered_if_not() {
     use crate::core::room::Room;
     let dir = std::env::temp_dir().join(format!("salttally-room-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
@@ -70,8 +70,8 @@
         error.contains(":15:1") && error.contains("`players` 900") && error.contains("2164 files"),
         "{error}"
     );
-    let door = load("connections-to-boxes 100", 1_024).expect("holds").io.admission;
-    assert_eq!((door.players, door.shaking, door.reserve), (665, 95, 83));
+    let admission = load("connections-to-boxes 100", 1_024).expect("holds").io.admission;
+    assert_eq!((admission.players, admission.handshakes, admission.reserve), (665, 95, 83));
     let error = load("", 1_024).expect_err("refused").to_string();
     assert!(error.contains("no room for players beside 2048"), "{error}");
     assert!(load("", 20_000).is_ok());
--- a/crates/front/tests/decoders.rs
+++ b/crates/front/tests/decoders.rs
@@ -1,5 +1,5 @@
-//! Whatever a peer sends, the decoders answer with a value or an error, and never with a panic; and how the bytes
-//! were cut into reads makes no difference.
+//! The decoders answer any input of a peer with a value or an error and never panic, and the result does not
+//! depend on how the bytes are split into reads.
 
 use proptest::prelude::*;
 use salttally::interface::{ServerEntry, SessionId};
@@ -42,8 +42,8 @@
     })
 }
 
-/// A good call with one of its parts changed.
-fn bent_call() -> impl Strategy<Value = Value> {
+/// A valid call with one of its fields changed.
+fn call_with_one_field_changed() -> impl Strategy<Value = Value> {
     let name = prop::sample::select(vec![
         "jsonrpc",
         "id",
@@ -80,12 +80,12 @@
 
 proptest! {
     #[test]
-    fn any_text_is_a_message_or_an_error(text in "\\PC{0,200}") {
+    fn any_text_parses_to_a_message_or_an_error(text in "\\PC{0,200}") {
         rpc::parse(&text, &settings());
     }
 
     #[test]
-    fn any_json_is_a_message_and_each_wrong_call_has_an_error(value in json_value()) {
+    fn any_json_parses_to_a_message_and_invalid_calls_carry_an_error(value in json_value()) {
         match rpc::parse(&value.to_string(), &settings()) {
             Message::Single(call) => prop_assert!(call.method.is_err() || call.id.is_some() || value.is_object()),
             Message::Batch(calls) => prop_assert!(!calls.is_empty()),
@@ -94,9 +94,11 @@
     }
 
     #[test]
-    fn a_call_with_one_part_changed_is_accepted_within_its_bounds_or_refused(call in bent_call()) {
-        let Message::Single(read) = rpc::parse(&call.to_string(), &settings()) else { panic!("one call") };
-        if let Ok(rpc::Method::Open(opening)) = read.method {
+    fn a_call_with_one_field_changed_is_accepted_within_its_bounds_or_rejected(
+        call in call_with_one_field_changed(),
+    ) {
+        let Message::Single(parsed) = rpc::parse(&call.to_string(), &settings()) else { panic!("one call") };
+        if let Ok(rpc::Method::Open(opening)) = parsed.method {
             prop_assert!(opening.class == 0 && opening.title.0 == 1);
             prop_assert!((100_000..=60_000_000).contains(&opening.patience));
             prop_assert!(opening.length.is_none_or(|length| length <= 1_000_000_000_000));
@@ -104,60 +106,69 @@
     }
 
     #[test]
-    fn any_bytes_are_a_response_an_error_or_not_yet_whole(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn any_bytes_are_a_response_an_error_or_incomplete(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = http::response(&bytes);
-        let mut whole = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n".to_vec();
-        whole.extend(bytes);
-        let _ = http::response(&whole);
+        let mut response = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n".to_vec();
+        response.extend(bytes);
+        let _ = http::response(&response);
     }
 
     #[test]
-    fn half_a_response_is_not_one(cut in 0usize..1000, status in 100u16..600, body in "[a-z{}\":0-9]{0,60}") {
-        let whole = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
-        let read = http::response(&whole).expect("good HTTP").expect("whole");
-        prop_assert_eq!((read.status, read.body, read.keep), (status, body.into_bytes(), true));
-        let cut = cut % whole.len();
-        prop_assert_eq!(http::response(&whole[..cut]), Ok(None));
-        let more = [whole.as_slice(), b"x"].concat();
-        prop_assert_eq!(http::response(&more), Err(http::BadHttp::Surplus(1)));
+    fn an_incomplete_response_is_no_response(
+        length in 0usize..1000,
+        status in 100u16..600,
+        body in "[a-z{}\":0-9]{0,60}",
+    ) {
+        let response = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
+        let parsed = http::response(&response).expect("valid HTTP").expect("a complete response");
+        prop_assert_eq!((parsed.status, parsed.body, parsed.keep), (status, body.into_bytes(), true));
+        let length = length % response.len();
+        prop_assert_eq!(http::response(&response[..length]), Ok(None));
+        let with_surplus = [response.as_slice(), b"x"].concat();
+        prop_assert_eq!(http::response(&with_surplus), Err(http::BadHttp::Surplus(1)));
     }
 
     #[test]
-    fn events_are_the_same_however_they_are_cut(
+    fn events_do_not_depend_on_how_the_bytes_are_split(
         events in prop::collection::vec(("[a-z]{1,8}", "[ -~]{0,40}"), 1..8),
-        cuts in prop::collection::vec(1usize..30, 1..60),
+        chunk_sizes in prop::collection::vec(1usize..30, 1..60),
         end in prop::sample::select(vec!["\n", "\r\n", "\r"]),
     ) {
         let text: String =
             events.iter().map(|(name, data)| format!(": c{end}event: {name}{end}data: {data}{end}{end}")).collect();
         let mut decoder = Decoder::default();
-        let (mut got, mut rest, mut cuts) = (Vec::new(), text.as_bytes(), cuts.into_iter().cycle());
+        let (mut decoded, mut rest, mut chunk_sizes) =
+            (Vec::new(), text.as_bytes(), chunk_sizes.into_iter().cycle());
         while !rest.is_empty() {
-            let (part, more) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
-            got.extend(decoder.push(part).expect("short"));
-            rest = more;
+            let (chunk, after) = rest.split_at(chunk_sizes.next().unwrap_or(1).min(rest.len()));
+            decoded.extend(decoder.push(chunk).expect("within the size limit"));
+            rest = after;
         }
-        let got: Vec<(String, String)> = got.into_iter().map(|event| (event.name, event.data)).collect();
-        prop_assert_eq!(got, events);
+        let decoded: Vec<(String, String)> =
+            decoded.into_iter().map(|event| (event.name, event.data)).collect();
+        prop_assert_eq!(decoded, events);
     }
 
     #[test]
-    fn any_event_of_a_box_is_news_or_an_error(name in "held|ended|link|delivered|[a-z]{0,6}", data in json_value()) {
+    fn any_event_of_a_box_is_parsed_or_an_error(
+        name in "held|ended|link|delivered|[a-z]{0,6}",
+        data in json_value(),
+    ) {
         let event = salttally_front::boxes::events::Event { name, data: data.to_string() };
-        let _ = wire::news(&event, &settings());
+        let _ = wire::parse_event(&event, &settings());
     }
 
     #[test]
-    fn any_list_is_read_or_an_error(value in json_value(), text in "\\PC{0,100}") {
-        let _ = lines::read(&text);
-        let _ = lines::read(&json!({"revision": 1, "as_of_ms": 1, "boxes": [value]}).to_string());
+    fn any_list_is_parsed_or_an_error(value in json_value(), text in "\\PC{0,100}") {
+        let _ = lines::parse(&text);
+        let _ = lines::parse(&json!({"revision": 1, "as_of_ms": 1, "boxes": [value]}).to_string());
     }
 
     #[test]
-    fn any_body_of_an_answer_is_understood_or_malformed(status in 100u16..600, body in json_value()) {
+    fn any_response_body_is_parsed_or_malformed(status in 100u16..600, body in json_value()) {
         let response = http::Response { status, body: body.to_string().into_bytes(), keep: true };
-        let end = wire::answer(&set_up(), &response, &settings());
-        // Nothing but an answer that names this very attempt sets it up.
+        let end = wire::parse_response(&set_up(), &response, &settings());
+        // Only a response that names this attempt completes its set-up.
         if let ExchangeEnd::Answered { answer: salttally_front::core::BoxAnswer::Done, .. } = end {
             prop_assert_eq!(body["session"].as_str(), Some("f0-1-1"));
         }
@@ -165,29 +176,29 @@
 }
 
 #[test]
-fn a_box_that_answers_for_a_session_never_sent_is_at_fault() {
+fn a_response_for_another_session_is_malformed() {
     let body = json!({"session": "f0-1-2", "attempt": 0, "load": {"streams": 1, "link": 0.1, "uplink": 0.1}});
     let response = http::Response { status: 201, body: body.to_string().into_bytes(), keep: true };
-    let ExchangeEnd::Malformed(reason) = wire::answer(&set_up(), &response, &settings()) else {
-        panic!("taken")
+    let ExchangeEnd::Malformed(reason) = wire::parse_response(&set_up(), &response, &settings()) else {
+        panic!("accepted")
     };
     assert!(reason.contains("f0-1-2"), "{reason}");
 }
 
 #[test]
-fn two_lengths_and_transfer_codings_are_told_from_a_response() {
-    let twice = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab";
-    assert_eq!(http::response(twice), Err(http::BadHttp::Length));
+fn responses_with_two_lengths_transfer_codings_or_a_long_head_are_errors() {
+    let two_lengths = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab";
+    assert_eq!(http::response(two_lengths), Err(http::BadHttp::Length));
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
     assert_eq!(http::response(chunked), Err(http::BadHttp::Coding));
-    let endless = [b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'a'; 9000]].concat();
-    assert_eq!(http::response(&endless), Err(http::BadHttp::LongHead));
+    let long_head = [b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'a'; 9000]].concat();
+    assert_eq!(http::response(&long_head), Err(http::BadHttp::LongHead));
 }
 
 #[test]
-fn what_is_written_of_a_list_is_read_back() {
+fn a_written_list_parses_to_the_same_lines() {
     let entry = ServerEntry { cell: 3, units: 1.5, started: Some(5_000_000), ..ServerEntry::default() };
     let line = salttally_front::core::Listed { entry, address: "127.0.0.1:9".parse().expect("an address") };
     let text = lines::write(std::iter::once(&line));
-    assert_eq!(lines::read(&text).expect("read").lines, [line]);
+    assert_eq!(lines::parse(&text).expect("a list").lines, [line]);
 }
--- a/crates/front/tests/openrpc.rs
+++ b/crates/front/tests/openrpc.rs
@@ -1,4 +1,4 @@
-//! The OpenRPC document says what the code does.
+//! The OpenRPC document matches the code.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 }
 
 #[test]
-fn every_method_and_parameter_is_described_and_no_other() {
+fn the_document_describes_exactly_the_methods_and_parameters() {
     let document = document();
     let described: Vec<&str> =
         document["methods"].as_array().expect("methods").iter().filter_map(|m| m["name"].as_str()).collect();
-    let real: Vec<&str> = rpc::METHODS.iter().map(|(name, _)| *name).collect();
-    assert_eq!(described, real);
+    let implemented: Vec<&str> = rpc::METHODS.iter().map(|(name, _)| *name).collect();
+    assert_eq!(described, implemented);
     for (name, params) in rpc::METHODS {
         let described: Vec<(&str, bool)> = method(&document, name)["params"]
             .as_array()
@@ -72,29 +72,29 @@
     };
     let reasons = [FailReason::GivenUp, FailReason::Cancelled, FailReason::Overdue, FailReason::ShuttingDown];
     for reason in reasons {
-        let real = rpc::open_response(&json!(1), &Answer::Failed(id(), reason));
+        let actual = rpc::open_response(&json!(1), &Answer::Failed(id(), reason));
         let described = error("session.open", rpc::FAILED);
         let words = described["data"]["reason"].as_str().expect("reasons");
-        let word = real["error"]["data"]["reason"].as_str().expect("a reason");
-        assert!(words.split(" | ").any(|known| known == word), "{word} is not described");
-        assert_eq!(real["error"]["message"], described["message"]);
+        let actual_word = actual["error"]["data"]["reason"].as_str().expect("a reason");
+        assert!(words.split(" | ").any(|known| known == actual_word), "{actual_word} is not described");
+        assert_eq!(actual["error"]["message"], described["message"]);
     }
-    let real = rpc::open_response(&json!(1), &Answer::Refused(id(), 1_500_000));
-    assert_eq!(real["error"]["data"], json!({"session": "s", "hold_off_ms": 1500}));
-    assert_eq!(real["error"]["message"], error("session.open", rpc::REFUSED)["message"]);
+    let actual = rpc::open_response(&json!(1), &Answer::Refused(id(), 1_500_000));
+    assert_eq!(actual["error"]["data"], json!({"session": "s", "hold_off_ms": 1500}));
+    assert_eq!(actual["error"]["message"], error("session.open", rpc::REFUSED)["message"]);
     for of in [HeldBy::Connection, HeldBy::Viewer] {
-        let real = rpc::call_response(&json!(1), &Reply::Over(64, of));
+        let actual = rpc::call_response(&json!(1), &Reply::Over(64, of));
         let described = error("session.open", rpc::TOO_MANY_SESSIONS);
-        assert_eq!(real["error"]["message"], described["message"]);
-        let word = real["error"]["data"]["of"].as_str().expect("whose");
-        assert!(described["data"]["of"].as_str().is_some_and(|words| words.contains(word)));
+        assert_eq!(actual["error"]["message"], described["message"]);
+        let actual_word = actual["error"]["data"]["of"].as_str().expect("what the limit applies to");
+        assert!(described["data"]["of"].as_str().is_some_and(|words| words.contains(actual_word)));
     }
-    let real = rpc::call_response(&json!(1), &Reply::OnlyBack(2_000_000));
-    assert_eq!(real["error"]["message"], error("session.open", rpc::FULL)["message"]);
-    assert_eq!(real["error"]["data"], json!({"hold_off_ms": 2000}));
-    let real = rpc::call_response(&json!(1), &Reply::Unknown);
+    let actual = rpc::call_response(&json!(1), &Reply::OnlyBack(2_000_000));
+    assert_eq!(actual["error"]["message"], error("session.open", rpc::FRONT_FULL)["message"]);
+    assert_eq!(actual["error"]["data"], json!({"hold_off_ms": 2000}));
+    let actual = rpc::call_response(&json!(1), &Reply::Unknown);
     for name in ["session.cancel", "session.close", "session.status"] {
-        assert_eq!(real["error"]["message"], error(name, rpc::UNKNOWN_SESSION)["message"]);
+        assert_eq!(actual["error"]["message"], error(name, rpc::UNKNOWN_SESSION)["message"]);
     }
 }
 
@@ -106,10 +106,10 @@
     assert_eq!(names, rpc::NOTIFICATIONS);
     let all = [News::Rung(id(), 1, 2.0), News::Move(id()), News::Ended(id(), EndReason::Lost)];
     for (news, described) in all.iter().zip(described) {
-        let real = rpc::notification(news);
-        assert_eq!(real["method"], described["name"]);
+        let actual = rpc::notification(news);
+        assert_eq!(actual["method"], described["name"]);
         let fields: BTreeSet<&str> =
-            real["params"].as_object().expect("params").keys().map(String::as_str).collect();
+            actual["params"].as_object().expect("params").keys().map(String::as_str).collect();
         let words: BTreeSet<&str> =
             described["params"].as_array().expect("names").iter().filter_map(Value::as_str).collect();
         assert_eq!(fields, words);
