--- a/crates/front/src/box_list/core/damping.rs
+++ b/crates/front/src/box_list/core/damping.rs
@@ -74,7 +74,7 @@
     match state {
         ServerState::Ready => 0,
         ServerState::Draining => 1,
-        ServerState::Gone => 2,
+        ServerState::Removed => 2,
     }
 }
 
@@ -98,7 +98,7 @@
             let missing: Vec<ServerId> =
                 self.boxes.keys().filter(|id| !named.contains(id)).copied().collect();
             for id in missing {
-                let gone = self.boxes.get(&id).map(|state| with_state(&state.reported, ServerState::Gone));
+                let gone = self.boxes.get(&id).map(|state| with_state(&state.reported, ServerState::Removed));
                 gone.and_then(|line| self.filter_line(now, line, true));
             }
         }
@@ -109,7 +109,7 @@
             // be named.
             let draining = |boxes: &BTreeMap<ServerId, BoxState>| {
                 let reported = boxes.get(&id).map(|state| &state.reported);
-                reported.filter(|line| whole && line.entry.state != ServerState::Gone).cloned()
+                reported.filter(|line| whole && line.entry.state != ServerState::Removed).cloned()
             };
             self.filter_line(now, line, whole).or_else(|| draining(&self.boxes))
         };
@@ -178,7 +178,7 @@
         let withheld = &self.withheld;
         self.boxes.retain(|id, state| {
             state.decay(now);
-            withheld.contains(id) || state.penalty > 0 || state.reported.entry.state != ServerState::Gone
+            withheld.contains(id) || state.penalty > 0 || state.reported.entry.state != ServerState::Removed
         });
         settled
     }
@@ -198,7 +198,7 @@
 
     const SECOND: Micros = 1_000_000;
     const READY: ServerState = ServerState::Ready;
-    const GONE: ServerState = ServerState::Gone;
+    const GONE: ServerState = ServerState::Removed;
 
     fn line(id: u32, state: ServerState, started: Option<Micros>) -> Listed {
         let entry =
@@ -257,9 +257,9 @@
             damping.filter(flip, ListKind::Changes, vec![line(1, state, None)]);
         }
         let whole = vec![line(1, READY, None), line(2, READY, None)];
-        let reported = damping.filter(11, ListKind::Whole, whole);
+        let reported = damping.filter(11, ListKind::Complete, whole);
         assert_eq!(reported.iter().map(|l| l.entry.server.0).collect::<Vec<_>>(), [2]);
-        damping.filter(12, ListKind::Whole, vec![line(1, READY, None)]);
+        damping.filter(12, ListKind::Complete, vec![line(1, READY, None)]);
         let reported = damping.filter(13, ListKind::Changes, vec![line(2, READY, None)]);
         assert_eq!(states(&reported), [READY], "one whole list without the box counts as one change");
     }
--- a/crates/front/src/box_list/core/mod.rs
+++ b/crates/front/src/box_list/core/mod.rs
@@ -119,12 +119,12 @@
             }
         }
         match (kind, self.revision) {
-            (ListKind::Whole, _) => {}
+            (ListKind::Complete, _) => {}
             (_, None) => return Err(ListError::NoWholeList),
             (_, Some(last)) if revision != last + 1 => return Err(ListError::MissedRevision(revision, last)),
             _ => {}
         }
-        let whole = kind == ListKind::Whole;
+        let whole = kind == ListKind::Complete;
         self.check_addresses(whole, &lines)?;
         if whole {
             self.boxes.clear();
@@ -136,7 +136,7 @@
         let mut changed = Vec::new();
         for (line, known) in lines.into_iter().zip(known) {
             // A box that is unknown and gone need not be reported.
-            let gone = line.entry.state == ServerState::Gone;
+            let gone = line.entry.state == ServerState::Removed;
             let differs = known.as_ref() != Some(&line);
             if !gone {
                 self.addresses.insert(line.address, line.entry.server);
@@ -155,7 +155,7 @@
         if !self.fresh_reported {
             return Ok(self
                 .on_heartbeat(as_of)
-                .or_else(|| Some((ListKind::Remembered, self.without_start_times()))));
+                .or_else(|| Some((ListKind::Cached, self.without_start_times()))));
         }
         Ok((whole || !changed.is_empty()).then_some((kind, changed)))
     }
@@ -172,7 +172,7 @@
     fn check_addresses(&self, whole: bool, lines: &[Listed]) -> Result<(), ListError> {
         let touched: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
         let mut addresses: BTreeMap<SocketAddr, ServerId> = BTreeMap::new();
-        for line in lines.iter().filter(|line| line.entry.state != ServerState::Gone) {
+        for line in lines.iter().filter(|line| line.entry.state != ServerState::Removed) {
             let id = line.entry.server;
             let other = self.addresses.get(&line.address).copied();
             let running = other.filter(|other| !whole && !touched.contains(other));
@@ -189,7 +189,7 @@
             return None;
         }
         self.fresh_reported = true;
-        Some((ListKind::Whole, self.boxes.values().cloned().collect()))
+        Some((ListKind::Complete, self.boxes.values().cloned().collect()))
     }
 
     /// The boxes that are not gone, ordered by id.
@@ -214,7 +214,7 @@
     fn two() -> BoxList {
         let mut list = BoxList::new(START, 0);
         let lines = vec![line(1, 1, READY), line(2, 2, READY)];
-        list.apply(ListKind::Whole, 7, START, lines).unwrap();
+        list.apply(ListKind::Complete, 7, START, lines).unwrap();
         list
     }
 
@@ -229,15 +229,15 @@
         let kind = |update: Option<ListUpdate>| update.map(|(kind, lines)| (kind, lines.len()));
         let lines = vec![line(1, 1, READY), line(2, 2, READY)];
         assert_eq!(
-            kind(list.apply(ListKind::Whole, 1, START, lines).unwrap()),
-            Some((ListKind::Remembered, 2))
+            kind(list.apply(ListKind::Complete, 1, START, lines).unwrap()),
+            Some((ListKind::Cached, 2))
         );
         let more = list.apply(ListKind::Changes, 2, START + 20, vec![line(3, 3, READY)]).unwrap();
-        assert_eq!(kind(more), Some((ListKind::Remembered, 3)), "all lines, as for a saved list");
+        assert_eq!(kind(more), Some((ListKind::Cached, 3)), "all lines, as for a saved list");
         assert_eq!(list.on_heartbeat(START + 49), None);
         assert_eq!(
             kind(list.on_heartbeat(START + 50)),
-            Some((ListKind::Whole, 3)),
+            Some((ListKind::Complete, 3)),
             "the list is newer than the start"
         );
         assert_eq!(list.on_heartbeat(START + 60), None, "reported once");
@@ -250,9 +250,9 @@
         let mut list = BoxList::new(START, 0);
         let mut ran = line(1, 1, READY);
         ran.entry.started = Some(10);
-        let (_, lines) = list.apply(ListKind::Whole, 1, START - 1, vec![ran.clone()]).unwrap().unwrap();
+        let (_, lines) = list.apply(ListKind::Complete, 1, START - 1, vec![ran.clone()]).unwrap().unwrap();
         assert_eq!(lines[0].entry.started, None, "the box may have restarted with the front");
-        assert_eq!(list.on_heartbeat(START), Some((ListKind::Whole, vec![ran.clone()])));
+        assert_eq!(list.on_heartbeat(START), Some((ListKind::Complete, vec![ran.clone()])));
         assert_eq!(list.restore(vec![ran])[0].entry.started, None);
     }
 
@@ -271,7 +271,7 @@
     fn a_list_with_a_duplicate_box_changes_nothing() {
         let mut list = two();
         let twice = vec![line(3, 3, READY), line(1, 4, READY), line(3, 5, READY)];
-        let whole = list.apply(ListKind::Whole, 8, START, twice);
+        let whole = list.apply(ListKind::Complete, 8, START, twice);
         assert_eq!(whole, Err(ListError::DuplicateBox(3, 1, 3)));
         assert!(matches!(
             change(&mut list, 8, vec![line(3, 2, READY)]),
@@ -283,7 +283,7 @@
     #[test]
     fn a_successor_may_have_the_address_of_a_box_removed_in_the_same_message() {
         let mut list = two();
-        let lines = vec![line(2, 2, ServerState::Gone), line(3, 2, READY)];
+        let lines = vec![line(2, 2, ServerState::Removed), line(3, 2, READY)];
         assert_eq!(change(&mut list, 8, lines.clone()), Ok(lines));
     }
 
@@ -323,6 +323,9 @@
     #[test]
     fn unchanged_lines_are_not_reported_again() {
         let mut list = two();
-        assert_eq!(change(&mut list, 8, vec![line(1, 1, READY), line(9, 9, ServerState::Gone)]), Ok(vec![]));
+        assert_eq!(
+            change(&mut list, 8, vec![line(1, 1, READY), line(9, 9, ServerState::Removed)]),
+            Ok(vec![])
+        );
     }
 }
--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -101,7 +101,7 @@
     // Cleared before the loss is reported, since the decision module answers the report by following the list
     // again.
     following.store(false, Ordering::Release);
-    let _ = engine.send(Msg::Core(Input::List(ListKind::Lost, Vec::new())));
+    let _ = engine.send(Msg::Core(Input::List(ListKind::FetchFailed, Vec::new())));
 }
 
 struct FollowThread {
@@ -148,7 +148,7 @@
         let now = self.clock.now();
         let mut state = lock(&self.state);
         let kind = match name {
-            "whole" => ListKind::Whole,
+            "whole" => ListKind::Complete,
             "changes" => ListKind::Changes,
             // A heartbeat; a newer list may also send messages of other kinds.
             _ => {
--- a/crates/front/src/record/lines.rs
+++ b/crates/front/src/record/lines.rs
@@ -136,10 +136,10 @@
         }
     };
 }
-enum_names!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Whole,
-    "remembered" => ListKind::Remembered, "lost" => ListKind::Lost; ListKind::Lost);
+enum_names!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Complete,
+    "remembered" => ListKind::Cached, "lost" => ListKind::FetchFailed; ListKind::FetchFailed);
 enum_names!(ServerState, state_name, state, "ready" => ServerState::Ready, "draining" => ServerState::Draining,
-    "gone" => ServerState::Gone; ServerState::Gone);
+    "gone" => ServerState::Removed; ServerState::Removed);
 enum_names!(Outcome, outcome_name, outcome, "ok" => Outcome::Ok, "failed" => Outcome::Failed,
     "full" => Outcome::Full, "timed_out" => Outcome::TimedOut, "no_connection" => Outcome::NoConnection,
     "broken" => Outcome::Broken, "withdrawn" => Outcome::Withdrawn, "not_sent" => Outcome::NotSent;
@@ -161,12 +161,12 @@
             viewer: request.viewer.0,
             title: request.title.0,
             patience: request.patience,
-            length: request.length,
+            length: request.length_hint,
             first_cell: request.first_cell,
             cell_count: request.cell_count,
             top_rung: request.top_rung,
             moved: request.moved,
-            again: request.again,
+            again: request.returning,
         }
     }
 }
@@ -179,12 +179,12 @@
             viewer: ViewerId(self.viewer),
             title: TitleId(self.title),
             patience: self.patience,
-            length: self.length,
+            length_hint: self.length,
             first_cell: self.first_cell,
             cell_count: self.cell_count,
             top_rung: self.top_rung,
             moved: self.moved,
-            again: self.again,
+            returning: self.again,
         }
     }
 }
@@ -225,7 +225,7 @@
             Event::Resolved { session, server } => {
                 RecordedEvent::Resolved { session: session_name(session), server: server.0 }
             }
-            Event::Left(session) => RecordedEvent::Left { session: session_name(session) },
+            Event::ClientLeft(session) => RecordedEvent::Left { session: session_name(session) },
             Event::Note { session, server, note } => {
                 let (kind, value) = match note {
                     Note::Delivered(share) => ("delivered", *share),
@@ -288,7 +288,7 @@
             RecordedEvent::Resolved { session, server } => {
                 Event::Resolved { session: session_id(session), server: ServerId(*server) }
             }
-            RecordedEvent::Left { session } => Event::Left(session_id(session)),
+            RecordedEvent::Left { session } => Event::ClientLeft(session_id(session)),
             RecordedEvent::Note { session, server, kind, value } => {
                 let note = match kind.as_str() {
                     "delivered" => Note::Delivered(*value),
--- a/crates/front/src/record/mod.rs
+++ b/crates/front/src/record/mod.rs
@@ -15,7 +15,7 @@
 use std::thread;
 
 use crossbeam_channel::{Sender, TrySendError};
-use salttally::brain::Brain;
+use salttally::controller::Controller;
 use salttally::interface::{Action, Event, Micros, Settings};
 use thiserror::Error;
 
@@ -111,17 +111,17 @@
 /// Repeats every decision of a record. Returns the number of steps that were the same; the first that differs
 /// is an error.
 pub fn replay(record: impl BufRead, settings: &Settings) -> Result<usize, RecordError> {
-    let mut brain = None;
+    let mut controller = None;
     let (mut steps, mut actions) = (0, Vec::new());
     for (at, line) in record.lines().enumerate() {
         let line = line.map_err(|error| RecordError::Read(at + 1, error))?;
         let line: Line = serde_json::from_str(&line).map_err(|error| RecordError::Line(at + 1, error))?;
         match line {
-            Line::Start(start) => brain = Some(Brain::new(settings.clone(), start.seed)),
+            Line::Start(start) => controller = Some(Controller::new(settings.clone(), start.seed)),
             Line::Step(step) => {
-                let brain = brain.as_mut().ok_or(RecordError::NoStart)?;
+                let controller = controller.as_mut().ok_or(RecordError::NoStart)?;
                 actions.clear();
-                brain.handle(step.at, &step.to_event(), &mut actions);
+                controller.handle(step.at, &step.to_event(), &mut actions);
                 let decided: Vec<lines::RecordedAction> =
                     actions.iter().map(lines::RecordedAction::from).collect();
                 if decided != step.actions {
--- a/crates/front/src/settings/read.rs
+++ b/crates/front/src/settings/read.rs
@@ -181,7 +181,7 @@
         uplink_kb,
         kind_streams,
         refuses_from,
-        note_every: 0,
+        note_interval: 0,
         note_age: 0,
         shared_adds,
         change_cost_s: 0.0,
@@ -212,7 +212,7 @@
     mut settings: salttally::interface::Settings,
 ) -> Read<salttally::interface::Settings> {
     if let Some(notes) = root.one("notes")? {
-        settings.note_every = micros_from_ms(notes.need("every-ms")?);
+        settings.note_interval = micros_from_ms(notes.need("every-ms")?);
         settings.note_age = micros_from_ms(notes.or("age-ms", 0.0)?);
         notes.done()?;
     }
--- a/crates/platform/src/core/tests/gone.rs
+++ b/crates/platform/src/core/tests/gone.rs
@@ -15,7 +15,7 @@
 fn heard_of(bench: &Bench<Puppet>, id: u64) -> Vec<&'static str> {
     let heard = bench.core.decider.1.iter().filter_map(|event| match event {
         Event::Request(request) if request.session == name(id) => Some("request"),
-        Event::Left(session) if *session == name(id) => Some("left"),
+        Event::ClientLeft(session) if *session == name(id) => Some("left"),
         Event::Ended { session, last: true, .. } if *session == name(id) => Some("ended, over"),
         Event::Ended { session, last: false, .. } if *session == name(id) => Some("ended"),
         _ => None,
@@ -49,7 +49,7 @@
         let out = bench.ask(9, "clip");
         let out = bench.made(&out);
         let (conn, _) = set_up(&out).unwrap();
-        let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::MOOT));
+        let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::NOT_SENT));
         bench.core.handle(bench.now, turned_away, &mut bench.out);
         let out = bench.tell(way.clone());
         assert!(!out.iter().any(|o| matches!(o, Command::Connect(..))), "{way:?}: {out:?}");
