--- a/crates/front/src/box_list/core/damping.rs
+++ b/crates/front/src/box_list/core/damping.rs
@@ -15,7 +15,7 @@
 
 use salttally::interface::{ListKind, Micros, ServerId, ServerState};
 
-use crate::core::Listed;
+use crate::core::ListEntry;
 
 /// Penalty each time a box leaves its place (RFC 2439 section 4.2, in thousandths).
 const PENALTY: u64 = 1_000;
@@ -36,9 +36,9 @@
     penalty: u64,
     updated_at: Micros,
     /// The line that was last reported.
-    reported: Listed,
+    reported: ListEntry,
     /// The listed line, if it was not reported.
-    withheld: Option<Listed>,
+    withheld: Option<ListEntry>,
     /// Only changes for the worse are reported.
     suppressed: bool,
 }
@@ -78,7 +78,7 @@
     }
 }
 
-fn with_state(line: &Listed, state: ServerState) -> Listed {
+fn with_state(line: &ListEntry, state: ServerState) -> ListEntry {
     let mut line = line.clone();
     line.entry.state = state;
     line
@@ -91,7 +91,7 @@
     }
 
     /// Takes in lines of the list. Returns the lines to report now.
-    pub fn filter(&mut self, now: Micros, kind: ListKind, lines: Vec<Listed>) -> Vec<Listed> {
+    pub fn filter(&mut self, now: Micros, kind: ListKind, lines: Vec<ListEntry>) -> Vec<ListEntry> {
         let named: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
         if kind != ListKind::Changes {
             // A box that a whole list does not name is gone.
@@ -103,7 +103,7 @@
             }
         }
         let whole = kind != ListKind::Changes;
-        let report = |line: Listed| {
+        let report = |line: ListEntry| {
             let id = line.entry.server;
             // A box missing from a whole list counts as gone, so one that is only reported as draining has to
             // be named.
@@ -117,7 +117,7 @@
     }
 
     /// Takes in one line. Returns the line to report, if any; in a whole list also an unchanged line.
-    fn filter_line(&mut self, now: Micros, line: Listed, whole: bool) -> Option<Listed> {
+    fn filter_line(&mut self, now: Micros, line: ListEntry, whole: bool) -> Option<ListEntry> {
         let id = line.entry.server;
         let Some(state) = self.boxes.get_mut(&id) else {
             let state = BoxState {
@@ -160,7 +160,7 @@
     }
 
     /// Reports the listed lines of boxes that have settled.
-    pub fn release_settled(&mut self, now: Micros) -> Vec<Listed> {
+    pub fn release_settled(&mut self, now: Micros) -> Vec<ListEntry> {
         let mut settled = Vec::new();
         for id in self.withheld.clone() {
             let Some(state) = self.boxes.get_mut(&id) else { continue };
@@ -200,13 +200,13 @@
     const READY: ServerState = ServerState::Ready;
     const GONE: ServerState = ServerState::Removed;
 
-    fn line(id: u32, state: ServerState, started: Option<Micros>) -> Listed {
+    fn line(id: u32, state: ServerState, started: Option<Micros>) -> ListEntry {
         let entry =
             ServerEntry { server: ServerId(id), state, units: 1.0, started, ..ServerEntry::default() };
-        Listed { entry, address: SocketAddr::from(([127, 0, 0, 1], id as u16 + 1)) }
+        ListEntry { entry, address: SocketAddr::from(([127, 0, 0, 1], id as u16 + 1)) }
     }
 
-    fn states(lines: &[Listed]) -> Vec<ServerState> {
+    fn states(lines: &[ListEntry]) -> Vec<ServerState> {
         lines.iter().map(|line| line.entry.state).collect()
     }
 
@@ -271,9 +271,9 @@
         ) {
             let mut damping = FlapDamping::new();
             let mut now = 0;
-            let mut listed: BTreeMap<u32, Listed> = BTreeMap::new();
-            let mut reported: BTreeMap<u32, Listed> = BTreeMap::new();
-            let apply = |reported: &mut BTreeMap<u32, Listed>, lines: Vec<Listed>| {
+            let mut listed: BTreeMap<u32, ListEntry> = BTreeMap::new();
+            let mut reported: BTreeMap<u32, ListEntry> = BTreeMap::new();
+            let apply = |reported: &mut BTreeMap<u32, ListEntry>, lines: Vec<ListEntry>| {
                 lines.into_iter().for_each(|line| { reported.insert(line.entry.server.0, line); });
             };
             for (id, state, started, pause) in steps {
--- a/crates/front/src/box_list/core/mod.rs
+++ b/crates/front/src/box_list/core/mod.rs
@@ -19,7 +19,7 @@
 use salttally::interface::{ListKind, Micros, ServerId, ServerState};
 use thiserror::Error;
 
-use crate::core::Listed;
+use crate::core::ListEntry;
 
 /// Why a message of the list was not applied.
 #[derive(Debug, Error, PartialEq)]
@@ -51,7 +51,7 @@
 /// The box list as received.
 #[derive(Clone, Debug, Default)]
 pub struct BoxList {
-    boxes: BTreeMap<ServerId, Listed>,
+    boxes: BTreeMap<ServerId, ListEntry>,
     /// The boxes by address.
     addresses: BTreeMap<SocketAddr, ServerId>,
     /// Revision of the last message, once a whole list has been received on this connection.
@@ -63,7 +63,7 @@
 }
 
 /// An update for the decision module.
-pub type ListUpdate = (ListKind, Vec<Listed>);
+pub type ListUpdate = (ListKind, Vec<ListEntry>);
 
 impl BoxList {
     /// The list of a front that started at this time, with clocks that differ by at most `skew`.
@@ -73,7 +73,7 @@
 
     /// Restores the list that was saved before a restart; the next message must be a whole list. Returns the
     /// lines for the decision module.
-    pub fn restore(&mut self, lines: Vec<Listed>) -> Vec<Listed> {
+    pub fn restore(&mut self, lines: Vec<ListEntry>) -> Vec<ListEntry> {
         self.boxes = lines.into_iter().map(|line| (line.entry.server, line)).collect();
         self.addresses = self.boxes.iter().map(|(id, line)| (line.address, *id)).collect();
         self.revision = None;
@@ -81,8 +81,8 @@
     }
 
     /// The boxes without their start times, which an old list cannot tell.
-    fn without_start_times(&self) -> Vec<Listed> {
-        let without_start = |line: &Listed| {
+    fn without_start_times(&self) -> Vec<ListEntry> {
+        let without_start = |line: &ListEntry| {
             let mut line = line.clone();
             line.entry.started = None;
             line
@@ -106,7 +106,7 @@
         kind: ListKind,
         revision: u64,
         as_of: Micros,
-        lines: Vec<Listed>,
+        lines: Vec<ListEntry>,
     ) -> Result<Option<ListUpdate>, ListError> {
         let mut positions = BTreeMap::new();
         for (at, line) in lines.iter().enumerate() {
@@ -132,7 +132,7 @@
         }
         // Boxes that are gone are removed first, so that a successor in the same message may have the address
         // of one.
-        let known: Vec<Option<Listed>> = lines.iter().map(|line| self.remove(line.entry.server)).collect();
+        let known: Vec<Option<ListEntry>> = lines.iter().map(|line| self.remove(line.entry.server)).collect();
         let mut changed = Vec::new();
         for (line, known) in lines.into_iter().zip(known) {
             // A box that is unknown and gone need not be reported.
@@ -160,7 +160,7 @@
         Ok((whole || !changed.is_empty()).then_some((kind, changed)))
     }
 
-    fn remove(&mut self, id: ServerId) -> Option<Listed> {
+    fn remove(&mut self, id: ServerId) -> Option<ListEntry> {
         let known = self.boxes.remove(&id)?;
         self.addresses.remove(&known.address);
         Some(known)
@@ -169,7 +169,7 @@
     /// Checks that no two running boxes share an address; a successor may have the address of a box that is
     /// gone. Only the boxes in the message are checked, so that frequent changes do not cost the length of
     /// the list each time.
-    fn check_addresses(&self, whole: bool, lines: &[Listed]) -> Result<(), ListError> {
+    fn check_addresses(&self, whole: bool, lines: &[ListEntry]) -> Result<(), ListError> {
         let touched: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
         let mut addresses: BTreeMap<SocketAddr, ServerId> = BTreeMap::new();
         for line in lines.iter().filter(|line| line.entry.state != ServerState::Removed) {
@@ -193,7 +193,7 @@
     }
 
     /// The boxes that are not gone, ordered by id.
-    pub fn boxes(&self) -> impl Iterator<Item = &Listed> {
+    pub fn boxes(&self) -> impl Iterator<Item = &ListEntry> {
         self.boxes.values()
     }
 }
@@ -203,9 +203,9 @@
     use super::*;
     use salttally::interface::ServerEntry;
 
-    fn line(id: u32, port: u16, state: ServerState) -> Listed {
+    fn line(id: u32, port: u16, state: ServerState) -> ListEntry {
         let entry = ServerEntry { server: ServerId(id), state, units: 1.0, ..ServerEntry::default() };
-        Listed { entry, address: SocketAddr::from(([127, 0, 0, 1], port)) }
+        ListEntry { entry, address: SocketAddr::from(([127, 0, 0, 1], port)) }
     }
 
     const READY: ServerState = ServerState::Ready;
@@ -218,7 +218,7 @@
         list
     }
 
-    fn change(list: &mut BoxList, revision: u64, lines: Vec<Listed>) -> Result<Vec<Listed>, ListError> {
+    fn change(list: &mut BoxList, revision: u64, lines: Vec<ListEntry>) -> Result<Vec<ListEntry>, ListError> {
         list.apply(ListKind::Changes, revision, START, lines)
             .map(|update| update.map_or(vec![], |(_, lines)| lines))
     }
--- a/crates/front/src/box_list/lines.rs
+++ b/crates/front/src/box_list/lines.rs
@@ -5,7 +5,7 @@
 use salttally::interface::{Micros, ServerEntry, ServerId, ServerState};
 use serde::{Deserialize, Serialize};
 
-use crate::core::Listed;
+use crate::core::ListEntry;
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
@@ -53,13 +53,13 @@
     /// The time as of which it is valid, us since the Unix epoch.
     pub as_of: Micros,
     /// Its lines; empty in a heartbeat.
-    pub lines: Vec<Listed>,
+    pub lines: Vec<ListEntry>,
 }
 
 /// Parses a message of the list.
 pub fn parse(text: &str) -> serde_json::Result<Message> {
     let list: List = serde_json::from_str(text)?;
-    let listed = |line: Line| Listed {
+    let listed = |line: Line| ListEntry {
         entry: ServerEntry {
             server: ServerId(line.id),
             zone: line.zone,
@@ -82,8 +82,8 @@
 }
 
 /// Writes a whole list.
-pub fn write<'a>(lines: impl Iterator<Item = &'a Listed>) -> String {
-    let line = |line: &Listed| Line {
+pub fn write<'a>(lines: impl Iterator<Item = &'a ListEntry>) -> String {
+    let line = |line: &ListEntry| Line {
         id: line.entry.server.0,
         address: line.address,
         zone: line.entry.zone,
--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -16,16 +16,16 @@
 use self::core::damping::FlapDamping;
 use self::core::{BoxList, ListUpdate};
 use crate::clock::Clock;
-use crate::core::{Input, Listed};
-use crate::inside::follow::follow;
-use crate::inside::messages::Msg;
-use crate::inside::socket::{spawn, Socket};
+use crate::common::event_stream::follow;
+use crate::common::messages::EngineMessage;
+use crate::common::socket::{spawn, Socket};
+use crate::core::{Input, ListEntry};
 use crate::settings::Settings;
 
 /// Follows the box list on a thread of its own.
 pub struct ListFollower {
     settings: Arc<Settings>,
-    engine: Sender<Msg>,
+    engine: Sender<EngineMessage>,
     following: Arc<AtomicBool>,
     socket: Arc<Mutex<Arc<Socket>>>,
     state: Arc<Mutex<ListState>>,
@@ -46,7 +46,12 @@
 
 impl ListFollower {
     /// Does not follow the list yet.
-    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock, started: Micros) -> ListFollower {
+    pub fn new(
+        settings: Arc<Settings>,
+        engine: Sender<EngineMessage>,
+        clock: Clock,
+        started: Micros,
+    ) -> ListFollower {
         let list = BoxList::new(started, settings.limits.clock_skew);
         let state = ListState { list, damping: FlapDamping::new(), unsaved: false, saved_at: 0 };
         ListFollower {
@@ -60,7 +65,7 @@
     }
 
     /// Loads the list that was saved before a restart; empty if there is none. It may be old.
-    pub fn load_remembered(&self) -> Vec<Listed> {
+    pub fn load_remembered(&self) -> Vec<ListEntry> {
         let Some(path) = &self.settings.saved_list else { return Vec::new() };
         let Ok(text) = fs::read_to_string(path) else { return Vec::new() };
         match lines::parse(&text) {
@@ -97,16 +102,16 @@
     }
 }
 
-fn report_lost(following: &AtomicBool, engine: &Sender<Msg>) {
+fn report_lost(following: &AtomicBool, engine: &Sender<EngineMessage>) {
     // Cleared before the loss is reported, since the decision module answers the report by following the list
     // again.
     following.store(false, Ordering::Release);
-    let _ = engine.send(Msg::Core(Input::List(ListKind::FetchFailed, Vec::new())));
+    let _ = engine.send(EngineMessage::Input(Input::List(ListKind::FetchFailed, Vec::new())));
 }
 
 struct FollowThread {
     settings: Arc<Settings>,
-    engine: Sender<Msg>,
+    engine: Sender<EngineMessage>,
     following: Arc<AtomicBool>,
     socket: Arc<Socket>,
     state: Arc<Mutex<ListState>>,
@@ -121,7 +126,7 @@
     fn run(self) {
         if let Ok(mut stream) = self.socket.connect(self.settings.box_list, &self.settings) {
             // Heartbeats come on this stream too; without any for this long the connection is given up.
-            let read_timeout = std::time::Duration::from_micros(self.settings.limits.silent_after.max(1));
+            let read_timeout = std::time::Duration::from_micros(self.settings.limits.silence_timeout.max(1));
             let _ = stream.set_read_timeout(Some(read_timeout));
             let ended = follow(&mut stream, "/boxes", &self.settings, |event, _| {
                 let update = match event {
@@ -195,7 +200,7 @@
         if let Some((kind, lines)) =
             update.filter(|(kind, lines)| *kind != ListKind::Changes || !lines.is_empty())
         {
-            let _ = self.engine.send(Msg::Core(Input::List(kind, lines)));
+            let _ = self.engine.send(EngineMessage::Input(Input::List(kind, lines)));
         }
     }
 }
--- a/crates/front/src/boxes/core.rs
+++ b/crates/front/src/boxes/core.rs
@@ -9,7 +9,7 @@
 
 use salttally::interface::Micros;
 
-use crate::core::StreamNews;
+use crate::core::StreamEvent;
 
 /// Limits of one event stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,14 +57,14 @@
 const SCALE: u64 = 1_000_000;
 
 /// Weight of an event: its cost on the engine thread, in heartbeats.
-pub fn weight(event: &StreamNews) -> u64 {
+pub fn weight(event: &StreamEvent) -> u64 {
     match event {
         // Each session in the list is looked up, and an unknown one is released.
-        StreamNews::Up(held) => 4 + 4 * held.len() as u64,
-        StreamNews::Began(_) | StreamNews::Ended(..) => 4,
-        StreamNews::Note(..) => 2,
-        StreamNews::Beat => 1,
-        StreamNews::NoConnection(_) | StreamNews::Broken | StreamNews::CutOff(_) => 0,
+        StreamEvent::Up(held) => 4 + 4 * held.len() as u64,
+        StreamEvent::Began(_) | StreamEvent::Ended(..) => 4,
+        StreamEvent::Note(..) => 2,
+        StreamEvent::Heartbeat => 1,
+        StreamEvent::NoConnection(_) | StreamEvent::Broken | StreamEvent::CutOff(_) => 0,
     }
 }
 
@@ -78,7 +78,7 @@
     ///
     /// # Errors
     /// The box sends more than it may; these events must not be handled.
-    pub fn charge(&mut self, now: Micros, events: &[StreamNews]) -> Result<(), LimitExceeded> {
+    pub fn charge(&mut self, now: Micros, events: &[StreamEvent]) -> Result<(), LimitExceeded> {
         let elapsed = now.saturating_sub(self.updated_at);
         self.updated_at = self.updated_at.max(now);
         let earned = elapsed.saturating_mul(self.limits.weight_per_s);
@@ -118,7 +118,7 @@
         let mut meter = Meter::new(LIMITS, 0);
         // 500 link notes and 400 delivery notes per second, for a minute.
         let busy = (0..60_000u64).all(|ms| {
-            let note = (ms % 10 < 9).then_some(StreamNews::Note(
+            let note = (ms % 10 < 9).then_some(StreamEvent::Note(
                 salttally::interface::SessionId("s".into()),
                 salttally::interface::Note::Link(0.5),
             ));
@@ -127,7 +127,7 @@
         assert!(busy);
         let mut meter = Meter::new(LIMITS, 0);
         let accepted =
-            (0..100_000u64).take_while(|us| meter.charge(*us, &[StreamNews::Beat]).is_ok()).count();
+            (0..100_000u64).take_while(|us| meter.charge(*us, &[StreamEvent::Heartbeat]).is_ok()).count();
         assert!((8_000..8_300).contains(&accepted), "{accepted} of 100,000 in a tenth of a second");
     }
 
@@ -151,7 +151,7 @@
             let (mut now, mut accepted) = (0, 0);
             for (pause, heartbeats) in steps {
                 now += pause;
-                if meter.charge(now, &vec![StreamNews::Beat; heartbeats]).is_ok() {
+                if meter.charge(now, &vec![StreamEvent::Heartbeat; heartbeats]).is_ok() {
                     accepted += heartbeats as u64;
                 }
                 prop_assert!(accepted <= 8_000 + now * 2_000 / 1_000_000 + 1);
--- a/crates/front/src/boxes/link.rs
+++ b/crates/front/src/boxes/link.rs
@@ -12,22 +12,22 @@
 use super::core::Meter;
 use super::{http, wire};
 use crate::clock::Clock;
-use crate::core::{BoxRequest, ConnId, DialError, ExchangeEnd, Input, StreamNews, Writ};
-use crate::inside::follow::follow;
-use crate::inside::messages::Msg;
-use crate::inside::socket::Socket;
+use crate::common::event_stream::follow;
+use crate::common::messages::EngineMessage;
+use crate::common::socket::Socket;
+use crate::core::{BoxRequest, ConnId, DialError, ExchangeEnd, Input, StreamEvent, WriteAuthority};
 use crate::settings::Settings;
 
 /// Reports that there was no thread for a connection. Nothing was sent, and it says nothing about the box.
-pub fn report_dial_without_thread(engine: &Sender<Msg>, id: ConnId) {
-    let _ = engine.send(Msg::Core(Input::Dialed(id, Err(DialError::TimedOut))));
+pub fn report_dial_without_thread(engine: &Sender<EngineMessage>, id: ConnId) {
+    let _ = engine.send(EngineMessage::Input(Input::Dialed(id, Err(DialError::TimedOut))));
 }
 
 /// Reports that there was no thread for an event stream. It says nothing about the box, so this is no
 /// refusal.
-pub fn report_stream_without_thread(engine: &Sender<Msg>, server: ServerId, number: u64) {
-    let news = StreamNews::NoConnection(DialError::TimedOut);
-    let _ = engine.send(Msg::Core(Input::Stream(server, number, news)));
+pub fn report_stream_without_thread(engine: &Sender<EngineMessage>, server: ServerId, number: u64) {
+    let news = StreamEvent::NoConnection(DialError::TimedOut);
+    let _ = engine.send(EngineMessage::Input(Input::Stream(server, number, news)));
 }
 
 /// A connection that carries requests.
@@ -36,35 +36,35 @@
     pub server: ServerId,
     pub address: SocketAddr,
     pub settings: Arc<Settings>,
-    pub engine: Sender<Msg>,
+    pub engine: Sender<EngineMessage>,
     pub socket: Arc<Socket>,
 }
 
 impl RequestConnection {
     /// Connects, then carries requests until the connection is closed.
-    pub fn run(self, requests: &Receiver<(BoxRequest, Writ)>) {
+    pub fn run(self, requests: &Receiver<(BoxRequest, WriteAuthority)>) {
         let stream = self.socket.connect(self.address, &self.settings);
         let result = stream.as_ref().map(|_| ()).map_err(|error| *error);
-        if self.engine.send(Msg::Core(Input::Dialed(self.id, result))).is_err() {
+        if self.engine.send(EngineMessage::Input(Input::Dialed(self.id, result))).is_err() {
             return;
         }
         let Ok(mut stream) = stream else { return };
         while let Ok((request, writ)) = requests.recv() {
             let end = self.exchange(&mut stream, &request, writ);
             tracing::trace!(server = self.server.0, conn = self.id.0, ?end, "exchange");
-            if self.engine.send(Msg::Core(Input::Exchanged(self.id, end))).is_err() {
+            if self.engine.send(EngineMessage::Input(Input::Exchanged(self.id, end))).is_err() {
                 return;
             }
         }
     }
 
-    fn exchange(&self, stream: &mut TcpStream, request: &BoxRequest, writ: Writ) -> ExchangeEnd {
+    fn exchange(&self, stream: &mut TcpStream, request: &BoxRequest, writ: WriteAuthority) -> ExchangeEnd {
         if !is_idle_and_open(stream) {
             return ExchangeEnd::Stale;
         }
         let bytes = wire::encode_request(request, writ.epoch, &self.settings);
         // Danger: the process may have been stopped since the decision, and its lease may have expired.
-        if writ.until.is_some_and(|until| salttally_accord::edge::now() >= until) {
+        if writ.valid_until.is_some_and(|until| salttally_accord::edge::now() >= until) {
             return ExchangeEnd::Unwritten;
         }
         // Either the whole request is written, or an incomplete one, which the box must not run (RFC 9112
@@ -81,7 +81,7 @@
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(_) => return ExchangeEnd::Broken,
             }
-            match http::response(&bytes) {
+            match http::parse_response(&bytes) {
                 Ok(None) => {}
                 Ok(Some(response)) => return wire::parse_response(request, &response, &self.settings),
                 Err(error) => return ExchangeEnd::Malformed(error.to_string()),
@@ -108,7 +108,7 @@
     pub number: u64,
     pub address: SocketAddr,
     pub settings: Arc<Settings>,
-    pub engine: Sender<Msg>,
+    pub engine: Sender<EngineMessage>,
     pub socket: Arc<Socket>,
     pub clock: Clock,
 }
@@ -117,13 +117,13 @@
     /// Connects and reports events until the stream ends.
     pub fn run(self) {
         let last = match self.socket.connect(self.address, &self.settings) {
-            Err(error) => StreamNews::NoConnection(error),
+            Err(error) => StreamEvent::NoConnection(error),
             Ok(mut stream) => {
                 let mut meter = Meter::new(self.settings.io.event_meter, self.clock.now());
                 let mut exceeded = None;
                 let ended = follow(&mut stream, "/events", &self.settings, |event, unfinished| {
                     let events = match event {
-                        None => vec![StreamNews::Beat],
+                        None => vec![StreamEvent::Heartbeat],
                         Some(event) => wire::parse_event(event, &self.settings)?,
                     };
                     let now = self.clock.now();
@@ -139,12 +139,12 @@
                 });
                 match (exceeded, ended) {
                     // The engine logs this, and only once, however often it happens.
-                    (Some(reason), _) => StreamNews::CutOff(reason.to_string()),
+                    (Some(reason), _) => StreamEvent::CutOff(reason.to_string()),
                     (None, reason) => {
                         if let Some(reason) = reason {
                             tracing::warn!(server = self.server.0, "event stream: {reason}");
                         }
-                        StreamNews::Broken
+                        StreamEvent::Broken
                     }
                 }
             }
@@ -154,7 +154,7 @@
         self.report(last);
     }
 
-    fn report(&self, news: StreamNews) {
-        let _ = self.engine.send(Msg::Core(Input::Stream(self.server, self.number, news)));
+    fn report(&self, news: StreamEvent) {
+        let _ = self.engine.send(EngineMessage::Input(Input::Stream(self.server, self.number, news)));
     }
 }
--- a/crates/front/src/boxes/mod.rs
+++ b/crates/front/src/boxes/mod.rs
@@ -9,7 +9,7 @@
 mod link;
 pub mod wire;
 
-pub use crate::inside::{events, http};
+pub use crate::common::{events, http};
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,15 +19,15 @@
 use salttally::interface::ServerId;
 
 use crate::clock::Clock;
-use crate::core::{BoxRequest, ConnId, Writ};
-use crate::inside::messages::Msg;
-use crate::inside::socket::{spawn, Socket};
+use crate::common::messages::EngineMessage;
+use crate::common::socket::{spawn, Socket};
+use crate::core::{BoxRequest, ConnId, WriteAuthority};
 use crate::settings::Settings;
 
 /// Connections and event streams to boxes.
 pub struct BoxConnections {
     settings: Arc<Settings>,
-    engine: Sender<Msg>,
+    engine: Sender<EngineMessage>,
     connections: BTreeMap<ConnId, Connection>,
     streams: BTreeMap<u64, Arc<Socket>>,
     clock: Clock,
@@ -35,12 +35,12 @@
 
 struct Connection {
     socket: Arc<Socket>,
-    requests: Sender<(BoxRequest, Writ)>,
+    requests: Sender<(BoxRequest, WriteAuthority)>,
 }
 
 impl BoxConnections {
     /// No connections.
-    pub fn new(settings: Arc<Settings>, engine: Sender<Msg>, clock: Clock) -> BoxConnections {
+    pub fn new(settings: Arc<Settings>, engine: Sender<EngineMessage>, clock: Clock) -> BoxConnections {
         BoxConnections { settings, engine, connections: BTreeMap::new(), streams: BTreeMap::new(), clock }
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Sends a request on an open connection, with the lease and epoch that it is sent under.
-    pub fn send(&mut self, id: ConnId, request: &BoxRequest, writ: Writ) {
+    pub fn send(&mut self, id: ConnId, request: &BoxRequest, writ: WriteAuthority) {
         if let Some(connection) = self.connections.get(&id) {
             // If the thread has ended, it has reported that.
             let _ = connection.requests.send((request.clone(), writ));
--- a/crates/front/src/session_api/core/calls.rs
+++ b/crates/front/src/session_api/core/calls.rs
@@ -131,7 +131,7 @@
         self.pending.insert(ticket, PendingCall { id: call.id, is_open, batch });
         let client = self.client;
         accepted.inputs.push(match method {
-            Method::Open(opening) if self.reserve_only => Input::Return(client, ticket, opening),
+            Method::Open(opening) if self.reserve_only => Input::Reopen(client, ticket, opening),
             Method::Open(opening) => Input::Open(client, ticket, opening),
             // No call has ticket 0, so an id that matches no pending open cancels nothing.
             Method::Cancel(_) => Input::Cancel(client, ticket, cancelled.unwrap_or(Ticket(0))),
--- a/crates/front/src/session_api/rpc.rs
+++ b/crates/front/src/session_api/rpc.rs
@@ -6,7 +6,7 @@
 use serde_json::{json, Map, Value};
 
 use super::core::rate_limit::OPEN_WEIGHT;
-use crate::core::{Answer, EndReason, FailReason, HeldBy, News, Opening, Reply};
+use crate::core::{Answer, EndReason, FailReason, LimitScope, Notification, OpenRequest, Reply};
 use crate::settings::{tenant_id, viewer_id, Settings};
 
 /// Not JSON (JSON-RPC 2.0 section 5.1).
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Method {
     /// `session.open`.
-    Open(Opening),
+    Open(OpenRequest),
     /// `session.cancel` of the pending open with this id.
     Cancel(Value),
     /// `session.close`.
@@ -277,7 +277,7 @@
     }
 }
 
-fn parse_opening(given: &Params, settings: &Settings) -> Result<Opening, RpcError> {
+fn parse_opening(given: &Params, settings: &Settings) -> Result<OpenRequest, RpcError> {
     let wrong = |text: String| RpcError::new(INVALID_PARAMS, text);
     let title = given.name("title")?;
     let title_entry = settings.titles.get(title).ok_or_else(|| wrong(format!("no title `{title}` here")))?;
@@ -288,7 +288,7 @@
     if !(min..=max).contains(&patience) {
         return Err(wrong(format!("`patience_ms` is {patience}; it must lie from {min} to {max}")));
     }
-    let length = match given.0.get("length_hint_s") {
+    let length_hint = match given.0.get("length_hint_s") {
         None => None,
         Some(value) => {
             let hint = value.as_f64().filter(|hint| (0.0..1e6).contains(hint));
@@ -298,16 +298,16 @@
         }
     };
     let moved_from = given.0.get("moved_from").map(|_| given.name("moved_from")).transpose()?;
-    Ok(Opening {
+    Ok(OpenRequest {
         viewer: viewer_id(given.name("viewer")?),
-        firm: tenant_id(given.name("viewer")?),
+        tenant: tenant_id(given.name("viewer")?),
         title: title_entry.id,
         class,
         first_cell: title_entry.first_cell,
         cell_count: title_entry.cells,
         top_rung: usize::try_from(given.whole_number("top_rung")?).unwrap_or(usize::MAX),
         patience: patience * 1000,
-        length,
+        length_hint,
         returned: given.flag("returned")?,
         moved_from: moved_from.map(|id| SessionId(Arc::from(id))),
     })
@@ -389,23 +389,23 @@
             });
             success_response(id, state)
         }
-        Reply::Over(limit, scope) => {
+        Reply::TooManySessions(limit, scope) => {
             let scope = match scope {
-                HeldBy::Connection => "connection",
-                HeldBy::Viewer => "viewer",
+                LimitScope::Connection => "connection",
+                LimitScope::Viewer => "viewer",
             };
             error_with_data(id, TOO_MANY_SESSIONS, "too many sessions", json!({"of": scope, "most": limit}))
         }
-        Reply::OnlyBack(retry_after) => error_response(
+        Reply::ReturnsOnly(retry_after) => error_response(
             id,
             &RpcError::with_retry_after(FRONT_FULL, "full but for viewers that come back", *retry_after),
         ),
-        Reply::Elsewhere(front, address) => {
+        Reply::AtOtherFront(front, address) => {
             let address = address.map(|address| address.to_string());
             let data = json!({"front": &**front, "address": address});
             error_with_data(id, AT_OTHER_FRONT, "the session is at another front", data)
         }
-        Reply::Wait(retry_after) => error_response(
+        Reply::RetryAfter(retry_after) => error_response(
             id,
             &RpcError::with_retry_after(BETWEEN_FRONTS, "the session is between two fronts", *retry_after),
         ),
@@ -417,19 +417,19 @@
 }
 
 /// A notification.
-pub fn notification(news: &News) -> Value {
+pub fn notification(news: &Notification) -> Value {
     let (method, params) = match news {
-        News::Rung(session, rung, rate) => {
+        Notification::RungChanged(session, rung, rate) => {
             ("session.rung", json!({"session": &*session.0, "rung": rung, "rate_kb": rate}))
         }
-        News::Move(session) => ("session.move", json!({"session": &*session.0})),
-        News::Ended(session, reason) => {
+        Notification::Move(session) => ("session.move", json!({"session": &*session.0})),
+        Notification::Ended(session, reason) => {
             let reason = match reason {
                 EndReason::Box => "box",
                 EndReason::Lost => "lost",
                 EndReason::ShuttingDown => "shutting-down",
                 EndReason::Rules => "rules",
-                EndReason::Elsewhere => "elsewhere",
+                EndReason::TakenOver => "elsewhere",
             };
             ("session.ended", json!({"session": &*session.0, "reason": reason}))
         }
--- a/crates/front/src/session_api/server.rs
+++ b/crates/front/src/session_api/server.rs
@@ -33,8 +33,8 @@
 use super::outbox::{text_frame, Outbox};
 use super::rpc;
 use crate::clock::{timespec, Clock};
+use crate::common::messages::{ClientSink, EngineMessage, ReceivedMessage};
 use crate::core::{ClientId, Input};
-use crate::inside::messages::{Msg, Port, Taken};
 use crate::settings::{Settings, SUB_PROTOCOL};
 
 /// Stack of a thread that reads one player. It holds a message, its JSON and the WebSocket buffers, which are
@@ -59,7 +59,7 @@
 #[derive(Clone)]
 pub struct ServerChannels {
     /// To the engine thread.
-    pub engine: Sender<Msg>,
+    pub engine: Sender<EngineMessage>,
     /// Number of messages of players without credit that wait for the engine thread.
     pub deferred: Arc<AtomicUsize>,
     /// Outboxes that the socket did not empty, for the flusher thread.
@@ -474,12 +474,12 @@
         socket.get_mut().watchdog.on_established(self.clock.now(), in_reserve);
         let calls = PendingCalls::new(self.id, self.settings.io.max_pending_opens, in_reserve);
         let share = Arc::new(Mutex::new(ThreadShare::new(self.clock.now())));
-        let port = Port::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
-        if self.channels.engine.send(Msg::Attach(self.id, port)).is_ok() {
+        let port = ClientSink::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
+        if self.channels.engine.send(EngineMessage::Attach(self.id, port)).is_ok() {
             let duplex = self.read(socket, &share);
             let may_return = matches!(duplex.verdict, Some(Verdict::Unresponsive | Verdict::TooSlow));
-            let input = if may_return { Input::ClientLost(self.id) } else { Input::ClientGone(self.id) };
-            let _ = self.channels.engine.send(Msg::Core(input));
+            let input = if may_return { Input::ClientLost(self.id) } else { Input::ClientClosed(self.id) };
+            let _ = self.channels.engine.send(EngineMessage::Input(input));
             // With unread bytes the kernel would answer the close by a reset, and the peer would lose the
             // close reason.
             self.outbox.finish();
@@ -566,7 +566,7 @@
             return self
                 .channels
                 .engine
-                .send(Msg::Calls(self.pending_message(message, charge)))
+                .send(EngineMessage::Calls(self.pending_message(message, charge)))
                 .ok()
                 .map(|()| 0);
         }
@@ -577,7 +577,7 @@
                 return self
                     .channels
                     .engine
-                    .send(Msg::Over(self.pending_message(message, charge)))
+                    .send(EngineMessage::DeferredCalls(self.pending_message(message, charge)))
                     .ok()
                     .map(|()| 0);
             }
@@ -587,11 +587,15 @@
         }
         // Calls that free something are always handled; instead the next read from the sender is delayed.
         let message = if requests > 0 { message.reject_requests(pause) } else { message };
-        self.channels.engine.send(Msg::Calls(self.pending_message(message, charge))).ok().map(|()| pause)
+        self.channels
+            .engine
+            .send(EngineMessage::Calls(self.pending_message(message, charge)))
+            .ok()
+            .map(|()| pause)
     }
 
-    fn pending_message(&self, message: rpc::Message, charge: Charge) -> Taken {
-        Taken { client: self.id, message, charge }
+    fn pending_message(&self, message: rpc::Message, charge: Charge) -> ReceivedMessage {
+        ReceivedMessage { client: self.id, message, charge }
     }
 
     /// Sends the player the reason for the end of its connection, as a close code of RFC 6455 section 7.4.1.
--- a/crates/front/src/settings/check.rs
+++ b/crates/front/src/settings/check.rs
@@ -4,7 +4,7 @@
 use salttally_settings::{Block, Read};
 
 use super::Settings;
-use crate::core::room::Room;
+use crate::core::process_limits::ProcessLimits;
 
 /// Checks settings against the rules; an error names the node that is wrong.
 pub(super) fn check_rules(root: &Block<'_>, settings: &Settings) -> Read<()> {
@@ -90,7 +90,7 @@
 
 /// Fits the number of players to the process limits if it is not configured, and checks that the limits
 /// suffice.
-pub(super) fn fit_to_process(root: &Block<'_>, settings: &mut Settings, process: &Room) -> Read<()> {
+pub(super) fn fit_to_process(root: &Block<'_>, settings: &mut Settings, process: &ProcessLimits) -> Read<()> {
     let node = match root.one("limits")? {
         Some(node) => node,
         None => root.need("front")?,
@@ -99,7 +99,7 @@
     let admission = &mut io.admission;
     if !io.players_configured {
         // Established connections, handshakes and the reserve, in the proportion of the defaults.
-        let max_players = usize::try_from(process.players(io.max_box_connections)).unwrap_or(usize::MAX);
+        let max_players = usize::try_from(process.max_players(io.max_box_connections)).unwrap_or(usize::MAX);
         admission.handshakes = admission.handshakes.min(max_players / 8);
         admission.players = admission.players.min(max_players - admission.handshakes);
         admission.reserve = admission.reserve.min(admission.players / 8);
@@ -111,7 +111,7 @@
             )));
         }
     }
-    process.holds(admission.players + admission.handshakes, io.max_box_connections).map_err(|error| {
+    process.check(admission.players + admission.handshakes, io.max_box_connections).map_err(|error| {
         node.bad(format!(
             "`players` {}, `handshakes` {} and `connections-to-boxes` {}: {error}",
             admission.players, admission.handshakes, io.max_box_connections
@@ -129,11 +129,11 @@
     if io.patience_ms.0 == 0 || io.patience_ms.0 > io.patience_ms.1 {
         return bad("`patience-least-ms` must be over 0 and not over `patience-most-ms`");
     }
-    if limits.silent_after == 0 || limits.lost_after == 0 || limits.ask_within == 0 {
+    if limits.silence_timeout == 0 || limits.lost_timeout == 0 || limits.request_timeout == 0 {
         return bad("`silent-after-ms`, `lost-after-ms` and `ask-within-ms` must be over 0");
     }
     let (call_rate, admission, watchdog) = (&io.call_rate, &io.admission, &io.watchdog);
-    if limits.connections == 0
+    if limits.connections_per_box == 0
         || admission.players == 0
         || admission.handshakes == 0
         || io.max_pending_opens == 0
@@ -143,7 +143,7 @@
     if io.max_box_connections < 8 {
         return bad("`connections-to-boxes` must be at least 8");
     }
-    if limits.per_connection == 0 || limits.per_viewer == 0 || io.max_deferred_calls == 0 {
+    if limits.sessions_per_connection == 0 || limits.sessions_per_viewer == 0 || io.max_deferred_calls == 0 {
         return bad("`sessions-per-connection`, `sessions-per-viewer` and `calls-over` must be over 0");
     }
     if admission.reserve >= admission.players {
--- a/crates/front/src/settings/mod.rs
+++ b/crates/front/src/settings/mod.rs
@@ -13,7 +13,7 @@
 use salttally_settings::{Document, Read};
 
 use crate::boxes::core::MeterLimits;
-use crate::core::room::Room;
+use crate::core::process_limits::ProcessLimits;
 use crate::core::Limits;
 use crate::session_api::core::admission::AdmissionLimits;
 use crate::session_api::core::rate_limit::RateLimits;
@@ -103,7 +103,7 @@
 
     /// Reads and checks a file for a process with these limits. If the number of players is not configured it
     /// is derived from the limits; a configured number must fit them.
-    pub fn load_for_process(path: &Path, process: &Room) -> Read<Settings> {
+    pub fn load_for_process(path: &Path, process: &ProcessLimits) -> Read<Settings> {
         let document = Document::load(path)?;
         let mut settings = Settings::from_document(&document)?;
         check::fit_to_process(&document.root(), &mut settings, process)?;
--- a/crates/front/src/settings/tests.rs
+++ b/crates/front/src/settings/tests.rs
@@ -57,13 +57,13 @@
 
 #[test]
 fn too_many_players_for_the_process_are_refused_if_configured_and_lowered_if_not() {
-    use crate::core::room::Room;
+    use crate::core::process_limits::ProcessLimits;
     let dir = std::env::temp_dir().join(format!("salttally-room-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let load = |limits: &str, files: u64| {
         let path = dir.join("front.kdl");
         std::fs::write(&path, format!("{SMALL}\nlimits {{ {limits} }}\n")).expect("written");
-        Settings::load_for_process(&path, &Room { files, maps: 65_530 })
+        Settings::load_for_process(&path, &ProcessLimits { files, maps: 65_530 })
     };
     let error = load("players 900; connections-to-boxes 100", 1_024).expect_err("refused").to_string();
     assert!(
--- a/crates/front/tests/decoders.rs
+++ b/crates/front/tests/decoders.rs
@@ -75,7 +75,13 @@
         "viewer": "v", "title": "a", "class": "clip", "top_rung": 1, "patience_ms": 1000}});
     let Message::Single(call) = rpc::parse(&text.to_string(), &settings()) else { panic!("a call") };
     let Ok(rpc::Method::Open(opening)) = call.method else { panic!("an open call") };
-    BoxRequest::SetUp { session: SessionId("f0-1-1".into()), attempt: 0, rung: 1, opening, time_out: 1000 }
+    BoxRequest::SetUp {
+        session: SessionId("f0-1-1".into()),
+        attempt: 0,
+        rung: 1,
+        open_request: opening,
+        time_out: 1000,
+    }
 }
 
 proptest! {
@@ -101,16 +107,16 @@
         if let Ok(rpc::Method::Open(opening)) = parsed.method {
             prop_assert!(opening.class == 0 && opening.title.0 == 1);
             prop_assert!((100_000..=60_000_000).contains(&opening.patience));
-            prop_assert!(opening.length.is_none_or(|length| length <= 1_000_000_000_000));
+            prop_assert!(opening.length_hint.is_none_or(|length| length <= 1_000_000_000_000));
         }
     }
 
     #[test]
     fn any_bytes_are_a_response_an_error_or_incomplete(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let _ = http::response(&bytes);
+        let _ = http::parse_response(&bytes);
         let mut response = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n".to_vec();
         response.extend(bytes);
-        let _ = http::response(&response);
+        let _ = http::parse_response(&response);
     }
 
     #[test]
@@ -120,12 +126,12 @@
         body in "[a-z{}\":0-9]{0,60}",
     ) {
         let response = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
-        let parsed = http::response(&response).expect("valid HTTP").expect("a complete response");
-        prop_assert_eq!((parsed.status, parsed.body, parsed.keep), (status, body.into_bytes(), true));
+        let parsed = http::parse_response(&response).expect("valid HTTP").expect("a complete response");
+        prop_assert_eq!((parsed.status, parsed.body, parsed.keep_alive), (status, body.into_bytes(), true));
         let length = length % response.len();
-        prop_assert_eq!(http::response(&response[..length]), Ok(None));
+        prop_assert_eq!(http::parse_response(&response[..length]), Ok(None));
         let with_surplus = [response.as_slice(), b"x"].concat();
-        prop_assert_eq!(http::response(&with_surplus), Err(http::BadHttp::Surplus(1)));
+        prop_assert_eq!(http::parse_response(&with_surplus), Err(http::HttpError::Surplus(1)));
     }
 
     #[test]
@@ -166,7 +172,7 @@
 
     #[test]
     fn any_response_body_is_parsed_or_malformed(status in 100u16..600, body in json_value()) {
-        let response = http::Response { status, body: body.to_string().into_bytes(), keep: true };
+        let response = http::Response { status, body: body.to_string().into_bytes(), keep_alive: true };
         let end = wire::parse_response(&set_up(), &response, &settings());
         // Only a response that names this attempt completes its set-up.
         if let ExchangeEnd::Answered { answer: salttally_front::core::BoxAnswer::Done, .. } = end {
@@ -178,7 +184,7 @@
 #[test]
 fn a_response_for_another_session_is_malformed() {
     let body = json!({"session": "f0-1-2", "attempt": 0, "load": {"streams": 1, "link": 0.1, "uplink": 0.1}});
-    let response = http::Response { status: 201, body: body.to_string().into_bytes(), keep: true };
+    let response = http::Response { status: 201, body: body.to_string().into_bytes(), keep_alive: true };
     let ExchangeEnd::Malformed(reason) = wire::parse_response(&set_up(), &response, &settings()) else {
         panic!("accepted")
     };
@@ -188,17 +194,18 @@
 #[test]
 fn responses_with_two_lengths_transfer_codings_or_a_long_head_are_errors() {
     let two_lengths = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab";
-    assert_eq!(http::response(two_lengths), Err(http::BadHttp::Length));
+    assert_eq!(http::parse_response(two_lengths), Err(http::HttpError::Length));
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(http::response(chunked), Err(http::BadHttp::Coding));
+    assert_eq!(http::parse_response(chunked), Err(http::HttpError::Coding));
     let long_head = [b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'a'; 9000]].concat();
-    assert_eq!(http::response(&long_head), Err(http::BadHttp::LongHead));
+    assert_eq!(http::parse_response(&long_head), Err(http::HttpError::LongHead));
 }
 
 #[test]
 fn a_written_list_parses_to_the_same_lines() {
     let entry = ServerEntry { cell: 3, units: 1.5, started: Some(5_000_000), ..ServerEntry::default() };
-    let line = salttally_front::core::Listed { entry, address: "127.0.0.1:9".parse().expect("an address") };
+    let line =
+        salttally_front::core::ListEntry { entry, address: "127.0.0.1:9".parse().expect("an address") };
     let text = lines::write(std::iter::once(&line));
     assert_eq!(lines::parse(&text).expect("a list").lines, [line]);
 }
