--- a/crates/front/src/common/messages.rs
+++ b/crates/front/src/common/messages.rs
@@ -6,9 +6,9 @@
 use serde_json::Value;
 
 use crate::core::{Answer, ClientId, Counts, Input, Notification, Reply, Ticket};
-use crate::session_api::core::calls::Calls;
-use crate::session_api::core::door::DoorCounts;
-use crate::session_api::core::share::{Charge, Share};
+use crate::session_api::core::admission::AdmissionCounts;
+use crate::session_api::core::calls::PendingCalls;
+use crate::session_api::core::thread_share::{Charge, ThreadShare};
 use crate::session_api::outbox::{text_frame, Outbox};
 use crate::session_api::rpc::Message;
 
@@ -55,7 +55,7 @@
     /// Connected players and callers of the library.
     pub clients: usize,
     /// Admission counters of player connections.
-    pub door: DoorCounts,
+    pub door: AdmissionCounts,
 }
 
 /// Where messages to a client go.
@@ -82,16 +82,16 @@
     /// Outgoing messages.
     pub outbox: Arc<Outbox>,
     /// Unanswered calls.
-    pub calls: Calls,
+    pub calls: PendingCalls,
     /// The player's share of the engine thread.
-    pub share: Arc<Mutex<Share>>,
+    pub share: Arc<Mutex<ThreadShare>>,
     /// Whether the player has sessions or unanswered open requests.
     pub has_sessions: bool,
 }
 
 impl ClientSink {
     /// The sink of a player connection.
-    pub fn socket(outbox: Arc<Outbox>, calls: Calls, share: Arc<Mutex<Share>>) -> ClientSink {
+    pub fn socket(outbox: Arc<Outbox>, calls: PendingCalls, share: Arc<Mutex<ThreadShare>>) -> ClientSink {
         ClientSink::Socket(Box::new(PlayerSocket { outbox, calls, share, has_sessions: false }))
     }
 }
@@ -104,14 +104,14 @@
 
     /// Handles a received message: answers errors, and returns the inputs for the ledger.
     pub fn take(&mut self, message: Message) -> Vec<Input> {
-        let taken = self.calls.take(message);
-        taken.say.iter().for_each(|value| self.write(value));
+        let taken = self.calls.accept(message);
+        taken.responses.iter().for_each(|value| self.write(value));
         taken.inputs
     }
 
     /// Sends the response to a call, if it is still unanswered.
     pub fn answered(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) {
-        if let Some(value) = self.calls.answered(ticket, write) {
+        if let Some(value) = self.calls.answer(ticket, write) {
             self.write(&value);
         }
     }
--- a/crates/front/src/core/tests.rs
+++ b/crates/front/src/core/tests.rs
@@ -113,7 +113,7 @@
 impl<D: Decider> World<D> {
     fn new(decider: D, seed: u64) -> World<D> {
         let settings = settings();
-        let ledger = Ledger::new(decider, settings.module, settings.limits, "f0", 1);
+        let ledger = Ledger::new(decider, settings.decision, settings.limits, "f0", 1);
         let mut world = World {
             ledger,
             rng: Pcg32::seed_from_u64(seed),
@@ -423,7 +423,7 @@
 
     #[test]
     fn decision_module_never_requests_a_blocked_action(seed: u64) {
-        let controller = Controller::new(settings().module, seed);
+        let controller = Controller::new(settings().decision, seed);
         let mut world = World::new(controller, seed);
         for _ in 0..400 {
             world.random_step();
@@ -723,7 +723,7 @@
     let decider = ScriptedDecider::default();
     let told = decider.events.clone();
     let settings = settings();
-    let mut ledger = Ledger::new(decider, settings.module, settings.limits, "f0", 1);
+    let mut ledger = Ledger::new(decider, settings.decision, settings.limits, "f0", 1);
     let mut out = Vec::new();
     let list = vec![listed(0, ServerState::Ready, None)];
     ledger.handle(1, Input::List(ListKind::Cached, list.clone()), &mut out);
@@ -874,7 +874,7 @@
 fn sessions_of_a_box_missing_from_the_first_current_list_are_released() {
     let settings = settings();
     let (claim_within, limits) = (settings.limits.claim_timeout, settings.limits);
-    let mut ledger = Ledger::new(ScriptedDecider::default(), settings.module, limits, "f0", 1);
+    let mut ledger = Ledger::new(ScriptedDecider::default(), settings.decision, limits, "f0", 1);
     let mut out = Vec::new();
     ledger.handle(1, Input::List(ListKind::Cached, vec![listed(0, ServerState::Ready, None)]), &mut out);
     let Some(Output::OpenStream(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
--- a/crates/front/src/core/tests/limits.rs
+++ b/crates/front/src/core/tests/limits.rs
@@ -87,7 +87,7 @@
     let mut limits = limits();
     (limits.sessions_per_connection, limits.sessions_per_viewer) = (3, 2);
     let decider = ScriptedDecider::default();
-    let mut ledger = Ledger::new(decider, settings().module, limits, "f0", 1);
+    let mut ledger = Ledger::new(decider, settings().decision, limits, "f0", 1);
     let mut tickets = 0;
     let mut open = |ledger: &mut Ledger<ScriptedDecider>, client: u64, viewer: u64| {
         tickets += 1;
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -11,14 +11,14 @@
 use salttally_copies::edge::Teller as Copies;
 use salttally_members::core::pauses::Pauses;
 
-use crate::box_list::Follower;
-use crate::boxes::Boxes;
+use crate::box_list::ListFollower;
+use crate::boxes::BoxConnections;
 use crate::clock::Clock;
 use crate::common::messages::{CallerMessage, ClientSink, EngineMessage, FrontStatus, ReceivedMessage};
 use crate::core::{Answer, ClientId, Counts, Input, Ledger, Level, Notification, Output, Reply, Ticket};
-use crate::session_api::core::overflow::Overflow;
-use crate::session_api::core::share::Aftermath;
-use crate::session_api::entrance::Entrance;
+use crate::session_api::connections::Connections;
+use crate::session_api::core::deferred::DeferredQueue;
+use crate::session_api::core::thread_share::OpenOverhead;
 use crate::session_api::rpc;
 
 /// State of the engine.
@@ -28,20 +28,20 @@
     /// Sessions and attempts.
     pub ledger: Ledger<Controller>,
     /// Connections to boxes and their event streams.
-    pub boxes: Boxes,
+    pub boxes: BoxConnections,
     /// Follows the box list.
-    pub box_list: Follower,
+    pub box_list: ListFollower,
     /// Incoming messages.
     pub inbox: Receiver<EngineMessage>,
     /// Messages from players that have used up their share of this thread, processed when there is nothing
     /// else to do.
-    pub deferred: Overflow<ReceivedMessage>,
+    pub deferred: DeferredQueue<ReceivedMessage>,
     /// Number of these messages, shared with the threads that add to them.
     pub deferred_count: Arc<AtomicUsize>,
     /// Processing cost of open requests beyond their calls.
-    pub aftermath: Aftermath,
+    pub aftermath: OpenOverhead,
     /// Admission of player connections.
-    pub entrance: Arc<Entrance>,
+    pub entrance: Arc<Connections>,
     /// Clients by id.
     pub clients: BTreeMap<ClientId, ClientSink>,
     /// Output buffer; empty between inputs, kept to reuse its memory.
@@ -95,7 +95,7 @@
                     };
                     let started = self.clock.instant_now();
                     let finished = self.input(input);
-                    self.aftermath.spent(self.clock.nanos_since(started));
+                    self.aftermath.record_cost(self.clock.nanos_since(started));
                     if let Some(client) = departed {
                         self.clients.remove(&client);
                         // Its deferred messages were not accepted yet and are dropped.
@@ -132,9 +132,9 @@
 
     /// Removes the deferred messages of this player, which go ahead of its next one.
     fn take_deferred(&mut self, client: ClientId) -> Vec<ReceivedMessage> {
-        let take_deferred = self.deferred.all_of(client);
-        self.deferred_count.fetch_sub(take_deferred.len(), Ordering::Relaxed);
-        take_deferred
+        let messages = self.deferred.take_client(client);
+        self.deferred_count.fetch_sub(messages.len(), Ordering::Relaxed);
+        messages
     }
 
     /// Handles a player message and charges its sender for the cost. Returns whether the front is done.
@@ -150,8 +150,8 @@
         for input in inputs {
             finished |= self.input(input);
         }
-        let nanos = self.clock.nanos_since(started).saturating_add(self.aftermath.opened(opens as u64));
-        share.lock().unwrap_or_else(PoisonError::into_inner).cost(received.charge, nanos);
+        let nanos = self.clock.nanos_since(started).saturating_add(self.aftermath.charge_opens(opens as u64));
+        share.lock().unwrap_or_else(PoisonError::into_inner).settle(received.charge, nanos);
         finished
     }
 
@@ -161,9 +161,9 @@
         let has_sessions = self.ledger.has_sessions(client);
         if std::mem::replace(&mut socket.has_sessions, has_sessions) != has_sessions {
             if has_sessions {
-                socket.calls.returned();
+                socket.calls.allow_new_sessions();
             }
-            self.entrance.holds(client, has_sessions);
+            self.entrance.set_in_use(client, has_sessions);
         }
     }
 
@@ -199,15 +199,17 @@
                 Output::Dial(conn, server, address) => self.boxes.dial(*conn, *server, *address),
                 Output::Exchange(conn, request) => {
                     let authority = self.ledger.write_authority(request);
-                    self.boxes.exchange(*conn, request, authority);
+                    self.boxes.send(*conn, request, authority);
                 }
-                Output::CloseConn(conn) => self.boxes.hang(*conn),
-                Output::OpenStream(server, number, address) => self.boxes.listen(*server, *number, *address),
-                Output::CloseStream(_, number) => self.boxes.stop_listening(*number),
+                Output::CloseConn(conn) => self.boxes.hang_up(*conn),
+                Output::OpenStream(server, number, address) => {
+                    self.boxes.open_event_stream(*server, *number, *address)
+                }
+                Output::CloseStream(_, number) => self.boxes.close_event_stream(*number),
                 Output::FollowList => self.box_list.follow(),
-                Output::StoreRecord(key, body, shutdown_replies) => {
+                Output::StoreRecord(key, body, awaited) => {
                     if let Some(copies) = &self.copies {
-                        copies.keep(Arc::clone(key), body.clone(), *shutdown_replies);
+                        copies.keep(Arc::clone(key), body.clone(), *awaited);
                     }
                 }
                 Output::DeleteRecord(key) => {
@@ -240,7 +242,7 @@
 
     fn answer(&mut self, client: ClientId, ticket: Ticket, answer: &Answer) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::answer(id, answer)),
+            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::open_response(id, answer)),
             Some(ClientSink::Caller(to)) => {
                 let _ = to.send(CallerMessage::Answer(answer.clone()));
             }
@@ -250,7 +252,7 @@
 
     fn reply(&mut self, client: ClientId, ticket: Ticket, reply: &Reply) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::reply(id, reply)),
+            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::call_response(id, reply)),
             Some(ClientSink::Caller(to)) => {
                 let _ = to.send(CallerMessage::Reply(reply.clone()));
             }
@@ -260,7 +262,7 @@
 
     fn notify(&mut self, client: ClientId, notification: &Notification) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.write(&rpc::news(notification)),
+            Some(ClientSink::Socket(socket)) => socket.write(&rpc::notification(notification)),
             Some(ClientSink::Caller(to)) => {
                 let _ = to.send(CallerMessage::Notification(notification.clone()));
             }
@@ -282,8 +284,8 @@
 
     /// Closes every socket without notifying anybody.
     fn stop_now(mut self) {
-        self.boxes.die();
-        self.box_list.die();
+        self.boxes.close_all();
+        self.box_list.close();
         for port in std::mem::take(&mut self.clients).into_values() {
             if let ClientSink::Socket(socket) = port {
                 socket.outbox.close();
--- a/crates/trial/src/whole.rs
+++ b/crates/trial/src/whole.rs
@@ -501,11 +501,11 @@
         let settings = &self.settings;
         let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
         let names = SettingsNames { classes: settings.classes.clone(), titles, viewer: None };
-        let controller = Controller::new(settings.module.clone(), seed);
+        let controller = Controller::new(settings.decision.clone(), seed);
         // The time of the start, in milliseconds, as in service.
         let started = (self.now / MS) as u32;
         let ledger =
-            Ledger::new(controller, settings.module.clone(), settings.limits.clone(), &name, started);
+            Ledger::new(controller, settings.decision.clone(), settings.limits.clone(), &name, started);
         let ledger = ledger.with_rules(AgreedRules::new(names)).with_replication();
         let own = copies::Own {
             name: Name::clone(&name),
