--- a/crates/daemon/tests/doors.rs
+++ b/crates/daemon/tests/doors.rs
@@ -158,7 +158,7 @@
         let _ = drip.set_read_timeout(Some(SECOND * 2));
         assert!(matches!(drip.read(&mut [0; 64]), Ok(0) | Err(_)), "nothing is said to a drip");
     }
-    let door = rig.front(0).status().door;
+    let door = rig.front(0).status().admission;
     assert!(door.dropped.values().sum::<u64>() >= 5, "{door:?}");
     rig.end();
 }
--- a/crates/front/src/common/messages.rs
+++ b/crates/front/src/common/messages.rs
@@ -55,7 +55,7 @@
     /// Connected players and callers of the library.
     pub clients: usize,
     /// Admission counters of player connections.
-    pub door: AdmissionCounts,
+    pub admission: AdmissionCounts,
 }
 
 /// Where messages to a client go.
@@ -103,14 +103,14 @@
     }
 
     /// Handles a received message: answers errors, and returns the inputs for the ledger.
-    pub fn take(&mut self, message: Message) -> Vec<Input> {
-        let taken = self.calls.accept(message);
-        taken.responses.iter().for_each(|value| self.write(value));
-        taken.inputs
+    pub fn accept(&mut self, message: Message) -> Vec<Input> {
+        let accepted = self.calls.accept(message);
+        accepted.responses.iter().for_each(|value| self.write(value));
+        accepted.inputs
     }
 
     /// Sends the response to a call, if it is still unanswered.
-    pub fn answered(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) {
+    pub fn answer(&mut self, ticket: Ticket, write: impl FnOnce(&Value) -> Value) {
         if let Some(value) = self.calls.answer(ticket, write) {
             self.write(&value);
         }
--- a/crates/front/src/core/agreed_rules.rs
+++ b/crates/front/src/core/agreed_rules.rs
@@ -42,13 +42,13 @@
 impl ResolvedRules {
     fn new(rules: &Rules, names: &SettingsNames) -> ResolvedRules {
         let number = |name: &str| names.viewer.map(|viewer| viewer(name));
-        let refused_by_kind = |firms: bool| {
-            let one = move |who: &Who| match who {
-                Who::Firm(name) if firms => number(name),
-                Who::Viewer(name) if !firms => number(name),
+        let refused_by_kind = |tenants: bool| {
+            let refused_id = move |who: &Who| match who {
+                Who::Firm(name) if tenants => number(name),
+                Who::Viewer(name) if !tenants => number(name),
                 _ => None,
             };
-            rules.refused.iter().filter_map(one).collect()
+            rules.refused.iter().filter_map(refused_id).collect()
         };
         let terms = |class: &String| rules.terms(class);
         let titles = names.titles.iter();
@@ -162,15 +162,15 @@
     ///
     /// # Errors
     /// The rule that forbids it.
-    pub fn check_new(&self, request: &OpenRequest, held: &impl SessionCounts) -> Result<(), Refusal> {
+    pub fn check_new(&self, request: &OpenRequest, counts: &impl SessionCounts) -> Result<(), Refusal> {
         self.check_accepted(request)?;
         let rules = self.in_force()?;
         let seats = rules.class_seats.get(request.class).copied().unwrap_or(u32::MAX);
-        let over = |limit: u32, held: &dyn Fn() -> usize| limit != u32::MAX && held() >= limit as usize;
+        let reaches = |limit: u32, count: &dyn Fn() -> usize| limit != u32::MAX && count() >= limit as usize;
         match () {
-            () if over(seats, &|| held.of_class(request.class)) => Err(Refusal::Seats),
-            () if over(rules.max_sessions_per_front, &|| held.total()) => Err(Refusal::Front),
-            () if over(rules.max_sessions_per_viewer, &|| held.of_viewer(request.viewer)) => {
+            () if reaches(seats, &|| counts.of_class(request.class)) => Err(Refusal::Seats),
+            () if reaches(rules.max_sessions_per_front, &|| counts.total()) => Err(Refusal::Front),
+            () if reaches(rules.max_sessions_per_viewer, &|| counts.of_viewer(request.viewer)) => {
                 Err(Refusal::Viewer)
             }
             () => Ok(()),
@@ -183,8 +183,8 @@
     /// The rule that forbids it.
     pub fn check_accepted(&self, request: &OpenRequest) -> Result<(), Refusal> {
         let rules = self.in_force()?;
-        let firm = request.tenant.is_some_and(|firm| rules.refused_tenants.contains(&firm));
-        if firm || rules.refused_viewers.contains(&request.viewer) {
+        let tenant_refused = request.tenant.is_some_and(|tenant| rules.refused_tenants.contains(&tenant));
+        if tenant_refused || rules.refused_viewers.contains(&request.viewer) {
             return Err(Refusal::Who);
         }
         if !rules.open_classes.get(request.class).copied().unwrap_or(true) {
--- a/crates/front/src/core/ledger/actions.rs
+++ b/crates/front/src/core/ledger/actions.rs
@@ -64,8 +64,8 @@
             self.counts.stopped_attempts += 1;
             return self.log_blocked("a set-up of an unknown session", id, out);
         };
-        let next = session.next_attempt(self.now, &self.settings);
-        let (number, address) = match (next, address) {
+        let number = session.next_attempt(self.now, &self.settings);
+        let (number, address) = match (number, address) {
             (Err(SetUpDenied::TooManyAttempts), _) => {
                 self.counts.stopped_attempts += 1;
                 return self.log_blocked("an attempt beyond the maximum", id, out);
@@ -106,8 +106,8 @@
             };
             match forbidden {
                 SetUpForbidden::Box => self.events.push_back(ended(Outcome::Full, false)),
-                SetUpForbidden::Session(why) => {
-                    let after = self.hold_off_for(why);
+                SetUpForbidden::Session(refusal) => {
+                    let after = self.hold_off_for(refusal);
                     self.refuse(id, after, out);
                     self.events.push_back(ended(Outcome::NotSent, true));
                 }
@@ -117,8 +117,8 @@
         let Some(session) = self.sessions.get_mut(id) else { return };
         // A timeout of 0 from the decision module means until the viewer gives up; no timeout extends past
         // that.
-        let whole = session.deadline - self.now;
-        let time_out = if time_out == 0 { whole } else { time_out.min(whole) };
+        let time_left = session.deadline - self.now;
+        let time_out = if time_out == 0 { time_left } else { time_out.min(time_left) };
         let expires = self.now + time_out;
         let rung = session.target_rung;
         let attempt = Attempt {
@@ -152,15 +152,15 @@
     /// Sends the box the target rung. Only one change at a time is in progress for a session.
     pub(super) fn send_rung_change(&mut self, id: &SessionId, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        let (wanted, class) = (session.target_rung, session.open_request.class);
+        let (target, class) = (session.target_rung, session.open_request.class);
         let Stage::Playing(playing) = &mut session.stage else { return };
-        if playing.pending_rung.is_some() || playing.attempt.rung == wanted {
+        if playing.pending_rung.is_some() || playing.attempt.rung == target {
             return;
         }
-        playing.pending_rung = Some(wanted);
+        playing.pending_rung = Some(target);
         let to = (playing.attempt.server, playing.attempt.address);
         let attempt = playing.attempt.wire_number;
-        self.send_request(to, BoxRequest::SetRung { session: id.clone(), attempt, rung: wanted, class }, out);
+        self.send_request(to, BoxRequest::SetRung { session: id.clone(), attempt, rung: target, class }, out);
     }
 
     pub(super) fn move_session(&mut self, id: &SessionId, out: &mut Vec<Output>) {
--- a/crates/front/src/core/ledger/boxes.rs
+++ b/crates/front/src/core/ledger/boxes.rs
@@ -3,12 +3,12 @@
 use salttally_copies::core::{life_of, Life};
 
 use super::*;
-use crate::core::session_records::AttemptPlace;
+use crate::core::session_records::AttemptLocation;
 
 impl<D: Decider> Ledger<D> {
     pub(super) fn update_box_list(&mut self, kind: ListKind, lines: Vec<ListEntry>, out: &mut Vec<Output>) {
         if kind != ListKind::FetchFailed {
-            let gone = removed_servers(kind, &lines, self.boxes.keys());
+            let removed = removed_servers(kind, &lines, self.boxes.keys());
             for line in &lines {
                 let id = line.entry.server;
                 if line.entry.state != ServerState::Removed {
@@ -19,7 +19,7 @@
                     self.streams.listed(self.now, id, line.address, &mut self.timers, out);
                 }
             }
-            for id in gone {
+            for id in removed {
                 self.boxes.remove(&id);
                 // Sessions reported by the box that wait for a current list count too: they are about to be
                 // resumed.
@@ -42,19 +42,19 @@
         &mut self,
         server: ServerId,
         number: u64,
-        news: StreamEvent,
+        event: StreamEvent,
         out: &mut Vec<Output>,
     ) {
-        let asked = self.streams.requested_at(server);
+        let requested_at = self.streams.requested_at(server);
         if !self.streams.is_current(self.now, server, number) {
             return;
         }
-        let lost_after = self.limits.lost_timeout;
-        let why = match news {
+        let lost_timeout = self.limits.lost_timeout;
+        let error = match event {
             StreamEvent::Heartbeat => return,
             StreamEvent::Up(held) => {
                 self.streams.opened(self.now, server, &mut self.timers);
-                return self.reconcile_box(server, asked.unwrap_or(self.now), held, out);
+                return self.reconcile_box(server, requested_at.unwrap_or(self.now), held, out);
             }
             StreamEvent::Note(session, note) => {
                 let plays = self.sessions.get(&session).and_then(Session::playing);
@@ -83,7 +83,8 @@
             StreamEvent::NoConnection(error) => Some(error),
             StreamEvent::Broken => None,
         };
-        let stream_outcome = self.streams.broken(self.now, server, why, lost_after, &mut self.timers, out);
+        let stream_outcome =
+            self.streams.broken(self.now, server, error, lost_timeout, &mut self.timers, out);
         self.apply_stream_outcome(server, stream_outcome, out);
     }
 
@@ -97,9 +98,9 @@
             return;
         }
         self.pool.close_idle(server, &mut self.timers, out);
-        let there = |s: &Session| s.playing().is_some_and(|playing| playing.attempt.server == server);
+        let plays_there = |s: &Session| s.playing().is_some_and(|playing| playing.attempt.server == server);
         let lost: Vec<SessionId> =
-            self.sessions.iter().filter(|(_, s)| there(s)).map(|(id, _)| id.clone()).collect();
+            self.sessions.iter().filter(|(_, s)| plays_there(s)).map(|(id, _)| id.clone()).collect();
         for id in lost {
             self.end_and_notify(&id, EndReason::Lost, Outcome::Broken, out);
         }
@@ -109,35 +110,35 @@
     pub(super) fn end_and_notify(
         &mut self,
         id: &SessionId,
-        why: EndReason,
+        reason: EndReason,
         outcome: Outcome,
         out: &mut Vec<Output>,
     ) {
-        self.counts.lost += u64::from(why == EndReason::Lost);
+        self.counts.lost += u64::from(reason == EndReason::Lost);
         if let Some((client, _)) = self.sessions.get(id).and_then(|session| session.client) {
-            out.push(Output::Notify(client, Notification::Ended(id.clone(), why)));
+            out.push(Output::Notify(client, Notification::Ended(id.clone(), reason)));
         }
-        self.stop_playing(id, outcome, why != EndReason::Box, out);
+        self.stop_playing(id, outcome, reason != EndReason::Box, out);
     }
 
     /// Reconciles the sessions that a box reports with those known here.
     pub(super) fn reconcile_box(
         &mut self,
         server: ServerId,
-        asked: Micros,
+        requested_at: Micros,
         held: Vec<HeldSession>,
         out: &mut Vec<Output>,
     ) {
-        let named: BTreeMap<&SessionId, u32> = held.iter().map(|h| (&h.session, h.attempt)).collect();
+        let reported: BTreeMap<&SessionId, u32> = held.iter().map(|h| (&h.session, h.attempt)).collect();
         // A set-up sent after the stream was requested may have begun after the box wrote its list.
         let missing = |id: &SessionId, s: &Session| {
             s.playing().is_some_and(|p| {
-                let told = named.get(id) == Some(&p.attempt.wire_number);
+                let listed = reported.get(id) == Some(&p.attempt.wire_number);
                 // Sessions taken over from another front are not in the list until the box has been asked for
                 // them.
-                let unsure =
+                let unconfirmed =
                     self.replication.as_ref().is_some_and(|replication| replication.unconfirmed.contains(id));
-                p.attempt.server == server && p.attempt.sent_at < asked && !told && !unsure
+                p.attempt.server == server && p.attempt.sent_at < requested_at && !listed && !unconfirmed
             })
         };
         let lost: Vec<SessionId> =
@@ -173,14 +174,16 @@
     ) {
         let Some(address) = self.streams.address(server) else { return };
         let incarnation = life_of(&held.session.0).map(Life::from);
-        let adopted = incarnation.filter(|incarnation| {
-            self.replication.as_ref().is_some_and(|k| k.takeover_epochs.contains_key(incarnation))
+        let taken_over = incarnation.filter(|incarnation| {
+            self.replication
+                .as_ref()
+                .is_some_and(|replication| replication.takeover_epochs.contains_key(incarnation))
         });
-        if let Some(incarnation) = adopted {
+        if let Some(incarnation) = taken_over {
             return self.reconcile_held_session(server, &incarnation, held, out);
         }
-        let own = format!("{}-", self.name);
-        let Some(rest) = held.session.0.strip_prefix(&own) else {
+        let own_prefix = format!("{}-", self.name);
+        let Some(rest) = held.session.0.strip_prefix(&own_prefix) else {
             self.counts.faults += 1;
             let text =
                 format!("box {} holds session {}, which belongs to no front here", server.0, held.session.0);
@@ -199,7 +202,7 @@
         let Some(open_request) = open_request else {
             return self.release_unknown((server, address), held.session, held.attempt, out);
         };
-        let place = AttemptPlace { server: server.0, address, attempt: held.attempt };
-        self.resume_playing(held.session, place, held.rung, open_request, self.limits.claim_timeout);
+        let location = AttemptLocation { server: server.0, address, attempt: held.attempt };
+        self.resume_playing(held.session, location, held.rung, open_request, self.limits.claim_timeout);
     }
 }
--- a/crates/front/src/core/ledger/clients.rs
+++ b/crates/front/src/core/ledger/clients.rs
@@ -8,17 +8,17 @@
         client: ClientId,
         ticket: Ticket,
         mut open_request: OpenRequest,
-        only_back: bool,
+        reopen_only: bool,
         out: &mut Vec<Output>,
     ) {
         let moved =
             open_request.moved_from.as_ref().filter(|old| self.moved.get(*old) == Some(&open_request.viewer));
-        if only_back && moved.is_none() {
+        if reopen_only && moved.is_none() {
             out.push(Output::Reply(client, ticket, Reply::ReturnsOnly(self.settings.max_hold_off)));
             return;
         }
-        if let Some((most, by)) = self.exceeded_limit(client, open_request.viewer) {
-            out.push(Output::Reply(client, ticket, Reply::TooManySessions(most, by)));
+        if let Some((limit, scope)) = self.exceeded_limit(client, open_request.viewer) {
+            out.push(Output::Reply(client, ticket, Reply::TooManySessions(limit, scope)));
             return;
         }
         self.sessions_opened += 1;
@@ -34,9 +34,9 @@
         }
         let moved = moved.cloned();
         if let Some(rules) = &self.rules {
-            if let Err(why) = rules.check_new(&open_request, &LedgerCounts { ledger: self }) {
+            if let Err(refusal) = rules.check_new(&open_request, &LedgerCounts { ledger: self }) {
                 self.counts.refused += 1;
-                let answer = Answer::Refused(id, self.hold_off_for(why));
+                let answer = Answer::Refused(id, self.hold_off_for(refusal));
                 out.push(Output::Answer(client, ticket, answer));
                 return;
             }
@@ -59,12 +59,12 @@
 
     /// Returns the limit that a further session of this client and viewer would exceed, if any.
     pub(super) fn exceeded_limit(&self, client: ClientId, viewer: ViewerId) -> Option<(usize, LimitScope)> {
-        let own = self.by_client.get(&client).map_or(0, BTreeSet::len);
-        let of_viewer = self.by_viewer.get(&viewer).copied().unwrap_or(0);
+        let client_sessions = self.by_client.get(&client).map_or(0, BTreeSet::len);
+        let viewer_sessions = self.by_viewer.get(&viewer).copied().unwrap_or(0);
         let limits = &self.limits;
-        if own >= limits.sessions_per_connection {
+        if client_sessions >= limits.sessions_per_connection {
             Some((limits.sessions_per_connection, LimitScope::Connection))
-        } else if of_viewer >= limits.sessions_per_viewer {
+        } else if viewer_sessions >= limits.sessions_per_viewer {
             Some((limits.sessions_per_viewer, LimitScope::Viewer))
         } else {
             None
@@ -82,10 +82,10 @@
     }
 
     pub(super) fn cancel(&mut self, client: ClientId, ticket: Ticket, open: Ticket, out: &mut Vec<Output>) {
-        let by = Some((client, open));
-        let own = self.by_client.get(&client).into_iter().flatten();
-        let mut found =
-            own.filter(|id| self.sessions.get(*id).is_some_and(|s| s.client == by && s.answer_pending()));
+        let call = Some((client, open));
+        let sessions = self.by_client.get(&client).into_iter().flatten();
+        let mut found = sessions
+            .filter(|id| self.sessions.get(*id).is_some_and(|s| s.client == call && s.answer_pending()));
         let Some(id) = found.next().cloned() else {
             // The answer was sent before the cancellation arrived: there is nothing to cancel, and the client
             // may close the session.
@@ -98,14 +98,14 @@
     }
 
     pub(super) fn close(&mut self, client: ClientId, ticket: Ticket, id: &SessionId, out: &mut Vec<Output>) {
-        let own = self.by_client.get(&client).is_some_and(|own| own.contains(id));
-        let plays = self.sessions.get(id).is_some_and(|s| s.playing().is_some());
-        if own && plays && !self.may_act_for(id) {
+        let is_own = self.by_client.get(&client).is_some_and(|sessions| sessions.contains(id));
+        let is_playing = self.sessions.get(id).is_some_and(|s| s.playing().is_some());
+        if is_own && is_playing && !self.may_act_for(id) {
             // Without the right to release it, the session would play on with nobody able to end it.
             out.push(Output::Reply(client, ticket, Reply::RetryAfter(takeover::TAKEOVER_HOLD_OFF_US)));
             return;
         }
-        if !(own && plays) {
+        if !(is_own && is_playing) {
             out.push(Output::Reply(client, ticket, Reply::Unknown));
             return;
         }
@@ -181,23 +181,24 @@
     /// asks a suspended front, gets no response and goes on to another front; that is not a close.
     pub(super) fn keep_uncertain_sessions(&mut self, client: ClientId) {
         let now = self.now;
-        let lately = |session: &Session| session.claimed_at.is_some_and(|at| at + RECLAIM_GRACE_US > now);
+        let recently_reclaimed =
+            |session: &Session| session.claimed_at.is_some_and(|at| at + RECLAIM_GRACE_US > now);
         self.keep_for_viewer(client, |ledger, id| {
-            !ledger.may_act_for(id) || ledger.sessions.get(id).is_some_and(lately)
+            !ledger.may_act_for(id) || ledger.sessions.get(id).is_some_and(recently_reclaimed)
         });
     }
 
-    fn keep_for_viewer(&mut self, client: ClientId, which: impl Fn(&Self, &SessionId) -> bool) {
+    fn keep_for_viewer(&mut self, client: ClientId, should_keep: impl Fn(&Self, &SessionId) -> bool) {
         let until = self.now + self.limits.lost_client_retention;
-        let own = self.by_client.get(&client).cloned().unwrap_or_default();
-        for id in own {
-            let kept = which(self, &id);
+        let sessions = self.by_client.get(&client).cloned().unwrap_or_default();
+        for id in sessions {
+            let keep = should_keep(self, &id);
             let Some(session) = self.sessions.get_mut(&id) else { continue };
-            if kept && session.playing().is_some() {
+            if keep && session.playing().is_some() {
                 (session.client, session.claim_by) = (None, Some(until));
                 self.timers.set(until, Deadline::ClaimTimeout(id.clone()));
-                if let Some(own) = self.by_client.get_mut(&client) {
-                    own.remove(&id);
+                if let Some(sessions) = self.by_client.get_mut(&client) {
+                    sessions.remove(&id);
                 }
             }
         }
@@ -244,9 +245,9 @@
             self.timers.cancel(at, Deadline::ClaimTimeout(id.clone()));
         }
         let Some((client, _)) = session.client else { return };
-        if let Some(own) = self.by_client.get_mut(&client) {
-            own.remove(id);
-            if own.is_empty() {
+        if let Some(sessions) = self.by_client.get_mut(&client) {
+            sessions.remove(id);
+            if sessions.is_empty() {
                 self.by_client.remove(&client);
             }
         }
--- a/crates/front/src/core/ledger/deadlines.rs
+++ b/crates/front/src/core/ledger/deadlines.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl<D: Decider> Ledger<D> {
-    pub(super) fn handle_deadline(&mut self, due: Deadline, out: &mut Vec<Output>) {
-        match due {
+    pub(super) fn handle_deadline(&mut self, deadline: Deadline, out: &mut Vec<Output>) {
+        match deadline {
             Deadline::AttemptTimeout(id, number) => self.attempt_timed_out(&id, number, out),
             Deadline::Wake(tag) => self.events.push_back(Event::Wake(tag)),
             Deadline::AnswerOverdue(id) => {
@@ -39,10 +39,10 @@
             }
             Deadline::StreamSilence(server, number) => {
                 if self.streams.check_silence(self.now, server, number, &mut self.timers, out) {
-                    let why = Some(DialError::TimedOut);
-                    let lost = self.limits.lost_timeout;
+                    let error = Some(DialError::TimedOut);
+                    let lost_timeout = self.limits.lost_timeout;
                     let stream_outcome =
-                        self.streams.broken(self.now, server, why, lost, &mut self.timers, out);
+                        self.streams.broken(self.now, server, error, lost_timeout, &mut self.timers, out);
                     self.apply_stream_outcome(server, stream_outcome, out);
                 }
             }
--- a/crates/front/src/core/ledger/mod.rs
+++ b/crates/front/src/core/ledger/mod.rs
@@ -304,8 +304,9 @@
 
     /// The session that this open call of this client created, while the ledger has it.
     pub fn session_of_call(&self, client: ClientId, ticket: Ticket) -> Option<SessionId> {
-        let own = self.by_client.get(&client)?;
-        own.iter()
+        let sessions = self.by_client.get(&client)?;
+        sessions
+            .iter()
             .find(|id| self.sessions.get(*id).is_some_and(|s| s.client == Some((client, ticket))))
             .cloned()
     }
@@ -322,7 +323,7 @@
 
     /// Handles one input and appends the resulting outputs, in order, to `out`.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
-        let before = out.len();
+        let first_output = out.len();
         self.now = self.now.max(now);
         match input {
             Input::Open(client, ticket, open_request) => self.open(client, ticket, open_request, false, out),
@@ -336,29 +337,29 @@
             Input::ClientLost(client) => self.client_lost(client, out),
             Input::List(kind, lines) => self.update_box_list(kind, lines, out),
             Input::Dialed(conn, result) => {
-                let kept = self.limits.idle_timeout;
-                let ended = self.pool.dialed(self.now, conn, result, kept, &mut self.timers, out);
+                let idle_timeout = self.limits.idle_timeout;
+                let ended = self.pool.dialed(self.now, conn, result, idle_timeout, &mut self.timers, out);
                 self.request_ended(ended, out);
             }
             Input::Exchanged(conn, end) => {
-                let kept = self.limits.idle_timeout;
-                let ended = self.pool.exchanged(self.now, conn, end, kept, &mut self.timers, out);
+                let idle_timeout = self.limits.idle_timeout;
+                let ended = self.pool.exchanged(self.now, conn, end, idle_timeout, &mut self.timers, out);
                 self.request_ended(ended, out);
             }
-            Input::Stream(server, number, news) => self.handle_stream_event(server, number, news, out),
-            Input::Coordination(stand) => self.update_rules(*stand, out),
+            Input::Stream(server, number, event) => self.handle_stream_event(server, number, event, out),
+            Input::Coordination(state) => self.update_rules(*state, out),
             Input::ShutDown => self.shut_down(out),
-            Input::RecordStored(key, kept) => self.record_stored(&key, kept, out),
+            Input::RecordStored(key, stored) => self.record_stored(&key, stored, out),
             Input::TakeOver(incarnation, epoch, records) => {
                 self.take_over(&incarnation, epoch, &records, out)
             }
             Input::TakenOver(incarnation) => self.taken_over(&incarnation, out),
             Input::TakeoverSuperseded(incarnation) => self.drop_incarnation(&incarnation, out),
-            Input::Peers(others) => {
+            Input::Peers(peers) => {
                 if let Some(replication) =
-                    self.replication.as_mut().filter(|replication| replication.peers != others)
+                    self.replication.as_mut().filter(|replication| replication.peers != peers)
                 {
-                    (replication.peers, replication.peers_changed_at) = (others, self.now);
+                    (replication.peers, replication.peers_changed_at) = (peers, self.now);
                 }
             }
             Input::ProcessResumed => {
@@ -369,11 +370,11 @@
         }
         self.run_decider(out);
         while self.now >= self.deadlines_paused_until {
-            let Some(due) = self.timers.pop(self.now) else { break };
-            self.handle_deadline(due, out);
+            let Some(deadline) = self.timers.pop(self.now) else { break };
+            self.handle_deadline(deadline, out);
             self.run_decider(out);
         }
-        self.withhold_forbidden(before, out);
+        self.withhold_forbidden(first_output, out);
         out.append(&mut self.record_outputs);
         if self.shutting_down && !self.finished && self.sessions.is_empty() && self.releases.is_empty() {
             self.finished = true;
--- a/crates/front/src/core/ledger/releases.rs
+++ b/crates/front/src/core/ledger/releases.rs
@@ -33,7 +33,7 @@
         self.releases.entry((to.0, id.clone(), wire_number)).or_insert(0);
         if self.replication.is_some() {
             let place =
-                session_records::AttemptPlace { server: to.0 .0, address: to.1, attempt: wire_number };
+                session_records::AttemptLocation { server: to.0 .0, address: to.1, attempt: wire_number };
             self.store_record(
                 session_records::release_key(id, wire_number),
                 &session_records::SessionRecord::ReleasePending(place),
@@ -109,12 +109,12 @@
     }
 
     pub(super) fn attempt_timed_out(&mut self, id: &SessionId, number: u32, out: &mut Vec<Output>) {
-        let out_now = self
+        let pending = self
             .sessions
             .get(id)
             .and_then(Session::pending_attempt)
             .filter(|attempt| attempt.number == number);
-        let Some(attempt) = out_now.cloned() else { return };
+        let Some(attempt) = pending.cloned() else { return };
         if self.cancel_unsent_set_up(id, number) {
             return self.attempt_ended(attempt.server, id, number, Outcome::NotSent, Vec::new(), out);
         }
--- a/crates/front/src/core/ledger/requests.rs
+++ b/crates/front/src/core/ledger/requests.rs
@@ -62,12 +62,12 @@
         end: RequestEnd,
         out: &mut Vec<Output>,
     ) {
-        let out_now = self
+        let pending = self
             .sessions
             .get(id)
             .and_then(Session::pending_attempt)
             .filter(|attempt| attempt.number == number);
-        let Some(attempt) = out_now.cloned() else { return };
+        let Some(attempt) = pending.cloned() else { return };
         self.timers.cancel(attempt.expires_at, Deadline::AttemptTimeout(id.clone(), number));
         let (outcome, report) = outcome_of(end);
         if outcome != Outcome::Ok {
@@ -91,11 +91,11 @@
             self.release((server, attempt.address), id, attempt.wire_number, out);
             return self.attempt_ended(server, id, number, Outcome::Withdrawn, report, out);
         }
-        if let Some(SetUpForbidden::Session(why)) = self.set_up_forbidden(id, server) {
+        if let Some(SetUpForbidden::Session(refusal)) = self.set_up_forbidden(id, server) {
             // The set-up was allowed when it was sent, but the rules no longer allow telling the viewer that
             // the session plays.
             self.release((server, attempt.address), id, attempt.wire_number, out);
-            let after = self.hold_off_for(why);
+            let after = self.hold_off_for(refusal);
             self.refuse(id, after, out);
             return self.attempt_ended(server, id, number, Outcome::Withdrawn, report, out);
         }
@@ -178,13 +178,13 @@
         out: &mut Vec<Output>,
     ) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        let (class, client, wanted) = (session.open_request.class, session.client, session.target_rung);
+        let (class, client, target) = (session.open_request.class, session.client, session.target_rung);
         let Stage::Playing(playing) = &mut session.stage else { return };
         if playing.attempt.wire_number != wire_number || playing.pending_rung != Some(rung) {
             return;
         }
         playing.pending_rung = None;
-        let (server, in_force) = (playing.attempt.server, playing.attempt.rung);
+        let (server, current_rung) = (playing.attempt.server, playing.attempt.rung);
         if let RequestEnd::Exchange(ExchangeEnd::Answered { answer: BoxAnswer::Done, .. }) = end {
             (playing.attempt.rung, playing.failed_rung_changes) = (rung, 0);
             self.store_playing_record(id);
@@ -196,13 +196,13 @@
             playing.failed_rung_changes += 1;
             if playing.failed_rung_changes > MAX_FAILED_RUNG_CHANGES {
                 // The decision module must not account for a rung that the box was never set to.
-                (playing.failed_rung_changes, session.target_rung) = (0, in_force);
-                let note = Note::Rung(in_force);
+                (playing.failed_rung_changes, session.target_rung) = (0, current_rung);
+                let note = Note::Rung(current_rung);
                 self.events.push_back(Event::Note { session: id.clone(), server, note });
                 return;
             }
         }
-        if wanted != self.sessions.get(id).and_then(Session::playing).map_or(wanted, |p| p.attempt.rung) {
+        if target != self.sessions.get(id).and_then(Session::playing).map_or(target, |p| p.attempt.rung) {
             self.send_rung_change(id, out);
         }
     }
--- a/crates/front/src/core/ledger/rule_checks.rs
+++ b/crates/front/src/core/ledger/rule_checks.rs
@@ -11,7 +11,7 @@
             return Some(SetUpForbidden::Session(Refusal::Lease));
         }
         match rules.check_accepted(&session.open_request) {
-            Err(why) => Some(SetUpForbidden::Session(why)),
+            Err(refusal) => Some(SetUpForbidden::Session(refusal)),
             Ok(()) if rules.box_held(server) && session.pending_attempt().is_none() => {
                 Some(SetUpForbidden::Box)
             }
@@ -22,7 +22,7 @@
     /// Withdraws requests that are about to be written and are not allowed. Danger: a set-up that waited for
     /// its connection was decided under rules that have since changed.
     pub(super) fn withhold_forbidden(&mut self, from: usize, out: &mut Vec<Output>) {
-        let stopped = |ledger: &Self, output: &Output| match output {
+        let forbidden_conn = |ledger: &Self, output: &Output| match output {
             Output::Exchange(conn, BoxRequest::SetUp { session, open_request, .. }) => {
                 let allowed = ledger.rules.as_ref()?.check_accepted(open_request).is_ok();
                 (!allowed || !ledger.may_act_for(session)).then_some(*conn)
@@ -33,30 +33,33 @@
             ) => (!ledger.may_act_for(session)).then_some(*conn),
             _ => None,
         };
-        while let Some((at, conn)) =
-            out.iter().enumerate().skip(from).find_map(|(at, output)| Some((at, stopped(self, output)?)))
+        while let Some((at, conn)) = out
+            .iter()
+            .enumerate()
+            .skip(from)
+            .find_map(|(at, output)| Some((at, forbidden_conn(self, output)?)))
         {
             out.remove(at);
-            let (end, kept) = (ExchangeEnd::Unwritten, self.limits.idle_timeout);
-            let ended = self.pool.exchanged(self.now, conn, end, kept, &mut self.timers, out);
+            let (end, idle_timeout) = (ExchangeEnd::Unwritten, self.limits.idle_timeout);
+            let ended = self.pool.exchanged(self.now, conn, end, idle_timeout, &mut self.timers, out);
             self.request_ended(ended, out);
             self.run_decider(out);
         }
     }
 
     /// Hold-off of a refusal: short where the reason is temporary.
-    pub(super) fn hold_off_for(&self, why: Refusal) -> Micros {
-        let most = self.settings.max_hold_off;
-        if why.passes() {
-            most.min(SHORT_HOLD_OFF_US)
+    pub(super) fn hold_off_for(&self, refusal: Refusal) -> Micros {
+        let max_hold_off = self.settings.max_hold_off;
+        if refusal.passes() {
+            max_hold_off.min(SHORT_HOLD_OFF_US)
         } else {
-            most
+            max_hold_off
         }
     }
 
-    pub(super) fn update_rules(&mut self, stand: Stand, out: &mut Vec<Output>) {
+    pub(super) fn update_rules(&mut self, state: Stand, out: &mut Vec<Output>) {
         let Some(rules) = &mut self.rules else { return };
-        if !rules.update(stand) {
+        if !rules.update(state) {
             return;
         }
         let ends = |s: &Session| s.playing().is_some() && rules.ends_playing(s.open_request.class);
@@ -65,9 +68,9 @@
         for id in ended {
             self.end_and_notify(&id, EndReason::Rules, Outcome::Withdrawn, out);
         }
-        let again: Vec<ListEntry> = self.box_list.values().cloned().collect();
-        if !again.is_empty() {
-            self.send_box_list(ListKind::Changes, again);
+        let entries: Vec<ListEntry> = self.box_list.values().cloned().collect();
+        if !entries.is_empty() {
+            self.send_box_list(ListKind::Changes, entries);
         }
     }
 
@@ -84,12 +87,12 @@
                     self.box_list.insert(line.entry.server, line.clone());
                 }
             }
-            let overrule = |line: ListEntry| {
+            let apply_orders = |line: ListEntry| {
                 let mut entry = line.entry;
                 rules.apply_box_order(&mut entry);
                 entry
             };
-            let entries = lines.into_iter().map(overrule).collect();
+            let entries = lines.into_iter().map(apply_orders).collect();
             self.events.push_back(Event::Servers(kind, entries));
             return;
         }
--- a/crates/front/src/core/ledger/takeover.rs
+++ b/crates/front/src/core/ledger/takeover.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 use crate::core::session_records::{
-    self, AttemptPlace, AwaitingRecord, PeerFront, Replication, SessionRecord,
+    self, AttemptLocation, AwaitingRecord, PeerFront, Replication, SessionRecord,
 };
 
 /// Pause before a box is asked again for the sessions of an incarnation, us; doubles three times at most.
@@ -35,7 +35,7 @@
 
     #[cfg(test)]
     pub(crate) fn replication_state(&self) -> &Replication {
-        self.replication.as_ref().expect("its promises are copied")
+        self.replication.as_ref().expect("replication is enabled")
     }
 
     /// The current incarnation of this front: the prefix of the ids of its own sessions.
@@ -72,9 +72,9 @@
         let (Some(replication), Some(rules)) = (&self.replication, &self.rules) else { return true };
         let Some(incarnation) = life_of(&id.0) else { return false };
         // No other front has sessions of an ended incarnation of this front.
-        let left = incarnation.rsplit_once('-').is_some_and(|(name, _)| name == self.name)
+        let own_ended = incarnation.rsplit_once('-').is_some_and(|(name, _)| name == self.name)
             && rules.successors().over.contains_key(incarnation);
-        rules.epoch(&replication.incarnation, incarnation).is_some() || self.has_lease() && left
+        rules.epoch(&replication.incarnation, incarnation).is_some() || self.has_lease() && own_ended
     }
 
     /// Whether this front has a lease and has not been taken over.
@@ -83,8 +83,8 @@
         rules.epoch(&replication.incarnation, &replication.incarnation).is_some()
     }
 
-    pub(super) fn store_record(&mut self, key: Key, record: &SessionRecord, waits: bool) {
-        self.record_outputs.push(Output::StoreRecord(key, session_records::encode(record), waits));
+    pub(super) fn store_record(&mut self, key: Key, record: &SessionRecord, awaited: bool) {
+        self.record_outputs.push(Output::StoreRecord(key, session_records::encode(record), awaited));
     }
 
     pub(super) fn delete_record(&mut self, key: Key) {
@@ -100,7 +100,7 @@
         request: BoxRequest,
         out: &mut Vec<Output>,
     ) {
-        let most = self.limits.connections_per_box;
+        let max_connections = self.limits.connections_per_box;
         let request_record = match (&self.replication, &request) {
             (Some(replication), BoxRequest::SetUp { open_request, .. }) => {
                 replication.to_record(open_request)
@@ -110,16 +110,16 @@
         let BoxRequest::SetUp { session: id, attempt, open_request, .. } = &request else {
             return;
         };
-        let once =
+        let at_most_once =
             self.settings.classes.get(open_request.class).is_some_and(|class| class.effect == Effect::Once);
-        let (Some(request_record), true) = (request_record, once) else {
-            return self.pool.send(to, request, None, most, &mut self.timers, out);
+        let (Some(request_record), true) = (request_record, at_most_once) else {
+            return self.pool.send(to, request, None, max_connections, &mut self.timers, out);
         };
         let (id, attempt) = (id.clone(), *attempt);
-        let place = AttemptPlace { server: to.0 .0, address: to.1, attempt };
+        let location = AttemptLocation { server: to.0 .0, address: to.1, attempt };
         self.store_record(
             session_records::session_key(&id),
-            &SessionRecord::SetUpIntended(place, request_record),
+            &SessionRecord::SetUpIntended(location, request_record),
             true,
         );
         if let Some(replication) = &mut self.replication {
@@ -132,11 +132,11 @@
     /// Cancels the set-up of this attempt if it still waits for its record; returns whether it did.
     pub(super) fn cancel_unsent_set_up(&mut self, id: &SessionId, number: u32) -> bool {
         let Some(replication) = &mut self.replication else { return false };
-        let waits = matches!(replication.awaiting_record.get(id), Some(AwaitingRecord::SetUp(of, _)) if *of == number);
-        if waits {
+        let is_waiting = matches!(replication.awaiting_record.get(id), Some(AwaitingRecord::SetUp(of, _)) if *of == number);
+        if is_waiting {
             replication.awaiting_record.remove(id);
         }
-        waits
+        is_waiting
     }
 
     /// After a box has started a session, defers the answer to the viewer until the record is replicated.
@@ -154,7 +154,7 @@
         else {
             return false;
         };
-        let record = SessionRecord::Plays(AttemptPlace::of(attempt), attempt.rung as u32, request_record);
+        let record = SessionRecord::Plays(AttemptLocation::of(attempt), attempt.rung as u32, request_record);
         replication
             .awaiting_record
             .insert(id.clone(), AwaitingRecord::Answer(attempt.number, took, report.to_vec(), false));
@@ -179,33 +179,40 @@
     pub(super) fn mark_ended_unanswered(&mut self, server: ServerId, of: Option<(&SessionId, u32)>) {
         let Some(replication) = &mut self.replication else { return };
         let sessions = &self.sessions;
-        for (id, waits) in &mut replication.awaiting_record {
+        for (id, work) in &mut replication.awaiting_record {
             let at = sessions.get(id).and_then(Session::pending_attempt);
-            let meant = at.is_some_and(|at| {
+            let matches = at.is_some_and(|at| {
                 at.server == server
                     && of.is_none_or(|(session, wire_number)| session == id && at.wire_number == wire_number)
             });
-            if let AwaitingRecord::Answer(_, _, _, ended) = waits {
-                *ended |= meant;
+            if let AwaitingRecord::Answer(_, _, _, ended) = work {
+                *ended |= matches;
             }
         }
     }
 
     /// Handles the result of replicating a session record.
-    pub(super) fn record_stored(&mut self, key: &Key, kept: bool, out: &mut Vec<Output>) {
+    pub(super) fn record_stored(&mut self, key: &Key, stored: bool, out: &mut Vec<Output>) {
         let id = session_records::session_of_key(key);
-        let Some(waits) =
+        let Some(work) =
             self.replication.as_mut().and_then(|replication| replication.awaiting_record.remove(&id))
         else {
             return;
         };
-        let out_now = self.sessions.get(&id).and_then(Session::pending_attempt).cloned();
-        match (waits, out_now) {
+        let pending = self.sessions.get(&id).and_then(Session::pending_attempt).cloned();
+        match (work, pending) {
             (AwaitingRecord::SetUp(number, sent), Some(attempt)) if attempt.number == number => {
                 let (server, address, request) = *sent;
-                if kept && self.sessions.get(&id).is_some_and(Session::answer_pending) {
-                    let most = self.limits.connections_per_box;
-                    return self.pool.send((server, address), request, None, most, &mut self.timers, out);
+                if stored && self.sessions.get(&id).is_some_and(Session::answer_pending) {
+                    let max_connections = self.limits.connections_per_box;
+                    return self.pool.send(
+                        (server, address),
+                        request,
+                        None,
+                        max_connections,
+                        &mut self.timers,
+                        out,
+                    );
                 }
                 self.timers.cancel(attempt.expires_at, Deadline::AttemptTimeout(id.clone(), number));
                 if self.sessions.get(&id).is_some_and(Session::answer_pending) {
@@ -233,7 +240,7 @@
                 // Danger: since the box responded, the lease may have ended, or another front may have taken
                 // over the incarnation.
                 let forbidden = self.set_up_forbidden(&id, attempt.server).is_some();
-                if kept && !ended && !forbidden {
+                if stored && !ended && !forbidden {
                     return self.start_playing(&id, attempt, took, &report, out);
                 }
                 if !ended {
@@ -257,7 +264,7 @@
             return;
         };
         let record = SessionRecord::Plays(
-            AttemptPlace::of(&playing.attempt),
+            AttemptLocation::of(&playing.attempt),
             playing.attempt.rung as u32,
             request_record,
         );
@@ -288,11 +295,11 @@
                 out.push(Output::Log(Level::Warn, format!("session record of {} cannot be read", id.0)));
                 continue;
             };
-            if let SessionRecord::SetUpIntended(place, _)
-            | SessionRecord::Plays(place, ..)
-            | SessionRecord::ReleasePending(place) = &record
+            if let SessionRecord::SetUpIntended(location, _)
+            | SessionRecord::Plays(location, ..)
+            | SessionRecord::ReleasePending(location) = &record
             {
-                boxes.entry(ServerId(place.server)).or_insert(place.address);
+                boxes.entry(ServerId(location.server)).or_insert(location.address);
             }
             self.restore_record(id, record, out);
         }
@@ -304,15 +311,16 @@
     fn restore_record(&mut self, id: SessionId, record: SessionRecord, out: &mut Vec<Output>) {
         let Some(replication) = &mut self.replication else { return };
         match record {
-            SessionRecord::Plays(place, rung, request_record) => {
+            SessionRecord::Plays(location, rung, request_record) => {
                 match replication.from_record(&request_record) {
                     Some(open_request) if !self.sessions.contains_key(&id) => {
                         replication.unconfirmed.insert(id.clone());
-                        let listed = self.boxes.get(&ServerId(place.server)).copied();
-                        let place = AttemptPlace { address: listed.unwrap_or(place.address), ..place };
+                        let listed = self.boxes.get(&ServerId(location.server)).copied();
+                        let location =
+                            AttemptLocation { address: listed.unwrap_or(location.address), ..location };
                         self.resume_playing(
                             id,
-                            place,
+                            location,
                             rung as usize,
                             open_request,
                             self.limits.takeover_retention,
@@ -321,9 +329,9 @@
                     Some(_) => {}
                     None => {
                         // The settings have no such class or title: the box is told to release the session.
-                        let to = (ServerId(place.server), place.address);
+                        let to = (ServerId(location.server), location.address);
                         self.delete_record(session_records::session_key(&id));
-                        self.release(to, &id, place.attempt, out);
+                        self.release(to, &id, location.attempt, out);
                     }
                 }
             }
@@ -331,18 +339,18 @@
             // session that plays.
             SessionRecord::SetUpIntended(..) if self.sessions.contains_key(&id) => {}
             // No front sends this set-up again; the box knows whether it was executed.
-            SessionRecord::SetUpIntended(place, request_record) => match replication
+            SessionRecord::SetUpIntended(location, request_record) => match replication
                 .from_record(&request_record)
             {
-                Some(open_request) => drop(replication.possible_set_ups.insert(id, (place, open_request))),
+                Some(open_request) => drop(replication.possible_set_ups.insert(id, (location, open_request))),
                 None => {
                     self.delete_record(session_records::session_key(&id));
-                    self.release((ServerId(place.server), place.address), &id, place.attempt, out);
+                    self.release((ServerId(location.server), location.address), &id, location.attempt, out);
                 }
             },
-            SessionRecord::ReleasePending(place) => {
-                let to = (ServerId(place.server), place.address);
-                self.release(to, &id, place.attempt, out);
+            SessionRecord::ReleasePending(location) => {
+                let to = (ServerId(location.server), location.address);
+                self.release(to, &id, location.attempt, out);
             }
             SessionRecord::Moved(viewer, left) => {
                 self.moved.insert(id.clone(), ViewerId(viewer));
@@ -355,17 +363,17 @@
     pub(super) fn resume_playing(
         &mut self,
         id: SessionId,
-        place: AttemptPlace,
+        location: AttemptLocation,
         rung: usize,
         open_request: OpenRequest,
         within: Micros,
     ) {
-        let (server, address) = (ServerId(place.server), place.address);
+        let (server, address) = (ServerId(location.server), location.address);
         self.counts.resumed += 1;
         let request = open_request.to_request(&id, false);
         let effect = self.settings.classes.get(open_request.class).map_or(Effect::Safe, |class| class.effect);
         let mut session = Session::new(None, open_request, effect, rung, self.now);
-        let (number, wire_number, now) = (0, place.attempt, self.now);
+        let (number, wire_number, now) = (0, location.attempt, self.now);
         session.resume_playing(Attempt {
             number,
             wire_number,
@@ -448,15 +456,14 @@
     /// Asks a box again.
     pub(super) fn retry_claim(&mut self, server: ServerId, incarnation: &Life, out: &mut Vec<Output>) {
         let known = self.boxes.get(&server).copied().or_else(|| self.streams.address(server));
-        let promised =
+        let recorded =
             self.sessions.values().filter_map(Session::current_attempt).find(|at| at.server == server);
-        let address = known.or_else(|| promised.map(|at| at.address));
-        let waits = self
-            .replication
-            .as_ref()
-            .is_some_and(|k| k.pending_claims.contains_key(&(Life::clone(incarnation), server)));
+        let address = known.or_else(|| recorded.map(|at| at.address));
+        let is_waiting = self.replication.as_ref().is_some_and(|replication| {
+            replication.pending_claims.contains_key(&(Life::clone(incarnation), server))
+        });
         match address {
-            Some(address) if waits => self.claim_sessions(incarnation, (server, address), out),
+            Some(address) if is_waiting => self.claim_sessions(incarnation, (server, address), out),
             Some(_) => {}
             None => self.reconcile_incarnation(server, incarnation, Vec::new(), out),
         }
@@ -478,11 +485,12 @@
         held: Vec<HeldSession>,
         out: &mut Vec<Output>,
     ) {
-        let named: BTreeMap<SessionId, u32> = held.iter().map(|h| (h.session.clone(), h.attempt)).collect();
+        let reported: BTreeMap<SessionId, u32> =
+            held.iter().map(|h| (h.session.clone(), h.attempt)).collect();
         let missing = |id: &SessionId, s: &Session| {
             let there = s.playing().filter(|p| p.attempt.server == server);
             of_life(&id.0, incarnation)
-                && there.is_some_and(|p| named.get(id) != Some(&p.attempt.wire_number))
+                && there.is_some_and(|p| reported.get(id) != Some(&p.attempt.wire_number))
         };
         let lost: Vec<SessionId> =
             self.sessions.iter().filter(|(id, s)| missing(id, s)).map(|(id, _)| id.clone()).collect();
@@ -493,19 +501,19 @@
             self.end_and_notify(id, EndReason::Lost, Outcome::Broken, out);
         }
         let address = self.boxes.get(&server).copied().or_else(|| self.streams.address(server));
-        for one in held {
+        for held_session in held {
             match address {
-                Some(to) if lost.contains(&one.session) => {
-                    self.release_unknown((server, to), one.session, one.attempt, out);
+                Some(to) if lost.contains(&held_session.session) => {
+                    self.release_unknown((server, to), held_session.session, held_session.attempt, out);
                 }
-                _ => self.reconcile_held_session(server, incarnation, one, out),
+                _ => self.reconcile_held_session(server, incarnation, held_session, out),
             }
         }
         let Some(replication) = &mut self.replication else { return };
         let open: Vec<SessionId> = replication
             .possible_set_ups
             .iter()
-            .filter(|(id, (place, _))| place.server == server.0 && of_life(&id.0, incarnation))
+            .filter(|(id, (location, _))| location.server == server.0 && of_life(&id.0, incarnation))
             .map(|(id, _)| id.clone())
             .collect();
         for id in open {
@@ -531,7 +539,7 @@
         if !of_life(&id.0, incarnation) {
             return;
         }
-        let place = AttemptPlace { server: server.0, address, attempt: held.attempt };
+        let location = AttemptLocation { server: server.0, address, attempt: held.attempt };
         let same = |p: &Playing| p.attempt.server == server && p.attempt.wire_number == held.attempt;
         match self.sessions.get_mut(&id) {
             Some(session) if session.playing().is_some_and(same) => {
@@ -551,17 +559,17 @@
             }
             Some(_) => self.release_unknown((server, address), id, held.attempt, out),
             None => {
-                let fate = replication
+                let set_up = replication
                     .possible_set_ups
                     .get(&id)
-                    .filter(|(at, _)| *at == place || at.attempt == held.attempt);
-                let open_request = fate.map(|(_, open_request)| open_request.clone()).or(held.open_request);
+                    .filter(|(at, _)| *at == location || at.attempt == held.attempt);
+                let open_request = set_up.map(|(_, open_request)| open_request.clone()).or(held.open_request);
                 replication.possible_set_ups.remove(&id);
                 match open_request.filter(|_| !self.shutting_down) {
                     Some(open_request) => {
                         self.resume_playing(
                             id.clone(),
-                            place,
+                            location,
                             held.rung,
                             open_request,
                             self.limits.takeover_retention,
@@ -588,21 +596,21 @@
             .collect();
         incarnations.iter().for_each(|incarnation| self.drop_incarnation(incarnation, out));
         self.boot = self.boot.wrapping_add(1);
-        let own = self.incarnation();
+        let new_incarnation = self.incarnation();
         if let Some(replication) = &mut self.replication {
-            replication.incarnation = Life::clone(&own);
+            replication.incarnation = Life::clone(&new_incarnation);
         }
-        self.record_outputs.push(Output::IncarnationChanged(own));
+        self.record_outputs.push(Output::IncarnationChanged(new_incarnation));
     }
 
     /// Drops all sessions of an incarnation that another front has taken over. Nothing is sent to their
     /// boxes.
     pub(super) fn drop_incarnation(&mut self, incarnation: &Life, out: &mut Vec<Output>) {
-        let theirs: Vec<SessionId> =
+        let dropped: Vec<SessionId> =
             self.sessions.keys().filter(|id| of_life(&id.0, incarnation)).cloned().collect();
-        for id in theirs {
+        for id in dropped {
             let Some(session) = self.sessions.get(&id) else { continue };
-            let (client, at, owed) =
+            let (client, at, answer_pending) =
                 (session.client, session.current_attempt().cloned(), session.answer_pending());
             if let Some(replication) = &mut self.replication {
                 replication.awaiting_record.remove(&id);
@@ -612,7 +620,7 @@
                 self.timers.cancel(attempt.expires_at, Deadline::AttemptTimeout(id.clone(), attempt.number));
                 self.pool.withdraw_set_up(&id, attempt.number, out);
             }
-            if owed {
+            if answer_pending {
                 self.give_answer(&id, Answer::Failed(id.clone(), FailReason::GivenUp), out);
             } else if let Some((client, _)) = client {
                 out.push(Output::Notify(client, Notification::Ended(id.clone(), EndReason::TakenOver)));
@@ -640,16 +648,16 @@
         }
         // The successor relies on these records: deleting them here would delete them there.
         self.record_outputs
-            .retain(|note| !matches!(note, Output::DeleteRecord(key) if of_life(key, incarnation)));
+            .retain(|output| !matches!(output, Output::DeleteRecord(key) if of_life(key, incarnation)));
     }
 
     /// Checks the lease. After a longer time without one, tells the players to look for the front that has
     /// it.
     pub(super) fn check_lease(&mut self, out: &mut Vec<Output>) {
-        let leased = self.has_lease();
+        let has_lease = self.has_lease();
         let Some(replication) = &mut self.replication else { return };
         self.timers.set(self.now + LEASE_CHECK_US, Deadline::CheckLease);
-        if leased {
+        if has_lease {
             replication.last_leased_at = self.now;
             return;
         }
@@ -658,9 +666,9 @@
         }
         let clients: Vec<ClientId> = self.by_client.keys().copied().collect();
         for client in clients {
-            let own = self.by_client.get(&client).cloned().unwrap_or_default();
+            let sessions = self.by_client.get(&client).cloned().unwrap_or_default();
             let playing = |id: &SessionId| self.sessions.get(id).is_some_and(|s| s.playing().is_some());
-            for id in own.into_iter().filter(playing) {
+            for id in sessions.into_iter().filter(playing) {
                 out.push(Output::Notify(client, Notification::Ended(id, EndReason::TakenOver)));
             }
             self.keep_uncertain_sessions(client);
@@ -675,49 +683,49 @@
             return Reply::Unknown;
         };
         let successors = rules.successors();
-        let wait = Reply::RetryAfter(TAKEOVER_HOLD_OFF_US);
+        let retry = Reply::RetryAfter(TAKEOVER_HOLD_OFF_US);
         if let Some(successor) = successors.last(incarnation) {
             let here = successor.name.as_ref() == self.name.as_str();
             // Danger: a replica resuming from a suspension may arrive a moment after the others, and until
             // then its session would be reported as unknown.
-            let whole = replication
+            let settled = replication
                 .takeover_times
                 .get(incarnation)
                 .is_some_and(|at| at + MEMBERSHIP_SETTLE_US <= self.now);
-            return match (here, whole) {
+            return match (here, settled) {
                 (false, _) => Reply::AtOtherFront(Name::clone(&successor.name), successor.serves),
                 // The session was here and is over. Without a lease it may already be at the next successor.
                 (true, true) if rules.epoch(&replication.incarnation, incarnation).is_some() => {
                     Reply::Unknown
                 }
-                (true, _) => wait,
+                (true, _) => retry,
             };
         }
         if !self.has_lease() {
             // Danger: a front that was suspended would answer for sessions that another has taken over;
             // without a lease it can't know.
-            return wait;
+            return retry;
         }
         if successors.over.contains_key(incarnation) || *incarnation == *replication.incarnation {
             return Reply::Unknown;
         }
         let Some((name, _)) = incarnation.rsplit_once('-') else { return Reply::Unknown };
-        if !replication.peers.get(self.name.as_str()).is_some_and(|own| own.in_view) {
+        if !replication.peers.get(self.name.as_str()).is_some_and(|front| front.in_view) {
             // Danger: a front that has just started knows no other fronts, and would report that the session
             // does not exist.
-            return wait;
+            return retry;
         }
         if name == self.name {
             // An earlier incarnation of this front, which is about to be taken over.
-            return wait;
+            return retry;
         }
         match replication.peers.get(name) {
             Some(PeerFront { in_view: true, client_address }) => {
                 Reply::AtOtherFront(Name::from(name), *client_address)
             }
-            Some(_) => wait,
+            Some(_) => retry,
             // After a partition heals, the two sides learn of each other only after a moment.
-            None if replication.peers_changed_at + MEMBERSHIP_SETTLE_US > self.now => wait,
+            None if replication.peers_changed_at + MEMBERSHIP_SETTLE_US > self.now => retry,
             None => Reply::Unknown,
         }
     }
--- a/crates/front/src/core/pool.rs
+++ b/crates/front/src/core/pool.rs
@@ -171,11 +171,11 @@
 
     /// Withdraws the set-up of this attempt: its result is no longer awaited.
     pub fn withdraw_set_up(&mut self, session: &SessionId, attempt: u32, out: &mut Vec<Output>) -> Delivery {
-        let same = |job: &Job| match &job.request {
+        let matches = |job: &Job| match &job.request {
             BoxRequest::SetUp { session: s, attempt: a, .. } => s == session && *a == attempt,
             _ => false,
         };
-        self.withdraw_matching(same, out).map_or(Delivery::MayHaveRun, |(proof, ..)| proof)
+        self.withdraw_matching(matches, out).map_or(Delivery::MayHaveRun, |(delivery, ..)| delivery)
     }
 
     /// Handles the time limit of a request. Returns the request if it was still in progress.
@@ -190,20 +190,20 @@
 
     fn withdraw_matching(
         &mut self,
-        same: impl Fn(&Job) -> bool,
+        matches: impl Fn(&Job) -> bool,
         out: &mut Vec<Output>,
     ) -> Option<(Delivery, ServerId, Job)> {
         for (server, queue) in &mut self.queues {
-            if let Some(at) = queue.iter().position(|(_, job)| same(job)) {
+            if let Some(at) = queue.iter().position(|(_, job)| matches(job)) {
                 return queue.remove(at).map(|(_, job)| (Delivery::Unsent, *server, job));
             }
         }
-        let holds = |conn: &Conn| match &conn.state {
-            State::Dialing(job) => job.as_ref().is_some_and(&same),
-            State::Busy(job) => same(job),
+        let carries = |conn: &Conn| match &conn.state {
+            State::Dialing(job) => job.as_ref().is_some_and(&matches),
+            State::Busy(job) => matches(job),
             State::Idle(_) => false,
         };
-        let id = self.conns.iter().find(|(_, conn)| holds(conn)).map(|(id, _)| *id)?;
+        let id = self.conns.iter().find(|(_, conn)| carries(conn)).map(|(id, _)| *id)?;
         let conn = self.conns.get_mut(&id)?;
         let server = conn.server;
         if let State::Dialing(job) = &mut conn.state {
@@ -245,12 +245,12 @@
     pub fn count(&self) -> [usize; 4] {
         let mut count = [0; 4];
         for conn in self.conns.values() {
-            let place = match conn.state {
+            let index = match conn.state {
                 State::Dialing(_) => 0,
                 State::Busy(_) => 1,
                 State::Idle(_) => 2,
             };
-            count[place] += 1;
+            count[index] += 1;
         }
         count[3] = self.queues.values().map(VecDeque::len).sum();
         count
@@ -280,8 +280,8 @@
     ) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let queue = self.queues.entry(conn.server).or_default();
-        let fitting = queue.iter().position(|(address, _)| *address == conn.address);
-        if let Some((_, job)) = fitting.and_then(|at| queue.remove(at)) {
+        let position = queue.iter().position(|(address, _)| *address == conn.address);
+        if let Some((_, job)) = position.and_then(|at| queue.remove(at)) {
             out.push(Output::Exchange(id, job.request.clone()));
             conn.state = State::Busy(job);
         } else {
--- a/crates/front/src/core/session_records.rs
+++ b/crates/front/src/core/session_records.rs
@@ -18,7 +18,7 @@
 
 /// The box and attempt number of a session or a planned set-up.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub struct AttemptPlace {
+pub struct AttemptLocation {
     /// Number of the box.
     pub server: u32,
     /// Address on which the box listens.
@@ -27,10 +27,10 @@
     pub attempt: u32,
 }
 
-impl AttemptPlace {
+impl AttemptLocation {
     /// The location of an attempt.
-    pub fn of(attempt: &Attempt) -> AttemptPlace {
-        AttemptPlace { server: attempt.server.0, address: attempt.address, attempt: attempt.wire_number }
+    pub fn of(attempt: &Attempt) -> AttemptLocation {
+        AttemptLocation { server: attempt.server.0, address: attempt.address, attempt: attempt.wire_number }
     }
 }
 
@@ -38,7 +38,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RecordedRequest {
     viewer: u64,
-    firm: Option<u64>,
+    #[serde(rename = "firm")]
+    tenant: Option<u64>,
     title: String,
     /// Name of the class.
     pub class: String,
@@ -54,12 +55,12 @@
     /// A set-up that must happen at most once may be sent from now on. It may have been executed, and nobody
     /// ever sends it again.
     #[serde(rename = "Intends")]
-    SetUpIntended(AttemptPlace, RecordedRequest),
+    SetUpIntended(AttemptLocation, RecordedRequest),
     /// The viewer is told that the session plays there, at this rung.
-    Plays(AttemptPlace, u32, RecordedRequest),
+    Plays(AttemptLocation, u32, RecordedRequest),
     /// A release that the box has not confirmed yet.
     #[serde(rename = "Owes")]
-    ReleasePending(AttemptPlace),
+    ReleasePending(AttemptLocation),
     /// The viewer was told to reopen the session, within this time, us.
     Moved(u64, Micros),
 }
@@ -98,7 +99,7 @@
     /// Sessions that play according to their records and that their boxes have not confirmed yet.
     pub unconfirmed: BTreeSet<SessionId>,
     /// Set-ups by other fronts that may have been executed.
-    pub possible_set_ups: BTreeMap<SessionId, (AttemptPlace, OpenRequest)>,
+    pub possible_set_ups: BTreeMap<SessionId, (AttemptLocation, OpenRequest)>,
     /// Boxes that are being asked for the sessions of an incarnation, with the number of failed tries.
     pub pending_claims: BTreeMap<(Life, ServerId), u32>,
     /// When this front last had a lease.
@@ -140,7 +141,7 @@
     pub fn to_record(&self, request: &OpenRequest) -> Option<RecordedRequest> {
         Some(RecordedRequest {
             viewer: request.viewer.0,
-            firm: request.tenant.map(|firm| firm.0),
+            tenant: request.tenant.map(|tenant| tenant.0),
             title: self.names.titles.get(&request.title)?.clone(),
             class: self.names.classes.get(request.class)?.clone(),
             cells: (request.first_cell, request.cell_count),
@@ -156,7 +157,7 @@
             self.names.titles.iter().find(|(_, name)| **name == request.title).map(|(id, _)| *id)?;
         Some(OpenRequest {
             viewer: ViewerId(request.viewer),
-            tenant: request.firm.map(ViewerId),
+            tenant: request.tenant.map(ViewerId),
             title,
             class: self.names.classes.iter().position(|name| *name == request.class)?,
             first_cell: request.cells.0,
--- a/crates/front/src/core/streams.rs
+++ b/crates/front/src/core/streams.rs
@@ -46,8 +46,8 @@
 impl Stream {
     /// Cancels the timer that waits for the stream to open.
     fn cancel_open_timer(&self, id: ServerId, silence_timeout: Micros, timers: &mut Timers) {
-        if let State::Opening(asked) = self.state {
-            timers.cancel(asked + silence_timeout, Deadline::StreamSilence(id, self.try_no));
+        if let State::Opening(requested_at) = self.state {
+            timers.cancel(requested_at + silence_timeout, Deadline::StreamSilence(id, self.try_no));
         }
     }
 }
@@ -139,7 +139,7 @@
     /// everything sent to the box before then.
     pub fn requested_at(&self, id: ServerId) -> Option<Micros> {
         self.streams.get(&id).and_then(|stream| match stream.state {
-            State::Opening(asked) => Some(asked),
+            State::Opening(requested_at) => Some(requested_at),
             State::Up(_) | State::Pausing => None,
         })
     }
@@ -179,7 +179,7 @@
         let Some(stream) = self.streams.get_mut(&id) else { return StreamOutcome::Outdated };
         let was_open = matches!(stream.state, State::Up(_));
         stream.cancel_open_timer(id, self.silence_timeout, timers);
-        let since = *stream.down_since.get_or_insert(now);
+        let down_since = *stream.down_since.get_or_insert(now);
         if was_open && error.is_none() {
             // Reconnect once without a pause: the result tells a dead process from a broken connection.
             self.open(now, id, timers, out);
@@ -187,7 +187,7 @@
         }
         // A refusal means that nobody listens there: the process is dead. A timeout may be a network
         // partition: sessions play on behind it for a while, and the box may become reachable again.
-        let lost = error == Some(DialError::Refused) || since.max(self.resumed_at) + lost_timeout <= now;
+        let lost = error == Some(DialError::Refused) || down_since.max(self.resumed_at) + lost_timeout <= now;
         if !stream.listed && lost {
             self.streams.remove(&id);
             return StreamOutcome::Lost;
@@ -240,14 +240,15 @@
     ) -> bool {
         let (silence_timeout, resumed_at) = (self.silence_timeout, self.resumed_at);
         let Some(stream) = self.streams.get_mut(&id).filter(|s| s.try_no == number) else { return false };
-        let (State::Up(heard) | State::Opening(heard)) = stream.state else { return false };
-        let heard = heard.max(resumed_at);
-        if heard + silence_timeout > now {
-            timers.set(heard + silence_timeout, Deadline::StreamSilence(id, number));
+        let (State::Up(last_input) | State::Opening(last_input)) = stream.state else { return false };
+        let last_input = last_input.max(resumed_at);
+        if last_input + silence_timeout > now {
+            timers.set(last_input + silence_timeout, Deadline::StreamSilence(id, number));
             return false;
         }
         // It has been down since its last input, or since the first failed attempt to open it.
-        stream.down_since = Some(stream.down_since.map_or(heard, |down_since| down_since.min(heard)));
+        stream.down_since =
+            Some(stream.down_since.map_or(last_input, |down_since| down_since.min(last_input)));
         out.push(Output::CloseStream(id, number));
         true
     }
@@ -278,7 +279,7 @@
     use super::*;
 
     #[test]
-    fn silence_of_a_box_counts_from_when_the_process_runs_again() {
+    fn silence_is_measured_from_the_end_of_a_suspension() {
         const SECOND: Micros = 1_000_000;
         let (id, at) = (ServerId(1), SocketAddr::from(([127, 0, 0, 1], 1)));
         let (mut timers, mut out) = (Timers::default(), Vec::new());
--- a/crates/front/src/core/tests/takeover.rs
+++ b/crates/front/src/core/tests/takeover.rs
@@ -8,7 +8,7 @@
 
 use super::*;
 use crate::core::agreed_rules::{AgreedRules, SettingsNames};
-use crate::core::session_records::{self, AttemptPlace, AwaitingRecord, SessionRecord};
+use crate::core::session_records::{self, AttemptLocation, AwaitingRecord, SessionRecord};
 
 const LEASE: Micros = 1_000_000 * MS;
 const OWN: &str = "f0-00000001";
@@ -248,8 +248,8 @@
     SessionId(format!("{OTHER}-{n:010}").into())
 }
 
-fn place(attempt: u32) -> AttemptPlace {
-    AttemptPlace { server: 0, address: address(0), attempt }
+fn place(attempt: u32) -> AttemptLocation {
+    AttemptLocation { server: 0, address: address(0), attempt }
 }
 
 fn wish(bench: &TestBench) -> session_records::RecordedRequest {
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -39,9 +39,9 @@
     /// Number of these messages, shared with the threads that add to them.
     pub deferred_count: Arc<AtomicUsize>,
     /// Processing cost of open requests beyond their calls.
-    pub aftermath: OpenOverhead,
+    pub open_overhead: OpenOverhead,
     /// Admission of player connections.
-    pub entrance: Arc<Connections>,
+    pub connections: Arc<Connections>,
     /// Clients by id.
     pub clients: BTreeMap<ClientId, ClientSink>,
     /// Output buffer; empty between inputs, kept to reuse its memory.
@@ -64,18 +64,18 @@
         loop {
             // The ledger checks its deadlines with every input, so a flood of messages delays none of them.
             let finished = match self.next_message() {
-                Err(RecvTimeoutError::Timeout) => self.input(Input::Tick),
+                Err(RecvTimeoutError::Timeout) => self.apply_input(Input::Tick),
                 Err(RecvTimeoutError::Disconnected) | Ok(EngineMessage::Kill) => return self.stop_now(),
                 Ok(EngineMessage::ShutDown(done)) => {
                     shutdown_replies.push(done);
-                    self.input(Input::ShutDown)
+                    self.apply_input(Input::ShutDown)
                 }
                 Ok(EngineMessage::Status(to)) => {
                     let _ = to.send(self.status());
                     false
                 }
-                Ok(EngineMessage::Attach(client, port)) => {
-                    self.clients.insert(client, port);
+                Ok(EngineMessage::Attach(client, sink)) => {
+                    self.clients.insert(client, sink);
                     false
                 }
                 Ok(EngineMessage::DeferredCalls(received)) => {
@@ -83,9 +83,10 @@
                     false
                 }
                 Ok(EngineMessage::Calls(received)) => {
-                    let mut all = self.take_deferred(received.client);
-                    all.push(received);
-                    all.into_iter()
+                    let mut messages = self.take_deferred(received.client);
+                    messages.push(received);
+                    messages
+                        .into_iter()
                         .fold(false, |finished, received| self.handle_call_message(received) | finished)
                 }
                 Ok(EngineMessage::Input(input)) => {
@@ -94,8 +95,8 @@
                         _ => None,
                     };
                     let started = self.clock.instant_now();
-                    let finished = self.input(input);
-                    self.aftermath.record_cost(self.clock.nanos_since(started));
+                    let finished = self.apply_input(input);
+                    self.open_overhead.record_cost(self.clock.nanos_since(started));
                     if let Some(client) = departed {
                         self.clients.remove(&client);
                         // Its deferred messages were not accepted yet and are dropped.
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Receives the next message: messages in order first, deferred ones only if there are none. Returns at
+    /// Receives the next message: regular messages first, deferred ones only if there are none. Returns at
     /// the next deadline at the latest.
     fn next_message(&mut self) -> Result<EngineMessage, RecvTimeoutError> {
         match self.inbox.try_recv() {
@@ -126,8 +127,8 @@
             return Ok(EngineMessage::Calls(received));
         }
         let latest = self.clock.now() + MAX_WAIT_US;
-        let due = self.ledger.next_deadline().map_or(latest, |due| due.min(latest));
-        self.inbox.recv_deadline(self.clock.instant_at(due))
+        let deadline = self.ledger.next_deadline().map_or(latest, |deadline| deadline.min(latest));
+        self.inbox.recv_deadline(self.clock.instant_at(deadline))
     }
 
     /// Removes the deferred messages of this player, which go ahead of its next one.
@@ -141,16 +142,17 @@
     fn handle_call_message(&mut self, received: ReceivedMessage) -> bool {
         let started = self.clock.instant_now();
         let (inputs, share) = match self.clients.get_mut(&received.client) {
-            Some(ClientSink::Socket(socket)) => (socket.take(received.message), Arc::clone(&socket.share)),
+            Some(ClientSink::Socket(socket)) => (socket.accept(received.message), Arc::clone(&socket.share)),
             _ => return false,
         };
         let opens =
             inputs.iter().filter(|input| matches!(input, Input::Open(..) | Input::Reopen(..))).count();
         let mut finished = false;
         for input in inputs {
-            finished |= self.input(input);
+            finished |= self.apply_input(input);
         }
-        let nanos = self.clock.nanos_since(started).saturating_add(self.aftermath.charge_opens(opens as u64));
+        let nanos =
+            self.clock.nanos_since(started).saturating_add(self.open_overhead.charge_opens(opens as u64));
         share.lock().unwrap_or_else(PoisonError::into_inner).settle(received.charge, nanos);
         finished
     }
@@ -163,12 +165,12 @@
             if has_sessions {
                 socket.calls.allow_new_sessions();
             }
-            self.entrance.set_in_use(client, has_sessions);
+            self.connections.set_in_use(client, has_sessions);
         }
     }
 
     /// Passes one input to the ledger and executes the outputs. Returns whether the front is done.
-    fn input(&mut self, input: Input) -> bool {
+    fn apply_input(&mut self, input: Input) -> bool {
         let mut outputs = std::mem::take(&mut self.outputs);
         let mut touched_clients = std::mem::take(&mut self.touched_clients);
         if let Input::Open(client, ..) | Input::Reopen(client, ..) = &input {
@@ -242,7 +244,7 @@
 
     fn answer(&mut self, client: ClientId, ticket: Ticket, answer: &Answer) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::open_response(id, answer)),
+            Some(ClientSink::Socket(socket)) => socket.answer(ticket, |id| rpc::open_response(id, answer)),
             Some(ClientSink::Caller(to)) => {
                 let _ = to.send(CallerMessage::Answer(answer.clone()));
             }
@@ -252,7 +254,7 @@
 
     fn reply(&mut self, client: ClientId, ticket: Ticket, reply: &Reply) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::call_response(id, reply)),
+            Some(ClientSink::Socket(socket)) => socket.answer(ticket, |id| rpc::call_response(id, reply)),
             Some(ClientSink::Caller(to)) => {
                 let _ = to.send(CallerMessage::Reply(reply.clone()));
             }
@@ -278,7 +280,7 @@
             playing,
             connections: self.ledger.connections(),
             clients: self.clients.len(),
-            door: self.entrance.counts(),
+            admission: self.connections.counts(),
         }
     }
 
@@ -286,8 +288,8 @@
     fn stop_now(mut self) {
         self.boxes.close_all();
         self.box_list.close();
-        for port in std::mem::take(&mut self.clients).into_values() {
-            if let ClientSink::Socket(socket) = port {
+        for sink in std::mem::take(&mut self.clients).into_values() {
+            if let ClientSink::Socket(socket) = sink {
                 socket.outbox.close();
             }
         }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -132,8 +132,8 @@
         outbox::spawn_flusher(full).map_err(StartError::Thread)?;
 
         let controller = Controller::new(settings.decision.clone(), seed);
-        let (module, limits) = (settings.decision.clone(), settings.limits.clone());
-        let mut ledger = Ledger::new(controller, module, limits, &settings.name, boot);
+        let (decision_settings, limits) = (settings.decision.clone(), settings.limits.clone());
+        let mut ledger = Ledger::new(controller, decision_settings, limits, &settings.name, boot);
         if settings.accord {
             let titles = settings.titles.iter().map(|(name, title)| (title.id, name.clone())).collect();
             let names = SettingsNames { classes: settings.classes.clone(), titles, viewer: Some(viewer_id) };
@@ -149,9 +149,9 @@
         let list = ListFollower::new(Arc::clone(&settings), engine.clone(), clock, started);
         let remembered = Input::List(ListKind::Cached, list.load_remembered());
         let boxes = BoxConnections::new(Arc::clone(&settings), engine.clone(), clock);
-        let entrance = Arc::new(Connections::new(clock, settings.io.admission));
+        let connections = Arc::new(Connections::new(clock, settings.io.admission));
         let deferred_count = Arc::new(AtomicUsize::new(0));
-        let engine_thread = Engine {
+        let engine_state = Engine {
             clock,
             ledger,
             boxes,
@@ -159,8 +159,8 @@
             inbox,
             deferred: DeferredQueue::default(),
             deferred_count: Arc::clone(&deferred_count),
-            aftermath: OpenOverhead::default(),
-            entrance: Arc::clone(&entrance),
+            open_overhead: OpenOverhead::default(),
+            connections: Arc::clone(&connections),
             clients: BTreeMap::new(),
             outputs: Vec::new(),
             touched_clients: BTreeSet::new(),
@@ -171,11 +171,11 @@
         let _ = engine.send(EngineMessage::Input(remembered));
         let thread = thread::Builder::new()
             .name("front".into())
-            .spawn(move || engine_thread.run())
+            .spawn(move || engine_state.run())
             .map_err(StartError::Thread)?;
         let clients = Arc::new(AtomicU64::new(1));
-        let ways = ServerChannels { engine: engine.clone(), deferred: deferred_count, flusher };
-        let server = Server::start(Arc::clone(&settings), clock, Arc::clone(&clients), entrance, ways)
+        let channels = ServerChannels { engine: engine.clone(), deferred: deferred_count, flusher };
+        let server = Server::start(Arc::clone(&settings), clock, Arc::clone(&clients), connections, channels)
             .map_err(|error| {
                 let _ = engine.send(EngineMessage::Kill);
                 StartError::Listen(settings.listen, error)
@@ -202,7 +202,7 @@
         move |told| {
             let input = match told {
                 Told::Kept(key, kept) => Input::RecordStored(key, kept),
-                Told::Adopt(incarnation, epoch, promises) => Input::TakeOver(incarnation, epoch, promises),
+                Told::Adopt(incarnation, epoch, records) => Input::TakeOver(incarnation, epoch, records),
                 Told::Replaced(incarnation, _) => Input::TakenOver(incarnation),
                 Told::Gone(incarnation) => Input::TakeoverSuperseded(incarnation),
             };
@@ -214,10 +214,10 @@
     pub fn peers_sink(&self) -> impl Fn(&[Known]) + Send + 'static {
         let engine = self.engine.clone();
         move |known| {
-            let other = |one: &Known| {
+            let peer = |one: &Known| {
                 (Arc::clone(&one.name), PeerFront { in_view: one.here, client_address: one.serves })
             };
-            let _ = engine.send(EngineMessage::Input(Input::Peers(known.iter().map(other).collect())));
+            let _ = engine.send(EngineMessage::Input(Input::Peers(known.iter().map(peer).collect())));
         }
     }
 
@@ -248,11 +248,11 @@
             settings.titles.get(&request.title).ok_or_else(|| OpenError::Title(request.title.clone()))?;
         let class =
             settings.class_index(&request.class).ok_or_else(|| OpenError::Class(request.class.clone()))?;
-        let (least, most) = settings.io.patience_ms;
-        if !(least..=most).contains(&request.patience_ms) {
-            return Err(OpenError::Patience(request.patience_ms, least, most));
+        let (min, max) = settings.io.patience_ms;
+        if !(min..=max).contains(&request.patience_ms) {
+            return Err(OpenError::Patience(request.patience_ms, min, max));
         }
-        let opening = OpenRequest {
+        let open_request = OpenRequest {
             viewer: viewer_id(&request.viewer),
             tenant: tenant_id(&request.viewer),
             title: title.id,
@@ -268,7 +268,7 @@
         let client = ClientId(self.clients.fetch_add(1, Ordering::Relaxed));
         let (to, told) = crossbeam_channel::unbounded();
         let attach = self.engine.send(EngineMessage::Attach(client, ClientSink::Caller(to)));
-        let open = self.engine.send(EngineMessage::Input(Input::Open(client, OPEN_TICKET, opening)));
+        let open = self.engine.send(EngineMessage::Input(Input::Open(client, OPEN_TICKET, open_request)));
         if attach.is_err() || open.is_err() {
             return Err(OpenError::Ended);
         }
