--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -114,17 +114,17 @@
     pub address: SocketAddr,
 }
 
-/// Returns the boxes that a list removes: those marked gone, and those that a complete list no longer
+/// Returns the boxes that a list removes: those marked as removed, and those that a complete list no longer
 /// contains.
 pub fn removed_servers<'a>(
     kind: ListKind,
     lines: &[ListEntry],
     known: impl Iterator<Item = &'a ServerId>,
 ) -> Vec<ServerId> {
-    let named: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
-    let missing = known.filter(|id| kind != ListKind::Changes && !named.contains(id)).copied();
-    let told = lines.iter().filter(|line| line.entry.state == ServerState::Removed);
-    missing.chain(told.map(|line| line.entry.server)).collect()
+    let listed: BTreeSet<ServerId> = lines.iter().map(|line| line.entry.server).collect();
+    let missing = known.filter(|id| kind != ListKind::Changes && !listed.contains(id)).copied();
+    let marked_removed = lines.iter().filter(|line| line.entry.state == ServerState::Removed);
+    missing.chain(marked_removed.map(|line| line.entry.server)).collect()
 }
 
 /// A session that a box reports to hold for this front.
--- a/crates/front/src/core/tests.rs
+++ b/crates/front/src/core/tests.rs
@@ -31,7 +31,7 @@
     }
 }
 
-fn opening(viewer: u64, class: usize) -> OpenRequest {
+fn open_request(viewer: u64, class: usize) -> OpenRequest {
     OpenRequest {
         viewer: ViewerId(viewer),
         tenant: None,
@@ -106,7 +106,7 @@
     /// Sessions that the boxes hold, with their rungs.
     held: BTreeMap<(ServerId, SessionId, u32), usize>,
     traces: BTreeMap<SessionId, SessionTrace>,
-    next: u64,
+    last_number: u64,
     finished: bool,
 }
 
@@ -126,7 +126,7 @@
             playing: BTreeMap::new(),
             held: BTreeMap::new(),
             traces: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
             finished: false,
         };
         world.handle_input(Input::List(ListKind::Cached, Vec::new()));
@@ -135,8 +135,8 @@
         world
     }
 
-    fn random_below(&mut self, most: usize) -> usize {
-        self.rng.next_u32() as usize % most.max(1)
+    fn random_below(&mut self, bound: usize) -> usize {
+        self.rng.next_u32() as usize % bound.max(1)
     }
 
     fn handle_input(&mut self, input: Input) -> Vec<Output> {
@@ -152,18 +152,20 @@
     fn execute_output(&mut self, output: &Output) {
         match output {
             Output::Answer(client, ticket, answer) => {
-                let slot =
-                    self.opens.get_mut(&(*client, *ticket)).expect("an answer to a call that was made");
+                let slot = self.opens.get_mut(&(*client, *ticket)).expect("an answer to an existing call");
                 assert!(slot.is_none(), "a second answer: {answer:?} after {slot:?}");
                 *slot = Some(answer.clone());
                 let (Answer::Plays { session, .. }
                 | Answer::Refused(session, _)
                 | Answer::Failed(session, _)) = answer;
-                let seen = self.traces.entry(session.clone()).or_default();
-                seen.answers += 1;
+                let trace = self.traces.entry(session.clone()).or_default();
+                trace.answers += 1;
                 if matches!(answer, Answer::Refused(..)) {
-                    let may = seen.may_have_run || !seen.out.is_empty();
-                    assert!(seen.class != PAID || !may, "a paid session refused though it may have run");
+                    let may_run = trace.may_have_run || !trace.out.is_empty();
+                    assert!(
+                        trace.class != PAID || !may_run,
+                        "a paid session was refused although a set-up may have been executed"
+                    );
                 }
                 if let Answer::Plays { session, server, .. } = answer {
                     self.playing.insert(session.clone(), (*client, *server, 0));
@@ -171,16 +173,16 @@
             }
             Output::Dial(conn, ..) => self.dials.push(*conn),
             Output::Exchange(conn, request) => {
-                if let BoxRequest::SetUp { session, open_request: opening, rung, .. } = request {
-                    let seen = self.traces.entry(session.clone()).or_default();
-                    seen.class = opening.class;
-                    assert!(seen.out.is_empty(), "two attempts out for {session:?}");
+                if let BoxRequest::SetUp { session, open_request, rung, .. } = request {
+                    let trace = self.traces.entry(session.clone()).or_default();
+                    trace.class = open_request.class;
+                    assert!(trace.out.is_empty(), "two concurrent attempts for {session:?}");
                     assert!(
-                        seen.class != PAID || !seen.may_have_run,
-                        "a paid set-up again though one may have run"
+                        trace.class != PAID || !trace.may_have_run,
+                        "a paid set-up was repeated although one may have been executed"
                     );
-                    assert!(seen.class != PAID || *rung >= 1, "under the floor");
-                    seen.out.insert(*conn);
+                    assert!(trace.class != PAID || *rung >= 1, "rung below the floor");
+                    trace.out.insert(*conn);
                 }
                 assert!(
                     self.exchanges.insert(*conn, request.clone()).is_none(),
@@ -190,9 +192,9 @@
             Output::CloseConn(conn) => {
                 self.dials.retain(|dial| dial != conn);
                 if let Some(BoxRequest::SetUp { session, .. }) = self.exchanges.remove(conn) {
-                    let seen = self.traces.entry(session).or_default();
+                    let trace = self.traces.entry(session).or_default();
                     // Cancelled by the front: the request may have been executed.
-                    seen.may_have_run |= seen.out.remove(conn);
+                    trace.may_have_run |= trace.out.remove(conn);
                 }
             }
             Output::OpenStream(server, number, _) => {
@@ -216,11 +218,11 @@
     }
 
     fn open(&mut self, client: ClientId, class: usize) {
-        self.next += 1;
-        let ticket = Ticket(self.next);
+        self.last_number += 1;
+        let ticket = Ticket(self.last_number);
         self.opens.insert((client, ticket), None);
-        let viewer = self.next;
-        self.handle_input(Input::Open(client, ticket, opening(viewer, class)));
+        let viewer = self.last_number;
+        self.handle_input(Input::Open(client, ticket, open_request(viewer, class)));
     }
 
     /// Takes one random action.
@@ -235,19 +237,19 @@
             }
             2 => {
                 let open: Vec<_> =
-                    self.opens.iter().filter(|(_, answer)| answer.is_none()).map(|(by, _)| *by).collect();
+                    self.opens.iter().filter(|(_, answer)| answer.is_none()).map(|(call, _)| *call).collect();
                 if let Some((client, ticket)) = open.get(self.random_below(open.len())).copied() {
-                    self.next += 1;
-                    self.handle_input(Input::Cancel(client, Ticket(self.next), ticket));
+                    self.last_number += 1;
+                    self.handle_input(Input::Cancel(client, Ticket(self.last_number), ticket));
                 }
             }
             3 => {
                 let all: Vec<_> =
                     self.playing.iter().map(|(id, (client, ..))| (id.clone(), *client)).collect();
                 if let Some((session, client)) = all.get(self.random_below(all.len())).cloned() {
-                    self.next += 1;
+                    self.last_number += 1;
                     self.playing.remove(&session);
-                    self.handle_input(Input::Close(client, Ticket(self.next), session));
+                    self.handle_input(Input::Close(client, Ticket(self.last_number), session));
                 }
             }
             4 if self.random_below(12) == 0 => {
@@ -288,10 +290,10 @@
                 session: session.clone(),
                 attempt: *attempt,
                 rung: *rung,
-                open_request: Some(opening(1, CLIP)),
+                open_request: Some(open_request(1, CLIP)),
             })
             .collect();
-        let news = match self.random_below(9) {
+        let event = match self.random_below(9) {
             8 => StreamEvent::CutOff("greedy".into()),
             0 => StreamEvent::NoConnection(DialError::Refused),
             1 => StreamEvent::NoConnection(DialError::TimedOut),
@@ -306,10 +308,10 @@
             },
             _ => StreamEvent::Up(held),
         };
-        if let StreamEvent::Ended(session, attempt) = &news {
+        if let StreamEvent::Ended(session, attempt) = &event {
             self.held.remove(&(server, session.clone(), *attempt));
         }
-        self.handle_input(Input::Stream(server, number, news));
+        self.handle_input(Input::Stream(server, number, event));
     }
 
     /// Ends a dial or an exchange with a random result.
@@ -347,9 +349,9 @@
         };
         match &request {
             BoxRequest::SetUp { session, attempt, rung, .. } => {
-                let seen = self.traces.entry(session.clone()).or_default();
-                seen.out.remove(&conn);
-                seen.may_have_run |= !matches!(draw, 0 | 1 | 4);
+                let trace = self.traces.entry(session.clone()).or_default();
+                trace.out.remove(&conn);
+                trace.may_have_run |= !matches!(draw, 0 | 1 | 4);
                 // A session that begins plays at its box, whatever happens to the response.
                 if matches!(draw, 2 | 3) || draw >= 7 {
                     for server in 0..4 {
@@ -399,7 +401,7 @@
         self.run_until_idle();
         assert!(
             self.finished,
-            "the shut-down never ends: {:?} {:?}",
+            "the shutdown does not finish: {:?} {:?}",
             self.ledger.session_counts(),
             self.ledger.connections()
         );
@@ -484,7 +486,7 @@
             .exchanges
             .iter()
             .find(|(_, r)| matches!(r, BoxRequest::SetUp { session, .. } if *session == id));
-        (id, *conn.expect("the set-up is out").0)
+        (id, *conn.expect("the set-up is in progress").0)
     }
 
     fn play(&mut self) -> (SessionId, ConnId) {
@@ -510,8 +512,8 @@
 fn session_started_after_cancellation_is_released() {
     let mut bench = TestBench::new();
     let (id, conn) = bench.set_up(CLIP);
-    let (by, _) = bench.world.opens.first_key_value().map(|(by, a)| (*by, a.clone())).unwrap();
-    bench.world.handle_input(Input::Cancel(by.0, Ticket(99), by.1));
+    let (call, _) = bench.world.opens.first_key_value().map(|(call, a)| (*call, a.clone())).unwrap();
+    bench.world.handle_input(Input::Cancel(call.0, Ticket(99), call.1));
     assert_eq!(bench.answers(), [Answer::Failed(id.clone(), FailReason::Cancelled)]);
     let ended = ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![], keep_alive: true };
     bench.world.exchanges.remove(&conn);
@@ -526,8 +528,8 @@
 fn cancellation_after_the_answer_has_no_effect() {
     let mut bench = TestBench::new();
     bench.play();
-    let by = *bench.world.opens.first_key_value().unwrap().0;
-    let out = bench.world.handle_input(Input::Cancel(by.0, Ticket(99), by.1));
+    let call = *bench.world.opens.first_key_value().unwrap().0;
+    let out = bench.world.handle_input(Input::Cancel(call.0, Ticket(99), call.1));
     assert_eq!(out, [Output::Reply(VIEWER, Ticket(99), Reply::Unknown)]);
     assert_eq!(bench.world.ledger.session_counts(), (1, 1));
 }
@@ -538,8 +540,8 @@
     let (id, conn) = bench.set_up(CLIP);
     *bench.actions.borrow_mut() = vec![];
     bench.world.now += 300 * MS;
-    let told = bench.events.clone();
-    told.borrow_mut().clear();
+    let events = bench.events.clone();
+    events.borrow_mut().clear();
     let out = bench.world.handle_input(Input::Tick);
     assert_eq!(out[0], Output::CloseConn(conn), "its connection is closed first: {out:?}");
     assert!(matches!(out[1], Output::Dial(..)), "the release goes on a new one: {out:?}");
@@ -563,8 +565,8 @@
 fn attempt_continues_after_a_stale_connection() {
     let mut bench = TestBench::new();
     let (first, conn) = bench.play();
-    let (second, same) = bench.set_up(PAID);
-    assert_eq!(conn, same, "the idle connection is used again");
+    let (second, reused_conn) = bench.set_up(PAID);
+    assert_eq!(conn, reused_conn, "the idle connection is used again");
     bench.world.exchanges.remove(&conn);
     bench.world.traces.get_mut(&second).unwrap().out.clear();
     let out = bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Stale));
@@ -661,67 +663,68 @@
     let number = bench.world.streams[&ServerId(0)];
     bench.world.handle_input(Input::Stream(ServerId(0), number, StreamEvent::Up(vec![])));
     let limits = settings().limits;
-    let mut told = Vec::new();
+    let mut notifications = Vec::new();
     let until = bench.world.now + limits.silence_timeout + limits.lost_timeout + 3_000 * MS;
-    while bench.world.now < until && told.is_empty() {
+    while bench.world.now < until && notifications.is_empty() {
         bench.world.now += 20 * MS;
         for output in bench.world.handle_input(Input::Tick) {
             if let Output::OpenStream(server, number, _) = output {
                 // Nobody answers: the connection is neither refused nor established.
-                let news = StreamEvent::NoConnection(DialError::TimedOut);
-                let out = bench.world.handle_input(Input::Stream(server, number, news));
-                told.extend(
+                let event = StreamEvent::NoConnection(DialError::TimedOut);
+                let out = bench.world.handle_input(Input::Stream(server, number, event));
+                notifications.extend(
                     out.into_iter().filter(|o| matches!(o, Output::Notify(_, Notification::Ended(..)))),
                 );
             } else if matches!(output, Output::Notify(_, Notification::Ended(..))) {
-                told.push(output);
+                notifications.push(output);
             }
         }
     }
-    assert_eq!(told, [Output::Notify(VIEWER, Notification::Ended(id, EndReason::Lost))]);
+    assert_eq!(notifications, [Output::Notify(VIEWER, Notification::Ended(id, EndReason::Lost))]);
 }
 
 #[test]
 fn restarted_front_resumes_its_sessions_only_for_their_viewers() {
     let mut bench = TestBench::new();
-    let old = |n: u32| SessionId(format!("f0-00000000-{n:010}").into());
+    let old_id = |n: u32| SessionId(format!("f0-00000000-{n:010}").into());
     let held = |session: SessionId| HeldSession {
         session,
         attempt: 2,
         rung: 1,
-        open_request: Some(opening(7, CLIP)),
+        open_request: Some(open_request(7, CLIP)),
     };
-    let strange = HeldSession { session: SessionId("f9-00000000-0000000001".into()), ..held(old(1)) };
+    let foreign = HeldSession { session: SessionId("f9-00000000-0000000001".into()), ..held(old_id(1)) };
     let number = bench.world.streams[&ServerId(0)];
     bench.events.borrow_mut().clear();
     bench.world.handle_input(Input::Stream(
         ServerId(0),
         number,
-        StreamEvent::Up(vec![held(old(1)), held(old(2)), strange]),
+        StreamEvent::Up(vec![held(old_id(1)), held(old_id(2)), foreign]),
     ));
     assert_eq!(bench.world.ledger.session_counts(), (2, 2), "another front's session is left alone");
     let resumed = bench.events.borrow().iter().filter(|e| matches!(e, Event::Resumed(..))).count();
     assert_eq!(resumed, 2);
-    let thief = bench.world.handle_input(Input::Status(ClientId(5), Ticket(1), old(1), Some(ViewerId(8))));
-    assert_eq!(thief, [Output::Reply(ClientId(5), Ticket(1), Reply::Unknown)]);
-    let owner = bench.world.handle_input(Input::Status(ClientId(6), Ticket(1), old(1), Some(ViewerId(7))));
+    let other_viewer =
+        bench.world.handle_input(Input::Status(ClientId(5), Ticket(1), old_id(1), Some(ViewerId(8))));
+    assert_eq!(other_viewer, [Output::Reply(ClientId(5), Ticket(1), Reply::Unknown)]);
+    let owner = bench.world.handle_input(Input::Status(ClientId(6), Ticket(1), old_id(1), Some(ViewerId(7))));
     assert!(matches!(owner[..], [Output::Reply(_, _, Reply::Status { playing: Some(_), .. })]), "{owner:?}");
     // Nobody claims the other session.
     bench.world.now += settings().limits.claim_timeout;
     bench.world.handle_input(Input::Stream(ServerId(0), number, StreamEvent::Heartbeat));
     assert_eq!(bench.world.ledger.session_counts(), (1, 1));
-    let asked =
-        |r: &BoxRequest| matches!(r, BoxRequest::Release { session, attempt: 2 } if *session == old(2));
+    let is_release =
+        |r: &BoxRequest| matches!(r, BoxRequest::Release { session, attempt: 2 } if *session == old_id(2));
     for conn in std::mem::take(&mut bench.world.dials) {
         bench.world.handle_input(Input::Dialed(conn, Ok(())));
     }
-    assert!(bench.world.exchanges.values().any(asked), "released under the number that the box knows");
+    assert!(bench.world.exchanges.values().any(is_release), "released under the number that the box knows");
 }
 
 #[test]
 fn sessions_found_before_a_current_list_wait_for_it() {
     let decider = ScriptedDecider::default();
-    let told = decider.events.clone();
+    let events = decider.events.clone();
     let settings = settings();
     let mut ledger = Ledger::new(decider, settings.decision, settings.limits, "f0", 1);
     let mut out = Vec::new();
@@ -729,13 +732,13 @@
     ledger.handle(1, Input::List(ListKind::Cached, list.clone()), &mut out);
     let Some(Output::OpenStream(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
     let session = SessionId("f0-00000000-0000000001".into());
-    let held = HeldSession { session, attempt: 0, rung: 1, open_request: Some(opening(7, CLIP)) };
+    let held = HeldSession { session, attempt: 0, rung: 1, open_request: Some(open_request(7, CLIP)) };
     ledger.handle(2, Input::Stream(server, number, StreamEvent::Up(vec![held])), &mut out);
     // The decision module takes a resumed session as a sign that its list is current; one found under an old
     // list must not count as that.
-    assert!(!told.borrow().iter().any(|event| matches!(event, Event::Resumed(..))));
+    assert!(!events.borrow().iter().any(|event| matches!(event, Event::Resumed(..))));
     ledger.handle(3, Input::List(ListKind::Complete, list), &mut out);
-    assert!(matches!(told.borrow()[..], [.., Event::Resumed(..), Event::Note { .. }]));
+    assert!(matches!(events.borrow()[..], [.., Event::Resumed(..), Event::Note { .. }]));
 }
 
 #[test]
@@ -748,10 +751,10 @@
     for (viewer, marked) in [(9, false), (1, true), (1, false)] {
         bench.events.borrow_mut().clear();
         bench.world.opens.insert((VIEWER, Ticket(50)), None);
-        let opening = OpenRequest { moved_from: Some(id.clone()), ..opening(viewer, CLIP) };
-        bench.world.handle_input(Input::Open(VIEWER, Ticket(50), opening));
-        let told = bench.events.borrow();
-        let Event::Request(request) = &told[0] else { panic!("{told:?}") };
+        let open_request = OpenRequest { moved_from: Some(id.clone()), ..open_request(viewer, CLIP) };
+        bench.world.handle_input(Input::Open(VIEWER, Ticket(50), open_request));
+        let events = bench.events.borrow();
+        let Event::Request(request) = &events[0] else { panic!("{events:?}") };
         assert_eq!(request.moved, marked, "viewer {viewer}");
     }
 }
@@ -815,12 +818,12 @@
 #[test]
 fn requests_beyond_the_connection_limit_wait() {
     let mut bench = TestBench::new();
-    let most = settings().limits.connections_per_box;
-    for _ in 0..most + 5 {
+    let max_connections = settings().limits.connections_per_box;
+    for _ in 0..max_connections + 5 {
         bench.set_up_without_dial();
     }
     let [dialing, _, _, waiting] = bench.world.ledger.connections();
-    assert_eq!((dialing, waiting), (most, 5));
+    assert_eq!((dialing, waiting), (max_connections, 5));
     let conn = bench.world.dials.remove(0);
     bench.world.handle_input(Input::Dialed(conn, Ok(())));
     bench.world.end_exchange(conn, 8);
@@ -844,7 +847,7 @@
     bench.world.end_exchange(second, 8);
     let (_, conn) = bench.set_up(CLIP);
     bench.world.exchanges.remove(&conn);
-    bench.world.traces.values_mut().for_each(|seen| seen.out.clear());
+    bench.world.traces.values_mut().for_each(|trace| trace.out.clear());
     let out = bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Stale));
     let other = if conn == first { second } else { first };
     assert!(out.contains(&Output::CloseConn(other)), "as old as the closed one: {out:?}");
@@ -858,8 +861,12 @@
         bench.world.handle_input(Input::List(ListKind::Changes, vec![listed(0, ServerState::Removed, None)]));
     assert!(!out.contains(&Output::CloseStream(ServerId(0), number)), "{out:?}");
     let session = SessionId("f0-00000000-0000000001".into());
-    let held =
-        HeldSession { session: session.clone(), attempt: 0, rung: 1, open_request: Some(opening(7, CLIP)) };
+    let held = HeldSession {
+        session: session.clone(),
+        attempt: 0,
+        rung: 1,
+        open_request: Some(open_request(7, CLIP)),
+    };
     bench.world.handle_input(Input::Stream(ServerId(0), number, StreamEvent::Up(vec![held])));
     bench.world.now += settings().limits.claim_timeout;
     bench.world.handle_input(Input::Stream(ServerId(0), number, StreamEvent::Heartbeat));
@@ -873,20 +880,24 @@
 #[test]
 fn sessions_of_a_box_missing_from_the_first_current_list_are_released() {
     let settings = settings();
-    let (claim_within, limits) = (settings.limits.claim_timeout, settings.limits);
+    let (claim_timeout, limits) = (settings.limits.claim_timeout, settings.limits);
     let mut ledger = Ledger::new(ScriptedDecider::default(), settings.decision, limits, "f0", 1);
     let mut out = Vec::new();
     ledger.handle(1, Input::List(ListKind::Cached, vec![listed(0, ServerState::Ready, None)]), &mut out);
     let Some(Output::OpenStream(server, number, _)) = out.first().cloned() else { panic!("{out:?}") };
     let session = SessionId("f0-00000000-0000000001".into());
-    let held =
-        HeldSession { session: session.clone(), attempt: 0, rung: 1, open_request: Some(opening(7, CLIP)) };
+    let held = HeldSession {
+        session: session.clone(),
+        attempt: 0,
+        rung: 1,
+        open_request: Some(open_request(7, CLIP)),
+    };
     ledger.handle(2, Input::Stream(server, number, StreamEvent::Up(vec![held])), &mut out);
     ledger.handle(3, Input::List(ListKind::Complete, Vec::new()), &mut out);
     assert_eq!(ledger.session_counts(), (1, 1));
     out.clear();
-    ledger.handle(3 + claim_within, Input::Stream(server, number, StreamEvent::Heartbeat), &mut out);
+    ledger.handle(3 + claim_timeout, Input::Stream(server, number, StreamEvent::Heartbeat), &mut out);
     let Some(Output::Dial(conn, ..)) = out.first().cloned() else { panic!("{out:?}") };
-    ledger.handle(4 + claim_within, Input::Dialed(conn, Ok(())), &mut out);
+    ledger.handle(4 + claim_timeout, Input::Dialed(conn, Ok(())), &mut out);
     assert!(out.contains(&Output::Exchange(conn, BoxRequest::Release { session, attempt: 0 })), "{out:?}");
 }
--- a/crates/front/src/core/tests/takeover.rs
+++ b/crates/front/src/core/tests/takeover.rs
@@ -11,22 +11,22 @@
 use crate::core::session_records::{self, AttemptLocation, AwaitingRecord, SessionRecord};
 
 const LEASE: Micros = 1_000_000 * MS;
-const OWN: &str = "f0-00000001";
-const OTHER: &str = "f1-00000007";
+const OWN_INCARNATION: &str = "f0-00000001";
+const OTHER_INCARNATION: &str = "f1-00000007";
 
-fn stand(until: Micros, heirs: Heirs) -> Input {
+fn coordination(until: Micros, heirs: Heirs) -> Input {
     let (agreed, meet) = (Arc::default(), Arc::default());
-    let stand = Stand { begun: 9, latest: 9, until, alone: until, agreed, meet, heirs: Arc::new(heirs) };
-    Input::Coordination(Box::new(stand))
+    let state = Stand { begun: 9, latest: 9, until, alone: until, agreed, meet, heirs: Arc::new(heirs) };
+    Input::Coordination(Box::new(state))
 }
 
-fn heirs(life: &str, epoch: u64, by: &str, own: &str) -> Heirs {
+fn successors(incarnation: &str, epoch: u64, by: &str, own: &str) -> Heirs {
     let heir = Heir { epoch, name: by.into(), life: own.into(), serves: None, version: 9, settled: false };
-    Heirs { of: [(Life::from(life), heir)].into(), over: BTreeMap::new() }
+    Heirs { of: [(Life::from(incarnation), heir)].into(), over: BTreeMap::new() }
 }
 
 impl TestBench {
-    fn kept() -> TestBench {
+    fn with_replication() -> TestBench {
         let mut bench = TestBench::new();
         let names = SettingsNames {
             classes: vec!["clip".to_owned(), "paid".to_owned()],
@@ -37,70 +37,70 @@
             ledger: bench.world.ledger.with_rules(AgreedRules::new(names)).with_replication(),
             ..bench.world
         };
-        bench.world.handle_input(stand(LEASE, Heirs::default()));
+        bench.world.handle_input(coordination(LEASE, Heirs::default()));
         bench
     }
 
     /// Opens a session for which the decider asks for a set-up; returns its id and the outputs.
-    fn asked(&mut self, class: usize) -> (SessionId, Vec<Output>) {
-        let id = SessionId(format!("{OWN}-{:010}", 1).into());
+    fn open_with_set_up(&mut self, class: usize) -> (SessionId, Vec<Output>) {
+        let id = SessionId(format!("{OWN_INCARNATION}-{:010}", 1).into());
         let rung = usize::from(class == PAID);
         *self.actions.borrow_mut() =
             vec![Action::SetRung(id.clone(), rung), Action::SetUp(id.clone(), ServerId(0), 300 * MS)];
         self.world.opens.insert((VIEWER, Ticket(1)), None);
-        let out = self.world.handle_input(Input::Open(VIEWER, Ticket(1), opening(1, class)));
+        let out = self.world.handle_input(Input::Open(VIEWER, Ticket(1), open_request(1, class)));
         (id, out)
     }
 
-    fn dialed(&mut self) -> Vec<Output> {
+    fn complete_dials(&mut self) -> Vec<Output> {
         let dials = std::mem::take(&mut self.world.dials);
         dials.into_iter().flat_map(|conn| self.world.handle_input(Input::Dialed(conn, Ok(())))).collect()
     }
 
-    fn counts(&mut self, id: &SessionId, kept: bool) -> Vec<Output> {
-        self.world.handle_input(Input::RecordStored(session_records::session_key(id), kept))
+    fn report_replication(&mut self, id: &SessionId, stored: bool) -> Vec<Output> {
+        self.world.handle_input(Input::RecordStored(session_records::session_key(id), stored))
     }
 
-    fn released(&mut self, id: &SessionId) -> bool {
-        self.dialed();
-        let of =
+    fn is_released(&mut self, id: &SessionId) -> bool {
+        self.complete_dials();
+        let is_release =
             |request: &BoxRequest| matches!(request, BoxRequest::Release { session, .. } if session == id);
-        self.world.exchanges.values().any(of)
+        self.world.exchanges.values().any(is_release)
     }
 }
 
-fn promises(out: &[Output]) -> Vec<(SessionRecord, bool)> {
-    let one = |output: &Output| match output {
-        Output::StoreRecord(_, bytes, waits) => Some((session_records::decode(bytes)?, *waits)),
+fn stored_records(out: &[Output]) -> Vec<(SessionRecord, bool)> {
+    let decode_record = |output: &Output| match output {
+        Output::StoreRecord(_, bytes, awaited) => Some((session_records::decode(bytes)?, *awaited)),
         _ => None,
     };
-    out.iter().filter_map(one).collect()
+    out.iter().filter_map(decode_record).collect()
 }
 
 fn connection(bench: &TestBench) -> ConnId {
-    *bench.world.exchanges.keys().next().expect("a set-up is out")
+    *bench.world.exchanges.keys().next().expect("a set-up is in progress")
 }
 
 #[test]
 fn paid_set_up_is_not_sent_before_its_record_is_replicated() {
-    let mut bench = TestBench::kept();
-    let (id, out) = bench.asked(PAID);
-    assert!(matches!(promises(&out)[..], [(SessionRecord::SetUpIntended(..), true)]), "{out:?}");
+    let mut bench = TestBench::with_replication();
+    let (id, out) = bench.open_with_set_up(PAID);
+    assert!(matches!(stored_records(&out)[..], [(SessionRecord::SetUpIntended(..), true)]), "{out:?}");
     assert!(bench.world.dials.is_empty() && bench.world.exchanges.is_empty());
-    bench.counts(&id, true);
+    bench.report_replication(&id, true);
     assert_eq!(bench.world.dials.len(), 1);
     // A clip may be set up more than once, so it does not wait.
-    let mut bench = TestBench::kept();
-    let (_, out) = bench.asked(CLIP);
-    assert!(promises(&out).is_empty() && bench.world.dials.len() == 1);
+    let mut bench = TestBench::with_replication();
+    let (_, out) = bench.open_with_set_up(CLIP);
+    assert!(stored_records(&out).is_empty() && bench.world.dials.len() == 1);
 }
 
 #[test]
 fn answer_is_not_sent_before_its_record_is_replicated() {
-    for (kept, ended) in [(true, false), (false, false), (true, true)] {
-        let mut bench = TestBench::kept();
-        let (id, _) = bench.asked(CLIP);
-        bench.dialed();
+    for (stored, ended) in [(true, false), (false, false), (true, true)] {
+        let mut bench = TestBench::with_replication();
+        let (id, _) = bench.open_with_set_up(CLIP);
+        bench.complete_dials();
         let conn = connection(&bench);
         let request = bench.world.exchanges.remove(&conn);
         assert!(request.is_some());
@@ -108,18 +108,18 @@
         let done =
             ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![1.0, 0.1], keep_alive: true };
         let out = bench.world.handle_input(Input::Exchanged(conn, done));
-        assert!(matches!(promises(&out)[..], [(SessionRecord::Plays(..), true)]), "{out:?}");
+        assert!(matches!(stored_records(&out)[..], [(SessionRecord::Plays(..), true)]), "{out:?}");
         assert!(bench.answers().is_empty());
         if ended {
             let number = bench.world.streams[&ServerId(0)];
             bench.world.handle_input(Input::Stream(ServerId(0), number, StreamEvent::Ended(id.clone(), 0)));
         }
-        bench.counts(&id, kept);
-        match (kept, ended) {
+        bench.report_replication(&id, stored);
+        match (stored, ended) {
             (true, false) => assert!(matches!(bench.answers()[..], [Answer::Plays { .. }])),
             (_, _) => {
                 assert_eq!(bench.answers(), [Answer::Failed(id.clone(), FailReason::GivenUp)]);
-                assert_eq!(bench.released(&id), !ended, "what plays for nobody is released");
+                assert_eq!(bench.is_released(&id), !ended, "a session without a viewer is released");
             }
         }
     }
@@ -127,24 +127,24 @@
 
 #[test]
 fn set_up_without_enough_replicas_is_refused_and_never_sent() {
-    let mut bench = TestBench::kept();
-    let (id, _) = bench.asked(PAID);
-    bench.counts(&id, false);
+    let mut bench = TestBench::with_replication();
+    let (id, _) = bench.open_with_set_up(PAID);
+    bench.report_replication(&id, false);
     assert!(matches!(bench.answers()[..], [Answer::Refused(_, after)] if after > 0));
     assert!(bench.world.dials.is_empty() && bench.world.exchanges.is_empty());
     assert_eq!((bench.outcomes(), bench.world.ledger.session_counts()), (vec![Outcome::NotSent], (0, 0)));
     // A late confirmation has no effect.
-    bench.counts(&id, true);
+    bench.report_replication(&id, true);
     assert!(bench.world.dials.is_empty());
 }
 
 #[test]
 fn session_waiting_for_replication_is_answered_before_its_deadline() {
     for class in [CLIP, PAID] {
-        let mut bench = TestBench::kept();
-        let (id, _) = bench.asked(class);
+        let mut bench = TestBench::with_replication();
+        let (id, _) = bench.open_with_set_up(class);
         if class == CLIP {
-            bench.dialed();
+            bench.complete_dials();
             let conn = connection(&bench);
             bench.world.traces.get_mut(&id).unwrap().out.clear();
             bench.world.exchanges.remove(&conn);
@@ -161,31 +161,34 @@
         assert_eq!(bench.answers().len(), 1);
         assert!(matches!(bench.answers()[..], [Answer::Failed(..)]), "{:?}", bench.answers());
         assert_eq!(bench.world.ledger.session_counts(), (0, 0));
-        assert_eq!(bench.released(&id), class == CLIP);
+        assert_eq!(bench.is_released(&id), class == CLIP);
     }
 }
 
 #[test]
 fn front_that_was_taken_over_drops_its_sessions_silently_and_starts_a_new_incarnation() {
-    let mut bench = TestBench::kept();
-    let (id, _) = bench.asked(CLIP);
-    bench.dialed();
+    let mut bench = TestBench::with_replication();
+    let (id, _) = bench.open_with_set_up(CLIP);
+    bench.complete_dials();
     let conn = connection(&bench);
     bench.world.end_exchange(conn, 8);
-    bench.counts(&id, true);
+    bench.report_replication(&id, true);
     assert_eq!(bench.world.ledger.session_counts(), (1, 1));
-    bench.world.handle_input(stand(LEASE, heirs(OWN, 1, "f1", "f1-00000002")));
+    bench.world.handle_input(coordination(LEASE, successors(OWN_INCARNATION, 1, "f1", "f1-00000002")));
     // The incarnation is known to be taken over: the close is not executed here.
     let close = bench.world.handle_input(Input::Close(VIEWER, Ticket(9), id.clone()));
     assert!(matches!(close[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{close:?}");
-    let out = bench.world.handle_input(Input::TakenOver(Life::from(OWN)));
+    let out = bench.world.handle_input(Input::TakenOver(Life::from(OWN_INCARNATION)));
     assert!(
         out.contains(&Output::Notify(VIEWER, Notification::Ended(id.clone(), EndReason::TakenOver))),
         "{out:?}"
     );
     assert!(out.contains(&Output::IncarnationChanged(Life::from("f0-00000002"))), "{out:?}");
-    assert!(!out.iter().any(|o| matches!(o, Output::DeleteRecord(_))), "to end it here would end it there");
-    assert!(!bench.released(&id) && bench.world.ledger.session_counts() == (0, 0));
+    assert!(
+        !out.iter().any(|o| matches!(o, Output::DeleteRecord(_))),
+        "deleting a record here would delete it at the successor"
+    );
+    assert!(!bench.is_released(&id) && bench.world.ledger.session_counts() == (0, 0));
     // The viewer is directed to the successor; new sessions belong to the new incarnation.
     let out = bench.world.handle_input(Input::Status(VIEWER, Ticket(8), id, Some(ViewerId(1))));
     assert!(
@@ -198,40 +201,43 @@
 
 #[test]
 fn without_a_lease_sessions_are_neither_released_nor_reclaimed_nor_reported_unknown() {
-    let mut bench = TestBench::kept();
-    let (id, _) = bench.asked(CLIP);
-    bench.dialed();
+    let mut bench = TestBench::with_replication();
+    let (id, _) = bench.open_with_set_up(CLIP);
+    bench.complete_dials();
     let conn = connection(&bench);
     bench.world.end_exchange(conn, 8);
-    bench.counts(&id, true);
+    bench.report_replication(&id, true);
     bench.world.ledger.set_lease_time(|| LEASE + 1);
     bench.world.handle_input(Input::ClientClosed(VIEWER));
-    assert!(bench.world.ledger.contains(&id) && !bench.released(&id), "whose it is, it cannot know");
+    assert!(
+        bench.world.ledger.contains(&id) && !bench.is_released(&id),
+        "the front cannot know who has the session"
+    );
     let out = bench.world.handle_input(Input::Status(ClientId(7), Ticket(1), id.clone(), Some(ViewerId(1))));
     assert!(matches!(out[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{out:?}");
-    let gone = SessionId(format!("{OTHER}-0000000009").into());
-    let out = bench.world.handle_input(Input::Status(ClientId(7), Ticket(2), gone, Some(ViewerId(1))));
+    let unknown = SessionId(format!("{OTHER_INCARNATION}-0000000009").into());
+    let out = bench.world.handle_input(Input::Status(ClientId(7), Ticket(2), unknown, Some(ViewerId(1))));
     assert!(matches!(out[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{out:?}");
     // With a lease again, the viewer can reclaim it.
-    bench.world.handle_input(stand(2 * LEASE, Heirs::default()));
+    bench.world.handle_input(coordination(2 * LEASE, Heirs::default()));
     let out = bench.world.handle_input(Input::Status(ClientId(7), Ticket(3), id, Some(ViewerId(1))));
     assert!(matches!(out[..], [Output::Reply(_, _, Reply::Status { playing: Some(_), .. })]), "{out:?}");
 }
 
 /// A ledger that has taken over these records of another front, and the connection on which box 0 is asked
 /// for the incarnation.
-fn goes_on(promises: &[(u32, SessionRecord)]) -> (TestBench, ConnId) {
-    let mut bench = TestBench::kept();
-    bench.world.handle_input(stand(LEASE, heirs(OTHER, 3, "f0", OWN)));
-    let all: Vec<(Key, Bytes)> = promises
+fn taken_over_ledger(stored_records: &[(u32, SessionRecord)]) -> (TestBench, ConnId) {
+    let mut bench = TestBench::with_replication();
+    bench.world.handle_input(coordination(LEASE, successors(OTHER_INCARNATION, 3, "f0", OWN_INCARNATION)));
+    let all: Vec<(Key, Bytes)> = stored_records
         .iter()
-        .map(|(n, promise)| {
-            (session_records::session_key(&other(*n)), Bytes::from(session_records::encode(promise)))
+        .map(|(n, record)| {
+            (session_records::session_key(&other_session(*n)), Bytes::from(session_records::encode(record)))
         })
         .collect();
-    bench.world.handle_input(Input::TakeOver(Life::from(OTHER), 3, all));
-    bench.dialed();
-    let asks = |request: &BoxRequest| matches!(request, BoxRequest::Claim { incarnation: life, epoch: 3 } if &**life == OTHER);
+    bench.world.handle_input(Input::TakeOver(Life::from(OTHER_INCARNATION), 3, all));
+    bench.complete_dials();
+    let asks = |request: &BoxRequest| matches!(request, BoxRequest::Claim { incarnation, epoch: 3 } if &**incarnation == OTHER_INCARNATION);
     let asked: Vec<ConnId> =
         bench.world.exchanges.iter().filter(|(_, request)| asks(request)).map(|(conn, _)| *conn).collect();
     assert_eq!(asked.len(), 4, "every box is asked");
@@ -244,119 +250,125 @@
     (bench, first.expect("box 0 is asked"))
 }
 
-fn other(n: u32) -> SessionId {
-    SessionId(format!("{OTHER}-{n:010}").into())
+fn other_session(n: u32) -> SessionId {
+    SessionId(format!("{OTHER_INCARNATION}-{n:010}").into())
 }
 
-fn place(attempt: u32) -> AttemptLocation {
+fn location(attempt: u32) -> AttemptLocation {
     AttemptLocation { server: 0, address: address(0), attempt }
 }
 
-fn wish(bench: &TestBench) -> session_records::RecordedRequest {
+fn recorded_request(bench: &TestBench) -> session_records::RecordedRequest {
     let replication = bench.world.ledger.replication_state();
-    replication.to_record(&opening(7, CLIP)).expect("the settings have it")
+    replication.to_record(&open_request(7, CLIP)).expect("the settings have its class and title")
 }
 
 #[test]
 fn differences_between_records_and_box_are_reconciled() {
-    let wish = wish(&TestBench::kept());
-    let plays = |attempt| SessionRecord::Plays(place(attempt), 1, wish.clone());
-    let intends = |attempt| SessionRecord::SetUpIntended(place(attempt), wish.clone());
+    let recorded_request = recorded_request(&TestBench::with_replication());
+    let plays = |attempt| SessionRecord::Plays(location(attempt), 1, recorded_request.clone());
+    let set_up_intended = |attempt| SessionRecord::SetUpIntended(location(attempt), recorded_request.clone());
     let held = |n, attempt, rung| HeldSession {
-        session: other(n),
+        session: other_session(n),
         attempt,
         rung,
-        open_request: Some(opening(7, CLIP)),
+        open_request: Some(open_request(7, CLIP)),
     };
     let all = [
         (1, plays(0)),
         (2, plays(0)),
         (3, plays(1)),
-        (4, intends(0)),
-        (5, intends(0)),
+        (4, set_up_intended(0)),
+        (5, set_up_intended(0)),
         (6, plays(0)),
-        (8, SessionRecord::ReleasePending(place(2))),
+        (8, SessionRecord::ReleasePending(location(2))),
     ];
-    let (mut bench, conn) = goes_on(&all);
+    let (mut bench, conn) = taken_over_ledger(&all);
     bench.world.exchanges.remove(&conn);
-    let there = vec![held(1, 0, 1), held(3, 0, 1), held(4, 0, 2), held(6, 0, 2), held(7, 0, 0)];
-    bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Claimed { held: there, keep_alive: true }));
-    let knows = |bench: &TestBench, n| bench.world.ledger.contains(&other(n));
-    assert!(knows(&bench, 1), "as promised");
-    assert!(!knows(&bench, 2), "known and not held: it is over");
-    assert!(!knows(&bench, 3) && bench.released(&other(3)), "another attempt plays: released");
-    assert!(knows(&bench, 4), "it may have run, and did: it waits for its viewer");
-    assert!(!knows(&bench, 5), "it did not, and can't any more");
-    assert!(knows(&bench, 7), "held and promised to nobody: it waits for its viewer");
-    assert!(bench.released(&other(8)), "a release that was owed");
+    let held_there = vec![held(1, 0, 1), held(3, 0, 1), held(4, 0, 2), held(6, 0, 2), held(7, 0, 0)];
+    bench
+        .world
+        .handle_input(Input::Exchanged(conn, ExchangeEnd::Claimed { held: held_there, keep_alive: true }));
+    let contains = |bench: &TestBench, n| bench.world.ledger.contains(&other_session(n));
+    assert!(contains(&bench, 1), "as recorded");
+    assert!(!contains(&bench, 2), "recorded but not held: the session is over");
+    assert!(
+        !contains(&bench, 3) && bench.is_released(&other_session(3)),
+        "another attempt plays: it is released"
+    );
+    assert!(contains(&bench, 4), "the possible set-up was executed: the session waits for its viewer");
+    assert!(!contains(&bench, 5), "the possible set-up was not executed, and cannot be any more");
+    assert!(contains(&bench, 7), "held without a record: the session waits for its viewer");
+    assert!(bench.is_released(&other_session(8)), "the pending release is sent");
     for (n, rung) in [(6, 2), (4, 2), (1, 1)] {
         let out = bench.world.handle_input(Input::Status(
             ClientId(n.into()),
             Ticket(1),
-            other(n),
+            other_session(n),
             Some(ViewerId(7)),
         ));
         let at = |r: &Output| matches!(r, Output::Reply(_, _, Reply::Status { playing: Some((_, at, _)), .. }) if *at == rung);
-        assert!(out.iter().any(at), "the box's rung is the one in force: {out:?}");
+        assert!(out.iter().any(at), "the rung that the box reports is in force: {out:?}");
     }
     // Two fronts never have the same session: a later successor takes it away, and nothing is sent to the
     // box.
-    bench.world.handle_input(stand(LEASE, heirs(OTHER, 4, "f2", "f2-00000003")));
+    bench.world.handle_input(coordination(LEASE, successors(OTHER_INCARNATION, 4, "f2", "f2-00000003")));
     bench.world.exchanges.clear();
     bench.world.dials.clear();
-    bench.world.handle_input(Input::TakeoverSuperseded(Life::from(OTHER)));
-    assert!(!knows(&bench, 1) && !bench.released(&other(1)));
+    bench.world.handle_input(Input::TakeoverSuperseded(Life::from(OTHER_INCARNATION)));
+    assert!(!contains(&bench, 1) && !bench.is_released(&other_session(1)));
 }
 
 #[test]
 fn failed_claim_is_retried_and_unclaimed_sessions_end() {
-    let wish = wish(&TestBench::kept());
-    let (mut bench, conn) = goes_on(&[(1, SessionRecord::Plays(place(0), 1, wish))]);
+    let recorded_request = recorded_request(&TestBench::with_replication());
+    let (mut bench, conn) = taken_over_ledger(&[(1, SessionRecord::Plays(location(0), 1, recorded_request))]);
     bench.world.exchanges.remove(&conn);
     bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Broken));
-    assert!(bench.world.ledger.contains(&other(1)));
+    assert!(bench.world.ledger.contains(&other_session(1)));
     bench.world.exchanges.clear();
     bench.world.now += 300 * MS;
     bench.world.handle_input(Input::Tick);
-    bench.dialed();
+    bench.complete_dials();
     let claims = |request: &BoxRequest| matches!(request, BoxRequest::Claim { .. });
     assert!(bench.world.exchanges.values().any(claims), "asked again");
     // A stream that opens before the box has been asked does not list the session: that is not a loss.
     let number = bench.world.streams[&ServerId(0)];
     bench.world.handle_input(Input::Stream(ServerId(0), number, StreamEvent::Up(vec![])));
-    assert!(bench.world.ledger.contains(&other(1)));
+    assert!(bench.world.ledger.contains(&other_session(1)));
     let limits = settings().limits;
     bench.world.now += limits.takeover_retention;
     bench.world.handle_input(Input::Tick);
-    assert!(!bench.world.ledger.contains(&other(1)), "nobody came for it");
+    assert!(!bench.world.ledger.contains(&other_session(1)), "no viewer reclaimed it");
 }
 
 #[test]
 fn record_with_unknown_class_is_released_and_undecodable_record_is_skipped() {
-    let (bench, _) = goes_on(&[]);
-    let mut strange = wish(&bench);
-    strange.class = "gone".into();
-    let wish = wish(&bench);
-    let (mut bench, _) = goes_on(&[
-        (1, SessionRecord::Plays(place(0), 1, strange)),
-        (2, SessionRecord::Plays(place(0), 1, wish)),
+    let (bench, _) = taken_over_ledger(&[]);
+    let mut unknown_class = recorded_request(&bench);
+    unknown_class.class = "gone".into();
+    let recorded_request = recorded_request(&bench);
+    let (mut bench, _) = taken_over_ledger(&[
+        (1, SessionRecord::Plays(location(0), 1, unknown_class)),
+        (2, SessionRecord::Plays(location(0), 1, recorded_request)),
     ]);
-    assert!(!bench.world.ledger.contains(&other(1)) && bench.released(&other(1)));
-    assert!(bench.world.ledger.contains(&other(2)));
+    assert!(!bench.world.ledger.contains(&other_session(1)) && bench.is_released(&other_session(1)));
+    assert!(bench.world.ledger.contains(&other_session(2)));
     let faults = bench.world.ledger.counts().faults;
-    let bad: Vec<(Key, Bytes)> = vec![(session_records::session_key(&other(3)), Bytes::from(vec![0xff; 9]))];
-    bench.world.handle_input(Input::TakeOver(Life::from(OTHER), 3, bad));
+    let bad: Vec<(Key, Bytes)> =
+        vec![(session_records::session_key(&other_session(3)), Bytes::from(vec![0xff; 9]))];
+    bench.world.handle_input(Input::TakeOver(Life::from(OTHER_INCARNATION), 3, bad));
     assert_eq!(bench.world.ledger.counts().faults, faults + 1);
 }
 
 #[test]
 fn cancelled_set_up_waiting_for_replication_is_never_sent() {
-    let mut bench = TestBench::kept();
-    let (id, _) = bench.asked(PAID);
+    let mut bench = TestBench::with_replication();
+    let (id, _) = bench.open_with_set_up(PAID);
     bench.world.handle_input(Input::Cancel(VIEWER, Ticket(2), Ticket(1)));
     assert_eq!(bench.answers(), [Answer::Failed(id.clone(), FailReason::Cancelled)]);
-    bench.counts(&id, true);
+    bench.report_replication(&id, true);
     assert!(bench.world.dials.is_empty() && bench.world.exchanges.is_empty());
     let replication = bench.world.ledger.replication_state();
-    assert!(!replication.awaiting_record.values().any(|waits| matches!(waits, AwaitingRecord::SetUp(..))));
+    assert!(!replication.awaiting_record.values().any(|work| matches!(work, AwaitingRecord::SetUp(..))));
 }
