--- a/crates/front/src/core/ledger/actions.rs
+++ b/crates/front/src/core/ledger/actions.rs
@@ -18,6 +18,7 @@
         }
     }
 
+    /// Executes one action of the decider.
     pub(super) fn execute(&mut self, action: Action, out: &mut Vec<Output>) {
         match action {
             Action::SetUp(id, server, time_out) => self.set_up(&id, server, time_out, out),
@@ -48,10 +49,12 @@
         }
     }
 
+    /// Logs a blocked action.
     pub(super) fn log_blocked(&self, what: &str, id: &SessionId, out: &mut Vec<Output>) {
         out.push(Output::Log(Level::Warn, format!("stopped {what} for session {}", id.0)));
     }
 
+    /// Starts an attempt at this box, unless a check forbids it.
     pub(super) fn set_up(
         &mut self,
         id: &SessionId,
@@ -139,6 +142,7 @@
         self.send_set_up((server, address), request, out);
     }
 
+    /// Sets the target rung of a session.
     pub(super) fn set_rung(&mut self, id: &SessionId, rung: usize, out: &mut Vec<Output>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         if !session.allows_rung(rung, self.settings.classes.get(session.open_request.class)) {
@@ -163,6 +167,7 @@
         self.send_request(to, BoxRequest::SetRung { session: id.clone(), attempt, rung: target, class }, out);
     }
 
+    /// Releases a session from its box and tells the client to reopen it.
     pub(super) fn move_session(&mut self, id: &SessionId, out: &mut Vec<Output>) {
         let playing = self.sessions.get(id).filter(|session| session.playing().is_some());
         let Some((client, viewer)) = playing.map(|s| (s.client, s.open_request.viewer)) else {
@@ -189,6 +194,8 @@
         self.stop_playing(id, Outcome::Withdrawn, true, out);
     }
 
+    /// Refuses a session. If a set-up that must happen at most once may have been executed, the session fails
+    /// instead.
     pub(super) fn refuse(&mut self, id: &SessionId, hold_off: Micros, out: &mut Vec<Output>) {
         let answer = if self.sessions.get(id).is_some_and(Session::must_not_refuse) {
             self.counts.stopped_effects += 1;
--- a/crates/front/src/core/ledger/boxes.rs
+++ b/crates/front/src/core/ledger/boxes.rs
@@ -6,6 +6,7 @@
 use crate::core::session_records::AttemptLocation;
 
 impl<D: Decider> Ledger<D> {
+    /// Applies an update of the box list.
     pub(super) fn update_box_list(&mut self, kind: ListKind, lines: Vec<ListEntry>, out: &mut Vec<Output>) {
         if kind != ListKind::FetchFailed {
             let removed = removed_servers(kind, &lines, self.boxes.keys());
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Handles an event of a box's stream.
     pub(super) fn handle_stream_event(
         &mut self,
         server: ServerId,
@@ -88,6 +90,7 @@
         self.apply_stream_outcome(server, stream_outcome, out);
     }
 
+    /// Ends all sessions at a box that is lost.
     pub(super) fn apply_stream_outcome(
         &mut self,
         server: ServerId,
@@ -107,6 +110,7 @@
         self.mark_ended_unanswered(server, None);
     }
 
+    /// Ends a playing session without a request of its client, and notifies the client.
     pub(super) fn end_and_notify(
         &mut self,
         id: &SessionId,
--- a/crates/front/src/core/ledger/clients.rs
+++ b/crates/front/src/core/ledger/clients.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl<D: Decider> Ledger<D> {
+    /// Handles an open request. With `reopen_only`, it must reopen a session that this front moved.
     pub(super) fn open(
         &mut self,
         client: ClientId,
@@ -81,6 +82,7 @@
         self.by_client.contains_key(&client)
     }
 
+    /// Handles the cancellation of an open request.
     pub(super) fn cancel(&mut self, client: ClientId, ticket: Ticket, open: Ticket, out: &mut Vec<Output>) {
         let call = Some((client, open));
         let sessions = self.by_client.get(&client).into_iter().flatten();
@@ -97,6 +99,7 @@
         out.push(Output::Reply(client, ticket, Reply::Cancelled));
     }
 
+    /// Handles the close of a session by its client.
     pub(super) fn close(&mut self, client: ClientId, ticket: Ticket, id: &SessionId, out: &mut Vec<Output>) {
         let is_own = self.by_client.get(&client).is_some_and(|sessions| sessions.contains(id));
         let is_playing = self.sessions.get(id).is_some_and(|s| s.playing().is_some());
@@ -113,6 +116,7 @@
         out.push(Output::Reply(client, ticket, Reply::Closed(id.clone())));
     }
 
+    /// Handles a status call. The viewer of an unclaimed session reclaims it by this call.
     pub(super) fn status(
         &mut self,
         client: ClientId,
@@ -188,6 +192,7 @@
         });
     }
 
+    /// Detaches playing sessions of a client that `should_keep` selects, so that they wait for their viewer.
     fn keep_for_viewer(&mut self, client: ClientId, should_keep: impl Fn(&Self, &SessionId) -> bool) {
         let until = self.now + self.limits.lost_client_retention;
         let sessions = self.by_client.get(&client).cloned().unwrap_or_default();
@@ -232,6 +237,7 @@
         }
     }
 
+    /// Removes a session with its record, counts and deadlines.
     pub(super) fn remove_session(&mut self, id: &SessionId) {
         let Some(session) = self.sessions.remove(id) else { return };
         self.delete_record(session_records::session_key(id));
@@ -253,6 +259,7 @@
         }
     }
 
+    /// Rate of a rung for a class, kB/s.
     pub(super) fn rate_kb(&self, class: usize, rung: usize) -> f64 {
         let factor = self.settings.classes.get(class).map_or(1.0, |class| class.rate_factor);
         self.settings.ladder.get(rung).map_or(0.0, |step| step.kb * factor)
--- a/crates/front/src/core/ledger/deadlines.rs
+++ b/crates/front/src/core/ledger/deadlines.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl<D: Decider> Ledger<D> {
+    /// Handles one deadline that has passed.
     pub(super) fn handle_deadline(&mut self, deadline: Deadline, out: &mut Vec<Output>) {
         match deadline {
             Deadline::AttemptTimeout(id, number) => self.attempt_timed_out(&id, number, out),
--- a/crates/front/src/core/ledger/releases.rs
+++ b/crates/front/src/core/ledger/releases.rs
@@ -23,6 +23,7 @@
         self.events.push_back(ended);
     }
 
+    /// Releases a session at its box; the release stays pending until the box confirms it.
     pub(super) fn release(
         &mut self,
         to: (ServerId, SocketAddr),
@@ -61,6 +62,7 @@
         self.unknown_sessions.entry(to.0).or_default().insert((id, wire_number));
     }
 
+    /// Number of pending releases at a box, counted up to the limit.
     pub(super) fn releases_at(&self, server: ServerId) -> usize {
         let from = (server, SessionId(Arc::from("")), 0);
         self.releases
@@ -108,6 +110,7 @@
         self.timers.set(self.now + pause, Deadline::RetryRelease(server, id, wire_number));
     }
 
+    /// Handles the timeout of an attempt.
     pub(super) fn attempt_timed_out(&mut self, id: &SessionId, number: u32, out: &mut Vec<Output>) {
         let pending = self
             .sessions
--- a/crates/front/src/core/ledger/requests.rs
+++ b/crates/front/src/core/ledger/requests.rs
@@ -14,6 +14,7 @@
         self.pool.send(to, request, until, self.limits.connections_per_box, &mut self.timers, out);
     }
 
+    /// Handles the end of a request to a box.
     pub(super) fn request_ended(
         &mut self,
         ended: Option<(ServerId, BoxRequest, RequestEnd)>,
@@ -54,6 +55,7 @@
         }
     }
 
+    /// Handles the end of a set-up.
     pub(super) fn set_up_ended(
         &mut self,
         server: ServerId,
@@ -150,6 +152,7 @@
         }
     }
 
+    /// Ends the attempt in progress and passes its outcome to the decider.
     pub(super) fn attempt_ended(
         &mut self,
         server: ServerId,
@@ -169,6 +172,7 @@
         self.run_decider(out);
     }
 
+    /// Handles the end of a rung change; retries it, or reports the rung in force after repeated failures.
     pub(super) fn rung_change_ended(
         &mut self,
         id: &SessionId,
--- a/crates/front/src/core/ledger/rule_checks.rs
+++ b/crates/front/src/core/ledger/rule_checks.rs
@@ -57,6 +57,8 @@
         }
     }
 
+    /// Applies changed rules: ends playing sessions that they no longer permit, and passes on changed box
+    /// orders.
     pub(super) fn update_rules(&mut self, state: Stand, out: &mut Vec<Output>) {
         let Some(rules) = &mut self.rules else { return };
         if !rules.update(state) {
--- a/crates/front/src/core/ledger/takeover.rs
+++ b/crates/front/src/core/ledger/takeover.rs
@@ -83,10 +83,12 @@
         rules.epoch(&replication.incarnation, &replication.incarnation).is_some()
     }
 
+    /// Replicates a session record; `awaited` tells whether [`Input::RecordStored`] is awaited.
     pub(super) fn store_record(&mut self, key: Key, record: &SessionRecord, awaited: bool) {
         self.record_outputs.push(Output::StoreRecord(key, session_records::encode(record), awaited));
     }
 
+    /// Deletes a session record, if records are replicated.
     pub(super) fn delete_record(&mut self, key: Key) {
         if self.replication.is_some() {
             self.record_outputs.push(Output::DeleteRecord(key));
@@ -308,6 +310,7 @@
         }
     }
 
+    /// Restores one session record of an incarnation that this front takes over.
     fn restore_record(&mut self, id: SessionId, record: SessionRecord, out: &mut Vec<Output>) {
         let Some(replication) = &mut self.replication else { return };
         match record {
@@ -524,6 +527,7 @@
         }
     }
 
+    /// Reconciles one session of an incarnation that a box reports; see `reconcile_incarnation`.
     pub(super) fn reconcile_held_session(
         &mut self,
         server: ServerId,
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -70,8 +70,8 @@
                     shutdown_replies.push(done);
                     self.apply_input(Input::ShutDown)
                 }
-                Ok(EngineMessage::Status(to)) => {
-                    let _ = to.send(self.status());
+                Ok(EngineMessage::Status(reply)) => {
+                    let _ = reply.send(self.status());
                     false
                 }
                 Ok(EngineMessage::Attach(client, sink)) => {
@@ -118,7 +118,7 @@
     /// the next deadline at the latest.
     fn next_message(&mut self) -> Result<EngineMessage, RecvTimeoutError> {
         match self.inbox.try_recv() {
-            Ok(msg) => return Ok(msg),
+            Ok(message) => return Ok(message),
             Err(TryRecvError::Disconnected) => return Err(RecvTimeoutError::Disconnected),
             Err(TryRecvError::Empty) => {}
         }
@@ -181,8 +181,8 @@
         // it for the input, it would not notice, and would take its own suspension for silence of the boxes:
         // all their sessions would be lost. So both use the same reading.
         let now = self.clock.now();
-        if let Some(lost) = self.pauses.called(now) {
-            tracing::warn!(ms = lost / 1000, "this process was not running");
+        if let Some(suspended) = self.pauses.called(now) {
+            tracing::warn!(ms = suspended / 1000, "this process was not running");
             self.ledger.handle(now, Input::ProcessResumed, &mut outputs);
         }
         self.pauses.ask(now + MAX_WAIT_US);
@@ -245,8 +245,8 @@
     fn answer(&mut self, client: ClientId, ticket: Ticket, answer: &Answer) {
         match self.clients.get_mut(&client) {
             Some(ClientSink::Socket(socket)) => socket.answer(ticket, |id| rpc::open_response(id, answer)),
-            Some(ClientSink::Caller(to)) => {
-                let _ = to.send(CallerMessage::Answer(answer.clone()));
+            Some(ClientSink::Caller(sender)) => {
+                let _ = sender.send(CallerMessage::Answer(answer.clone()));
             }
             None => {}
         }
@@ -255,8 +255,8 @@
     fn reply(&mut self, client: ClientId, ticket: Ticket, reply: &Reply) {
         match self.clients.get_mut(&client) {
             Some(ClientSink::Socket(socket)) => socket.answer(ticket, |id| rpc::call_response(id, reply)),
-            Some(ClientSink::Caller(to)) => {
-                let _ = to.send(CallerMessage::Reply(reply.clone()));
+            Some(ClientSink::Caller(sender)) => {
+                let _ = sender.send(CallerMessage::Reply(reply.clone()));
             }
             None => {}
         }
@@ -265,8 +265,8 @@
     fn notify(&mut self, client: ClientId, notification: &Notification) {
         match self.clients.get_mut(&client) {
             Some(ClientSink::Socket(socket)) => socket.write(&rpc::notification(notification)),
-            Some(ClientSink::Caller(to)) => {
-                let _ = to.send(CallerMessage::Notification(notification.clone()));
+            Some(ClientSink::Caller(sender)) => {
+                let _ = sender.send(CallerMessage::Notification(notification.clone()));
             }
             None => {}
         }
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -199,9 +199,9 @@
     /// Returns the sink for replication results and takeovers; for settings with `copies`.
     pub fn replication_sink(&self) -> impl Fn(Told) + Send + 'static {
         let engine = self.engine.clone();
-        move |told| {
-            let input = match told {
-                Told::Kept(key, kept) => Input::RecordStored(key, kept),
+        move |event| {
+            let input = match event {
+                Told::Kept(key, stored) => Input::RecordStored(key, stored),
                 Told::Adopt(incarnation, epoch, records) => Input::TakeOver(incarnation, epoch, records),
                 Told::Replaced(incarnation, _) => Input::TakenOver(incarnation),
                 Told::Gone(incarnation) => Input::TakeoverSuperseded(incarnation),
@@ -214,8 +214,8 @@
     pub fn peers_sink(&self) -> impl Fn(&[Known]) + Send + 'static {
         let engine = self.engine.clone();
         move |known| {
-            let peer = |one: &Known| {
-                (Arc::clone(&one.name), PeerFront { in_view: one.here, client_address: one.serves })
+            let peer = |known: &Known| {
+                (Arc::clone(&known.name), PeerFront { in_view: known.here, client_address: known.serves })
             };
             let _ = engine.send(EngineMessage::Input(Input::Peers(known.iter().map(peer).collect())));
         }
@@ -233,9 +233,9 @@
 
     /// Status of the front.
     pub fn status(&self) -> FrontStatus {
-        let (to, answer) = crossbeam_channel::bounded(1);
-        let _ = self.engine.send(EngineMessage::Status(to));
-        answer.recv_timeout(Duration::from_secs(5)).unwrap_or_default()
+        let (sender, reply) = crossbeam_channel::bounded(1);
+        let _ = self.engine.send(EngineMessage::Status(sender));
+        reply.recv_timeout(Duration::from_secs(5)).unwrap_or_default()
     }
 
     /// Opens a session. The request is accepted when this returns, and is answered within the patience.
@@ -266,13 +266,13 @@
             moved_from: request.moved_from.as_deref().map(|id| SessionId(Arc::from(id))),
         };
         let client = ClientId(self.clients.fetch_add(1, Ordering::Relaxed));
-        let (to, told) = crossbeam_channel::unbounded();
-        let attach = self.engine.send(EngineMessage::Attach(client, ClientSink::Caller(to)));
+        let (sender, messages) = crossbeam_channel::unbounded();
+        let attach = self.engine.send(EngineMessage::Attach(client, ClientSink::Caller(sender)));
         let open = self.engine.send(EngineMessage::Input(Input::Open(client, OPEN_TICKET, open_request)));
         if attach.is_err() || open.is_err() {
             return Err(OpenError::Ended);
         }
-        Ok(Session { client, engine: self.engine.clone(), messages: told })
+        Ok(Session { client, engine: self.engine.clone(), messages })
     }
 
     /// Shuts down in order: accepts no further requests, answers pending ones, releases playing sessions and
@@ -291,9 +291,9 @@
     }
 
     fn end(&mut self, within: Duration) -> Option<Counts> {
-        let (done, told) = crossbeam_channel::bounded(1);
+        let (done, reply) = crossbeam_channel::bounded(1);
         let _ = self.engine.send(EngineMessage::ShutDown(done));
-        let counts = told.recv_timeout(within).ok();
+        let counts = reply.recv_timeout(within).ok();
         let _ = self.engine.send(EngineMessage::Kill);
         counts
     }
@@ -348,9 +348,9 @@
     }
 
     /// Waits for a notification.
-    pub fn news(&self, within: Duration) -> Option<Notification> {
+    pub fn notification(&self, within: Duration) -> Option<Notification> {
         match self.next(within)? {
-            CallerMessage::Notification(news) => Some(news),
+            CallerMessage::Notification(notification) => Some(notification),
             CallerMessage::Answer(_) | CallerMessage::Reply(_) => None,
         }
     }
@@ -364,8 +364,8 @@
     pub fn close(self, session: &SessionId, within: Duration) -> bool {
         let _ =
             self.engine.send(EngineMessage::Input(Input::Close(self.client, OTHER_TICKET, session.clone())));
-        while let Some(told) = self.next(within) {
-            if let CallerMessage::Reply(reply) = told {
+        while let Some(message) = self.next(within) {
+            if let CallerMessage::Reply(reply) = message {
                 return matches!(reply, Reply::Closed(_));
             }
         }
