--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,5 @@
-//! What the platform tells a front node at its start, as JSON in the file that `GW_CONFIG` names.
+//! The configuration that the platform gives a front node at its start: JSON in the file named by
+//! `GW_CONFIG`.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -11,37 +12,37 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-use crate::wire::words;
+use crate::wire::values;
 
-/// Why the file cannot be used; the text names file, field and reason.
+/// Why the file cannot be used; the text names the file, the field and the reason.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable is not set.
+    /// An environment variable is not set.
     #[error("{0} is not set")]
     Variable(&'static str),
     /// The file cannot be read.
     #[error("{0}: cannot be read: {1}")]
     Read(PathBuf, std::io::Error),
-    /// It is not the JSON that it should be.
+    /// The file is not JSON of the expected structure.
     #[error("{0}: {1}")]
     Json(PathBuf, serde_json::Error),
-    /// A field cannot be used.
+    /// The value of a field is invalid.
     #[error("{0}: {1}: {2}")]
     Field(PathBuf, String, String),
-    /// The settings cannot be used.
+    /// The settings are invalid.
     #[error("{0}: settings: {1}")]
     Settings(PathBuf, FactsError),
 }
 
-/// What the process may use.
+/// Resources that the process may use.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(default)]
 pub struct Limits {
-    /// Part of a core.
+    /// Processor cores; may be a fraction.
     pub cores: f64,
     /// Memory, MB.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
@@ -54,21 +55,21 @@
 /// The configuration of a front node.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the node, the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Seed of the draws; new with each start.
+    /// Seed of the random numbers; differs at each start.
     pub seed: u64,
-    /// What the process may use.
+    /// Resources that the process may use.
     pub limits: Limits,
-    /// Where the list is told.
+    /// Address of the coordinator, which sends the server list.
     pub coordinator: SocketAddr,
-    /// Number of the last event that is known.
+    /// Number of the last known event of the list.
     pub index: u64,
-    /// The list as known: it may be old.
+    /// The list as of that event; it may be outdated.
     pub known: Vec<Listed>,
-    /// The settings of the module and of the sockets.
+    /// The settings of the decider and of the sockets.
     pub facts: Facts,
 }
 
@@ -124,31 +125,30 @@
 }
 
 impl Config {
-    /// Reads the file.
+    /// Reads the configuration file.
     ///
     /// # Errors
-    /// It cannot be read or used; the text names file, field and reason.
+    /// The file cannot be read or is invalid; the text names the file, the field and the reason.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let text = fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
         Config::parse(&text, path)
     }
 
-    /// The same from its text.
+    /// Parses the text of a configuration file; `path` is for error messages.
     ///
     /// # Errors
-    /// It cannot be used.
+    /// The configuration is invalid.
     pub fn parse(text: &str, path: &Path) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text).map_err(|e| ConfigError::Json(path.into(), e))?;
-        let bad = |field: &str, why: &str| ConfigError::Field(path.into(), field.into(), why.into());
+        let field_error = |field: &str, why: &str| ConfigError::Field(path.into(), field.into(), why.into());
         let facts = Facts::from_value(file.settings).map_err(|e| ConfigError::Settings(path.into(), e))?;
         if facts.settings.classes.is_empty() || facts.settings.ladder.is_empty() {
-            return Err(bad("settings", "no class or no rung"));
+            return Err(field_error("settings", "no classes or no rungs"));
         }
         let seed = match &file.seed {
             serde_json::Value::Number(number) => number.as_u64().unwrap_or(0),
-            serde_json::Value::String(text) => {
-                u64::from_str_radix(text, 16).map_err(|_| bad("seed", "neither a number nor hex digits"))?
-            }
+            serde_json::Value::String(text) => u64::from_str_radix(text, 16)
+                .map_err(|_| field_error("seed", "neither a number nor hex digits"))?,
             _ => 0,
         };
         let mut known: BTreeMap<ServerId, Listed> = BTreeMap::new();
@@ -157,7 +157,7 @@
                 known.clear();
             }
             for host in update.endpoints.hosts {
-                let listed = host.listed(&facts).map_err(|(field, why)| bad(field, &why))?;
+                let listed = host.listed(&facts).map_err(|(field, why)| field_error(field, &why))?;
                 let server = listed.entry.server;
                 if listed.entry.state == ServerState::Gone {
                     known.remove(&server);
@@ -179,49 +179,51 @@
     }
 }
 
-/// Where the coordinator is, by a configuration that replaces another one in service. The list and the settings in it, which
-/// a start alone takes, are read over: with thousands of servers they take time in which everybody waits.
+/// Reads the coordinator's address from a configuration that replaces another one in service. The list and
+/// the settings, which are used only at a start, are skipped: with thousands of servers, parsing them takes
+/// time in which all clients wait.
 ///
 /// # Errors
-/// The file cannot be read or is not JSON, or `coordinator` cannot be used.
+/// The file cannot be read or is not JSON, or `coordinator` is invalid.
 pub fn load_coordinator(path: &Path) -> Result<SocketAddr, ConfigError> {
     #[derive(Deserialize)]
-    struct Renewed {
+    struct CoordinatorOnly {
         coordinator: String,
     }
     let text = fs::read_to_string(path).map_err(|e| ConfigError::Read(path.into(), e))?;
-    let file: Renewed = serde_json::from_str(&text).map_err(|e| ConfigError::Json(path.into(), e))?;
+    let file: CoordinatorOnly = serde_json::from_str(&text).map_err(|e| ConfigError::Json(path.into(), e))?;
     parse_address(path, "coordinator", &file.coordinator)
 }
 
 fn parse_address(path: &Path, field: &str, text: &str) -> Result<SocketAddr, ConfigError> {
-    let why = || format!("`{text}` is no address and port");
-    text.parse().map_err(|_| ConfigError::Field(path.into(), field.into(), why()))
+    let reason = || format!("`{text}` is no address and port");
+    text.parse().map_err(|_| ConfigError::Field(path.into(), field.into(), reason()))
 }
 
 impl Host {
     fn listed(&self, facts: &Facts) -> Result<Listed, (&'static str, String)> {
-        let place = |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
-        let id = words::server_id(&self.host)
-            .ok_or(("known.host", format!("`{}` is no media server", self.host)))?;
+        let index_of =
+            |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
+        let id = values::parse_server_id(&self.host)
+            .ok_or(("known.host", format!("`{}` is not a media server id", self.host)))?;
         let state = match self.health.as_str() {
             "active" => ServerState::Ready,
             "leaving" => ServerState::Draining,
             "left" => ServerState::Gone,
-            other => return Err(("known.health", format!("`{other}` is no state"))),
+            other => return Err(("known.health", format!("unknown state `{other}`"))),
         };
         let address = self.dial.parse();
         Ok(Listed {
             entry: ServerEntry {
                 server: ServerId(id),
-                zone: place(&facts.zones, &self.site),
-                kind: place(&facts.kinds, &self.class),
+                zone: index_of(&facts.zones, &self.site),
+                kind: index_of(&facts.kinds, &self.class),
                 cell: self.block,
                 state,
                 units: self.share.filter(|units| units.is_finite()).unwrap_or(1.0),
                 started: Some(salttally::facts::micros(self.born_ms)).filter(|at| *at > 0),
             },
-            address: address.map_err(|_| ("known.dial", format!("`{}` is no address", self.dial)))?,
+            address: address.map_err(|_| ("known.dial", format!("`{}` is not an address", self.dial)))?,
         })
     }
 }
--- a/crates/platform/src/core/health.rs
+++ b/crates/platform/src/core/health.rs
@@ -1,10 +1,10 @@
-//! Whether a media server that holds sessions is there. A media server that dies or vanishes cannot say so, and its
-//! sessions are cut:
-//! their clients must be released within seconds, and come again.
+//! Liveness checks of media servers that hold sessions. A media server that dies or vanishes cannot report
+//! it, and its sessions are cut: their clients must be released within seconds, to come again.
 //!
-//! What is heard shows life. After a while of silence, and when its last connection has gone, a new connection is made:
-//! made, the media server lives (and says on it what ended meanwhile); refused twice, its process is dead; not made for
-//! long enough, the machine is gone or cut off. A look costs the media server nothing but the handshake.
+//! Anything received from a server shows that it is alive. After some silence, and when its last connection
+//! is gone, a new connection is opened. If it is established, the media server is alive, and reports on it
+//! which sessions have ended meanwhile; if it is refused twice, the process is dead; if it is not established
+//! for long enough, the machine is gone or cut off. A check costs the media server nothing but the handshake.
 
 use std::collections::BTreeMap;
 
@@ -12,46 +12,46 @@
 
 use super::DialError;
 
-/// Silence after which a new connection is made.
+/// Silence after which a new connection is opened.
 const CHECK_AFTER_SILENCE: Micros = 2_000_000;
-/// From the first that was not made, a media server that cannot be reached is taken for lost after this.
+/// Time from the first failed connection until an unreachable media server is taken for lost.
 const UNREACHABLE_AFTER: Micros = 1_500_000;
-/// Pause between two of them.
+/// Pause between two connection attempts.
 const RETRY_PAUSE: Micros = 150_000;
-/// Refusals in a row by which a process is taken for dead.
+/// Consecutive refusals after which the process is taken for dead.
 const MAX_REFUSALS: u32 = 2;
 
 #[derive(Clone, Debug, Default)]
 struct ServerHealth {
     sessions: usize,
-    heard: Micros,
-    refused: u32,
-    failing: Option<Micros>,
-    /// When the next look is due, if one is.
+    last_heard: Micros,
+    refusals: u32,
+    failing_since: Option<Micros>,
+    /// When the next check is due, if one is.
     next_check: Option<Micros>,
 }
 
-/// What a failed dial means for what stands at the media server.
+/// What a failed connection attempt means for the sessions at the media server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing yet, or nothing stands there.
-    Fine,
-    /// Check again then.
-    Again(Micros),
-    /// It is lost.
+    /// Nothing yet, or there are no sessions.
+    Undecided,
+    /// Check again at this time.
+    CheckAt(Micros),
+    /// The sessions are lost.
     Lost,
 }
 
-/// What a look asks for.
+/// What a check requires.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Check {
-    /// Make a new connection.
+    /// Open a new connection.
     pub dial: bool,
-    /// Check again then.
-    pub again: Option<Micros>,
+    /// Check again at this time.
+    pub next_check: Option<Micros>,
 }
 
-/// The servers that hold sessions.
+/// The health of the servers that hold sessions.
 #[derive(Clone, Debug)]
 pub struct Health {
     servers: BTreeMap<ServerId, ServerHealth>,
@@ -59,17 +59,17 @@
 }
 
 impl Health {
-    /// None yet. A dial that is not made within this time has failed.
+    /// No servers yet. A connection that is not established within `connect_within` has failed.
     pub fn new(connect_within: Micros) -> Health {
         Health { servers: BTreeMap::new(), connect_within }
     }
 
-    /// A media server holds one more session. Tells when to look, if no look is due.
+    /// A media server holds one more session. Returns the time of the first check, if none is scheduled yet.
     pub fn session_started(&mut self, now: Micros, server: ServerId) -> Option<Micros> {
         let health = self
             .servers
             .entry(server)
-            .or_insert_with(|| ServerHealth { heard: now, ..ServerHealth::default() });
+            .or_insert_with(|| ServerHealth { last_heard: now, ..ServerHealth::default() });
         health.sessions += 1;
         if health.next_check.is_some() {
             return None;
@@ -78,7 +78,7 @@
         health.next_check
     }
 
-    /// It holds one less.
+    /// A media server holds one session less.
     pub fn session_ended(&mut self, server: ServerId) {
         if let Some(health) = self.servers.get_mut(&server) {
             health.sessions = health.sessions.saturating_sub(1);
@@ -88,45 +88,48 @@
         }
     }
 
-    /// Something was heard of it, or a connection made.
-    pub fn heard(&mut self, now: Micros, server: ServerId) {
+    /// Something was received from a media server, or a connection to it established.
+    pub fn mark_alive(&mut self, now: Micros, server: ServerId) {
         if let Some(health) = self.servers.get_mut(&server) {
-            (health.heard, health.refused, health.failing) = (now, 0, None);
+            (health.last_heard, health.refusals, health.failing_since) = (now, 0, None);
         }
     }
 
-    /// A look is due, or `gone`: its last connection has ended, or there was none yet. One that was closed here to make
-    /// room says nothing of the media server.
-    pub fn check(&mut self, now: Micros, server: ServerId, gone: bool) -> Check {
+    /// Performs a scheduled check, or one because the server is `disconnected`: its last connection is gone, or
+    /// there was none. A connection that was closed here to make room proves nothing about the media server.
+    pub fn check(&mut self, now: Micros, server: ServerId, disconnected: bool) -> Check {
         let Some(health) = self.servers.get_mut(&server) else { return Check::default() };
-        let quiet = health.heard + CHECK_AFTER_SILENCE <= now;
-        let dial = gone || quiet || health.failing.is_some();
-        // A dial under way ends by itself and is judged then.
-        let next =
-            if dial { now + self.connect_within + RETRY_PAUSE } else { health.heard + CHECK_AFTER_SILENCE };
-        if health.next_check.is_some_and(|due| due > now && due <= next) {
-            return Check { dial, again: None };
+        let is_silent = health.last_heard + CHECK_AFTER_SILENCE <= now;
+        let dial = disconnected || is_silent || health.failing_since.is_some();
+        // A connection attempt in progress ends by itself, and is judged then.
+        let next_check = if dial {
+            now + self.connect_within + RETRY_PAUSE
+        } else {
+            health.last_heard + CHECK_AFTER_SILENCE
+        };
+        if health.next_check.is_some_and(|due| due > now && due <= next_check) {
+            return Check { dial, next_check: None };
         }
-        health.next_check = Some(next);
-        Check { dial, again: Some(next) }
+        health.next_check = Some(next_check);
+        Check { dial, next_check: Some(next_check) }
     }
 
-    /// A dial has failed.
+    /// A connection attempt has failed.
     pub fn connect_failed(&mut self, now: Micros, server: ServerId, error: DialError) -> Verdict {
-        let Some(health) = self.servers.get_mut(&server) else { return Verdict::Fine };
-        let since = *health.failing.get_or_insert(now);
+        let Some(health) = self.servers.get_mut(&server) else { return Verdict::Undecided };
+        let since = *health.failing_since.get_or_insert(now);
         if error == DialError::Refused {
-            health.refused += 1;
+            health.refusals += 1;
         }
-        if health.refused >= MAX_REFUSALS || since + UNREACHABLE_AFTER <= now {
+        if health.refusals >= MAX_REFUSALS || since + UNREACHABLE_AFTER <= now {
             return Verdict::Lost;
         }
         health.next_check = Some(now + RETRY_PAUSE);
-        Verdict::Again(now + RETRY_PAUSE)
+        Verdict::CheckAt(now + RETRY_PAUSE)
     }
 
-    /// Sessions held and when the media server was last heard of, by media server.
+    /// For each media server: the number of its sessions, and when it was last heard.
     pub fn states(&self) -> impl Iterator<Item = (ServerId, usize, Micros)> + '_ {
-        self.servers.iter().map(|(id, health)| (*id, health.sessions, health.heard))
+        self.servers.iter().map(|(id, health)| (*id, health.sessions, health.last_heard))
     }
 }
--- a/crates/platform/src/core/in_doubt.rs
+++ b/crates/platform/src/core/in_doubt.rs
@@ -1,14 +1,16 @@
 //! Attempts that were given up and are not known to be over at their servers.
 //!
-//! A give-up and the next set-up of the same session would go out on two connections, which nothing orders: the server
-//! may read the set-up first, run two attempts at once, and end the wrong one by the give-up, which names the session
-//! alone. So the same server gets no further attempt until it has shown that the one before is over: by hearing of the
-//! give-up, by a release, or by closing the connection itself. A close by this side shows nothing.
+//! A give-up and the next set-up of the same session would travel on two connections, which have no common
+//! order: the server may read the set-up first, run two attempts at once, and end the wrong one by the
+//! give-up, which names only the session. So the same server gets no further attempt until it has shown that
+//! the earlier one is over: by acknowledging the give-up, by a release, or by closing the connection itself.
+//! A close by this node proves nothing.
 
 use super::*;
 
 impl<D: Decider> Core<D> {
-    /// An attempt on this connection was given up, or its connection closed here, and it may go on at the server.
+    /// Marks an attempt that was given up on this connection, or whose connection was closed here, and that
+    /// may still run at the server.
     pub(super) fn mark_in_doubt(&mut self, id: u64, server: ServerId, conn: ConnId, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id).filter(|entry| entry.session.owed()) else { return };
         entry.in_doubt.push((server, conn));
@@ -16,31 +18,33 @@
         let text =
             format!("request {id:016x}: given up at s-{:08x} on connection {}, in doubt", server.0, conn.0);
         out.push(Command::Log(Level::Info, text));
-        self.events.push_back(Event::InDoubt { session: name(id), server });
+        self.events.push_back(Event::InDoubt { session: session_id(id), server });
     }
 
-    /// The server has answered the give-up of this session on this connection.
-    pub(super) fn give_up_heard(&mut self, id: u64, conn: ConnId, out: &mut Vec<Command>) {
+    /// The server has acknowledged the give-up of this session on this connection.
+    pub(super) fn give_up_acknowledged(&mut self, id: u64, conn: ConnId, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         let Some(at) = entry.in_doubt.iter().position(|(_, on)| *on == conn) else { return };
         let (server, _) = entry.in_doubt.remove(at);
-        self.resolved(id, server, "heard", out);
+        self.resolve(id, server, "heard", out);
     }
 
-    /// The server has closed this connection: all that was given up on it is over.
+    /// The server has closed this connection: every attempt given up on it is over.
     pub(super) fn closed_by_server(&mut self, conn: ConnId, out: &mut Vec<Command>) {
-        let on = |entry: &Entry| entry.in_doubt.iter().find(|(_, on)| *on == conn).map(|(server, _)| *server);
-        let over: Vec<_> = self.sessions.iter().filter_map(|(id, e)| Some((*id, on(e)?))).collect();
-        for (id, server) in over {
+        let on = |entry: &SessionEntry| {
+            entry.in_doubt.iter().find(|(_, on)| *on == conn).map(|(server, _)| *server)
+        };
+        let resolved: Vec<_> = self.sessions.iter().filter_map(|(id, e)| Some((*id, on(e)?))).collect();
+        for (id, server) in resolved {
             self.sessions.entry(id).and_modify(|entry| entry.in_doubt.retain(|(_, on)| *on != conn));
-            self.resolved(id, server, "closed", out);
+            self.resolve(id, server, "closed", out);
         }
     }
 
-    fn resolved(&mut self, id: u64, server: ServerId, how: &str, out: &mut Vec<Command>) {
+    fn resolve(&mut self, id: u64, server: ServerId, how: &str, out: &mut Vec<Command>) {
         self.counts.resolved += 1;
-        let text = format!("request {id:016x}: over at s-{:08x}, {how}", server.0);
+        let text = format!("request {id:016x}: attempt at s-{:08x} is over, {how}", server.0);
         out.push(Command::Log(Level::Info, text));
-        self.events.push_back(Event::Resolved { session: name(id), server });
+        self.events.push_back(Event::Resolved { session: session_id(id), server });
     }
 }
--- a/crates/platform/src/core/list_watch.rs
+++ b/crates/platform/src/core/list_watch.rs
@@ -1,10 +1,11 @@
-//! The numbered events of the list. Doubles are dropped, a gap or silence brings a new call with the last number,
-//! and half an event changes nothing.
+//! Follows the numbered events of the server list. Duplicates are dropped, a gap or silence leads to a new
+//! connection that continues after the last event, and a partial event changes nothing.
 //!
-//! A server that is announced as leaving may be sent nothing once the settings' drain grace is over, counted from when
-//! the coordinator has the event, connected or not. So while no call stands, a further one begins often enough for a
-//! coordinator that can be reached again to be heard well within the grace. Calls overlap: one that the network
-//! swallowed must not hold up the next, nor may one that comes up slowly be cut off before it does.
+//! A server that is announced as leaving must not be sent anything once the settings' drain grace is over,
+//! counted from when the coordinator has the event, whether or not this node is connected. So while no
+//! connection is established, new attempts begin often enough to hear a coordinator that is reachable again
+//! well within the grace. Attempts overlap: one that is lost in the network must not delay the next, and one
+//! that is slow to establish must not be cut off before it does.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -17,85 +18,90 @@
 use super::{Command, Level, Listed, Timer};
 use crate::wire::frames::{Frame, Payload};
 
-/// The coordinator says something each second: it has stopped when not a byte came for so long, and a call that has not
-/// come up by then will not. A long list may take longer than that to come whole.
+/// The coordinator sends something each second: after this long without a byte it has stopped, and a
+/// connection that is not established by then never will be. A long list may take longer than that to arrive
+/// completely.
 const SILENCE_TIMEOUT: Micros = 2_200_000;
-/// The first pause before a new call after one that came to nothing; it doubles.
-const BACKOFF_START: Micros = 50_000;
-/// Of the drain grace, the longest time between the beginnings of two calls: the rest is for the connection, the event
-/// and whatever is under way to the server.
-const GRACE_SHARE: Micros = 5;
-/// Bounds of that time. From the beginning of a silence to the third call it is 2.2 + 0.4 + 0.4 = 3.0 s at most, of the
-/// 4 s after which what a silent coordinator would have told counts.
-const RECONNECT_INTERVAL: (Micros, Micros) = (25_000, 400_000);
-/// Calls under way at a time, each with a descriptor. The oldest is kept until it is given up, so that a network in
-/// which a connection takes longer than the time between two calls is got through.
+/// The first pause before a new connection after a failed one; it doubles with each failure.
+const INITIAL_BACKOFF: Micros = 50_000;
+/// The longest interval between the starts of two connection attempts is the drain grace divided by this: the
+/// rest of the grace is for the connection, the event and whatever is under way to the server.
+const GRACE_DIVISOR: Micros = 5;
+/// Bounds of that interval, minimum and maximum. From the beginning of a silence to the third attempt it
+/// takes 2.2 + 0.4 + 0.4 = 3.0 s at most, of the 4 s after which an event that a silent coordinator would
+/// have sent takes effect.
+const RECONNECT_INTERVAL_BOUNDS: (Micros, Micros) = (25_000, 400_000);
+/// Maximum number of concurrent connection attempts, each with a descriptor. The oldest is kept until it
+/// times out, to get through a network in which establishing a connection takes longer than the interval
+/// between two attempts.
 pub const MAX_CONNECTS: usize = 4;
 
-/// What is new of the list.
+/// A change of the list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
-    /// The whole list.
-    Whole(Vec<Listed>),
-    /// What has changed; empty where nothing has.
+    /// The complete list.
+    Full(Vec<Listed>),
+    /// The entries that have changed; empty where none have.
     Changes(Vec<Listed>),
 }
 
-/// Follows one coordinator at a time.
+/// The connection to the coordinator, one coordinator at a time.
 #[derive(Clone, Debug)]
 pub struct ListWatch {
-    at: Option<SocketAddr>,
+    coordinator: Option<SocketAddr>,
     /// Number of the last event.
-    last: u64,
-    /// Number of the latest call.
-    call: u64,
-    /// The call that stands.
-    standing: Option<u64>,
-    /// Calls that are being made, the oldest first, and when each began.
+    last_event: u64,
+    /// Number of the latest connection attempt.
+    last_connection: u64,
+    /// The established connection.
+    established: Option<u64>,
+    /// Connection attempts in progress, the oldest first, and when each began.
     connecting: VecDeque<(u64, Micros)>,
-    /// The call that stands has told something.
-    heard_on_call: bool,
-    heard: Micros,
+    /// Whether a frame has arrived on the established connection.
+    has_received_frame: bool,
+    last_received: Micros,
     failures: u32,
     synced: bool,
-    /// When it is looked at next.
-    due: Option<Micros>,
+    /// When the next check is due.
+    next_check: Option<Micros>,
     reconnect_interval: Micros,
-    draws: Pcg32,
+    rng: Pcg32,
 }
 
 impl ListWatch {
-    /// Follows nothing yet. No two calls begin further apart than a part of this grace while none stands; all nodes
-    /// lose their coordinator at once, and the draws by `seed` keep them from coming back in step.
+    /// Follows no coordinator yet. While no connection is established, attempts begin no further apart than a
+    /// part of `drain_grace`. All nodes lose their coordinator at once, and the random numbers drawn by
+    /// `seed` keep them from reconnecting in step.
     pub fn new(drain_grace: Micros, seed: u64) -> ListWatch {
         ListWatch {
-            at: None,
-            last: 0,
-            call: 0,
-            standing: None,
+            coordinator: None,
+            last_event: 0,
+            last_connection: 0,
+            established: None,
             connecting: VecDeque::new(),
-            heard_on_call: false,
-            heard: 0,
+            has_received_frame: false,
+            last_received: 0,
             failures: 0,
             synced: false,
-            due: None,
-            reconnect_interval: (drain_grace / GRACE_SHARE).clamp(RECONNECT_INTERVAL.0, RECONNECT_INTERVAL.1),
-            draws: Pcg32::seed_from_u64(seed),
+            next_check: None,
+            reconnect_interval: (drain_grace / GRACE_DIVISOR)
+                .clamp(RECONNECT_INTERVAL_BOUNDS.0, RECONNECT_INTERVAL_BOUNDS.1),
+            rng: Pcg32::seed_from_u64(seed),
         }
     }
 
-    /// Number of the last event, and when the coordinator was last heard, if it was.
+    /// Number of the last event, and when the coordinator was last heard, if ever.
     pub fn last_heard(&self) -> (u64, Option<Micros>) {
-        (self.last, Some(self.heard).filter(|at| *at > 0))
+        (self.last_event, Some(self.last_received).filter(|at| *at > 0))
     }
 
-    /// Whether the coordinator was heard since the start.
+    /// Whether the coordinator has been heard since the start.
     pub fn synced(&self) -> bool {
         self.synced
     }
 
-    /// Begins after this event.
-    pub fn begin(
+    /// Connects to the coordinator, and continues after this event.
+    pub fn start(
         &mut self,
         now: Micros,
         last: u64,
@@ -103,11 +109,11 @@
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) {
-        (self.last, self.at) = (last, Some(at));
+        (self.last_event, self.coordinator) = (last, Some(at));
         self.connect(now, timers, out);
     }
 
-    /// The list is told elsewhere from now on; the numbers carry on.
+    /// Follows a coordinator at another address; the event numbers continue.
     pub fn follow(
         &mut self,
         now: Micros,
@@ -115,144 +121,158 @@
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) {
-        if self.at == Some(at) && (self.standing.is_some() || !self.connecting.is_empty()) {
+        if self.coordinator == Some(at) && (self.established.is_some() || !self.connecting.is_empty()) {
             return;
         }
-        self.at = Some(at);
+        self.coordinator = Some(at);
         self.failures = 0;
-        let calls = std::mem::take(&mut self.connecting);
-        out.extend(calls.into_iter().map(|(call, _)| Command::CloseList(call)));
+        let connections = std::mem::take(&mut self.connecting);
+        out.extend(connections.into_iter().map(|(connection, _)| Command::CloseList(connection)));
         self.connect(now, timers, out);
     }
 
-    /// Begins a call; the one that stood is over.
+    /// Begins a connection attempt; an established connection is closed.
     fn connect(&mut self, now: Micros, timers: &mut Timers<Timer>, out: &mut Vec<Command>) {
-        let Some(at) = self.at else { return };
-        out.extend(self.standing.take().map(Command::CloseList));
+        let Some(at) = self.coordinator else { return };
+        out.extend(self.established.take().map(Command::CloseList));
         if self.connecting.len() >= MAX_CONNECTS {
-            out.extend(self.connecting.remove(1).map(|(call, _)| Command::CloseList(call)));
+            out.extend(self.connecting.remove(1).map(|(connection, _)| Command::CloseList(connection)));
         }
-        self.call += 1;
-        self.connecting.push_back((self.call, now));
-        let text = format!("list: call {} to {at} after event {}", self.call, self.last);
+        self.last_connection += 1;
+        self.connecting.push_back((self.last_connection, now));
+        let text =
+            format!("list: connection {} to {at} after event {}", self.last_connection, self.last_event);
         out.push(Command::Log(Level::Info, text));
-        out.push(Command::ConnectList(self.call, at, self.last));
-        self.arm(now + self.reconnect_interval, timers);
+        out.push(Command::ConnectList(self.last_connection, at, self.last_event));
+        self.schedule_check(now + self.reconnect_interval, timers);
     }
 
-    fn arm(&mut self, at: Micros, timers: &mut Timers<Timer>) {
-        if let Some(before) = self.due.replace(at) {
+    fn schedule_check(&mut self, at: Micros, timers: &mut Timers<Timer>) {
+        if let Some(before) = self.next_check.replace(at) {
             timers.unset(before, Timer::ListWatch);
         }
         timers.set(at, Timer::ListWatch);
     }
 
-    /// The call stands: the others are over.
-    pub fn connected(&mut self, now: Micros, call: u64, timers: &mut Timers<Timer>, out: &mut Vec<Command>) {
-        if self.connecting.iter().all(|(other, _)| *other != call) {
+    /// A connection is established: the others are closed.
+    pub fn connected(
+        &mut self,
+        now: Micros,
+        connection: u64,
+        timers: &mut Timers<Timer>,
+        out: &mut Vec<Command>,
+    ) {
+        if self.connecting.iter().all(|(other, _)| *other != connection) {
             return;
         }
-        let calls = std::mem::take(&mut self.connecting);
-        let others = calls.into_iter().map(|(other, _)| other).filter(|other| *other != call);
-        out.extend(self.standing.replace(call).into_iter().chain(others).map(Command::CloseList));
-        (self.heard, self.heard_on_call) = (now, false);
-        out.push(Command::Log(Level::Info, format!("list: call {call} stands")));
-        self.arm(now + SILENCE_TIMEOUT, timers);
+        let connections = std::mem::take(&mut self.connecting);
+        let others = connections.into_iter().map(|(other, _)| other).filter(|other| *other != connection);
+        out.extend(self.established.replace(connection).into_iter().chain(others).map(Command::CloseList));
+        (self.last_received, self.has_received_frame) = (now, false);
+        out.push(Command::Log(Level::Info, format!("list: connection {connection} established")));
+        self.schedule_check(now + SILENCE_TIMEOUT, timers);
     }
 
-    /// It broke, came to nothing, or cannot be read.
-    pub fn disconnected(&mut self, now: Micros, call: u64, timers: &mut Timers<Timer>) {
-        let known = self.connecting.len();
-        self.connecting.retain(|(other, _)| *other != call);
-        if self.standing.take_if(|standing| *standing == call).is_some() {
+    /// A connection broke, could not be established, or could not be decoded.
+    pub fn disconnected(&mut self, now: Micros, connection: u64, timers: &mut Timers<Timer>) {
+        let count_before = self.connecting.len();
+        self.connecting.retain(|(other, _)| *other != connection);
+        if self.established.take_if(|established| *established == connection).is_some() {
             self.back_off(now, timers);
-        } else if self.connecting.is_empty() && known > 0 {
-            // Sooner than the next call would begin, where that is far off.
-            let due = self.due.unwrap_or(Micros::MAX);
+        } else if self.connecting.is_empty() && count_before > 0 {
+            // The next attempt was due sooner than the backoff ends.
+            let due = self.next_check.unwrap_or(Micros::MAX);
             self.back_off(now, timers);
-            if due < self.due.unwrap_or(Micros::MAX) {
-                self.arm(due, timers);
+            if due < self.next_check.unwrap_or(Micros::MAX) {
+                self.schedule_check(due, timers);
             }
         }
     }
 
-    /// The next call begins after a while, which doubles with each that came to nothing. Danger: a quarter of it is
-    /// drawn, since all nodes whose coordinator has gone would call in the same instant, again and again.
+    /// Schedules the next attempt after a pause that doubles with each failure. A quarter of the pause is
+    /// random: otherwise all nodes that lost their coordinator would connect at the same instant, again and
+    /// again.
     fn back_off(&mut self, now: Micros, timers: &mut Timers<Timer>) {
-        let longest = (BACKOFF_START << self.failures.min(5)).min(self.reconnect_interval);
+        let backoff = (INITIAL_BACKOFF << self.failures.min(5)).min(self.reconnect_interval);
         self.failures += 1;
-        let drawn = longest / 4 * Micros::from(self.draws.next_u32() % 1024) / 1024;
-        self.arm(now + longest - drawn, timers);
+        let jitter = backoff / 4 * Micros::from(self.rng.next_u32() % 1024) / 1024;
+        self.schedule_check(now + backoff - jitter, timers);
     }
 
-    /// The next call is due, or the coordinator may be silent.
+    /// Begins the next connection attempt, unless the established connection is not silent.
     pub fn timer_fired(&mut self, now: Micros, timers: &mut Timers<Timer>, out: &mut Vec<Command>) {
-        self.due = None;
-        if self.standing.is_some() && self.heard + SILENCE_TIMEOUT > now {
-            return self.arm(self.heard + SILENCE_TIMEOUT, timers);
+        self.next_check = None;
+        if self.established.is_some() && self.last_received + SILENCE_TIMEOUT > now {
+            return self.schedule_check(self.last_received + SILENCE_TIMEOUT, timers);
         }
-        if let Some(call) = self.standing {
-            out.push(Command::Log(Level::Info, format!("list: call {call} is silent")));
+        if let Some(connection) = self.established {
+            out.push(Command::Log(Level::Info, format!("list: connection {connection} is silent")));
         }
-        while let Some((call, _)) =
+        while let Some((connection, _)) =
             self.connecting.front().filter(|(_, began)| began + SILENCE_TIMEOUT <= now)
         {
-            out.push(Command::CloseList(*call));
+            out.push(Command::CloseList(*connection));
             self.connecting.pop_front();
         }
         self.connect(now, timers, out);
     }
 
-    /// Bytes came on a call, and no whole frame yet.
-    pub fn bytes_received(&mut self, now: Micros, call: u64) {
-        if self.standing == Some(call) {
-            self.heard = now;
+    /// Bytes arrived on a connection that do not complete a frame yet.
+    pub fn bytes_received(&mut self, now: Micros, connection: u64) {
+        if self.established == Some(connection) {
+            self.last_received = now;
         }
     }
 
-    /// A frame came; what is new in it.
+    /// A frame arrived; returns the change that it brings.
     pub fn frame_received(
         &mut self,
         now: Micros,
-        call: u64,
+        connection: u64,
         frame: Frame,
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) -> Option<Update> {
-        if self.connecting.iter().any(|(other, _)| *other == call) {
-            self.connected(now, call, timers, out);
+        if self.connecting.iter().any(|(other, _)| *other == connection) {
+            self.connected(now, connection, timers, out);
         }
-        if self.standing != Some(call) {
+        if self.established != Some(connection) {
             return None;
         }
-        self.heard = now;
-        let first_of_call = !std::mem::replace(&mut self.heard_on_call, true);
+        self.last_received = now;
+        let first_of_connection = !std::mem::replace(&mut self.has_received_frame, true);
         let update = match frame.payload {
-            Payload::Nothing if frame.number > self.last => None,
-            Payload::Nothing => Some(Update::Changes(Vec::new())),
-            // What a whole list says of the last event is the state after it, as good as that event.
-            Payload::Whole(lines) if frame.number == self.last && first_of_call => Some(Update::Whole(lines)),
-            _ if frame.number <= self.last => return None,
-            Payload::Whole(lines) => Some(Update::Whole(lines)),
-            Payload::Changes(lines) if frame.number == self.last + 1 => Some(Update::Changes(lines)),
+            Payload::Unchanged if frame.number > self.last_event => None,
+            Payload::Unchanged => Some(Update::Changes(Vec::new())),
+            // A complete list under the last number is the state after that event, as good as the event
+            // itself.
+            Payload::Full(lines) if frame.number == self.last_event && first_of_connection => {
+                Some(Update::Full(lines))
+            }
+            _ if frame.number <= self.last_event => return None,
+            Payload::Full(lines) => Some(Update::Full(lines)),
+            Payload::Changes(lines) if frame.number == self.last_event + 1 => Some(Update::Changes(lines)),
             Payload::Changes(_) => None,
         };
         let Some(update) = update else {
-            let text = format!("list: event {} after {}, asked again", frame.number, self.last);
+            let text = format!(
+                "list: event {} does not follow event {}, connecting again",
+                frame.number, self.last_event
+            );
             out.push(Command::Log(Level::Warn, text));
             if self.failures == 0 {
                 self.failures = 1;
                 self.connect(now, timers, out);
             } else {
-                // Danger: one that never tells what is missing would be called without a pause.
-                out.extend(self.standing.take().map(Command::CloseList));
+                // A coordinator that never sends the missing event would be connected to without a pause.
+                out.extend(self.established.take().map(Command::CloseList));
                 self.back_off(now, timers);
             }
             return None;
         };
         self.failures = 0;
         let empty = matches!(&update, Update::Changes(lines) if lines.is_empty());
-        self.last = self.last.max(frame.number);
+        self.last_event = self.last_event.max(frame.number);
         let first = !std::mem::replace(&mut self.synced, true);
         (first || !empty).then_some(update)
     }
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -1,19 +1,21 @@
-//! A front node as state, with no I/O, clock or thread: told what comes, it answers with what is to be done.
+//! The state machine of a front node, without I/O, clock or threads: events go in, commands for the edge come
+//! out.
 //!
-//! [`Core::handle`] takes the time and one [`NodeEvent`]; [`Core::next_due`] tells when it must be called again. All
-//! decisions are asked of a [`Decider`], which is [`salttally::brain::Brain`] in service. The lock on one answer, one
-//! attempt and single effects is the session's own, [`salttally_front::core::session`], as for every other entry.
+//! [`Core::handle`] takes the time and one [`NodeEvent`]; [`Core::next_due`] returns when it must be called
+//! next. All decisions are made by a [`Decider`], in production [`salttally::brain::Brain`]. The rules that
+//! allow one answer per request, one attempt at a time and no repeated side effect are in
+//! [`salttally_front::core::session`], shared with every other entry.
 //!
-//! - [`mod@self`]: the state, and what the decider's actions become.
-//! - `clients`: requests, give-ups and ends by clients; the one answer.
-//! - `servers`: what servers say of set-ups and of what stands.
-//! - `in_doubt`: attempts that were given up and may go on at their servers.
-//! - [`pool`]: connections to servers, each with many set-ups; what the end of one proves.
-//! - [`health`]: whether a media server that holds sessions is there.
-//! - `releases`: ends that are told until they are heard.
-//! - `shutdown`: the end of the process in order.
-//! - [`list_watch`]: the numbered events of the list.
-//! - [`admission`]: which client connections are kept, and which make room.
+//! - [`mod@self`]: the state, and the execution of the decider's actions.
+//! - `clients`: requests, give-ups and session ends from clients; the single answer to each request.
+//! - `servers`: messages from servers about set-ups and playing sessions.
+//! - `in_doubt`: attempts that were given up and may still run at their servers.
+//! - [`pool`]: connections to servers, each shared by many set-ups; what the end of a connection proves.
+//! - [`health`]: liveness checks of media servers that hold sessions.
+//! - `releases`: releases that are resent until they are acknowledged.
+//! - `shutdown`: the orderly end of the process.
+//! - [`list_watch`]: the numbered events of the server list.
+//! - [`admission`]: which client connections are kept and which are closed to make room.
 
 pub mod admission;
 mod clients;
@@ -45,156 +47,168 @@
 use pool::{Pool, Withdrawn};
 use releases::Releases;
 
-/// What a front node hears.
+/// An event that the edge passes to the core.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
     /// A client's connection was accepted.
     ClientConnected(ClientId),
-    /// A message on it.
+    /// A message arrived on a client's connection.
     ClientMessage(ClientId, Message),
-    /// It cannot be read any further.
+    /// The bytes on a client's connection cannot be decoded any further.
     ClientUnreadable(ClientId),
-    /// It was broken or reset: nothing reaches its peer any more.
+    /// A client's connection broke or was reset: nothing that is written reaches the client any more.
     ClientClosed(ClientId),
-    /// Its peer writes no more, and perhaps reads on.
+    /// The client closed its writing side; it may still be reading.
     ClientHalfClosed(ClientId),
-    /// A dial ended.
+    /// A connection attempt to a media server finished.
     ConnectEnded(ConnId, Result<(), DialError>),
-    /// A media server's message.
+    /// A message from a media server.
     ServerMessage(ConnId, Message),
-    /// Messages of a media server that came in one read, in order.
+    /// Several messages from a media server that came in one read, in order.
     ServerMessages(ConnId, Vec<Message>),
-    /// A media server writes no more on a connection that is ended here. Whether it has read all that was written is told by
-    /// one of the next three.
+    /// A media server closed its writing side of a connection that this node is finishing. One of the next
+    /// three events tells whether the server has read everything that was written.
     ServerHalfClosed(ConnId),
-    /// A media server has closed its connection, and all that it wrote was handed in.
+    /// A media server closed its connection, and everything that it wrote has been passed in.
     ServerClosed(ConnId),
-    /// A media server has reset its connection: it may not have read what was written last.
+    /// A media server reset its connection: it may not have read what was written last.
     ServerReset(ConnId),
-    /// A media server's connection is gone, and its peer has not said so: what was written may still be read there.
+    /// A connection to a media server is gone without a close by the server: the server may still read what
+    /// was written.
     ServerLost(ConnId),
-    /// It cannot be read any further.
+    /// The bytes on a media server's connection cannot be decoded any further.
     ServerUnreadable(ConnId),
-    /// It takes nothing now: of the message of this session a part was written, of these not a byte.
+    /// A media server's connection accepts no more bytes: the set-up of the given session was partly written,
+    /// and of the given messages not a byte was.
     ServerBlocked(ConnId, Option<u64>, Vec<Message>),
-    /// It takes something again.
+    /// A blocked media server connection accepts bytes again.
     ServerWritable(ConnId),
-    /// A connection to the coordinator stands.
+    /// A connection to the coordinator is established.
     ListConnected(u64),
-    /// Bytes on it that make no whole frame yet.
+    /// Bytes arrived on a coordinator connection, and do not complete a frame yet.
     ListBytes(u64),
-    /// A frame on it.
+    /// A frame arrived on a coordinator connection.
     ListFrame(u64, Frame),
-    /// It broke, or could not be made or read.
+    /// A coordinator connection broke, could not be established, or could not be decoded.
     ListClosed(u64),
-    /// The list is told at another address from now on.
+    /// The coordinator is at another address from now on.
     CoordinatorMoved(SocketAddr),
-    /// The process is to end.
+    /// The process was asked to shut down.
     Shutdown,
-    /// Something may be due by this time, at which the sockets were looked at: all that lay in them was handed in.
+    /// Timers up to the given time are to fire. The sockets were polled at that time, and everything that lay
+    /// in them then has been passed in.
     Tick,
 }
 
-/// What the edge is to do.
+/// What the edge has to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Write to a client.
+    /// Write a message to a client.
     SendToClient(ClientId, Message),
-    /// Close a client's connection when all is written.
+    /// Close a client's connection once everything is written.
     CloseClient(ClientId),
     /// Connect to a media server.
     Connect(ConnId, SocketAddr),
-    /// Write to a media server.
+    /// Write a message to a media server.
     SendToServer(ConnId, Message),
-    /// Close a connection to a media server: what it takes at once is written, nothing is waited for.
+    /// Close a connection to a media server: write what the socket accepts at once, and wait for nothing.
     CloseServer(ConnId),
-    /// Write nothing more to a media server, and hand in what it says until it closes too, for a while at most; then that
-    /// it has closed.
+    /// Shut down the writing side of a media server's connection, pass in what the server still sends until
+    /// it closes too or a time limit passes, and then report the close.
     FinishServer(ConnId),
-    /// Connect to the coordinator, and write this number.
+    /// Connect to the coordinator, and send it this event number.
     ConnectList(u64, SocketAddr, u64),
-    /// Close that connection.
+    /// Close a coordinator connection.
     CloseList(u64),
-    /// A line for the operators' log.
+    /// Write a line to the log.
     Log(Level, String),
-    /// Nobody is accepted any more but who has connected by now: the process is about to end.
+    /// Accept the clients that have connected by now and no others: the process is about to exit.
     StopListening,
-    /// All that was owed is answered, and the process may end.
+    /// Every open request has been answered, and the process may exit.
     Exit,
 }
 
-/// What may be due.
+/// A timer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// An attempt runs out of time.
+    /// An attempt times out.
     AttemptTimeout(u64, u32),
-    /// The module wants to be woken with this tag.
+    /// The decider asked to be woken with this tag.
     Wake(u64),
-    /// A session's answer is overdue.
+    /// The answer to a request is overdue.
     AnswerDeadline(u64),
-    /// A moved client is no longer waited for.
-    MovedKept(ViewerId),
-    /// A release may have been lost with its connection.
+    /// A moved client is no longer expected back.
+    MovedClientExpiry(ViewerId),
+    /// Check whether a release was lost with its connection.
     ReleaseCheck(u64),
     /// A moved session has not ended at its media server.
     MoveTimeout(u64),
-    /// A connection is not made in time.
+    /// A connection was not established in time.
     ConnectTimeout(ConnId),
-    /// A connection to a media server may have been idle long enough.
+    /// Check whether a connection to a media server has been idle for too long.
     IdleTimeout(ConnId),
-    /// A connection to a media server may have taken nothing for too long.
+    /// Check whether a connection to a media server has been blocked for too long.
     WriteTimeout(ConnId),
-    /// A probe takes too long.
+    /// A probe times out.
     ProbeTimeout(u64),
-    /// A media server that holds sessions is to be looked at.
+    /// Check a media server that holds sessions.
     HealthCheck(ServerId),
-    /// A client's connection may have been silent long enough.
+    /// Check whether a client's connection has been silent for too long.
     ClientIdle(ClientId),
-    /// The coordinator may be silent, or is to be called again.
+    /// Check for silence of the coordinator, or connect to it again.
     ListWatch,
-    /// The process ends, whatever stands.
+    /// The next step of the shutdown is due.
     Shutdown,
 }
 
-/// A session and what the protocol needs of it.
+/// A session with the state that the platform's protocol needs.
 #[derive(Clone, Debug)]
-pub(crate) struct Entry {
+pub(crate) struct SessionEntry {
     pub session: Session,
-    /// What goes on to servers unchanged, until it plays.
-    pub passed: Vec<(u8, Vec<u8>)>,
-    /// The connection of the attempt that is out, or by which it plays.
+    /// Parameters that are forwarded to servers unchanged, until the session plays.
+    pub forwarded_parameters: Vec<(u8, Vec<u8>)>,
+    /// The connection of the current attempt, or the one on which the session was set up.
     pub conn: Option<ConnId>,
-    /// The connections of the attempts before, on which late words on them may still come.
-    pub before: Vec<ConnId>,
-    /// Servers at which an attempt was given up that may go on there, and its connection.
+    /// The connections of earlier attempts, on which late messages about those attempts may still arrive.
+    pub earlier_conns: Vec<ConnId>,
+    /// Servers at which an attempt was given up that may still run there, each with the connection of the
+    /// attempt.
     pub in_doubt: Vec<(ServerId, ConnId)>,
-    /// Since when it plays.
-    pub since: Micros,
-    /// It was taken off its media server by a move.
+    /// When the session began to play.
+    pub playing_since: Micros,
+    /// The client was told to move to another media server.
     pub moving: bool,
 }
 
-impl Entry {
-    fn new(session: Session, since: Micros) -> Entry {
-        let (passed, before, in_doubt) = (Vec::new(), Vec::new(), Vec::new());
-        Entry { session, passed, conn: None, before, in_doubt, since, moving: false }
+impl SessionEntry {
+    fn new(session: Session, playing_since: Micros) -> SessionEntry {
+        let (forwarded_parameters, earlier_conns, in_doubt) = (Vec::new(), Vec::new(), Vec::new());
+        SessionEntry {
+            session,
+            forwarded_parameters,
+            conn: None,
+            earlier_conns,
+            in_doubt,
+            playing_since,
+            moving: false,
+        }
     }
 }
 
-/// What a front node has done since its start.
+/// Counters of a front node since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests taken.
+    /// Requests accepted.
     pub taken: u64,
-    /// Answers: plays.
+    /// Requests answered with a playing session.
     pub played: u64,
-    /// Answers: refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Answers: failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Of them: nothing was decided in time.
+    /// Failed requests for which nothing was decided in time.
     pub overdue: u64,
-    /// Requests that could not be used.
+    /// Requests that were invalid.
     pub unusable: u64,
     /// Set-ups sent.
     pub attempts: u64,
@@ -202,77 +216,80 @@
     pub moved: u64,
     /// Sessions lost with their servers.
     pub lost: u64,
-    /// Sessions handed over at a start.
+    /// Playing sessions that clients handed over after a restart of the node.
     pub resumed: u64,
-    /// Actions of the decider that the lock stopped.
+    /// Actions of the decider that the session rules rejected.
     pub stopped: u64,
-    /// Connections to servers that could not be read any further.
+    /// Connections to servers that could not be decoded any further.
     pub unreadable: u64,
-    /// Releases that were sent to media servers once more, since their connections were gone.
+    /// Releases sent to media servers again because their connections were gone.
     pub releases_again: u64,
-    /// Ends that were told to clients once more, for the same reason.
+    /// Session ends sent to clients again for the same reason.
     pub ends_again: u64,
-    /// Set-ups for which no connection could be made for want of room.
+    /// Set-ups for which no connection could be opened for lack of room.
     pub no_room: u64,
-    /// Attempts that were given up and may go on at their servers, and those of them that were shown to be over.
+    /// Attempts that were given up and may still run at their servers, including those resolved since.
     pub in_doubt: u64,
-    /// The latter.
+    /// Of these, the attempts that were shown to be over.
     pub resolved: u64,
-    /// Connections to servers that were dialled: for set-ups, for anything else that is told, and for looks at servers.
+    /// Connections dialled to servers: for set-ups, for other messages, and for health checks.
     pub dials: [u64; 3],
 }
 
-/// An attempt for which there is no room for a connection ends after so long.
-const ROOM_WAIT: Micros = 20_000;
-/// A moved client is waited for so long.
-const MOVED_CLIENT_KEPT: Micros = 30_000_000;
-/// A moved session that its media server has not ended by then is ended there.
+/// An attempt that finds no room for a connection ends after this delay.
+const NO_ROOM_DELAY: Micros = 20_000;
+/// How long a moved client is expected back.
+const MOVED_CLIENT_RETENTION: Micros = 30_000_000;
+/// A moved session that its media server has not ended after this time is released there.
 const MOVE_TIMEOUT: Micros = 400_000;
-/// A front node that cannot reach its coordinator serves by the list that it was started with from then on.
-const READY_WITHOUT_LIST: Micros = 3_000_000;
-/// Ends that come before the hand-over of their sessions are remembered for so long after a start, and so many.
-const EARLY_ENDS_KEPT: Micros = 30_000_000;
+/// A front node that cannot reach its coordinator for this long after its start serves by the list that it
+/// was started with.
+const READY_WITHOUT_LIST_AFTER: Micros = 3_000_000;
+/// How long after a start the node remembers ends of sessions that have not been handed over yet, and how
+/// many of them.
+const EARLY_END_RETENTION: Micros = 30_000_000;
 const MAX_EARLY_ENDS: usize = 4_096;
 
-/// A front node's state.
+/// The state of a front node.
 pub struct Core<D> {
     decider: D,
     facts: Facts,
     now: Micros,
-    sessions: BTreeMap<u64, Entry>,
+    sessions: BTreeMap<u64, SessionEntry>,
     admission: Admission,
     pool: Pool,
     health: Health,
     list_watch: ListWatch,
     servers: BTreeMap<ServerId, SocketAddr>,
-    /// Clients that this front moved and that have not come back.
-    moved: BTreeMap<ViewerId, Micros>,
+    /// Clients that this node moved and that have not come back, and until when they are expected.
+    moved_clients: BTreeMap<ViewerId, Micros>,
     probes: BTreeMap<u64, (ServerId, ConnId)>,
     next_probe: u64,
     timers: Timers<Timer>,
     events: VecDeque<Event>,
-    /// What the list says, and what ended by it: heard ahead of all else.
+    /// Events of the list and ends of sessions caused by it; the decider gets them before all others.
     list_events: VecDeque<Event>,
-    /// When the process began.
-    began: Micros,
+    /// When the process started.
+    started_at: Micros,
     releases: Releases,
-    /// What no connection was there for, and until when it is of use.
+    /// Messages for which no client connection was open, each with its expiry time.
     undelivered: VecDeque<(Micros, Message)>,
-    /// Sessions that their servers ended before they were handed over.
+    /// Sessions that their servers ended before their clients handed them over.
     early_ends: BTreeMap<u64, (ServerId, Message)>,
     shutdown_since: Option<Micros>,
-    /// Everything is released and this is waited for no longer, for what is released to go out.
+    /// All sessions are being released; the process exits at this time even if releases are still unsent.
     releasing_until: Option<Micros>,
     finished: bool,
     counts: Counts,
 }
 
 impl<D: Decider> Core<D> {
-    /// A front node that has just started: it knows this list, which may be old.
+    /// A front node at its start. `sockets` is the number of file descriptors for client and server
+    /// connections.
     pub fn new(decider: D, facts: Facts, sockets: usize, now: Micros) -> Self {
         let pool = Pool::new(&facts, sockets);
         let health = Health::new(facts.connect_within);
-        // Nodes that start in the same microsecond are few.
+        // The start time serves as the seed of the backoff: few nodes start in the same microsecond.
         let list_watch = ListWatch::new(facts.settings.drain_grace, now);
         Core {
             decider,
@@ -284,13 +301,13 @@
             health,
             list_watch,
             servers: BTreeMap::new(),
-            moved: BTreeMap::new(),
+            moved_clients: BTreeMap::new(),
             probes: BTreeMap::new(),
             next_probe: 0,
             timers: Timers::default(),
             events: VecDeque::new(),
             list_events: VecDeque::new(),
-            began: now,
+            started_at: now,
             releases: Releases::default(),
             undelivered: VecDeque::new(),
             early_ends: BTreeMap::new(),
@@ -301,8 +318,8 @@
         }
     }
 
-    /// Begins: takes the list as known, and follows it from there.
-    pub fn begin(
+    /// Takes the known list, which may be old, and follows the coordinator from the event `index` on.
+    pub fn start(
         &mut self,
         now: Micros,
         known: Vec<Listed>,
@@ -311,19 +328,20 @@
         out: &mut Vec<Command>,
     ) {
         self.now = self.now.max(now);
-        self.list_update(ListKind::Remembered, known, out);
-        self.list_watch.begin(self.now, index, at, &mut self.timers, out);
+        self.apply_list_update(ListKind::Remembered, known, out);
+        self.list_watch.start(self.now, index, at, &mut self.timers, out);
         self.deliver_events(out);
     }
 
-    /// Who decides.
+    /// The decider.
     pub fn decider(&self) -> &D {
         &self.decider
     }
 
-    /// For each media server of the list: its connections, sessions that play there, set-ups that are out, and when it
-    /// was last heard of if it is watched. To be held against what crosses the sockets and what the module believes.
-    pub fn ledger(&self) -> BTreeMap<ServerId, (Vec<ConnId>, i32, i32, Option<Micros>)> {
+    /// For each media server of the list: its connections, the number of sessions that play there, the number
+    /// of set-ups in flight, and when the server was last heard if it is being checked. Used to compare the
+    /// node's state with the traffic and with the decider's beliefs.
+    pub fn server_summaries(&self) -> BTreeMap<ServerId, (Vec<ConnId>, i32, i32, Option<Micros>)> {
         let mut servers: BTreeMap<_, _> =
             self.servers.keys().map(|id| (*id, (self.pool.connections_to(*id), 0, 0, None))).collect();
         for entry in self.sessions.values() {
@@ -338,50 +356,52 @@
         servers
     }
 
-    /// When something is due next.
+    /// When the next timer is due.
     pub fn next_due(&self) -> Option<Micros> {
         self.timers.next()
     }
 
-    /// What was done so far.
+    /// The counters since the start.
     pub fn counts(&self) -> Counts {
         Counts { dials: self.pool.dials(), ..self.counts }
     }
 
-    /// What became of connections to servers for want of room.
-    pub fn room(&self) -> RoomCounts {
-        self.pool.room()
+    /// What happened to connections to servers for lack of room.
+    pub fn room_counts(&self) -> RoomCounts {
+        self.pool.room_counts()
     }
 
-    /// Number of the last event of the list, and when its coordinator was last heard, if it was.
-    pub fn list_heard(&self) -> (u64, Option<Micros>) {
+    /// Number of the last event of the list, and when the coordinator was last heard, if ever.
+    pub fn list_status(&self) -> (u64, Option<Micros>) {
         self.list_watch.last_heard()
     }
 
-    /// Sessions in hand, those that play, client connections, connections to servers, timers.
-    pub fn held(&self) -> [usize; 5] {
+    /// Numbers of sessions, playing sessions, client connections, server connections and timers.
+    pub fn gauges(&self) -> [usize; 5] {
         let playing = self.sessions.values().filter(|entry| entry.session.playing().is_some()).count();
         [self.sessions.len(), playing, self.admission.len(), self.pool.len(), self.timers.len()]
     }
 
-    /// Whether it can serve: a server is known, and the list was heard or has not come for long. Danger: a start while
-    /// the coordinator is down would be out of service for as long; one that knows no server would be given clients and
-    /// serve none of them.
-    pub fn ready(&self) -> bool {
-        let heard = self.list_watch.synced() || self.now >= self.began + READY_WITHOUT_LIST;
+    /// Whether the node can serve: it knows a server, and has heard the list or has waited for it long
+    /// enough. Without that limit, a node started while the coordinator is down would stay out of service for
+    /// as long; without the check for a server, a node that knows none would be given clients and could serve
+    /// none of them.
+    pub fn is_ready(&self) -> bool {
+        let heard = self.list_watch.synced() || self.now >= self.started_at + READY_WITHOUT_LIST_AFTER;
         heard && !self.servers.is_empty() && self.shutdown_since.is_none()
     }
 
-    /// Whether the process was told to end.
+    /// Whether the process was asked to shut down.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_since.is_some()
     }
 
-    /// Takes in one input; what is to be done is added to `out`, in order. The decider hears of it by [`Core::decide`],
-    /// or at the next tick. What is due is done at [`NodeEvent::Tick`] alone. Danger: a process that was stopped, or
-    /// had no processor for a while, finds answers in its sockets and time-outs in its queue; were the time-outs looked
-    /// at between two inputs, set-ups that stand would be taken back. The edge hands in what waits in the sockets, and
-    /// then a tick with the time of its look at them: it may be stopped between the two as well.
+    /// Handles one event; commands are appended to `out`, in order. The decider gets the resulting events
+    /// with [`Core::decide`] or at the next tick. Timers fire only at [`NodeEvent::Tick`]: a process that was
+    /// stopped, or had no processor time for a while, finds answers in its sockets along with expired timers,
+    /// and if timers fired between two events, set-ups that have succeeded would be given up. The edge
+    /// therefore passes in everything that waits in the sockets, and then a tick with the time at which it
+    /// polled them, since it may be stopped between the two as well.
     pub fn handle(&mut self, now: Micros, input: NodeEvent, out: &mut Vec<Command>) {
         self.now = self.now.max(now);
         match input {
@@ -389,7 +409,8 @@
             NodeEvent::ClientMessage(client, message) => self.client_message(client, message, out),
             NodeEvent::ClientUnreadable(client) => self.close_client(client, out),
             NodeEvent::ClientClosed(client) => self.client_closed(client, out),
-            // Whoever asked has gone or waits for no more than what is owed: it is answered, and nothing is sent on.
+            // The client has gone, or waits for nothing but the answer: it is answered, and nothing is
+            // forwarded.
             NodeEvent::ClientHalfClosed(client) => self.close_client(client, out),
             NodeEvent::ConnectEnded(conn, result) => self.connect_ended(conn, result, out),
             NodeEvent::ServerMessage(conn, message) => self.server_message(conn, message, out),
@@ -409,7 +430,7 @@
             NodeEvent::ServerLost(conn) => self.connection_closed(conn, false, out),
             NodeEvent::ServerUnreadable(conn) => self.server_unreadable(conn, out),
             NodeEvent::ServerBlocked(conn, cut, unsent) => {
-                self.pool.blocked(self.now, conn, cut, unsent, &mut self.timers);
+                self.pool.mark_blocked(self.now, conn, cut, unsent, &mut self.timers);
             }
             NodeEvent::ServerWritable(conn) => self.pool.writable(conn, out),
             NodeEvent::ListConnected(number) => {
@@ -418,8 +439,8 @@
             NodeEvent::ListBytes(number) => self.list_watch.bytes_received(self.now, number),
             NodeEvent::ListFrame(number, frame) => {
                 match self.list_watch.frame_received(self.now, number, frame, &mut self.timers, out) {
-                    Some(Update::Whole(lines)) => self.list_update(ListKind::Whole, lines, out),
-                    Some(Update::Changes(lines)) => self.list_update(ListKind::Changes, lines, out),
+                    Some(Update::Full(lines)) => self.apply_list_update(ListKind::Whole, lines, out),
+                    Some(Update::Changes(lines)) => self.apply_list_update(ListKind::Changes, lines, out),
                     None => {}
                 }
             }
@@ -428,7 +449,7 @@
             NodeEvent::Shutdown => self.begin_shutdown(out),
             NodeEvent::Tick => {
                 self.deliver_events(out);
-                // By the time when the sockets were looked at, which may lie back.
+                // Timers are compared with the time of the poll, which may lie in the past.
                 while let Some(due) = self.timers.pop(now) {
                     self.timer_fired(due, out);
                     self.deliver_events(out);
@@ -438,22 +459,23 @@
         }
     }
 
-    /// The decider hears of what was handed in since the last time, and what it decides is done. Called when all that
-    /// lay in the sockets was handed in, and the answers in it were written. Dangers: a client may have asked and gone,
-    /// or have cancelled on any connection, or have gone while a media server turned its request away, and what says so
-    /// may lie unread behind other bytes, for as long as the process was stopped; and while the decider looks at all
-    /// that it holds, a client waits on for an answer that has come.
+    /// Passes the events since the last call to the decider, and executes its actions. Called once everything
+    /// that lay in the sockets has been passed in, and the answers in it have been written. Before that, a
+    /// client may have sent a request and left, cancelled on any connection, or left while a media server
+    /// refused its request, and the bytes that say so may lie unread behind others, for as long as the
+    /// process was stopped. And while the decider works through its state, a client would wait for an answer
+    /// that has already arrived.
     pub fn decide(&mut self, now: Micros, out: &mut Vec<Command>) {
         self.now = self.now.max(now);
         self.deliver_events(out);
     }
 
-    // ---- The decider's actions ----
+    // ---- Actions of the decider ----
 
     fn deliver_events(&mut self, out: &mut Vec<Command>) {
         let mut actions = Vec::new();
         while let Some(event) = self.list_events.pop_front().or_else(|| self.events.pop_front()) {
-            if let Some(text) = log_line(&event) {
+            if let Some(text) = event_log_line(&event) {
                 out.push(Command::Log(Level::Info, text));
             }
             self.decider.handle(self.now, &event, &mut actions);
@@ -465,40 +487,40 @@
 
     fn execute(&mut self, action: Action, out: &mut Vec<Command>) {
         match action {
-            Action::SetUp(id, server, time_out) => self.set_up(number(&id), server, time_out, out),
-            Action::SetRung(id, rung) => self.set_rung(number(&id), rung, out),
-            Action::Move(id) => self.move_away(number(&id), out),
-            Action::Refuse(id, hold_off) => self.refuse(number(&id), hold_off, out),
-            Action::Fail(id) => self.fail(number(&id), out),
+            Action::SetUp(id, server, time_out) => self.set_up(session_number(&id), server, time_out, out),
+            Action::SetRung(id, rung) => self.set_rung(session_number(&id), rung, out),
+            Action::Move(id) => self.move_client(session_number(&id), out),
+            Action::Refuse(id, hold_off) => self.refuse(session_number(&id), hold_off, out),
+            Action::Fail(id) => self.fail(session_number(&id), out),
             Action::Probe(server) => self.probe(server, out),
-            // The list is followed from the start, whatever the module asks for.
+            // The list is followed from the start, whatever the decider asks for.
             Action::FollowList => {}
             Action::WakeAt(tag, at) => self.timers.set(at, Timer::Wake(tag)),
             Action::Log(text) => out.push(Command::Log(Level::Info, text)),
         }
     }
 
-    /// The decider is told that a client has gone. A request that it has not heard of, it never hears of; of an attempt
-    /// whose end it has not heard of, it hears that no other is to follow.
-    fn client_gone(&mut self, id: u64) {
-        let of = name(id);
-        let asked = |event: &Event| matches!(event, Event::Request(request) if request.session == of);
-        if let Some(at) = self.events.iter().position(asked) {
+    /// Tells the decider that a client has gone. A request that the decider has not seen yet is removed from
+    /// the queue; the end of an attempt that it has not seen yet becomes the last one of its session.
+    fn report_client_gone(&mut self, id: u64) {
+        let left = session_id(id);
+        let is_request = |event: &Event| matches!(event, Event::Request(request) if request.session == left);
+        if let Some(at) = self.events.iter().position(is_request) {
             self.events.remove(at);
             return;
         }
         for event in self.events.iter_mut().rev() {
             if let Event::Ended { session, last, .. } = event {
-                if *session == of {
+                if *session == left {
                     *last = true;
                     return;
                 }
             }
         }
-        self.events.push_back(Event::Left(of));
+        self.events.push_back(Event::Left(left));
     }
 
-    fn stopped(&mut self, what: &str, id: u64, out: &mut Vec<Command>) {
+    fn reject_action(&mut self, what: &str, id: u64, out: &mut Vec<Command>) {
         self.counts.stopped += 1;
         out.push(Command::Log(Level::Warn, format!("stopped {what} for session {id:016x}")));
     }
@@ -506,12 +528,12 @@
     fn set_up(&mut self, id: u64, server: ServerId, time_out: Micros, out: &mut Vec<Command>) {
         let address = self.servers.get(&server).copied();
         let Some(entry) = self.sessions.get_mut(&id) else {
-            return self.stopped("a set-up of no session here", id, out);
+            return self.reject_action("a set-up of an unknown session", id, out);
         };
         let in_doubt = entry.in_doubt.iter().any(|(at, _)| *at == server);
         let session = &mut entry.session;
         let number = match (session.next_attempt(self.now, &self.facts.settings), address) {
-            (Err(Stop::TooMany), _) => return self.stopped("an attempt too many", id, out),
+            (Err(Stop::TooMany), _) => return self.reject_action("an attempt beyond the limit", id, out),
             (Ok(number), _) if in_doubt => Err(number),
             (Ok(number), Some(_)) => Ok(number),
             (Ok(number), None)
@@ -521,31 +543,31 @@
             let attempt = number.unwrap_or_else(|number| number);
             let last = !session.owed();
             let (outcome, report) = (Outcome::NotSent, Vec::new());
-            let session = name(id);
+            let session = session_id(id);
             self.events.push_back(Event::Ended { session, attempt, server, outcome, last, report });
-            return self.stopped("a set-up that must not be", id, out);
+            return self.reject_action("a set-up that is not allowed", id, out);
         };
-        // No time-out of the module's means until the client gives up; none reaches past that.
-        let whole = session.deadline - self.now;
-        let time_out = if time_out == 0 { whole } else { time_out.min(whole) };
+        // A time-out of 0 lasts until the client's patience ends; no time-out lasts longer than that.
+        let remaining = session.deadline - self.now;
+        let time_out = if time_out == 0 { remaining } else { time_out.min(remaining) };
         let (expires, rung) = (self.now + time_out, session.wanted);
         let attempt = Attempt { number, wire: number, server, address, sent: self.now, expires, rung };
         session.stage = Stage::Trying(attempt);
         let mut message = Message::new(kind::SET_UP, id);
-        message.parameters.clone_from(&entry.passed);
+        message.parameters.clone_from(&entry.forwarded_parameters);
         let message = message
             .with(code::WAIT_MS, (time_out / 1000).max(1).to_string())
             .with(code::RUNG, rung.to_string());
         let to = (server, address);
-        entry.conn = self.pool.set_up(self.now, to, message, &entry.before, &mut self.timers, out);
+        entry.conn = self.pool.set_up(self.now, to, message, &entry.earlier_conns, &mut self.timers, out);
         if entry.conn.is_some() {
             self.counts.attempts += 1;
             return self.timers.set(expires, Timer::AttemptTimeout(id, number));
         }
-        // It ends unsent a little later, when there may be room for the next. Danger: tried again at once, a process
-        // without room would do nothing else.
+        // The attempt ends unsent after a short delay, when there may be room for the next one. Retrying at
+        // once would keep a process without room busy with nothing else.
         self.counts.no_room += 1;
-        let ends = expires.min(self.now + ROOM_WAIT);
+        let ends = expires.min(self.now + NO_ROOM_DELAY);
         if let Stage::Trying(attempt) = &mut entry.session.stage {
             attempt.expires = ends;
         }
@@ -558,7 +580,7 @@
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         let session = &mut entry.session;
         if !session.in_terms(rung, self.facts.settings.classes.get(session.opening.class)) {
-            return self.stopped("a rung outside the terms", id, out);
+            return self.reject_action("a rung outside the terms", id, out);
         }
         session.wanted = rung;
         let Stage::Playing(playing) = &mut session.stage else { return };
@@ -566,25 +588,25 @@
             return;
         }
         playing.attempt.rung = rung;
-        self.tell_server(id, Message::new(kind::RUNG, id).with(code::RUNG, rung.to_string()), out);
+        self.notify_server(id, Message::new(kind::RUNG, id).with(code::RUNG, rung.to_string()), out);
     }
 
-    /// The client is told to come again, which ends the session at its media server too.
-    fn move_away(&mut self, id: u64, out: &mut Vec<Command>) {
+    /// Tells the client to come again, which makes it end the session at its media server too.
+    fn move_client(&mut self, id: u64, out: &mut Vec<Command>) {
         let playing = self.sessions.get_mut(&id).filter(|entry| entry.session.playing().is_some());
         let Some(entry) = playing.filter(|entry| !entry.moving) else {
-            return self.stopped("a move of what does not play", id, out);
+            return self.reject_action("a move of a session that does not play", id, out);
         };
         entry.moving = true;
         self.counts.moved += 1;
         let (client, viewer) = (entry.session.client.map(|(client, _)| client), entry.session.opening.viewer);
-        let until = self.now + MOVED_CLIENT_KEPT;
-        if let Some(before) = self.moved.insert(viewer, until) {
-            self.timers.unset(before, Timer::MovedKept(viewer));
+        let until = self.now + MOVED_CLIENT_RETENTION;
+        if let Some(before) = self.moved_clients.insert(viewer, until) {
+            self.timers.unset(before, Timer::MovedClientExpiry(viewer));
         }
-        self.timers.set(until, Timer::MovedKept(viewer));
+        self.timers.set(until, Timer::MovedClientExpiry(viewer));
         self.timers.set(self.now + MOVE_TIMEOUT, Timer::MoveTimeout(id));
-        self.tell_client(client, Message::new(kind::MOVE, id), out);
+        self.notify_client(client, Message::new(kind::MOVE, id), out);
     }
 
     fn probe(&mut self, server: ServerId, out: &mut Vec<Command>) {
@@ -610,17 +632,17 @@
 
     // ---- List ----
 
-    /// Danger: a request, or a refusal that a further attempt follows, may be read ahead of a drain that was announced
-    /// long before, when a process goes on after a stop or the list is long. The decider hears of the list before
-    /// either.
-    fn list_update(&mut self, kind: ListKind, lines: Vec<Listed>, out: &mut Vec<Command>) {
-        let lines = last_of_each(lines);
-        let (ahead, behind): (Vec<_>, Vec<_>) =
-            self.events.drain(..).partition(|event| !may_be_placed(event));
+    /// Applies an update of the list. A request, or a refusal that leads to a further attempt, may be read
+    /// before a drain that was announced long before, when the process resumes after a stop or the list is
+    /// long. The decider therefore gets the list before either.
+    fn apply_list_update(&mut self, kind: ListKind, lines: Vec<Listed>, out: &mut Vec<Command>) {
+        let lines = keep_last_records(lines);
+        let (immediate, deferred): (Vec<_>, Vec<_>) =
+            self.events.drain(..).partition(|event| !may_start_attempt(event));
         self.events = std::mem::take(&mut self.list_events);
-        self.events.extend(ahead);
+        self.events.extend(immediate);
         let mut gone: BTreeSet<ServerId> = gone(kind, &lines, self.servers.keys()).into_iter().collect();
-        let (mut draining, mut elsewhere) = (BTreeSet::new(), Vec::new());
+        let (mut draining, mut readdressed) = (BTreeSet::new(), Vec::new());
         let mut restarted = BTreeMap::new();
         for line in &lines {
             let id = line.entry.server;
@@ -632,7 +654,7 @@
             }
             let before = self.servers.insert(id, line.address);
             if before.is_some_and(|before| before != line.address) {
-                elsewhere.push(id);
+                readdressed.push(id);
             }
             if let (Some(started), true) = (line.entry.started, kind != ListKind::Remembered) {
                 restarted.insert(id, started);
@@ -641,18 +663,22 @@
         for id in &gone {
             self.servers.remove(id);
         }
-        // Another process: what the one before played is cut.
-        let by_restart = |at: ServerId, since: Micros| restarted.get(&at).is_some_and(|start| since < *start);
-        self.end_lost_sessions(|at, entry| gone.contains(&at) || by_restart(at, entry.since), out);
-        self.releases_moot(|at| gone.contains(&at));
+        // A restarted server has lost the sessions of its previous process.
+        let lost_by_restart =
+            |at: ServerId, since: Micros| restarted.get(&at).is_some_and(|start| since < *start);
+        self.end_lost_sessions(
+            |at, entry| gone.contains(&at) || lost_by_restart(at, entry.playing_since),
+            out,
+        );
+        self.drop_releases(|at| gone.contains(&at));
         let entries = lines.into_iter().map(|line| line.entry).collect();
         self.events.push_back(Event::Servers(kind, entries));
-        self.list_events = std::mem::replace(&mut self.events, behind.into());
-        // What is taken off a media server now must not be sent there again.
-        gone.extend(elsewhere);
+        self.list_events = std::mem::replace(&mut self.events, deferred.into());
+        // Set-ups withdrawn from a media server now must not be sent there again.
+        gone.extend(readdressed);
         self.drop_connections(&gone, out);
-        for id in self.pool.unsent(&draining) {
-            self.withdraw(id, false, out);
+        for id in self.pool.unsent_set_ups_to(&draining) {
+            self.withdraw_attempt(id, false, out);
             self.attempt_ended(id, Outcome::NotSent, Vec::new());
         }
     }
@@ -661,23 +687,23 @@
 
     fn timer_fired(&mut self, due: Timer, out: &mut Vec<Command>) {
         match due {
-            Timer::AttemptTimeout(id, number) => self.expire(id, number, out),
+            Timer::AttemptTimeout(id, number) => self.expire_attempt(id, number, out),
             Timer::Wake(tag) => self.events.push_back(Event::Wake(tag)),
-            Timer::AnswerDeadline(id) => self.overdue(id, out),
-            Timer::MovedKept(viewer) => {
-                self.moved.remove(&viewer);
+            Timer::AnswerDeadline(id) => self.answer_overdue(id, out),
+            Timer::MovedClientExpiry(viewer) => {
+                self.moved_clients.remove(&viewer);
             }
             Timer::ReleaseCheck(id) => self.check_release(id, out),
             Timer::MoveTimeout(id) => self.move_timed_out(id, out),
             Timer::ConnectTimeout(conn) => {
-                if self.pool.dialing(conn) {
+                if self.pool.is_dialing(conn) {
                     out.push(Command::CloseServer(conn));
                     self.connect_ended(conn, Err(DialError::TimedOut), out);
                 }
             }
-            Timer::IdleTimeout(conn) => self.pool.idle(self.now, conn, &mut self.timers, out),
+            Timer::IdleTimeout(conn) => self.pool.check_idle(self.now, conn, &mut self.timers, out),
             Timer::WriteTimeout(conn) => {
-                if self.pool.is_blocked(self.now, conn) {
+                if self.pool.is_blocked_too_long(self.now, conn) {
                     self.disconnect(conn, out);
                 }
             }
@@ -695,26 +721,26 @@
         }
     }
 
-    fn expire(&mut self, id: u64, number: u32, out: &mut Vec<Command>) {
+    fn expire_attempt(&mut self, id: u64, number: u32, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
         if entry.session.out().is_none_or(|attempt| attempt.number != number) {
             return;
         }
-        let outcome = self.withdraw(id, true, out);
+        let outcome = self.withdraw_attempt(id, true, out);
         self.attempt_ended(id, outcome, Vec::new());
     }
 
-    /// Takes the attempt that is out back from its connection; what is then known of it. Its give-up goes out ahead
-    /// of whatever follows.
-    fn withdraw(&mut self, id: u64, timed_out: bool, out: &mut Vec<Command>) -> Outcome {
+    /// Withdraws the current attempt from its connection, and returns what is then known about it. Its
+    /// give-up is sent before anything that follows.
+    fn withdraw_attempt(&mut self, id: u64, timed_out: bool, out: &mut Vec<Command>) -> Outcome {
         let Some(entry) = self.sessions.get_mut(&id) else { return Outcome::NoConnection };
         let server = entry.session.out().map(|attempt| attempt.server);
-        // There was no room for its connection: nothing is learnt of the server.
+        // There was no room for its connection: this proves nothing about the server.
         let Some((conn, server)) = entry.conn.take().zip(server) else { return Outcome::NotSent };
-        entry.before.push(conn);
+        entry.earlier_conns.push(conn);
         match self.pool.withdraw(conn, id, timed_out, out) {
             Withdrawn::Unsent => Outcome::NoConnection,
-            Withdrawn::Cut => {
+            Withdrawn::PartlyWritten => {
                 self.disconnect(conn, out);
                 Outcome::NoConnection
             }
@@ -726,17 +752,17 @@
         }
     }
 
-    /// The attempt that is out has ended without the session playing.
+    /// Ends the current attempt, which did not lead to a playing session.
     fn attempt_ended(&mut self, id: u64, outcome: Outcome, report: Vec<f64>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         let Some(attempt) = entry.session.out().cloned() else { return };
-        entry.before.extend(entry.conn.take());
+        entry.earlier_conns.extend(entry.conn.take());
         self.timers.unset(attempt.expires, Timer::AttemptTimeout(id, attempt.number));
         let last = entry.session.attempt_ended(outcome);
         if last {
             self.drop_session(id);
         }
-        let (session, server, attempt) = (name(id), attempt.server, attempt.number);
+        let (session, server, attempt) = (session_id(id), attempt.server, attempt.number);
         self.events.push_back(Event::Ended { session, attempt, server, outcome, last, report });
     }
 
@@ -749,30 +775,33 @@
     }
 }
 
-/// Of a server that one event names twice, the last record counts. Danger: gone by one record and back by the next, it
-/// would be there for the decider and not here.
-fn last_of_each(lines: Vec<Listed>) -> Vec<Listed> {
+/// Keeps the last record of each server that one event names several times. Otherwise a server that is gone
+/// by one record and back by the next would exist for the decider and not here.
+fn keep_last_records(lines: Vec<Listed>) -> Vec<Listed> {
     let last: BTreeMap<ServerId, usize> =
         lines.iter().enumerate().map(|(at, line)| (line.entry.server, at)).collect();
     let is_last = |(at, line): &(usize, Listed)| last.get(&line.entry.server) == Some(at);
     lines.into_iter().enumerate().filter(is_last).map(|(_, line)| line).collect()
 }
 
-/// Whether the decider may send a session on by what it hears here. Events of one session keep their order: what is
-/// heard of it after one of these is about the attempt that follows.
-fn may_be_placed(event: &Event) -> bool {
-    let is_over = |event: &Event| matches!(event, Event::Ended { last: true, .. } | Event::Left(_));
-    let of_standing =
+/// Whether the decider may start an attempt in response to this event. Events of one session keep their
+/// order: whatever follows one of these is about the next attempt.
+fn may_start_attempt(event: &Event) -> bool {
+    let ends_session = |event: &Event| matches!(event, Event::Ended { last: true, .. } | Event::Left(_));
+    let is_about_playing_session =
         |event: &Event| matches!(event, Event::Resumed(..) | Event::Started { .. } | Event::Note { .. });
-    !is_over(event) && !of_standing(event)
+    !ends_session(event) && !is_about_playing_session(event)
 }
 
-/// What of an event is worth a line at debug: attempts and probes that did not end well.
-fn log_line(event: &Event) -> Option<String> {
+/// The log line for an event at level info: attempts and probes that did not succeed.
+fn event_log_line(event: &Event) -> Option<String> {
     match event {
         Event::Ended { session, attempt, server, outcome, last, .. } if *outcome != Outcome::Ok => {
-            let more = if *last { ", over" } else { "" };
-            Some(format!("request {}: attempt {attempt} at s-{:08x}: {outcome:?}{more}", session.0, server.0))
+            let suffix = if *last { ", over" } else { "" };
+            Some(format!(
+                "request {}: attempt {attempt} at s-{:08x}: {outcome:?}{suffix}",
+                session.0, server.0
+            ))
         }
         Event::Probed { server, outcome, .. } if *outcome != Outcome::Ok => {
             Some(format!("server s-{:08x}: probe {outcome:?}", server.0))
@@ -781,17 +810,17 @@
     }
 }
 
-/// The module's name of a session: its id as the platform writes it.
-pub(crate) fn name(id: u64) -> SessionId {
+/// The decider's id of a session: the platform's id in 16 hex digits.
+pub(crate) fn session_id(id: u64) -> SessionId {
     SessionId(Arc::from(format!("{id:016x}")))
 }
 
-fn number(name: &SessionId) -> u64 {
-    u64::from_str_radix(&name.0, 16).unwrap_or(0)
+fn session_number(id: &SessionId) -> u64 {
+    u64::from_str_radix(&id.0, 16).unwrap_or(0)
 }
 
-/// Cause of a failed answer.
-const FAILED: u8 = cause::BROKEN;
+/// The cause sent with a failed answer.
+const FAILED_CAUSE: u8 = cause::BROKEN;
 
 #[cfg(test)]
 mod tests;
--- a/crates/platform/src/core/pool.rs
+++ b/crates/platform/src/core/pool.rs
@@ -1,5 +1,5 @@
-//! Connections to servers. One carries many set-ups; what stands belongs to none. What the end of a connection proves
-//! of the set-ups on it is told here and nowhere else.
+//! Connections to servers. A connection carries many set-ups; playing sessions belong to no connection. What
+//! the end of a connection proves about the set-ups on it is decided here and nowhere else.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -11,30 +11,32 @@
 use super::{Command, ConnId, Timer};
 use crate::wire::{cause, kind, Message};
 
-/// Of the media server's own time, after which an idle connection is closed here: before the media server does, so that
-/// no set-up is written into one that it is closing.
-const IDLE_SHARE: (Micros, Micros) = (1, 3);
-/// Connections to one media server at most.
+/// The fraction of the media server's own idle time-out after which an idle connection is finished here, so
+/// that no set-up is written to a connection that the server is closing.
+const IDLE_TIMEOUT_FRACTION: (Micros, Micros) = (1, 3);
+/// Maximum number of connections to one media server.
 const MAX_PER_SERVER: usize = 6;
-/// Of the connections that there may be, the part that is kept free by ending those that rest, before the room is needed.
-const ROOM_KEPT: (usize, usize) = (1, 8);
-/// Of them, the part that may be made at a time to look at media servers: set-ups go first.
-const HEALTH_CHECK_SHARE: (usize, usize) = (1, 4);
-/// Messages that wait for one connection at most; set-ups are bounded by what it carries.
-const MAX_UNSENT: usize = 1_024;
-/// A connection that takes nothing for this long is of no more use.
+/// The fraction of all connections that is kept free, by finishing idle ones before their places are needed.
+const RESERVED_FRACTION: (usize, usize) = (1, 8);
+/// The fraction of all connections that may be dialled for health checks at a time: set-ups have priority.
+const HEALTH_CHECK_FRACTION: (usize, usize) = (1, 4);
+/// Maximum number of messages that wait for one connection; set-ups are limited by the streams of the
+/// connection.
+const MAX_UNSENT_MESSAGES: usize = 1_024;
+/// A connection that accepts no bytes for this long is closed.
 const WRITE_TIMEOUT: Micros = 2_000_000;
 
-/// Whether a connection takes what is to be written.
+/// Whether a connection accepts messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// It is being made.
+    /// The connection is being established.
     Dialing,
-    /// It does.
+    /// The connection accepts messages.
     Open,
-    /// Its peer reads nothing: this session's message is cut in the middle, and since when it is so.
+    /// The peer reads nothing: the session whose set-up is partly written, if any, and the time at which the
+    /// connection became blocked.
     Blocked(Option<u64>, Micros),
-    /// Nothing more is written on it; what its peer had written by then is still heard.
+    /// Nothing more is written; what the peer sent until its close is still read.
     Finishing,
 }
 
@@ -43,62 +45,62 @@
     server: ServerId,
     address: SocketAddr,
     state: State,
-    /// What no byte of which has been written, in order.
+    /// Messages of which not a byte has been written, in order.
     unsent: VecDeque<Message>,
-    /// Set-ups that are out on it.
+    /// Sessions whose set-ups are in flight on this connection.
     in_flight: BTreeSet<u64>,
-    heard: Micros,
-    used: Micros,
-    /// Something was awaited on it in vain: nothing new is put on it.
+    last_received: Micros,
+    last_used: Micros,
+    /// An expected message did not arrive on it: nothing new is sent on it.
     suspect: bool,
-    /// A release of what stands was put on it, which its server may not have read. A give-up does not count: the attempt
-    /// ends with its connection.
+    /// A release of a playing session was sent on it, and its server may not have read it. A give-up does not
+    /// count, since the attempt ends with its connection.
     carries_release: bool,
     purpose: Purpose,
 }
 
 impl Connection {
-    /// Whether something new may be put on it, as soon as it is made.
-    fn takes(&self) -> bool {
+    /// Whether new messages may be sent on it, perhaps once it is established.
+    fn accepts_messages(&self) -> bool {
         !self.suspect && matches!(self.state, State::Dialing | State::Open)
     }
 
-    /// Whether it is made and nothing is out on it or waits for it.
+    /// Whether it is established and nothing is in flight or unsent on it.
     fn is_idle(&self) -> bool {
         self.state == State::Open && self.in_flight.is_empty() && self.unsent.is_empty()
     }
 
-    /// Whether this session's set-up waits, with not a byte written.
-    fn waits(&self, session: u64) -> bool {
+    /// Whether this session's set-up is unsent: not a byte of it is written.
+    fn has_unsent_set_up(&self, session: u64) -> bool {
         self.unsent.iter().any(|message| message.kind == kind::SET_UP && message.session == session)
     }
 
-    /// Sessions whose set-ups wait.
-    fn unsent(&self) -> Vec<u64> {
-        self.in_flight.iter().copied().filter(|session| self.waits(*session)).collect()
+    /// Sessions whose set-ups are unsent.
+    fn unsent_set_ups(&self) -> Vec<u64> {
+        self.in_flight.iter().copied().filter(|session| self.has_unsent_set_up(*session)).collect()
     }
 }
 
-/// What ended with a connection.
+/// The set-ups that ended with a connection.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
-    /// Which one.
+pub struct EndedConnection {
+    /// The connection.
     pub conn: ConnId,
-    /// Set-ups that may have run.
+    /// Sessions whose set-ups may have run.
     pub set_ups: Vec<u64>,
-    /// Set-ups of which not a byte was written.
+    /// Sessions whose set-ups have not run, since they were not fully written.
     pub unsent: Vec<u64>,
 }
 
-/// What is known of a set-up that was taken back.
+/// What is known about a set-up that was withdrawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Withdrawn {
     /// Not a byte of it was written.
     Unsent,
-    /// It was, or may have been; its give-up is on the way.
+    /// It was written, or may have been; a give-up follows it.
     MayHaveRun,
-    /// It is cut in the middle, and half a message never runs: the connection must go for that.
-    Cut,
+    /// It was partly written, and a partial message never runs: the connection must be closed to keep it so.
+    PartlyWritten,
 }
 
 /// What a connection is dialled for.
@@ -109,14 +111,14 @@
     HealthCheck,
 }
 
-/// What became of connections for want of room, since the start.
+/// What happened to connections for lack of room, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RoomCounts {
-    /// Connections that rested and were ended in order, so that others can be made.
+    /// Idle connections that were finished, so that others can be opened.
     pub ended: u64,
     /// Connections that were closed at once.
     pub closed: u64,
-    /// Connections that were not made.
+    /// Connections that were not opened.
     pub refused: u64,
 }
 
@@ -124,27 +126,28 @@
 #[derive(Clone, Debug)]
 pub struct Pool {
     connections: BTreeMap<ConnId, Connection>,
-    last: u64,
+    last_id: u64,
     dials: [u64; 3],
-    room: RoomCounts,
-    streams: usize,
-    most: usize,
+    room_counts: RoomCounts,
+    max_streams: usize,
+    max_connections: usize,
     connect_within: Micros,
-    idle_kept: Micros,
+    idle_timeout: Micros,
 }
 
 impl Pool {
-    /// None yet. To them may go what the clients' connections, open and closed, leave of the process's files.
+    /// An empty pool. It may use the descriptors of the process that client connections, open and closing,
+    /// leave over.
     pub fn new(facts: &Facts, sockets: usize) -> Pool {
         Pool {
             connections: BTreeMap::new(),
-            last: 0,
+            last_id: 0,
             dials: [0; 3],
-            room: RoomCounts::default(),
-            streams: facts.streams,
-            most: (sockets * 5 / 12).max(1),
+            room_counts: RoomCounts::default(),
+            max_streams: facts.streams,
+            max_connections: (sockets * 5 / 12).max(1),
             connect_within: facts.connect_within,
-            idle_kept: (facts.idle_closed * IDLE_SHARE.0 / IDLE_SHARE.1).max(1),
+            idle_timeout: (facts.idle_closed * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1).max(1),
         }
     }
 
@@ -158,70 +161,72 @@
         self.connections.is_empty()
     }
 
-    /// Connections dialled since the start: for set-ups, for anything else that is told, for looks.
+    /// Numbers of connections dialled since the start: for set-ups, for other messages, for health checks.
     pub fn dials(&self) -> [u64; 3] {
         self.dials
     }
 
-    /// What became of connections for want of room.
-    pub fn room(&self) -> RoomCounts {
-        self.room
+    /// What happened to connections for lack of room.
+    pub fn room_counts(&self) -> RoomCounts {
+        self.room_counts
     }
 
-    /// Whose connection this is.
+    /// The server of this connection.
     pub fn server(&self, conn: ConnId) -> Option<ServerId> {
-        self.connections.get(&conn).map(|one| one.server)
+        self.connections.get(&conn).map(|conn| conn.server)
     }
 
-    /// The connections of these media servers, and whose each is.
+    /// The connections of these media servers, each with its server.
     pub fn connections_of(&self, servers: &BTreeSet<ServerId>) -> Vec<(ConnId, ServerId)> {
-        let of_these = self.connections.iter().filter(|(_, one)| servers.contains(&one.server));
-        of_these.map(|(id, one)| (*id, one.server)).collect()
+        let of_these = self.connections.iter().filter(|(_, conn)| servers.contains(&conn.server));
+        of_these.map(|(id, conn)| (*id, conn.server)).collect()
     }
 
     /// The connections of a media server.
     pub fn connections_to(&self, server: ServerId) -> Vec<ConnId> {
-        self.connections.iter().filter(|(_, one)| one.server == server).map(|(id, _)| *id).collect()
+        self.connections.iter().filter(|(_, conn)| conn.server == server).map(|(id, _)| *id).collect()
     }
 
-    /// Whether a connection of the media server stands and is not suspect.
+    /// Whether a connection to the media server is established and not suspect.
     pub fn is_up(&self, server: ServerId) -> bool {
-        self.connections.values().any(|one| one.server == server && one.state == State::Open && !one.suspect)
+        self.connections
+            .values()
+            .any(|conn| conn.server == server && conn.state == State::Open && !conn.suspect)
     }
 
-    /// Whether this connection is being made.
-    pub fn dialing(&self, conn: ConnId) -> bool {
-        self.connections.get(&conn).is_some_and(|one| one.state == State::Dialing)
+    /// Whether this connection is being established.
+    pub fn is_dialing(&self, conn: ConnId) -> bool {
+        self.connections.get(&conn).is_some_and(|conn| conn.state == State::Dialing)
     }
 
-    /// Whether this connection is there, made or being made.
+    /// Whether this connection is established or being established.
     pub fn exists(&self, conn: ConnId) -> bool {
         self.connections.contains_key(&conn)
     }
 
-    /// Whether something waits for a connection to be made, or to take it.
+    /// Whether any message waits to be written.
     pub fn has_unsent(&self) -> bool {
-        self.connections.values().any(|one| !one.unsent.is_empty())
+        self.connections.values().any(|conn| !conn.unsent.is_empty())
     }
 
-    /// Whether this connection was ended here, and its peer has not closed it yet.
+    /// Whether this connection was finished here, and its peer has not closed it yet.
     pub fn is_finishing(&self, conn: ConnId) -> bool {
-        self.connections.get(&conn).is_some_and(|one| one.state == State::Finishing)
+        self.connections.get(&conn).is_some_and(|conn| conn.state == State::Finishing)
     }
 
-    /// Nothing new is put on this connection.
+    /// Sends nothing new on this connection from now on.
     pub fn mark_suspect(&mut self, conn: ConnId) {
-        self.connections.entry(conn).and_modify(|one| one.suspect = true);
+        self.connections.entry(conn).and_modify(|conn| conn.suspect = true);
     }
 
-    /// The connection to put something on, of those with fewer set-ups out than this: one that stands before one that
-    /// is being made, the one used last; never one that takes nothing.
+    /// The connection for a new message, among those with fewer than `streams` set-ups in flight: an
+    /// established one before one that is being established, then the one used last; never a blocked one.
     fn pick(&self, to: (ServerId, SocketAddr), streams: usize, avoid: &[ConnId]) -> Option<ConnId> {
-        let fits = |one: &Connection| {
-            (one.server, one.address) == to && one.takes() && one.in_flight.len() < streams
+        let fits = |conn: &Connection| {
+            (conn.server, conn.address) == to && conn.accepts_messages() && conn.in_flight.len() < streams
         };
-        let known = self.connections.iter().filter(|(id, one)| fits(one) && !avoid.contains(id));
-        known.max_by_key(|(_, one)| (one.state == State::Open, one.used)).map(|(id, _)| *id)
+        let candidates = self.connections.iter().filter(|(id, conn)| fits(conn) && !avoid.contains(id));
+        candidates.max_by_key(|(_, conn)| (conn.state == State::Open, conn.last_used)).map(|(id, _)| *id)
     }
 
     fn dial(
@@ -232,82 +237,86 @@
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) -> Option<ConnId> {
-        let counts = |one: &&Connection| one.server == to.0 && one.state != State::Finishing;
-        let of_server = self.connections.values().filter(counts).count();
-        if of_server >= MAX_PER_SERVER || (self.connections.len() >= self.most && !self.make_room(out)) {
-            self.room.refused += 1;
+        let is_counted = |conn: &&Connection| conn.server == to.0 && conn.state != State::Finishing;
+        let of_server = self.connections.values().filter(is_counted).count();
+        if of_server >= MAX_PER_SERVER
+            || (self.connections.len() >= self.max_connections && !self.make_room(out))
+        {
+            self.room_counts.refused += 1;
             return None;
         }
-        self.last += 1;
+        self.last_id += 1;
         self.dials[purpose as usize] += 1;
-        let id = ConnId(self.last);
+        let id = ConnId(self.last_id);
         let (server, address) = to;
-        let (state, unsent, open) = (State::Dialing, VecDeque::new(), BTreeSet::new());
+        let (state, unsent, set_ups) = (State::Dialing, VecDeque::new(), BTreeSet::new());
         let conn = Connection {
             server,
             address,
             state,
             unsent,
-            in_flight: open,
-            heard: now,
-            used: now,
+            in_flight: set_ups,
+            last_received: now,
+            last_used: now,
             suspect: false,
             carries_release: false,
             purpose,
         };
         self.connections.insert(id, conn);
-        self.keep_room(out);
+        self.reserve_room(out);
         timers.set(now + self.connect_within, Timer::ConnectTimeout(id));
         out.push(Command::Connect(id, address));
         Some(id)
     }
 
-    /// Ends the connection that has carried nothing for the longest, where few more can be made. Danger: closed only when
-    /// its place is needed, it goes over bytes that nobody has read, which resets it: its peer loses what it has not read
-    /// either, and what the peer said is lost here.
-    fn keep_room(&mut self, out: &mut Vec<Command>) {
-        let kept = (self.most * ROOM_KEPT.0 / ROOM_KEPT.1).max(1);
-        let in_use = self.connections.values().filter(|one| one.state != State::Finishing).count();
-        if in_use + kept <= self.most {
+    /// Finishes the connection that has been idle for the longest, where few more can be opened. Closed only
+    /// when its place is needed, a connection would be closed over unread bytes, which resets it: the peer
+    /// would lose what it has not read either, and what the peer sent would be lost here.
+    fn reserve_room(&mut self, out: &mut Vec<Command>) {
+        let reserved = (self.max_connections * RESERVED_FRACTION.0 / RESERVED_FRACTION.1).max(1);
+        let in_use = self.connections.values().filter(|conn| conn.state != State::Finishing).count();
+        if in_use + reserved <= self.max_connections {
             return;
         }
-        let idle = self.connections.iter_mut().filter(|(_, one)| one.is_idle());
-        if let Some((id, conn)) = idle.min_by_key(|(_, one)| one.used.max(one.heard)) {
+        let idle = self.connections.iter_mut().filter(|(_, conn)| conn.is_idle());
+        if let Some((id, conn)) = idle.min_by_key(|(_, conn)| conn.last_used.max(conn.last_received)) {
             conn.state = State::Finishing;
             out.push(Command::FinishServer(*id));
-            self.room.ended += 1;
+            self.room_counts.ended += 1;
         }
     }
 
-    /// Closes the connection that was ended first and that its peer has not closed yet, else the one that has carried
-    /// nothing for the longest, of those that nothing waits for and is out on; tells whether there was one. Danger: with
-    /// more servers than connections, those that were never called would be taken for dead.
+    /// Closes the connection that was finished first among those that the peer has not closed yet, else the
+    /// one that has been idle for the longest; returns whether there was one. Otherwise, with more servers
+    /// than connections, servers that were never dialled would be taken for dead.
     fn make_room(&mut self, out: &mut Vec<Command>) -> bool {
-        let free = |one: &Connection| one.state == State::Finishing || one.is_idle();
-        let closable = self.connections.iter().filter(|(_, one)| free(one));
-        let rests =
-            |one: &Connection| (one.state != State::Finishing, one.carries_release, one.used.max(one.heard));
-        let Some(id) = closable.min_by_key(|(_, one)| rests(one)).map(|(id, _)| *id) else {
+        let is_closable = |conn: &Connection| conn.state == State::Finishing || conn.is_idle();
+        let closable = self.connections.iter().filter(|(_, conn)| is_closable(conn));
+        let eviction_order = |conn: &Connection| {
+            (conn.state != State::Finishing, conn.carries_release, conn.last_used.max(conn.last_received))
+        };
+        let Some(id) = closable.min_by_key(|(_, conn)| eviction_order(conn)).map(|(id, _)| *id) else {
             return false;
         };
         self.connections.remove(&id);
         out.push(Command::CloseServer(id));
-        self.room.closed += 1;
+        self.room_counts.closed += 1;
         true
     }
 
     fn enqueue(&mut self, now: Micros, id: ConnId, message: Message, out: &mut Vec<Command>) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
-        conn.used = now;
+        conn.last_used = now;
         if conn.state == State::Open {
             out.push(Command::SendToServer(id, message));
-        } else if conn.unsent.len() < MAX_UNSENT || message.kind == kind::SET_UP {
+        } else if conn.unsent.len() < MAX_UNSENT_MESSAGES || message.kind == kind::SET_UP {
             conn.unsent.push_back(message);
         }
     }
 
-    /// Sends a set-up; tells on which connection, or nothing where there is no room for one. Not on those to avoid:
-    /// a late word on an attempt before would be taken for one on this.
+    /// Sends a set-up; returns the connection, or nothing where there is no room for one. The connections in
+    /// `avoid` are not used: a late message about an earlier attempt would be taken for one about this
+    /// attempt.
     pub fn set_up(
         &mut self,
         now: Micros,
@@ -317,8 +326,9 @@
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) -> Option<ConnId> {
-        let id =
-            self.pick(to, self.streams, avoid).or_else(|| self.dial(now, to, Purpose::SetUp, timers, out))?;
+        let id = self
+            .pick(to, self.max_streams, avoid)
+            .or_else(|| self.dial(now, to, Purpose::SetUp, timers, out))?;
         let session = message.session;
         self.enqueue(now, id, message, out);
         self.connections.entry(id).and_modify(|conn| {
@@ -327,7 +337,7 @@
         Some(id)
     }
 
-    /// Sends something else: on this connection, else on any other of the media server, else on a new one.
+    /// Sends any other message: on this connection, else on any other of the media server, else on a new one.
     pub fn send(
         &mut self,
         now: Micros,
@@ -338,7 +348,9 @@
         out: &mut Vec<Command>,
     ) -> Option<ConnId> {
         let fits = |id: &ConnId| {
-            self.connections.get(id).is_some_and(|one| (one.server, one.address) == to && one.takes())
+            self.connections
+                .get(id)
+                .is_some_and(|conn| (conn.server, conn.address) == to && conn.accepts_messages())
         };
         let on = on.filter(fits).or_else(|| self.pick(to, usize::MAX, &[]));
         let id = on.or_else(|| self.dial(now, to, Purpose::Message, timers, out))?;
@@ -348,27 +360,27 @@
         Some(id)
     }
 
-    /// Makes a new connection to see whether the media server is there, unless one is being made. Returns whether one
-    /// is.
-    pub fn check(
+    /// Opens a new connection to check whether the media server is alive, unless one is being established.
+    /// Returns whether one is.
+    pub fn dial_health_check(
         &mut self,
         now: Micros,
         to: (ServerId, SocketAddr),
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) -> bool {
-        let mut dialing = self.connections.values().filter(|one| one.state == State::Dialing);
-        if dialing.clone().any(|one| one.server == to.0) {
+        let mut dialing = self.connections.values().filter(|conn| conn.state == State::Dialing);
+        if dialing.clone().any(|conn| conn.server == to.0) {
             return true;
         }
-        let checks = dialing.by_ref().filter(|one| one.purpose == Purpose::HealthCheck).count();
-        if checks >= (self.most * HEALTH_CHECK_SHARE.0 / HEALTH_CHECK_SHARE.1).max(1) {
+        let checks = dialing.by_ref().filter(|conn| conn.purpose == Purpose::HealthCheck).count();
+        if checks >= (self.max_connections * HEALTH_CHECK_FRACTION.0 / HEALTH_CHECK_FRACTION.1).max(1) {
             return false;
         }
         self.dial(now, to, Purpose::HealthCheck, timers, out).is_some()
     }
 
-    /// A connection is made: what waited is written.
+    /// A connection is established: writes the unsent messages.
     pub fn established(
         &mut self,
         now: Micros,
@@ -377,14 +389,15 @@
         out: &mut Vec<Command>,
     ) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
-        (conn.heard, conn.used) = (now, now);
+        (conn.last_received, conn.last_used) = (now, now);
         self.writable(id, out);
-        timers.set(now + self.idle_kept, Timer::IdleTimeout(id));
+        timers.set(now + self.idle_timeout, Timer::IdleTimeout(id));
     }
 
-    /// The connection takes nothing now: of the message that `cut` names a part was written, of these not a byte.
-    /// Danger: kept where they cannot be taken back, they would go out long after whoever asked has left.
-    pub fn blocked(
+    /// The connection accepts no more bytes: the set-up of session `cut` was partly written, and of the
+    /// `unsent` messages not a byte was. They come back here, where they can be withdrawn: otherwise they
+    /// would be written long after the client has left.
+    pub fn mark_blocked(
         &mut self,
         now: Micros,
         id: ConnId,
@@ -394,42 +407,42 @@
     ) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         conn.state = State::Blocked(cut, now);
-        // A set-up that was taken back meanwhile goes nowhere, nor does its give-up.
-        let set_up = |message: &&Message| message.kind == kind::SET_UP;
-        let over = |message: &Message| !conn.in_flight.contains(&message.session);
-        let sessions = unsent.iter().filter(set_up).filter(|m| over(m)).map(|m| m.session);
-        let taken_back: BTreeSet<u64> = sessions.collect();
-        let kept = unsent.into_iter().filter(|message| !taken_back.contains(&message.session));
+        // A set-up that was withdrawn in the meantime is dropped, and its give-up with it.
+        let is_set_up = |message: &&Message| message.kind == kind::SET_UP;
+        let is_withdrawn = |message: &Message| !conn.in_flight.contains(&message.session);
+        let sessions = unsent.iter().filter(is_set_up).filter(|m| is_withdrawn(m)).map(|m| m.session);
+        let withdrawn: BTreeSet<u64> = sessions.collect();
+        let kept = unsent.into_iter().filter(|message| !withdrawn.contains(&message.session));
         kept.rev().for_each(|message| conn.unsent.push_front(message));
         timers.set(now + WRITE_TIMEOUT, Timer::WriteTimeout(id));
     }
 
-    /// It takes something again, or for the first time: what waits goes out.
+    /// The connection accepts bytes, again or for the first time: writes the unsent messages.
     pub fn writable(&mut self, id: ConnId, out: &mut Vec<Command>) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         conn.state = State::Open;
         out.extend(conn.unsent.drain(..).map(|message| Command::SendToServer(id, message)));
     }
 
-    /// Whether it has taken nothing for too long.
-    pub fn is_blocked(&self, now: Micros, id: ConnId) -> bool {
+    /// Whether the connection has been blocked for too long.
+    pub fn is_blocked_too_long(&self, now: Micros, id: ConnId) -> bool {
         let state = self.connections.get(&id).map(|conn| conn.state);
         matches!(state, Some(State::Blocked(_, since)) if since + WRITE_TIMEOUT <= now)
     }
 
-    /// Set-ups to these media servers of which not a byte was written.
-    pub fn unsent(&self, servers: &BTreeSet<ServerId>) -> Vec<u64> {
-        let of_these = self.connections.values().filter(|one| servers.contains(&one.server));
-        of_these.flat_map(Connection::unsent).collect()
+    /// Sessions whose set-ups to these media servers are unsent.
+    pub fn unsent_set_ups_to(&self, servers: &BTreeSet<ServerId>) -> Vec<u64> {
+        let of_these = self.connections.values().filter(|conn| servers.contains(&conn.server));
+        of_these.flat_map(Connection::unsent_set_ups).collect()
     }
 
-    /// A connection has closed, or could not be made.
-    pub fn closed(&mut self, id: ConnId) -> Ended {
-        let mut ended = Ended { conn: id, set_ups: Vec::new(), unsent: Vec::new() };
+    /// Removes a connection that was closed or could not be established, and returns the set-ups on it.
+    pub fn remove(&mut self, id: ConnId) -> EndedConnection {
+        let mut ended = EndedConnection { conn: id, set_ups: Vec::new(), unsent: Vec::new() };
         if let Some(mut conn) = self.connections.remove(&id) {
-            ended.unsent = conn.unsent();
+            ended.unsent = conn.unsent_set_ups();
             if let State::Blocked(Some(cut), _) = conn.state {
-                // Half a message never runs.
+                // A partial message never runs.
                 ended.unsent.extend(Some(cut).filter(|session| conn.in_flight.contains(session)));
             }
             ended.unsent.iter().for_each(|session| {
@@ -440,31 +453,31 @@
         ended
     }
 
-    /// Something was heard on it: whose it is.
-    pub fn heard(&mut self, now: Micros, id: ConnId) -> Option<ServerId> {
+    /// Something was received on the connection; returns its server.
+    pub fn message_received(&mut self, now: Micros, id: ConnId) -> Option<ServerId> {
         let conn = self.connections.get_mut(&id)?;
-        (conn.heard, conn.used) = (now, now);
+        (conn.last_received, conn.last_used) = (now, now);
         Some(conn.server)
     }
 
-    /// A set-up has its answer: it has ended, or stands and belongs to no connection from here on.
-    pub fn ended(&mut self, id: ConnId, session: u64, out: &mut Vec<Command>) {
+    /// A set-up was answered: it has failed, or the session plays and belongs to no connection from now on.
+    pub fn set_up_ended(&mut self, id: ConnId, session: u64, out: &mut Vec<Command>) {
         self.connections.entry(id).and_modify(|conn| {
             conn.in_flight.remove(&session);
         });
         self.finish_suspect(id, out);
     }
 
-    /// Whether something can be sent to a media server without a connection being closed for it on which a release may
+    /// Whether a message to a media server can be sent without closing a connection on which a release may
     /// lie unread.
     pub fn has_room_to(&self, to: (ServerId, SocketAddr)) -> bool {
-        let mut ended = self.connections.values().filter(|one| one.state == State::Finishing);
-        self.connections.len() < self.most
+        let mut finishing = self.connections.values().filter(|conn| conn.state == State::Finishing);
+        self.connections.len() < self.max_connections
             || self.pick(to, usize::MAX, &[]).is_some()
-            || ended.any(|one| !one.carries_release)
+            || finishing.any(|conn| !conn.carries_release)
     }
 
-    /// Ends all connections that nothing is out on and nothing waits for.
+    /// Finishes all idle connections.
     pub fn finish_idle(&mut self, out: &mut Vec<Command>) {
         for (id, conn) in self.connections.iter_mut().filter(|(_, conn)| conn.is_idle()) {
             conn.state = State::Finishing;
@@ -472,8 +485,8 @@
         }
     }
 
-    /// Ends a connection that is of no more use, as soon as nothing is out on it: its peer closes it when all that was
-    /// written is read, and shows by that that what was given up there is over.
+    /// Finishes a suspect connection as soon as it is idle: its peer closes it once everything written on it
+    /// is read, which proves that the attempts given up on it are over.
     fn finish_suspect(&mut self, id: ConnId, out: &mut Vec<Command>) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
         if conn.suspect && conn.is_idle() {
@@ -482,8 +495,9 @@
         }
     }
 
-    /// Takes a set-up back. Where it was written, its give-up follows. Danger: a connection that stays open and is of
-    /// no more use, though notes may still come on it; after a time-out nothing new is put on it, and it is ended.
+    /// Withdraws a set-up; if it was written, a give-up is sent after it. After a time-out the connection is
+    /// suspect: it may stay open without being of any use, even if notes still arrive on it. Nothing new is
+    /// sent on it, and it is finished.
     pub fn withdraw(
         &mut self,
         id: ConnId,
@@ -493,40 +507,46 @@
     ) -> Withdrawn {
         let Some(conn) = self.connections.get_mut(&id) else { return Withdrawn::MayHaveRun };
         conn.in_flight.remove(&session);
-        if conn.waits(session) {
+        if conn.has_unsent_set_up(session) {
             conn.unsent.retain(|message| message.session != session);
             return Withdrawn::Unsent;
         }
         if matches!(conn.state, State::Blocked(Some(cut), _) if cut == session) {
-            return Withdrawn::Cut;
+            return Withdrawn::PartlyWritten;
         }
         conn.suspect |= timed_out;
-        let used = conn.used;
-        self.enqueue(used, id, Message::release(session, cause::NORMAL), out);
+        let last_used = conn.last_used;
+        self.enqueue(last_used, id, Message::release(session, cause::NORMAL), out);
         self.finish_suspect(id, out);
         Withdrawn::MayHaveRun
     }
 
-    /// A connection may have been idle long enough, or be of no more use. Danger: what stands belongs to no connection,
-    /// and its media server may say on this one, as it is closed, that it is over; closed at once, its clients would
-    /// never hear of it.
-    pub fn idle(&mut self, now: Micros, id: ConnId, timers: &mut Timers<Timer>, out: &mut Vec<Command>) {
+    /// Finishes a connection that has been idle for long enough or is suspect. It is not closed at once:
+    /// playing sessions belong to no connection, and the media server may report the end of one on this
+    /// connection as it is closed; the clients would never learn of it.
+    pub fn check_idle(
+        &mut self,
+        now: Micros,
+        id: ConnId,
+        timers: &mut Timers<Timer>,
+        out: &mut Vec<Command>,
+    ) {
         let Some(conn) = self.connections.get_mut(&id) else { return };
-        let last = conn.used.max(conn.heard);
+        let last = conn.last_used.max(conn.last_received);
         if conn.state == State::Open
             && conn.in_flight.is_empty()
-            && (conn.suspect || last + self.idle_kept <= now)
+            && (conn.suspect || last + self.idle_timeout <= now)
         {
             conn.state = State::Finishing;
             out.push(Command::FinishServer(id));
         } else if conn.state != State::Finishing {
-            let again = if conn.suspect { now + self.connect_within } else { last + self.idle_kept };
-            timers.set(again.max(now + self.connect_within), Timer::IdleTimeout(id));
+            let next_check = if conn.suspect { now + self.connect_within } else { last + self.idle_timeout };
+            timers.set(next_check.max(now + self.connect_within), Timer::IdleTimeout(id));
         }
     }
 
-    /// Set-ups that are out on any connection.
-    pub fn out(&self) -> BTreeSet<u64> {
+    /// All sessions whose set-ups are in flight.
+    pub fn in_flight_set_ups(&self) -> BTreeSet<u64> {
         self.connections.values().flat_map(|conn| conn.in_flight.iter().copied()).collect()
     }
 }
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -1,10 +1,10 @@
-//! What servers say: answers to set-ups, notes on and ends of what stands, load.
+//! Messages from servers: answers to set-ups, notes on and ends of playing sessions, load reports.
 
 use salttally_front::core::session::Playing;
 
-use super::pool::Ended;
+use super::pool::EndedConnection;
 use super::*;
-use crate::wire::words;
+use crate::wire::values;
 
 impl<D: Decider> Core<D> {
     pub(super) fn connect_ended(
@@ -17,16 +17,16 @@
         match result {
             Ok(()) => {
                 self.pool.established(self.now, conn, &mut self.timers, out);
-                self.health.heard(self.now, server);
+                self.health.mark_alive(self.now, server);
                 self.server_reached(server, out);
             }
             Err(DialError::NotTried) => {
-                // Nothing is learnt of the media server: this process has no room.
-                let ended = self.pool.closed(conn);
+                // This process has no room for the connection; that proves nothing about the media server.
+                let ended = self.pool.remove(conn);
                 self.end_attempts_on(ended, Outcome::NotSent);
             }
             Err(error) => {
-                let ended = self.pool.closed(conn);
+                let ended = self.pool.remove(conn);
                 self.end_attempts_on(ended, Outcome::NoConnection);
                 let verdict = self.health.connect_failed(self.now, server, error);
                 if verdict == Verdict::Lost && error != DialError::Refused {
@@ -34,57 +34,58 @@
                 }
                 self.apply_verdict(server, verdict, out);
                 if error == DialError::Refused {
-                    // Its process is dead, with all that stood there.
-                    self.releases_moot(|at| at == server);
+                    // The process of the server is dead, and so are its sessions.
+                    self.drop_releases(|at| at == server);
                 }
             }
         }
     }
 
-    /// A connection is gone, closed `by_server` or not.
+    /// A connection is gone; `by_server` tells whether the server closed it.
     pub(super) fn connection_closed(&mut self, conn: ConnId, by_server: bool, out: &mut Vec<Command>) {
         let Some(server) = self.pool.server(conn) else { return };
         let was_finishing = self.pool.is_finishing(conn);
-        let ended = self.pool.closed(conn);
+        let ended = self.pool.remove(conn);
         if was_finishing {
-            // Ended here: it says nothing of the media server.
+            // The connection was being finished by this node, so its end proves nothing about the media
+            // server.
             return;
         }
         if !by_server {
             self.attempts_in_doubt(server, &ended, out);
         }
         self.end_attempts_on(ended, Outcome::Broken);
-        // What stands there goes on, unless its process has died: a look tells.
+        // Sessions that play there go on, unless the server's process has died: a health check finds out.
         let gone = !self.pool.is_up(server);
         self.check_health(server, gone, out);
     }
 
-    /// Nothing more of a connection can be trusted: it is hung up.
+    /// Closes a connection whose bytes cannot be decoded: nothing that follows on it can be trusted.
     pub(super) fn server_unreadable(&mut self, conn: ConnId, out: &mut Vec<Command>) {
         self.counts.unreadable += 1;
         self.disconnect(conn, out);
     }
 
-    /// A connection is of no more use, with all that is out on it.
+    /// Closes a connection, and ends everything in flight on it.
     pub(super) fn disconnect(&mut self, conn: ConnId, out: &mut Vec<Command>) {
         out.push(Command::CloseServer(conn));
         self.connection_closed(conn, false, out);
     }
 
-    fn attempts_in_doubt(&mut self, server: ServerId, ended: &Ended, out: &mut Vec<Command>) {
+    fn attempts_in_doubt(&mut self, server: ServerId, ended: &EndedConnection, out: &mut Vec<Command>) {
         for id in &ended.set_ups {
             self.mark_in_doubt(*id, server, ended.conn, out);
             self.release_abandoned(*id, server, out);
         }
     }
 
-    fn end_attempts_on(&mut self, ended: Ended, outcome: Outcome) {
+    fn end_attempts_on(&mut self, ended: EndedConnection, outcome: Outcome) {
         for id in ended.set_ups {
             self.attempt_ended(id, outcome, Vec::new());
         }
-        let never = if outcome == Outcome::NotSent { outcome } else { Outcome::NoConnection };
+        let unsent_outcome = if outcome == Outcome::NotSent { outcome } else { Outcome::NoConnection };
         for id in ended.unsent {
-            self.attempt_ended(id, never, Vec::new());
+            self.attempt_ended(id, unsent_outcome, Vec::new());
         }
         let probes = self.probes.iter().filter(|(_, (_, on))| *on == ended.conn).map(|(id, _)| *id);
         for id in probes.collect::<Vec<_>>() {
@@ -94,30 +95,30 @@
         }
     }
 
-    /// The connections of these media servers are of no more use: they are gone, or listen elsewhere.
+    /// Closes the connections of media servers that are gone or listen at another address.
     pub(super) fn drop_connections(&mut self, servers: &BTreeSet<ServerId>, out: &mut Vec<Command>) {
         for (conn, server) in self.pool.connections_of(servers) {
             out.push(Command::CloseServer(conn));
-            let ended = self.pool.closed(conn);
+            let ended = self.pool.remove(conn);
             self.attempts_in_doubt(server, &ended, out);
             self.end_attempts_on(ended, Outcome::Broken);
         }
     }
 
     pub(super) fn server_message(&mut self, conn: ConnId, message: Message, out: &mut Vec<Command>) {
-        let Some(server) = self.pool.heard(self.now, conn) else { return };
-        self.health.heard(self.now, server);
+        let Some(server) = self.pool.message_received(self.now, conn) else { return };
+        self.health.mark_alive(self.now, server);
         let id = message.session;
         match message.kind {
-            kind::ANSWER => self.answered(server, conn, message, out),
+            kind::ANSWER => self.set_up_answered(server, conn, message, out),
             kind::RELEASE => {
                 out.push(Command::SendToServer(conn, Message::new(kind::RELEASE_ACK, id)));
-                self.give_up_heard(id, conn, out);
-                self.release_answered(id, server);
+                self.give_up_acknowledged(id, conn, out);
+                self.release_acknowledged(id, server);
                 self.server_released(server, conn, message, out);
             }
             kind::NOTE => {
-                let Some(note) = note(&message) else { return };
+                let Some(note) = parse_note(&message) else { return };
                 let Some(entry) = self.sessions.get_mut(&id) else { return };
                 let Stage::Playing(playing) = &mut entry.session.stage else { return };
                 if playing.attempt.server != server {
@@ -126,7 +127,7 @@
                 if let Note::Rung(rung) = note {
                     playing.attempt.rung = rung;
                 }
-                self.events.push_back(Event::Note { session: name(id), server, note });
+                self.events.push_back(Event::Note { session: session_id(id), server, note });
             }
             kind::TEST_RESULT => {
                 if self.probes.get(&id).is_some_and(|(of, _)| *of == server) {
@@ -137,26 +138,30 @@
                 }
             }
             kind::RELEASE_ACK => {
-                self.give_up_heard(id, conn, out);
-                self.release_answered(id, server);
+                self.give_up_acknowledged(id, conn, out);
+                self.release_acknowledged(id, server);
             }
             kind::PROGRESS => {}
-            // No media server says this.
+            // Media servers do not send messages of this type.
             _ => self.server_unreadable(conn, out),
         }
     }
 
-    /// What came in one read. Danger: a session that was ended on purpose before its answer has left here would be told
-    /// to play, and its client, which is owed no release then, would never hear anything that is still true.
+    /// Handles the messages of one read. An answer that is followed in the same read by a deliberate release
+    /// of its session is not passed on: the client would be told that the session plays, and since it gets no
+    /// release after a deliberate end, it would never learn that the session is over.
     pub(super) fn server_messages(&mut self, conn: ConnId, messages: Vec<Message>, out: &mut Vec<Command>) {
-        let ends = |message: &Message, id: u64| {
-            message.kind == kind::RELEASE && message.session == id && end_of(message.cause()).1.is_none()
+        let is_deliberate_end = |message: &Message, id: u64| {
+            message.kind == kind::RELEASE
+                && message.session == id
+                && interpret_end_cause(message.cause()).1.is_none()
         };
         let answers = messages.iter().enumerate().filter(|(_, message)| message.kind == kind::ANSWER);
-        let over = answers.filter(|(at, answer)| messages[*at..].iter().any(|m| ends(m, answer.session)));
-        let over: Vec<u64> = over.map(|(_, answer)| answer.session).collect();
+        let ended = answers
+            .filter(|(at, answer)| messages[*at..].iter().any(|m| is_deliberate_end(m, answer.session)));
+        let ended: Vec<u64> = ended.map(|(_, answer)| answer.session).collect();
         for message in messages {
-            if message.kind == kind::ANSWER && over.contains(&message.session) {
+            if message.kind == kind::ANSWER && ended.contains(&message.session) {
                 self.fail_unanswered(conn, message.session, out);
             } else {
                 self.server_message(conn, message, out);
@@ -164,7 +169,7 @@
         }
     }
 
-    /// The attempt that is out stood and is over again: it has failed for its client.
+    /// The current attempt succeeded and has ended since: its client is told that the request failed.
     fn fail_unanswered(&mut self, conn: ConnId, id: u64, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         if entry.conn != Some(conn) || !matches!(entry.session.stage, Stage::Trying(_)) {
@@ -172,40 +177,42 @@
         }
         entry.session.settled();
         if let Some((client, _)) = entry.session.client {
-            out.push(Command::SendToClient(client, Message::release(id, FAILED)));
+            out.push(Command::SendToClient(client, Message::release(id, FAILED_CAUSE)));
         }
         self.counts.failed += 1;
-        self.pool.ended(conn, id, out);
+        self.pool.set_up_ended(conn, id, out);
         self.attempt_ended(id, Outcome::Withdrawn, Vec::new());
     }
 
     fn report(&self, message: &Message) -> Vec<f64> {
-        words::report(message, &self.facts.report_names, &self.facts.settings.reports)
+        values::load_report(message, &self.facts.report_names, &self.facts.settings.reports)
     }
 
-    /// The session stands, if this answers the attempt that is out; anything else is a copy, late, or nobody's.
-    fn answered(&mut self, server: ServerId, conn: ConnId, message: Message, out: &mut Vec<Command>) {
+    /// The session plays, if this answers the current attempt. Any other answer is a duplicate, late or
+    /// unexpected.
+    fn set_up_answered(&mut self, server: ServerId, conn: ConnId, message: Message, out: &mut Vec<Command>) {
         let id = message.session;
-        let waits = |entry: &&mut Entry| match &entry.session.stage {
+        let is_expected = |entry: &&mut SessionEntry| match &entry.session.stage {
             Stage::Trying(attempt) => attempt.server == server && entry.conn == Some(conn),
             _ => false,
         };
-        let Some(entry) = self.sessions.get_mut(&id).filter(waits) else {
-            let text = format!("server s-{:08x}: an answer for {id:016x} that nobody waits for", server.0);
+        let Some(entry) = self.sessions.get_mut(&id).filter(is_expected) else {
+            let text = format!("server s-{:08x}: unexpected answer for session {id:016x}", server.0);
             out.push(Command::Log(Level::Debug, text));
             return;
         };
         let overdue = entry.session.overdue_at(self.facts.answer_slack);
         if overdue <= self.now {
-            // Nobody may be told that it plays after its time, however long the answer lay unread.
-            return self.overdue(id, out);
+            // No client may be told that its session plays after the deadline, however long the answer lay
+            // unread.
+            return self.answer_overdue(id, out);
         }
         let Some(description) = message.get(code::DESCRIPTION).map(<[u8]>::to_vec) else {
             return self.server_unreadable(conn, out);
         };
         let Some(attempt) = entry.session.out().cloned() else { return };
         let client = entry.session.client.map(|(client, _)| client);
-        self.pool.ended(conn, id, out);
+        self.pool.set_up_ended(conn, id, out);
         self.timers.unset(attempt.expires, Timer::AttemptTimeout(id, attempt.number));
         self.timers.unset(overdue, Timer::AnswerDeadline(id));
         let took = self.now - attempt.sent;
@@ -214,41 +221,44 @@
             out.push(Command::SendToClient(client, answer));
             self.admission.session_started(client, id);
         }
-        entry.passed = Vec::new();
-        entry.since = self.now;
+        entry.forwarded_parameters = Vec::new();
+        entry.playing_since = self.now;
         entry.session.may_have_run = true;
         entry.session.stage = Stage::Playing(Playing { attempt, changing: None, missed: 0 });
         self.counts.played += 1;
         self.watch_health(server);
-        self.events.push_back(Event::Started { session: name(id), server, took });
+        self.events.push_back(Event::Started { session: session_id(id), server, took });
     }
 
     fn server_released(&mut self, server: ServerId, conn: ConnId, message: Message, out: &mut Vec<Command>) {
         let id = message.session;
         let Some(entry) = self.sessions.get(&id) else {
-            // Its client may hand it over yet, and its media server tells the end only once more.
-            if self.now < self.began + EARLY_ENDS_KEPT && self.early_ends.len() < MAX_EARLY_ENDS {
+            // The client may still hand the session over, and its media server reports the end only once
+            // more.
+            if self.now < self.started_at + EARLY_END_RETENTION && self.early_ends.len() < MAX_EARLY_ENDS {
                 self.early_ends.insert(id, (server, message));
             }
             return;
         };
-        let own = entry.conn == Some(conn);
-        // Danger: a late word on an attempt before, taken for one on this, would leave two out, or end what plays.
-        let has_own = entry.conn.is_some_and(|on| self.pool.exists(on) && !self.pool.is_finishing(on));
-        let late = !own && entry.before.contains(&conn) && has_own;
-        if entry.session.at().is_none_or(|at| at.server != server) || late {
+        let is_current_conn = entry.conn == Some(conn);
+        // A late release of an earlier attempt, taken for one of the current attempt, would leave two
+        // attempts running, or end a playing session.
+        let has_current_conn =
+            entry.conn.is_some_and(|on| self.pool.exists(on) && !self.pool.is_finishing(on));
+        let is_late = !is_current_conn && entry.earlier_conns.contains(&conn) && has_current_conn;
+        if entry.session.at().is_none_or(|at| at.server != server) || is_late {
             return;
         }
         let (report, cause) = (self.report(&message), message.cause());
         if entry.session.playing().is_some() {
             let moving = entry.moving;
-            let (outcome, told) = end_of(cause);
-            return self.end_session(id, outcome, report, told.filter(|_| !moving), out);
+            let (outcome, client_cause) = interpret_end_cause(cause);
+            return self.end_session(id, outcome, report, client_cause.filter(|_| !moving), out);
         }
-        if !own {
+        if !is_current_conn {
             return;
         }
-        self.pool.ended(conn, id, out);
+        self.pool.set_up_ended(conn, id, out);
         let outcome = match cause {
             Some(cause::FULL) => Outcome::Full,
             Some(cause::ERROR) => Outcome::Failed,
@@ -258,9 +268,9 @@
         self.attempt_ended(id, outcome, report);
     }
 
-    // ---- What stands ----
+    // ---- Playing sessions ----
 
-    /// A media server holds one more session: it is watched.
+    /// Counts one more session at a media server, and schedules its health check.
     pub(super) fn watch_health(&mut self, server: ServerId) {
         if let Some(at) = self.health.session_started(self.now, server) {
             self.timers.set(at, Timer::HealthCheck(server));
@@ -268,16 +278,16 @@
     }
 
     pub(super) fn check_health(&mut self, server: ServerId, gone: bool, out: &mut Vec<Command>) {
-        let look = self.health.check(self.now, server, gone);
-        if let Some(at) = look.again {
+        let check = self.health.check(self.now, server, gone);
+        if let Some(at) = check.next_check {
             self.timers.set(at, Timer::HealthCheck(server));
         }
-        if !look.dial {
+        if !check.dial {
             return;
         }
         match self.servers.get(&server).copied() {
             Some(address) => {
-                if !self.pool.check(self.now, (server, address), &mut self.timers, out) {
+                if !self.pool.dial_health_check(self.now, (server, address), &mut self.timers, out) {
                     out.push(Command::Log(
                         Level::Warn,
                         format!("server s-{:08x}: no connection left to check it", server.0),
@@ -293,19 +303,19 @@
 
     fn apply_verdict(&mut self, server: ServerId, verdict: Verdict, out: &mut Vec<Command>) {
         match verdict {
-            Verdict::Fine => {}
-            Verdict::Again(at) => self.timers.set(at, Timer::HealthCheck(server)),
+            Verdict::Undecided => {}
+            Verdict::CheckAt(at) => self.timers.set(at, Timer::HealthCheck(server)),
             Verdict::Lost => self.end_lost_sessions(|at, _| at == server, out),
         }
     }
 
-    /// Sessions that the ends of their media servers have cut: those that play and of which this holds.
+    /// Ends the playing sessions for which `is_cut` holds: those lost with their media servers.
     pub(super) fn end_lost_sessions(
         &mut self,
-        is_cut: impl Fn(ServerId, &Entry) -> bool,
+        is_cut: impl Fn(ServerId, &SessionEntry) -> bool,
         out: &mut Vec<Command>,
     ) {
-        let cut_at = |entry: &Entry| {
+        let cut_at = |entry: &SessionEntry| {
             let at = entry.session.playing()?.attempt.server;
             is_cut(at, entry).then_some(at)
         };
@@ -316,7 +326,7 @@
             }
         }
         for (server, sessions) in &lost {
-            let text = format!("server s-{:08x}: {} sessions lost with it", server.0, sessions.len());
+            let text = format!("server s-{:08x}: {} sessions lost", server.0, sessions.len());
             out.push(Command::Log(Level::Info, text));
         }
         for id in lost.into_values().flatten() {
@@ -326,42 +336,45 @@
         }
     }
 
-    /// Tells a media server something of a session that it holds.
-    pub(super) fn tell_server(&mut self, id: u64, message: Message, out: &mut Vec<Command>) {
+    /// Sends a media server a message about a session that it holds.
+    pub(super) fn notify_server(&mut self, id: u64, message: Message, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
         let Some(at) = entry.session.at() else { return };
-        // A media server that has gone took it along, and another one may listen at its address.
+        // The session is gone with its media server, and another server may listen at the address.
         let Some(address) = self.servers.get(&at.server).copied() else { return };
         let to = (at.server, address);
         self.pool.send(self.now, to, entry.conn, message, &mut self.timers, out);
     }
 
-    /// A moved session that its media server has not ended is ended there.
+    /// Releases a moved session that its media server has not ended.
     pub(super) fn move_timed_out(&mut self, id: u64, out: &mut Vec<Command>) {
         if self.sessions.get(&id).is_some_and(|entry| entry.moving) {
-            out.push(Command::Log(Level::Debug, format!("session {id:016x} was moved and still stands")));
+            out.push(Command::Log(
+                Level::Debug,
+                format!("session {id:016x} still plays after its move, releasing it"),
+            ));
             self.release_at_server(id, cause::ON_PURPOSE, out);
             self.end_session(id, Outcome::Withdrawn, Vec::new(), None, out);
         }
     }
 }
 
-/// What the end of a session that stands means, and the cause that its client is told, if that is owed.
-pub(super) fn end_of(told: Option<u8>) -> (Outcome, Option<u8>) {
-    match told {
+/// What the cause of a playing session's end means, and the cause to send to its client, if it gets one.
+pub(super) fn interpret_end_cause(cause: Option<u8>) -> (Outcome, Option<u8>) {
+    match cause {
         Some(cause::NORMAL) => (Outcome::Ok, Some(cause::NORMAL)),
         Some(cause::ON_PURPOSE) => (Outcome::Withdrawn, None),
         _ => (Outcome::Broken, Some(cause::BROKEN)),
     }
 }
 
-fn note(message: &Message) -> Option<Note> {
-    let figure = message.text(code::NOTE_VALUE).and_then(words::number)?;
+fn parse_note(message: &Message) -> Option<Note> {
+    let value = message.text(code::NOTE_VALUE).and_then(values::parse_number)?;
     match message.text(code::NOTE_KIND)? {
-        "got" => Some(Note::Delivered(figure)),
-        "level" => Some(Note::Rung(figure.max(0.0) as usize)),
-        "port" => Some(Note::Link(figure)),
-        "spine" => Some(Note::Uplink(figure)),
+        "got" => Some(Note::Delivered(value)),
+        "level" => Some(Note::Rung(value.max(0.0) as usize)),
+        "port" => Some(Note::Link(value)),
+        "spine" => Some(Note::Uplink(value)),
         _ => None,
     }
 }
