--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -1,4 +1,5 @@
-//! Dangers of the protocol, in virtual time: a front node with the real module, or with one that asks for anything.
+//! The protocol in virtual time: a front node with the production decider, or with a scripted one that may
+//! ask for anything.
 
 use std::net::SocketAddr;
 
@@ -11,9 +12,9 @@
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
-const LISTED: u32 = 3;
+const SERVER_COUNT: u32 = 3;
 
-/// Two classes: `clip` may be set up again, `paid` is set up once and never plays on the lowest rung.
+/// Two classes: `clip` may be set up again, `paid` is set up at most once and never plays on the lowest rung.
 fn facts() -> Facts {
     Facts::parse(
         r#"{"balancers": 1, "zone": 0, "localities": ["a"], "host_types": ["k"],
@@ -36,89 +37,89 @@
     SocketAddr::from(([127, 0, 0, id as u8 + 1], 3868))
 }
 
-fn line(id: u32) -> Listed {
+fn listed(id: u32) -> Listed {
     let entry = ServerEntry { server: ServerId(id), cell: id, units: 1.0, ..ServerEntry::default() };
     Listed { entry, address: address(id) }
 }
 
-/// A decider that does as it is told by the test.
+/// A decider that returns the actions given by the test, and records the events.
 #[derive(Default)]
-struct Puppet(VecDeque<Action>, Vec<Event>);
+struct ScriptedDecider(VecDeque<Action>, Vec<Event>);
 
-impl Decider for Puppet {
+impl Decider for ScriptedDecider {
     fn handle(&mut self, _: Micros, event: &Event, out: &mut Vec<Action>) {
         out.extend(self.0.drain(..));
         self.1.push(event.clone());
     }
 }
 
-struct Bench<D> {
+struct TestNode<D> {
     core: Core<D>,
     now: Micros,
     out: Vec<Command>,
 }
 
-impl Bench<Brain> {
+impl TestNode<Brain> {
     fn new() -> Self {
-        Bench::with(Brain::new(facts().settings, 7))
+        TestNode::with(Brain::new(facts().settings, 7))
     }
 }
 
-impl<D: Decider> Bench<D> {
+impl<D: Decider> TestNode<D> {
     fn with(decider: D) -> Self {
         let core = Core::new(decider, facts(), 256, START);
-        let mut bench = Bench { core, now: START, out: Vec::new() };
-        let known = (0..LISTED).map(line).collect();
-        bench.core.begin(START, known, 5, address(200), &mut bench.out);
-        bench.told(1, 5, Payload::Nothing);
-        bench.tell(NodeEvent::ClientConnected(ClientId(1)));
-        bench
+        let mut node = TestNode { core, now: START, out: Vec::new() };
+        let known = (0..SERVER_COUNT).map(listed).collect();
+        node.core.start(START, known, 5, address(200), &mut node.out);
+        node.list_frame(1, 5, Payload::Unchanged);
+        node.handle(NodeEvent::ClientConnected(ClientId(1)));
+        node
     }
 
-    fn tell(&mut self, input: NodeEvent) -> Vec<Command> {
+    fn handle(&mut self, input: NodeEvent) -> Vec<Command> {
         self.core.handle(self.now, input, &mut self.out);
-        // As the edge does it when nothing more lies in the sockets.
+        // As the edge does once the sockets are empty.
         self.core.decide(self.now, &mut self.out);
         let mut all = std::mem::take(&mut self.out);
-        // A media server closes a connection that is ended here.
+        // Media servers close the connections that are being finished.
         let finished = |command: &Command| match command {
             Command::FinishServer(conn) => Some(*conn),
             _ => None,
         };
         for conn in all.iter().filter_map(finished).collect::<Vec<_>>() {
-            all.extend(self.tell(NodeEvent::ServerClosed(conn)));
+            all.extend(self.handle(NodeEvent::ServerClosed(conn)));
         }
         all
     }
 
-    /// What is due is done, and media servers close no connection that is ended here.
-    fn tick_unclosed(&mut self) -> Vec<Command> {
+    /// Fires the timers due now; media servers do not close the connections that are being finished.
+    fn tick_without_closes(&mut self) -> Vec<Command> {
         self.core.handle(self.now, NodeEvent::Tick, &mut self.out);
         self.core.decide(self.now, &mut self.out);
         std::mem::take(&mut self.out)
     }
 
-    fn told(&mut self, call: u64, number: u64, payload: Payload) -> Vec<Command> {
-        self.tell(NodeEvent::ListFrame(call, Frame { number, payload }))
+    fn list_frame(&mut self, connection: u64, number: u64, payload: Payload) -> Vec<Command> {
+        self.handle(NodeEvent::ListFrame(connection, Frame { number, payload }))
     }
 
-    /// Time goes on, stopping at all that is due.
-    fn after(&mut self, span: Micros) -> Vec<Command> {
+    /// Advances the time, stopping at each timer.
+    fn advance(&mut self, span: Micros) -> Vec<Command> {
         let (until, mut all) = (self.now + span, Vec::new());
         while let Some(due) = self.core.next_due().filter(|due| *due <= until) {
             self.now = self.now.max(due);
-            all.extend(self.tell(NodeEvent::Tick));
+            all.extend(self.handle(NodeEvent::Tick));
         }
         self.now = until;
         all
     }
 
-    fn ask(&mut self, id: u64, class: &str) -> Vec<Command> {
-        self.tell(NodeEvent::ClientMessage(ClientId(1), request(id, class, "")))
+    fn send_request(&mut self, id: u64, class: &str) -> Vec<Command> {
+        self.handle(NodeEvent::ClientMessage(ClientId(1), request_message(id, class, "")))
     }
 
-    /// The dials among these, made; and what is sent by that.
-    fn made(&mut self, out: &[Command]) -> Vec<Command> {
+    /// Establishes the connections dialled in `out`; returns the commands that follow.
+    fn establish(&mut self, out: &[Command]) -> Vec<Command> {
         let dials: Vec<ConnId> = out
             .iter()
             .filter_map(|o| match o {
@@ -126,23 +127,23 @@
                 _ => None,
             })
             .collect();
-        dials.into_iter().flat_map(|conn| self.tell(NodeEvent::ConnectEnded(conn, Ok(())))).collect()
+        dials.into_iter().flat_map(|conn| self.handle(NodeEvent::ConnectEnded(conn, Ok(())))).collect()
     }
 
-    /// A session that is asked for and stands; where its set-up went.
-    fn playing(&mut self, id: u64, class: &str) -> (ConnId, SocketAddr) {
-        let out = self.ask(id, class);
+    /// Requests a session that then plays; returns the connection of its set-up and the server's address.
+    fn start_session(&mut self, id: u64, class: &str) -> (ConnId, SocketAddr) {
+        let out = self.send_request(id, class);
         let mut all = out.clone();
-        all.extend(self.made(&out));
-        let (conn, _) = set_up(&all).expect("set up");
+        all.extend(self.establish(&out));
+        let (conn, _) = sent_set_up(&all).expect("set up");
         let at = self.core.sessions[&id].session.at().unwrap().address;
-        let answered = self.tell(NodeEvent::ServerMessage(conn, answer(id)));
-        assert!(said(&answered).any(|message| message.kind == kind::ANSWER));
+        let answered = self.handle(NodeEvent::ServerMessage(conn, answer_message(id)));
+        assert!(sent_to_client(&answered).any(|message| message.kind == kind::ANSWER));
         (conn, at)
     }
 }
 
-fn request(id: u64, class: &str, more: &str) -> Message {
+fn request_message(id: u64, class: &str, more: &str) -> Message {
     Message::new(kind::SET_UP, id)
         .with(code::CLASS, class)
         .with(code::WAIT_MS, "4000")
@@ -151,18 +152,18 @@
         .with(code::DESCRIPTION, "offer")
 }
 
-fn answer(id: u64) -> Message {
+fn answer_message(id: u64) -> Message {
     Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by a box")
 }
 
-fn said(out: &[Command]) -> impl Iterator<Item = &Message> {
+fn sent_to_client(out: &[Command]) -> impl Iterator<Item = &Message> {
     out.iter().filter_map(|o| match o {
         Command::SendToClient(_, message) => Some(message),
         _ => None,
     })
 }
 
-fn sent(out: &[Command], kind: u8) -> Vec<(ConnId, &Message)> {
+fn sent_to_server(out: &[Command], kind: u8) -> Vec<(ConnId, &Message)> {
     let all = out.iter().filter_map(|o| match o {
         Command::SendToServer(conn, message) => Some((*conn, message)),
         _ => None,
@@ -170,8 +171,8 @@
     all.filter(|(_, message)| message.kind == kind).collect()
 }
 
-fn set_up(out: &[Command]) -> Option<(ConnId, &Message)> {
-    sent(out, kind::SET_UP).pop()
+fn sent_set_up(out: &[Command]) -> Option<(ConnId, &Message)> {
+    sent_to_server(out, kind::SET_UP).pop()
 }
 
 mod crossings;
@@ -182,366 +183,381 @@
 mod shutdown;
 
 #[test]
-fn a_description_passes_unchanged_and_a_copy_of_the_answer_is_not_passed_again() {
-    let mut bench = Bench::new();
-    let out = bench.ask(9, "clip");
-    let out = bench.made(&out);
-    let (conn, message) = set_up(&out).unwrap();
+fn forwards_the_description_unchanged_and_drops_a_duplicate_answer() {
+    let mut node = TestNode::new();
+    let out = node.send_request(9, "clip");
+    let out = node.establish(&out);
+    let (conn, message) = sent_set_up(&out).unwrap();
     assert_eq!(message.text(code::DESCRIPTION), Some("offer"));
     assert_eq!(message.text(code::TITLE), Some("7f3a9c21e0b4d655"));
     assert_eq!(
-        said(&bench.tell(NodeEvent::ServerMessage(conn, answer(77)))).count(),
+        sent_to_client(&node.handle(NodeEvent::ServerMessage(conn, answer_message(77)))).count(),
         0,
-        "under an unknown id"
+        "answer under an unknown id"
     );
-    let out = bench.tell(NodeEvent::ServerMessage(conn, answer(9)));
-    assert_eq!(said(&out).next(), Some(&answer(9)));
-    assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(conn, answer(9)))).count(), 0);
-    assert_eq!(bench.core.counts().played, 1);
+    let out = node.handle(NodeEvent::ServerMessage(conn, answer_message(9)));
+    assert_eq!(sent_to_client(&out).next(), Some(&answer_message(9)));
+    assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(conn, answer_message(9)))).count(), 0);
+    assert_eq!(node.core.counts().played, 1);
 }
 
 #[test]
-fn a_time_out_sends_the_give_up_ahead_of_the_next_attempt_on_a_new_connection() {
-    let mut bench = Bench::new();
-    let out = bench.ask(9, "clip");
-    let out = bench.made(&out);
-    let (first, _) = set_up(&out).unwrap();
-    let out = bench.after(SECOND);
-    let gave_up = out.iter().position(
+fn sends_the_give_up_of_a_timed_out_attempt_before_the_next_attempt_on_a_new_connection() {
+    let mut node = TestNode::new();
+    let out = node.send_request(9, "clip");
+    let out = node.establish(&out);
+    let (first, _) = sent_set_up(&out).unwrap();
+    let out = node.advance(SECOND);
+    let give_up = out.iter().position(
         |o| matches!(o, Command::SendToServer(on, m) if *on == first && m.kind == kind::RELEASE && m.cause() == Some(16)),
     );
     let again = out.iter().position(|o| matches!(o, Command::Connect(..)));
-    assert!(gave_up.unwrap() < again.unwrap(), "{out:?}");
-    let second = bench.made(&out);
-    let (second, _) = set_up(&second).unwrap();
+    assert!(give_up.unwrap() < again.unwrap(), "{out:?}");
+    let second = node.establish(&out);
+    let (second, _) = sent_set_up(&second).unwrap();
     assert_ne!(first, second);
-    // The answer to the first comes after its time: it is nobody's.
-    assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(first, answer(9)))).count(), 0);
-    assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(second, answer(9)))).count(), 1);
+    // The answer to the first attempt arrives too late, and is ignored.
+    assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(first, answer_message(9)))).count(), 0);
+    assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(second, answer_message(9)))).count(), 1);
 }
 
 #[test]
-fn a_connection_on_which_an_answer_never_came_gets_nothing_new_though_notes_come_on_it() {
-    let mut bench = Bench::with(Puppet::default());
-    let asks = |bench: &mut Bench<Puppet>, id: u64| {
-        bench.core.decider.0.push_back(Action::SetUp(name(id), ServerId(0), SECOND / 2));
-        let out = bench.ask(id, "clip");
+fn sends_nothing_new_on_a_connection_with_a_missing_answer_even_if_notes_arrive_on_it() {
+    let mut node = TestNode::with(ScriptedDecider::default());
+    let request = |node: &mut TestNode<ScriptedDecider>, id: u64| {
+        node.core.decider.0.push_back(Action::SetUp(session_id(id), ServerId(0), SECOND / 2));
+        let out = node.send_request(id, "clip");
         let mut all = out.clone();
-        all.extend(bench.made(&out));
-        set_up(&all).map(|(conn, _)| conn).expect("sent")
+        all.extend(node.establish(&out));
+        sent_set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
-    let first = asks(&mut bench, 1);
-    bench.tell(NodeEvent::ServerMessage(first, answer(1)));
-    assert_eq!(asks(&mut bench, 2), first, "one that works is kept");
-    bench.after(SECOND / 4);
-    bench.tell(NodeEvent::ServerMessage(first, Message::new(kind::NOTE, 1).with(24, "port").with(39, "0.5")));
-    bench.after(SECOND / 2);
-    assert_ne!(asks(&mut bench, 3), first);
-}
-
-#[test]
-fn a_connection_that_cannot_be_read_is_hung_up_counted_and_its_set_up_has_failed() {
-    let mut bench = Bench::new();
-    let out = bench.ask(9, "paid");
-    let out = bench.made(&out);
-    let (conn, _) = set_up(&out).unwrap();
-    let out = bench.tell(NodeEvent::ServerUnreadable(conn));
-    assert!(out.contains(&Command::CloseServer(conn)) && said(&out).any(|m| m.cause() == Some(FAILED)));
-    assert_eq!(bench.core.counts().unreadable, 1);
+    let first = request(&mut node, 1);
+    node.handle(NodeEvent::ServerMessage(first, answer_message(1)));
+    assert_eq!(request(&mut node, 2), first, "a working connection is reused");
+    node.advance(SECOND / 4);
+    node.handle(NodeEvent::ServerMessage(
+        first,
+        Message::new(kind::NOTE, 1).with(24, "port").with(39, "0.5"),
+    ));
+    node.advance(SECOND / 2);
+    assert_ne!(request(&mut node, 3), first);
+}
+
+#[test]
+fn closes_and_counts_an_undecodable_connection_and_fails_its_set_up() {
+    let mut node = TestNode::new();
+    let out = node.send_request(9, "paid");
+    let out = node.establish(&out);
+    let (conn, _) = sent_set_up(&out).unwrap();
+    let out = node.handle(NodeEvent::ServerUnreadable(conn));
+    assert!(
+        out.contains(&Command::CloseServer(conn))
+            && sent_to_client(&out).any(|m| m.cause() == Some(FAILED_CAUSE))
+    );
+    assert_eq!(node.core.counts().unreadable, 1);
 }
 
 #[test]
-fn a_late_answer_of_the_same_server_is_not_taken_for_the_answer_to_the_next_attempt() {
-    let mut bench = Bench::with(Puppet::default());
-    let asks = |bench: &mut Bench<Puppet>, input: NodeEvent| {
-        let out = bench.tell(input);
+fn ignores_a_late_answer_of_the_same_server_during_the_next_attempt() {
+    let mut node = TestNode::with(ScriptedDecider::default());
+    let request = |node: &mut TestNode<ScriptedDecider>, input: NodeEvent| {
+        let out = node.handle(input);
         let mut all = out.clone();
-        all.extend(bench.made(&out));
-        set_up(&all).map(|(conn, _)| conn).expect("sent")
+        all.extend(node.establish(&out));
+        sent_set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
-    let again = Action::SetUp(name(9), ServerId(0), SECOND / 2);
-    bench.core.decider.0.push_back(again.clone());
-    let first = asks(&mut bench, NodeEvent::ClientMessage(ClientId(1), request(9, "clip", "")));
-    // The time-out, and another attempt at the same media server, which has heard of the give-up.
-    bench.now += SECOND / 2;
-    bench.tick_unclosed();
-    bench.core.decider.0.push_back(again);
-    let second = asks(&mut bench, NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
+    let again = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
+    node.core.decider.0.push_back(again.clone());
+    let first = request(&mut node, NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", "")));
+    // The attempt times out, the media server acknowledges the give-up, and the next attempt goes to the same
+    // server.
+    node.now += SECOND / 2;
+    node.tick_without_closes();
+    node.core.decider.0.push_back(again);
+    let second = request(&mut node, NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
     assert_ne!(first, second);
-    assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(first, answer(9)))).count(), 0);
-    assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(second, answer(9)))).count(), 1);
+    assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(first, answer_message(9)))).count(), 0);
+    assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(second, answer_message(9)))).count(), 1);
 }
 
 #[test]
-fn what_is_paid_is_set_up_again_only_if_it_never_ran() {
-    // Refused, and not made in time: not a byte was written.
+fn retries_an_at_most_once_session_only_if_its_set_up_never_ran() {
+    // A connection refused or not established in time: not a byte was written.
     for error in [DialError::Refused, DialError::TimedOut] {
-        let mut bench = Bench::new();
-        let out = bench.ask(9, "paid");
+        let mut node = TestNode::new();
+        let out = node.send_request(9, "paid");
         let Some(Command::Connect(conn, _)) = out.iter().find(|o| matches!(o, Command::Connect(..))) else {
             panic!()
         };
-        let out = bench.tell(NodeEvent::ConnectEnded(*conn, Err(error)));
+        let out = node.handle(NodeEvent::ConnectEnded(*conn, Err(error)));
         assert!(out.iter().any(|o| matches!(o, Command::Connect(..))), "{out:?}");
     }
-    // Turned away unseen, and moot.
+    // Refused by a server that is full, or never sent.
     for (cause, again) in [(cause::FULL, true), (cause::NOT_SENT, true), (cause::ERROR, false), (99, false)] {
-        let mut bench = Bench::new();
-        let out = bench.ask(9, "paid");
-        let out = bench.made(&out);
-        let (conn, _) = set_up(&out).unwrap();
-        let out = bench.tell(NodeEvent::ServerMessage(conn, Message::release(9, cause)));
+        let mut node = TestNode::new();
+        let out = node.send_request(9, "paid");
+        let out = node.establish(&out);
+        let (conn, _) = sent_set_up(&out).unwrap();
+        let out = node.handle(NodeEvent::ServerMessage(conn, Message::release(9, cause)));
         assert_eq!(out.iter().any(|o| matches!(o, Command::Connect(..))), again, "{cause}: {out:?}");
-        let failed = said(&out).any(|m| m.kind == kind::RELEASE && m.cause() == Some(FAILED));
+        let failed = sent_to_client(&out).any(|m| m.kind == kind::RELEASE && m.cause() == Some(FAILED_CAUSE));
         assert_eq!(failed, !again, "{cause}");
     }
-    // The connection ends with it written.
-    let mut bench = Bench::new();
-    let out = bench.ask(9, "paid");
-    let out = bench.made(&out);
-    let (conn, _) = set_up(&out).unwrap();
-    let out = bench.tell(NodeEvent::ServerClosed(conn));
-    assert!(said(&out).any(|m| m.cause() == Some(FAILED)) && set_up(&out).is_none());
+    // The connection ends after the set-up was written.
+    let mut node = TestNode::new();
+    let out = node.send_request(9, "paid");
+    let out = node.establish(&out);
+    let (conn, _) = sent_set_up(&out).unwrap();
+    let out = node.handle(NodeEvent::ServerClosed(conn));
+    assert!(sent_to_client(&out).any(|m| m.cause() == Some(FAILED_CAUSE)) && sent_set_up(&out).is_none());
 }
 
 #[test]
-fn a_connection_that_ends_takes_the_open_set_ups_and_leaves_what_stands() {
-    let mut bench = Bench::new();
-    let (conn, at) = bench.playing(1, "clip");
+fn closed_connection_ends_its_open_set_ups_and_not_the_playing_sessions() {
+    let mut node = TestNode::new();
+    let (conn, at) = node.start_session(1, "clip");
     let mut open = None;
     for id in 2..40 {
-        let out = bench.ask(id, "clip");
-        if set_up(&out).is_some_and(|(on, _)| on == conn) {
+        let out = node.send_request(id, "clip");
+        if sent_set_up(&out).is_some_and(|(on, _)| on == conn) {
             open = Some(id);
             break;
         }
-        bench.made(&out);
+        node.establish(&out);
     }
-    let open = open.expect("a second one on the same connection");
-    let out = bench.tell(NodeEvent::ServerClosed(conn));
-    assert!(bench.core.sessions[&1].session.playing().is_some());
-    assert!(!bench.core.pool.out().contains(&open) || bench.core.sessions[&open].session.attempts > 1);
+    let open = open.expect("a second set-up on the same connection");
+    let out = node.handle(NodeEvent::ServerClosed(conn));
+    assert!(node.core.sessions[&1].session.playing().is_some());
+    assert!(
+        !node.core.pool.in_flight_set_ups().contains(&open) || node.core.sessions[&open].session.attempts > 1
+    );
     assert!(
         out.iter().any(|o| matches!(o, Command::Connect(_, to) if *to == at)),
-        "it is looked at: {out:?}"
+        "the server is checked: {out:?}"
     );
 }
 
 #[test]
-fn a_connection_carries_no_more_set_ups_than_the_settings_allow() {
-    let mut bench = Bench::with(Puppet::default());
+fn connection_carries_no_more_set_ups_than_the_settings_allow() {
+    let mut node = TestNode::with(ScriptedDecider::default());
     for id in 1..=30 {
-        bench.core.decider.0.push_back(Action::SetUp(name(id), ServerId(0), 0));
-        let out = bench.ask(id, "clip");
-        bench.made(&out);
+        node.core.decider.0.push_back(Action::SetUp(session_id(id), ServerId(0), 0));
+        let out = node.send_request(id, "clip");
+        node.establish(&out);
     }
     let mut on = BTreeMap::new();
-    for entry in bench.core.sessions.values() {
+    for entry in node.core.sessions.values() {
         *on.entry(entry.conn).or_insert(0) += 1;
     }
-    assert_eq!(on.remove(&None), Some(6), "six connections to a box, four set-ups on each");
+    assert_eq!(on.remove(&None), Some(6), "six connections to a server, four set-ups on each");
     assert_eq!(on.into_values().collect::<Vec<_>>(), [4; 6]);
 }
 
 #[test]
-fn a_probe_on_a_new_connection_is_not_failed_by_the_connection_being_made() {
+fn probe_does_not_fail_while_its_connection_is_being_established() {
     let probed = |event: &Event| match event {
         Event::Probed { outcome, report, .. } => Some((*outcome, report.clone())),
         _ => None,
     };
-    let asked = || {
-        let mut bench = Bench::with(Puppet::default());
-        bench.core.decider.0.push_back(Action::Probe(ServerId(1)));
-        let out = bench.ask(1, "clip");
-        (bench, out)
+    let probe_requested = || {
+        let mut node = TestNode::with(ScriptedDecider::default());
+        node.core.decider.0.push_back(Action::Probe(ServerId(1)));
+        let out = node.send_request(1, "clip");
+        (node, out)
     };
-    let (mut bench, out) = asked();
-    let out = bench.made(&out);
-    let (conn, message) = sent(&out, kind::TEST)[0];
+    let (mut node, out) = probe_requested();
+    let out = node.establish(&out);
+    let (conn, message) = sent_to_server(&out, kind::TEST)[0];
     let passed = Message::new(kind::TEST_RESULT, message.session).with(code::CAUSE, [1]);
-    bench.tell(NodeEvent::ServerMessage(conn, passed.with(code::REPORT, "active:3;x0:0.5")));
-    bench.after(SECOND);
-    let heard: Vec<_> = bench.core.decider.1.iter().filter_map(probed).collect();
-    assert_eq!(heard, [(Outcome::Ok, vec![3.0, 0.5])]);
-    // Not made, it is failed at once; not answered, in time.
-    let (mut bench, out) = asked();
+    node.handle(NodeEvent::ServerMessage(conn, passed.with(code::REPORT, "active:3;x0:0.5")));
+    node.advance(SECOND);
+    let probes: Vec<_> = node.core.decider.1.iter().filter_map(probed).collect();
+    assert_eq!(probes, [(Outcome::Ok, vec![3.0, 0.5])]);
+    // A probe whose connection is refused fails at once; one without an answer fails after its time-out.
+    let (mut node, out) = probe_requested();
     let Some(Command::Connect(conn, _)) = out.last() else { panic!("{out:?}") };
-    bench.tell(NodeEvent::ConnectEnded(*conn, Err(DialError::Refused)));
-    assert_eq!(bench.core.decider.1.iter().find_map(probed), Some((Outcome::NoConnection, vec![])));
-    let (mut bench, out) = asked();
-    bench.made(&out);
-    bench.after(SECOND);
-    assert_eq!(bench.core.decider.1.iter().find_map(probed), Some((Outcome::TimedOut, vec![])));
+    node.handle(NodeEvent::ConnectEnded(*conn, Err(DialError::Refused)));
+    assert_eq!(node.core.decider.1.iter().find_map(probed), Some((Outcome::NoConnection, vec![])));
+    let (mut node, out) = probe_requested();
+    node.establish(&out);
+    node.advance(SECOND);
+    assert_eq!(node.core.decider.1.iter().find_map(probed), Some((Outcome::TimedOut, vec![])));
 }
 
 #[test]
-fn a_dead_process_is_told_from_a_broken_connection_and_its_clients_come_again_at_once() {
-    let mut bench = Bench::new();
-    let (conn, at) = bench.playing(1, "clip");
-    let out = bench.tell(NodeEvent::ServerClosed(conn));
-    assert_eq!(said(&out).count(), 0, "a reset cuts nothing that stands");
+fn distinguishes_a_dead_server_process_from_a_broken_connection_and_releases_its_clients() {
+    let mut node = TestNode::new();
+    let (conn, at) = node.start_session(1, "clip");
+    let out = node.handle(NodeEvent::ServerClosed(conn));
+    assert_eq!(sent_to_client(&out).count(), 0, "a closed connection ends no playing session");
     let dial = |out: &[Command]| {
         out.iter().find_map(|o| match o {
             Command::Connect(conn, to) if *to == at => Some(*conn),
             _ => None,
         })
     };
-    let look = dial(&out).expect("a look");
-    let mut out = bench.tell(NodeEvent::ConnectEnded(look, Err(DialError::Refused)));
-    assert_eq!(said(&out).count(), 0);
-    out.extend(bench.after(SECOND / 5));
-    let look = dial(&out).expect("a second look");
-    let out = bench.tell(NodeEvent::ConnectEnded(look, Err(DialError::Refused)));
-    let released: Vec<_> = said(&out).map(|m| (m.kind, m.session, m.cause())).collect();
+    let check = dial(&out).expect("a health check");
+    let mut out = node.handle(NodeEvent::ConnectEnded(check, Err(DialError::Refused)));
+    assert_eq!(sent_to_client(&out).count(), 0);
+    out.extend(node.advance(SECOND / 5));
+    let check = dial(&out).expect("a second health check");
+    let out = node.handle(NodeEvent::ConnectEnded(check, Err(DialError::Refused)));
+    let released: Vec<_> = sent_to_client(&out).map(|m| (m.kind, m.session, m.cause())).collect();
     assert_eq!(released, [(kind::RELEASE, 1, Some(cause::BROKEN))]);
-    assert!(bench.core.sessions.is_empty() && bench.core.health.states().next().is_none());
+    assert!(node.core.sessions.is_empty() && node.core.health.states().next().is_none());
 }
 
 #[test]
-fn a_machine_that_vanished_is_missed_within_eight_seconds_though_its_connection_stands() {
-    let mut bench = Bench::new();
-    bench.playing(1, "clip");
-    let (mut released, until) = (None, bench.now + 8 * SECOND);
-    while released.is_none() && bench.now < until {
-        // Nothing is heard, and no new connection is made: the dials time out by themselves.
-        let out = bench.after(SECOND / 20);
-        released = said(&out).find(|m| m.kind == kind::RELEASE).map(|_| bench.now);
+fn detects_a_vanished_machine_within_eight_seconds_though_its_connection_stays_open() {
+    let mut node = TestNode::new();
+    node.start_session(1, "clip");
+    let (mut released, until) = (None, node.now + 8 * SECOND);
+    while released.is_none() && node.now < until {
+        // Nothing is received, and no new connection is established: the connection attempts time out.
+        let out = node.advance(SECOND / 20);
+        released = sent_to_client(&out).find(|m| m.kind == kind::RELEASE).map(|_| node.now);
     }
     assert!(released.is_some());
-    assert_eq!(bench.core.held()[..2], [0, 0]);
+    assert_eq!(node.core.gauges()[..2], [0, 0]);
 }
 
 #[test]
-fn a_server_that_lives_and_says_nothing_keeps_its_sessions() {
-    let mut bench = Bench::new();
-    bench.playing(1, "clip");
+fn silent_server_that_accepts_connections_keeps_its_sessions() {
+    let mut node = TestNode::new();
+    node.start_session(1, "clip");
     for _ in 0..600 {
-        let out = bench.after(SECOND / 20);
-        assert_eq!(said(&out).count(), 0);
-        bench.made(&out);
+        let out = node.advance(SECOND / 20);
+        assert_eq!(sent_to_client(&out).count(), 0);
+        node.establish(&out);
     }
-    assert_eq!(bench.core.held()[1], 1);
-    assert!(bench.core.pool.connections_to(ServerId(0)).len() <= 4, "looks do not pile up");
+    assert_eq!(node.core.gauges()[1], 1);
+    assert!(node.core.pool.connections_to(ServerId(0)).len() <= 4, "health checks do not pile up");
 }
 
-// Danger: closed at once, an idle connection takes along what its media server says on it in that instant.
+// If the connection were closed at once, what its media server sends on it at that instant would be lost.
 #[test]
-fn what_a_server_says_as_its_idle_connection_is_ended_is_heard_and_the_end_proves_nothing() {
-    let mut bench = Bench::new();
-    let (conn, _) = bench.playing(1, "clip");
-    bench.playing(2, "clip");
+fn handles_messages_on_a_finishing_idle_connection_and_concludes_nothing_from_its_close() {
+    let mut node = TestNode::new();
+    let (conn, _) = node.start_session(1, "clip");
+    node.start_session(2, "clip");
     let mut out = Vec::new();
     while !out.contains(&Command::FinishServer(conn)) {
-        bench.now = bench.core.next_due().expect("it ends").max(bench.now);
+        node.now = node.core.next_due().expect("the connection is finished").max(node.now);
         out.clear();
-        bench.core.handle(bench.now, NodeEvent::Tick, &mut out);
+        node.core.handle(node.now, NodeEvent::Tick, &mut out);
         let dials: Vec<Command> = out.iter().filter(|o| matches!(o, Command::Connect(..))).cloned().collect();
-        bench.made(&dials);
+        node.establish(&dials);
     }
-    // Nothing new is put on it, and what comes on it counts.
-    let out = bench.ask(3, "clip");
+    // Nothing new is sent on it, but messages on it are still handled.
+    let out = node.send_request(3, "clip");
     assert!(!out.iter().any(|o| matches!(o, Command::SendToServer(on, _) if *on == conn)), "{out:?}");
-    let out = bench.tell(NodeEvent::ServerMessage(conn, Message::release(1, cause::NORMAL)));
-    assert!(said(&out).any(|m| m.kind == kind::RELEASE && m.session == 1), "{out:?}");
-    let out = bench.tell(NodeEvent::ServerClosed(conn));
-    assert_eq!(out, [], "no look at a media server for a connection that was ended here");
-    assert!(!bench.core.pool.exists(conn));
+    let out = node.handle(NodeEvent::ServerMessage(conn, Message::release(1, cause::NORMAL)));
+    assert!(sent_to_client(&out).any(|m| m.kind == kind::RELEASE && m.session == 1), "{out:?}");
+    let out = node.handle(NodeEvent::ServerClosed(conn));
+    assert_eq!(out, [], "no health check after a connection that was finished here");
+    assert!(!node.core.pool.exists(conn));
 }
 
 #[test]
-fn a_new_server_at_an_old_address_is_another_and_sessions_of_the_old_one_are_over() {
-    let mut bench = Bench::new();
-    let (conn, at) = bench.playing(1, "clip");
-    let old = bench.core.sessions[&1].session.at().unwrap().server;
+fn new_server_at_a_reused_address_ends_the_sessions_of_the_old_one() {
+    let mut node = TestNode::new();
+    let (conn, at) = node.start_session(1, "clip");
+    let old = node.core.sessions[&1].session.at().unwrap().server;
     let gone = ServerEntry { server: old, state: ServerState::Gone, ..ServerEntry::default() };
     let new = ServerEntry { server: ServerId(90), cell: old.0, units: 1.0, ..ServerEntry::default() };
     let lines = vec![Listed { entry: gone, address: at }, Listed { entry: new, address: at }];
-    let out = bench.told(1, 6, Payload::Changes(lines));
-    assert!(out.contains(&Command::CloseServer(conn)), "the old one's connection is never the new one's");
-    assert!(said(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
-    assert!(bench.core.pool.connections_to(ServerId(90)).is_empty());
-}
-
-#[test]
-fn a_restarted_server_has_cut_what_was_set_up_before_and_nothing_since() {
-    let mut bench = Bench::new();
-    bench.playing(1, "clip");
-    let server = bench.core.sessions[&1].session.at().unwrap().server;
-    bench.after(SECOND);
-    let mut again = line(server.0);
-    again.entry.started = Some(bench.now - SECOND / 2);
-    let out = bench.told(1, 6, Payload::Changes(vec![again.clone()]));
-    assert!(said(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
-    bench.playing(2, "clip");
-    let server = bench.core.sessions[&2].session.at().unwrap().server;
-    let mut told = line(server.0);
-    told.entry.started = Some(bench.now - SECOND);
-    let out = bench.told(1, 7, Payload::Changes(vec![told]));
-    assert_eq!(said(&out).count(), 0);
-}
-
-#[test]
-fn clients_end_sessions_on_any_connection_and_are_owed_no_release() {
-    let mut bench = Bench::new();
-    let (conn, _) = bench.playing(1, "clip");
-    bench.tell(NodeEvent::ClientClosed(ClientId(1)));
-    assert_eq!(bench.core.held()[1], 1, "what stands belongs to no connection");
-    bench.tell(NodeEvent::ClientConnected(ClientId(2)));
-    let out = bench.tell(NodeEvent::ClientMessage(ClientId(2), Message::release(1, 16)));
-    let kinds: Vec<u8> = said(&out).map(|m| m.kind).collect();
+    let out = node.list_frame(1, 6, Payload::Changes(lines));
+    assert!(
+        out.contains(&Command::CloseServer(conn)),
+        "a connection to the old server is never used for the new one"
+    );
+    assert!(sent_to_client(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
+    assert!(node.core.pool.connections_to(ServerId(90)).is_empty());
+}
+
+#[test]
+fn restarted_server_loses_the_sessions_set_up_before_its_start_and_no_later_ones() {
+    let mut node = TestNode::new();
+    node.start_session(1, "clip");
+    let server = node.core.sessions[&1].session.at().unwrap().server;
+    node.advance(SECOND);
+    let mut again = listed(server.0);
+    again.entry.started = Some(node.now - SECOND / 2);
+    let out = node.list_frame(1, 6, Payload::Changes(vec![again.clone()]));
+    assert!(sent_to_client(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
+    node.start_session(2, "clip");
+    let server = node.core.sessions[&2].session.at().unwrap().server;
+    let mut update = listed(server.0);
+    update.entry.started = Some(node.now - SECOND);
+    let out = node.list_frame(1, 7, Payload::Changes(vec![update]));
+    assert_eq!(sent_to_client(&out).count(), 0);
+}
+
+#[test]
+fn client_may_end_its_session_on_any_connection_and_gets_no_release() {
+    let mut node = TestNode::new();
+    let (conn, _) = node.start_session(1, "clip");
+    node.handle(NodeEvent::ClientClosed(ClientId(1)));
+    assert_eq!(node.core.gauges()[1], 1, "a playing session belongs to no connection");
+    node.handle(NodeEvent::ClientConnected(ClientId(2)));
+    let out = node.handle(NodeEvent::ClientMessage(ClientId(2), Message::release(1, 16)));
+    let kinds: Vec<u8> = sent_to_client(&out).map(|m| m.kind).collect();
     assert_eq!(kinds, [kind::RELEASE_ACK]);
-    assert_eq!(sent(&out, kind::RELEASE).len(), 1);
-    assert_eq!(said(&bench.tell(NodeEvent::ServerMessage(conn, Message::release(1, 31)))).count(), 0);
-    assert!(bench.core.sessions.is_empty());
+    assert_eq!(sent_to_server(&out, kind::RELEASE).len(), 1);
+    assert_eq!(
+        sent_to_client(&node.handle(NodeEvent::ServerMessage(conn, Message::release(1, 31)))).count(),
+        0
+    );
+    assert!(node.core.sessions.is_empty());
 }
 
 #[test]
-fn a_client_that_gives_up_is_answered_no_more_and_its_set_up_is_taken_back() {
-    let mut bench = Bench::new();
-    let out = bench.ask(9, "paid");
-    let out = bench.made(&out);
-    let (conn, _) = set_up(&out).unwrap();
-    let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::release(9, 16)));
-    assert_eq!(sent(&out, kind::RELEASE), [(conn, &Message::release(9, 16))]);
+fn client_that_gives_up_gets_no_answer_and_its_set_up_is_withdrawn() {
+    let mut node = TestNode::new();
+    let out = node.send_request(9, "paid");
+    let out = node.establish(&out);
+    let (conn, _) = sent_set_up(&out).unwrap();
+    let out = node.handle(NodeEvent::ClientMessage(ClientId(1), Message::release(9, 16)));
+    assert_eq!(sent_to_server(&out, kind::RELEASE), [(conn, &Message::release(9, 16))]);
     assert_eq!(
-        said(&bench.tell(NodeEvent::ServerMessage(conn, answer(9)))).count(),
+        sent_to_client(&node.handle(NodeEvent::ServerMessage(conn, answer_message(9)))).count(),
         0,
-        "the answer crossed it"
+        "the answer crossed the give-up"
     );
-    assert!(bench.core.sessions.is_empty());
-    // The same by a connection that goes.
-    let out = bench.ask(10, "paid");
-    bench.made(&out);
-    let out = bench.tell(NodeEvent::ClientClosed(ClientId(1)));
-    assert_eq!(sent(&out, kind::RELEASE).len(), 1);
-    assert!(bench.core.sessions.is_empty());
+    assert!(node.core.sessions.is_empty());
+    // The same when the client's connection is closed.
+    let out = node.send_request(10, "paid");
+    node.establish(&out);
+    let out = node.handle(NodeEvent::ClientClosed(ClientId(1)));
+    assert_eq!(sent_to_server(&out, kind::RELEASE).len(), 1);
+    assert!(node.core.sessions.is_empty());
 }
 
 #[test]
-fn a_request_taken_back_leaves_nothing_on_its_connection_which_is_closed_in_time() {
-    let mut bench = Bench::new();
-    let out = bench.ask(9, "clip");
-    bench.made(&out);
-    bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::release(9, 16)));
-    let out = bench.after(9 * SECOND);
-    assert!(out.contains(&Command::CloseClient(ClientId(1))), "nobody is served on it");
+fn connection_without_requests_after_a_give_up_is_closed_when_idle() {
+    let mut node = TestNode::new();
+    let out = node.send_request(9, "clip");
+    node.establish(&out);
+    node.handle(NodeEvent::ClientMessage(ClientId(1), Message::release(9, 16)));
+    let out = node.advance(9 * SECOND);
+    assert!(out.contains(&Command::CloseClient(ClientId(1))), "the connection has no session");
 }
 
 #[test]
-fn nothing_decided_in_time_is_failed_in_time_and_once() {
-    let mut bench = Bench::with(Puppet::default());
-    bench.ask(9, "clip");
-    let out = bench.after(4 * SECOND + 45_000);
-    let answers: Vec<_> = said(&out).map(|m| (m.kind, m.session)).collect();
+fn fails_an_undecided_request_once_at_its_deadline() {
+    let mut node = TestNode::with(ScriptedDecider::default());
+    node.send_request(9, "clip");
+    let out = node.advance(4 * SECOND + 45_000);
+    let answers: Vec<_> = sent_to_client(&out).map(|m| (m.kind, m.session)).collect();
     assert_eq!(answers, [(kind::RELEASE, 9)]);
-    assert_eq!(bench.core.counts().overdue, 1);
-    assert!(bench.core.sessions.is_empty());
+    assert_eq!(node.core.counts().overdue, 1);
+    assert!(node.core.sessions.is_empty());
 }
 
 #[test]
-fn whatever_a_module_asks_for_there_is_one_answer_and_one_attempt() {
-    let mut bench = Bench::with(Puppet::default());
-    let id = name(9);
+fn allows_one_answer_and_one_attempt_whatever_the_decider_asks_for() {
+    let mut node = TestNode::with(ScriptedDecider::default());
+    let id = session_id(9);
     let actions = [
         Action::SetUp(id.clone(), ServerId(0), 0),
         Action::SetUp(id.clone(), ServerId(1), 0),
@@ -550,19 +566,19 @@
         Action::Move(id.clone()),
         Action::SetRung(id, 9),
     ];
-    bench.core.decider.0.extend(actions);
-    let out = bench.ask(9, "paid");
+    node.core.decider.0.extend(actions);
+    let out = node.send_request(9, "paid");
     assert_eq!(out.iter().filter(|o| matches!(o, Command::Connect(..))).count(), 1);
-    let answers: Vec<_> = said(&out).map(|m| m.cause()).collect();
-    assert_eq!(answers, [Some(FAILED)], "one answer, and no refusal while it may run");
-    assert!(bench.core.counts().stopped >= 4);
+    let answers: Vec<_> = sent_to_client(&out).map(|m| m.cause()).collect();
+    assert_eq!(answers, [Some(FAILED_CAUSE)], "one answer, and no refusal while the set-up may run");
+    assert!(node.core.counts().stopped >= 4);
 }
 
 #[test]
-fn requests_that_cannot_be_used_are_answered_and_cost_the_module_nothing() {
-    let mut bench = Bench::new();
+fn answers_invalid_requests_without_asking_the_decider() {
+    let mut node = TestNode::new();
     let bad = |id: u64, code: u8, value: &str| {
-        let mut message = request(id, "clip", "");
+        let mut message = request_message(id, "clip", "");
         message.parameters.retain(|(other, _)| *other != code);
         message.with(code, value)
     };
@@ -576,288 +592,300 @@
         bad(17, code::REQUEST_FIELDS, "home:0;copies:4;top:2;viewer:0000000000000010"),
         bad(18, code::REQUEST_FIELDS, "home:0;copies:3;top:3;viewer:0000000000000010"),
         bad(19, code::DESCRIPTION, ""),
-        request(0, "clip", ""),
+        request_message(0, "clip", ""),
         Message::new(kind::SET_UP, 21),
     ]
     .into_iter()
     .enumerate()
     {
-        let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), message));
-        let answers: Vec<_> = said(&out).map(|m| (m.kind, m.cause())).collect();
+        let out = node.handle(NodeEvent::ClientMessage(ClientId(1), message));
+        let answers: Vec<_> = sent_to_client(&out).map(|m| (m.kind, m.cause())).collect();
         assert_eq!(answers, [(kind::RELEASE, Some(cause::INVALID))], "{n}");
     }
-    assert_eq!((bench.core.counts().taken, bench.core.counts().unusable), (0, 11));
+    assert_eq!((node.core.counts().taken, node.core.counts().unusable), (0, 11));
 }
 
 #[test]
-fn a_second_request_under_an_open_id_closes_its_own_connection_and_no_other() {
-    let mut bench = Bench::new();
-    let out = bench.ask(9, "clip");
-    let out = bench.made(&out);
-    let (conn, _) = set_up(&out).unwrap();
-    bench.tell(NodeEvent::ClientConnected(ClientId(2)));
-    let out = bench.tell(NodeEvent::ClientMessage(ClientId(2), request(9, "paid", "")));
+fn request_under_an_open_id_closes_its_own_connection_and_no_other() {
+    let mut node = TestNode::new();
+    let out = node.send_request(9, "clip");
+    let out = node.establish(&out);
+    let (conn, _) = sent_set_up(&out).unwrap();
+    node.handle(NodeEvent::ClientConnected(ClientId(2)));
+    let out = node.handle(NodeEvent::ClientMessage(ClientId(2), request_message(9, "paid", "")));
     assert_eq!(out, [Command::CloseClient(ClientId(2))]);
-    let out = bench.tell(NodeEvent::ServerMessage(conn, answer(9)));
+    let out = node.handle(NodeEvent::ServerMessage(conn, answer_message(9)));
     assert!(matches!(out[0], Command::SendToClient(ClientId(1), _)));
-    // On the same connection, the first is answered before it closes.
-    bench.ask(10, "clip");
-    let out = bench.ask(10, "clip");
-    assert!(said(&out).any(|m| m.session == 10) && out.contains(&Command::CloseClient(ClientId(1))));
+    // On the same connection, the first request is answered before the connection closes.
+    node.send_request(10, "clip");
+    let out = node.send_request(10, "clip");
+    assert!(
+        sent_to_client(&out).any(|m| m.session == 10) && out.contains(&Command::CloseClient(ClientId(1)))
+    );
 }
 
 #[test]
-fn silent_connections_go_first_when_there_is_no_room_and_after_a_while_anyway() {
-    let mut bench = Bench::new();
-    bench.playing(1, "clip");
+fn closes_silent_connections_first_for_lack_of_room_and_all_after_a_time_out() {
+    let mut node = TestNode::new();
+    node.start_session(1, "clip");
     let mut closed = Vec::new();
     for id in 2..400 {
-        closed.extend(bench.tell(NodeEvent::ClientConnected(ClientId(id))));
+        closed.extend(node.handle(NodeEvent::ClientConnected(ClientId(id))));
     }
-    assert!(bench.core.held()[2] <= 128);
+    assert!(node.core.gauges()[2] <= 128);
     assert!(!closed.contains(&Command::CloseClient(ClientId(1))), "a viewer keeps its connection");
-    bench.after(3 * SECOND);
-    assert_eq!(bench.core.held()[2], 1);
+    node.advance(3 * SECOND);
+    assert_eq!(node.core.gauges()[2], 1);
 }
 
 #[test]
-fn sessions_handed_over_twice_are_taken_in_once_and_looked_for_at_their_server() {
-    let mut bench = Bench::new();
-    let handed = request(5, "paid", ";at:s-00000001");
-    let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), handed.clone()));
-    assert_eq!(said(&out).count(), 0, "it wants no answer");
+fn session_handed_over_twice_is_resumed_once_and_its_server_is_checked() {
+    let mut node = TestNode::new();
+    let handed = request_message(5, "paid", ";at:s-00000001");
+    let out = node.handle(NodeEvent::ClientMessage(ClientId(1), handed.clone()));
+    assert_eq!(sent_to_client(&out).count(), 0, "a hand-over gets no answer");
     assert!(out.iter().any(|o| matches!(o, Command::Connect(_, to) if *to == address(1))));
-    assert_eq!(bench.tell(NodeEvent::ClientMessage(ClientId(1), handed)), []);
-    assert_eq!((bench.core.counts().resumed, bench.core.held()[1]), (1, 1));
+    assert_eq!(node.handle(NodeEvent::ClientMessage(ClientId(1), handed)), []);
+    assert_eq!((node.core.counts().resumed, node.core.gauges()[1]), (1, 1));
 }
 
 #[test]
-fn a_session_handed_over_at_a_high_rung_is_stepped_down_to_the_lowest_at_its_server() {
-    let steps = |told: Option<usize>, to: usize| {
-        let mut bench = Bench::with(Puppet::default());
-        let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), request(5, "clip", ";at:s-00000001")));
-        bench.made(&out);
-        let conn = bench.core.pool.connections_to(ServerId(1))[0];
-        if let Some(rung) = told {
+fn lowers_the_rung_of_a_resumed_session_at_its_server() {
+    let sent_rung = |reported: Option<usize>, to: usize| {
+        let mut node = TestNode::with(ScriptedDecider::default());
+        let out =
+            node.handle(NodeEvent::ClientMessage(ClientId(1), request_message(5, "clip", ";at:s-00000001")));
+        node.establish(&out);
+        let conn = node.core.pool.connections_to(ServerId(1))[0];
+        if let Some(rung) = reported {
             let note = Message::new(kind::NOTE, 5).with(24, "level").with(39, rung.to_string());
-            bench.tell(NodeEvent::ServerMessage(conn, note));
+            node.handle(NodeEvent::ServerMessage(conn, note));
         }
-        bench.core.decider.0.push_back(Action::SetRung(name(5), to));
-        let out = bench.tell(NodeEvent::ServerMessage(
+        node.core.decider.0.push_back(Action::SetRung(session_id(5), to));
+        let out = node.handle(NodeEvent::ServerMessage(
             conn,
             Message::new(kind::NOTE, 5).with(24, "port").with(39, "1.5"),
         ));
-        sent(&out, kind::RUNG).into_iter().filter_map(|(_, m)| m.text(code::RUNG)?.parse().ok()).next()
+        sent_to_server(&out, kind::RUNG)
+            .into_iter()
+            .filter_map(|(_, m)| m.text(code::RUNG)?.parse().ok())
+            .next()
     };
-    assert_eq!(steps(Some(2), 0), Some(0), "the front believed it there already");
-    assert_eq!(steps(None, 0), Some(0));
-    assert_eq!(steps(Some(1), 1), None, "a change that is none is not paid for");
-}
-
-#[test]
-fn a_moved_session_ends_at_its_server_and_its_client_is_known_when_it_comes_back() {
-    let mut bench = Bench::with(Puppet::default());
-    bench.core.decider.0.push_back(Action::SetUp(name(1), ServerId(0), 0));
-    let (conn, _) = bench.playing(1, "clip");
-    bench.core.decider.0.push_back(Action::Move(name(1)));
-    let out = bench
-        .tell(NodeEvent::ServerMessage(conn, Message::new(kind::NOTE, 1).with(24, "port").with(39, "0.5")));
-    assert_eq!(said(&out).map(|m| m.kind).collect::<Vec<_>>(), [kind::MOVE]);
-    let out = bench.after(SECOND);
-    assert_eq!(sent(&out, kind::RELEASE).len(), 1, "the box did not end it by itself");
-    assert!(bench.core.sessions.is_empty() && bench.core.moved.len() == 1);
-    bench.tell(NodeEvent::ClientMessage(ClientId(1), request(2, "clip", "").with(33, "5")));
-    assert_eq!(bench.core.moved.len(), 1, "another viewer");
-    let mut back = request(3, "clip", "");
+    assert_eq!(sent_rung(Some(2), 0), Some(0), "the front assumed the lowest rung already");
+    assert_eq!(sent_rung(None, 0), Some(0));
+    assert_eq!(sent_rung(Some(1), 1), None, "an unchanged rung is not sent");
+}
+
+#[test]
+fn ends_a_moved_session_at_its_server_and_recognises_the_returning_client() {
+    let mut node = TestNode::with(ScriptedDecider::default());
+    node.core.decider.0.push_back(Action::SetUp(session_id(1), ServerId(0), 0));
+    let (conn, _) = node.start_session(1, "clip");
+    node.core.decider.0.push_back(Action::Move(session_id(1)));
+    let out = node
+        .handle(NodeEvent::ServerMessage(conn, Message::new(kind::NOTE, 1).with(24, "port").with(39, "0.5")));
+    assert_eq!(sent_to_client(&out).map(|m| m.kind).collect::<Vec<_>>(), [kind::MOVE]);
+    let out = node.advance(SECOND);
+    assert_eq!(sent_to_server(&out, kind::RELEASE).len(), 1, "the server did not end the session by itself");
+    assert!(node.core.sessions.is_empty() && node.core.moved_clients.len() == 1);
+    node.handle(NodeEvent::ClientMessage(ClientId(1), request_message(2, "clip", "").with(33, "5")));
+    assert_eq!(node.core.moved_clients.len(), 1, "the request is from another viewer");
+    let mut back = request_message(3, "clip", "");
     back.parameters.retain(|(code, _)| *code != code::REQUEST_FIELDS);
     let figures = format!("home:0;copies:3;top:2;viewer:{:016x};again:1", 1);
-    bench.tell(NodeEvent::ClientMessage(ClientId(1), back.with(code::REQUEST_FIELDS, figures)));
-    assert!(bench.core.moved.is_empty());
+    node.handle(NodeEvent::ClientMessage(ClientId(1), back.with(code::REQUEST_FIELDS, figures)));
+    assert!(node.core.moved_clients.is_empty());
 }
 
 #[test]
-fn the_list_is_asked_again_after_a_gap_a_break_or_silence_and_doubles_change_nothing() {
-    let mut bench = Bench::new();
-    let gone = |id: u32| {
-        let mut line = line(id);
+fn reconnects_to_the_coordinator_after_a_gap_a_break_or_silence_and_ignores_duplicates() {
+    let mut node = TestNode::new();
+    let gone_event = |id: u32| {
+        let mut line = listed(id);
         line.entry.state = ServerState::Gone;
         Payload::Changes(vec![line])
     };
-    bench.told(1, 6, gone(0));
-    assert_eq!(bench.core.servers.len(), 2);
-    bench.told(1, 6, gone(1));
-    assert_eq!(bench.core.servers.len(), 2, "the same number again");
-    let out = bench.told(1, 8, gone(1));
+    node.list_frame(1, 6, gone_event(0));
+    assert_eq!(node.core.servers.len(), 2);
+    node.list_frame(1, 6, gone_event(1));
+    assert_eq!(node.core.servers.len(), 2, "a duplicate event");
+    let out = node.list_frame(1, 8, gone_event(1));
     assert!(out.contains(&Command::ConnectList(2, address(200), 6)), "{out:?}");
-    assert!(bench.told(1, 7, gone(1)).is_empty(), "the earlier call is over");
-    bench.told(2, 7, gone(1));
-    assert_eq!(bench.core.servers.len(), 1);
-    bench.tell(NodeEvent::ListClosed(2));
-    let out = bench.after(SECOND / 5);
+    assert!(node.list_frame(1, 7, gone_event(1)).is_empty(), "the earlier connection is closed");
+    node.list_frame(2, 7, gone_event(1));
+    assert_eq!(node.core.servers.len(), 1);
+    node.handle(NodeEvent::ListClosed(2));
+    let out = node.advance(SECOND / 5);
     assert!(out.contains(&Command::ConnectList(3, address(200), 7)), "{out:?}");
-    bench.tell(NodeEvent::ListConnected(3));
-    let out = bench.after(5 * SECOND / 2);
+    node.handle(NodeEvent::ListConnected(3));
+    let out = node.advance(5 * SECOND / 2);
     assert!(out.contains(&Command::ConnectList(4, address(200), 7)), "silent: {out:?}");
-    let out = bench.tell(NodeEvent::CoordinatorMoved(address(201)));
+    let out = node.handle(NodeEvent::CoordinatorMoved(address(201)));
     assert!(out.contains(&Command::ConnectList(5, address(201), 7)), "{out:?}");
 }
 
 #[test]
-fn a_test_is_passed_only_once_the_list_was_heard_and_not_while_it_ends() {
-    let passes = |bench: &mut Bench<Brain>| {
-        let out = bench
-            .tell(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::TEST, 0).with(code::CAUSE, [0])));
-        let cause = said(&out).next().and_then(Message::cause);
+fn passes_the_readiness_test_only_with_a_list_and_not_during_shutdown() {
+    let passes = |node: &mut TestNode<Brain>| {
+        let out = node.handle(NodeEvent::ClientMessage(
+            ClientId(1),
+            Message::new(kind::TEST, 0).with(code::CAUSE, [0]),
+        ));
+        let cause = sent_to_client(&out).next().and_then(Message::cause);
         cause == Some(1)
     };
     let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
-    let mut bench = Bench { core, now: START, out: Vec::new() };
-    bench.core.begin(START, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
-    bench.tell(NodeEvent::ClientConnected(ClientId(1)));
-    assert!(!passes(&mut bench));
-    bench.told(1, 5, Payload::Nothing);
-    assert!(passes(&mut bench));
-    bench.tell(NodeEvent::Shutdown);
-    assert!(!passes(&mut bench));
-}
-
-#[test]
-fn an_ending_process_serves_what_still_comes_and_leaves_nothing_unanswered() {
-    let mut bench = Bench::new();
-    bench.playing(1, "clip");
-    bench.tell(NodeEvent::Shutdown);
-    bench.after(SECOND / 2);
-    let out = bench.ask(2, "clip");
+    let mut node = TestNode { core, now: START, out: Vec::new() };
+    node.core.start(START, (0..SERVER_COUNT).map(listed).collect(), 5, address(200), &mut node.out);
+    node.handle(NodeEvent::ClientConnected(ClientId(1)));
+    assert!(!passes(&mut node));
+    node.list_frame(1, 5, Payload::Unchanged);
+    assert!(passes(&mut node));
+    node.handle(NodeEvent::Shutdown);
+    assert!(!passes(&mut node));
+}
+
+#[test]
+fn serves_late_requests_during_shutdown_and_answers_all_of_them() {
+    let mut node = TestNode::new();
+    node.start_session(1, "clip");
+    node.handle(NodeEvent::Shutdown);
+    node.advance(SECOND / 2);
+    let out = node.send_request(2, "clip");
     let mut all = out.clone();
-    all.extend(bench.made(&out));
-    let (conn, _) = set_up(&all).expect("still served");
-    let out = bench.after(SECOND / 2);
-    assert!(!out.contains(&Command::Exit), "an answer is owed");
-    let mut out = bench.tell(NodeEvent::ServerMessage(conn, answer(2)));
-    assert!(said(&out).any(|m| m.kind == kind::ANSWER && m.session == 2));
-    assert!(!out.contains(&Command::Exit), "not before the sockets were read");
-    out.extend(bench.tell(NodeEvent::Tick));
-    assert!(!out.contains(&Command::Exit), "not before its server has read that they are released");
-    out.extend(bench.tell(NodeEvent::Tick));
+    all.extend(node.establish(&out));
+    let (conn, _) = sent_set_up(&all).expect("the request is still served");
+    let out = node.advance(SECOND / 2);
+    assert!(!out.contains(&Command::Exit), "a request is still open");
+    let mut out = node.handle(NodeEvent::ServerMessage(conn, answer_message(2)));
+    assert!(sent_to_client(&out).any(|m| m.kind == kind::ANSWER && m.session == 2));
+    assert!(!out.contains(&Command::Exit), "no exit before the sockets are read");
+    out.extend(node.handle(NodeEvent::Tick));
+    assert!(!out.contains(&Command::Exit), "no exit before the server has read the releases");
+    out.extend(node.handle(NodeEvent::Tick));
     assert!(out.contains(&Command::Exit));
-    let released = said(&out).filter(|m| m.kind == kind::RELEASE).map(|m| m.session);
-    assert_eq!(released.collect::<Vec<_>>(), [1, 2], "their viewers go elsewhere at once");
+    let released = sent_to_client(&out).filter(|m| m.kind == kind::RELEASE).map(|m| m.session);
+    assert_eq!(released.collect::<Vec<_>>(), [1, 2], "the clients can go elsewhere at once");
 }
 
 #[test]
-fn a_day_of_sessions_leaves_nothing_behind() {
-    let mut bench = Bench::new();
+fn thousands_of_sessions_leave_no_state_behind() {
+    let mut node = TestNode::new();
     for id in 1..=2_000u64 {
-        let out = bench.ask(id, if id % 3 == 0 { "paid" } else { "clip" });
+        let out = node.send_request(id, if id % 3 == 0 { "paid" } else { "clip" });
         let mut all = out.clone();
-        all.extend(bench.made(&out));
-        if let Some((conn, _)) = set_up(&all) {
+        all.extend(node.establish(&out));
+        if let Some((conn, _)) = sent_set_up(&all) {
             match id % 5 {
-                0 => drop(bench.tell(NodeEvent::ServerMessage(conn, Message::release(id, cause::FULL)))),
-                1 => drop(bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::release(id, 16)))),
-                2 => drop(bench.tell(NodeEvent::ServerClosed(conn))),
+                0 => drop(node.handle(NodeEvent::ServerMessage(conn, Message::release(id, cause::FULL)))),
+                1 => drop(node.handle(NodeEvent::ClientMessage(ClientId(1), Message::release(id, 16)))),
+                2 => drop(node.handle(NodeEvent::ServerClosed(conn))),
                 _ => {
-                    bench.tell(NodeEvent::ServerMessage(conn, answer(id)));
-                    bench.tell(NodeEvent::ServerMessage(conn, Message::release(id, cause::NORMAL)));
+                    node.handle(NodeEvent::ServerMessage(conn, answer_message(id)));
+                    node.handle(NodeEvent::ServerMessage(conn, Message::release(id, cause::NORMAL)));
                 }
             }
         }
-        let out = bench.after(SECOND / 50);
-        bench.made(&out);
+        let out = node.advance(SECOND / 50);
+        node.establish(&out);
     }
     for _ in 0..400 {
-        let out = bench.after(SECOND / 10);
-        bench.made(&out);
+        let out = node.advance(SECOND / 10);
+        node.establish(&out);
     }
-    let [sessions, playing, doors, connections, timers] = bench.core.held();
+    let [sessions, playing, clients, connections, timers] = node.core.gauges();
     assert_eq!((sessions, playing, connections), (0, 0, 0));
-    assert!(doors <= 1 && timers < 12, "{doors} {timers}");
-    assert!(bench.core.probes.is_empty() && bench.core.pool.out().is_empty());
+    assert!(clients <= 1 && timers < 12, "{clients} {timers}");
+    assert!(node.core.probes.is_empty() && node.core.pool.in_flight_set_ups().is_empty());
 }
 
 #[test]
-fn what_is_given_up_on_is_answered_at_once_with_a_time_to_come_back() {
-    let mut bench = Bench::new();
-    let lines = (0..LISTED).map(|id| {
-        let mut line = line(id);
+fn refuses_at_once_with_a_hold_off_time_when_no_server_is_left() {
+    let mut node = TestNode::new();
+    let lines = (0..SERVER_COUNT).map(|id| {
+        let mut line = listed(id);
         line.entry.state = ServerState::Draining;
         line
     });
-    bench.told(1, 6, Payload::Changes(lines.collect()));
-    let out = bench.ask(9, "paid");
-    let answer = said(&out).next().expect("at once");
+    node.list_frame(1, 6, Payload::Changes(lines.collect()));
+    let out = node.send_request(9, "paid");
+    let answer = sent_to_client(&out).next().expect("an answer at once");
     assert_eq!((answer.cause(), answer.text(code::HOLD_OFF_MS)), (Some(cause::FULL), Some("1000")));
-    assert!(bench.core.sessions.is_empty());
+    assert!(node.core.sessions.is_empty());
 }
 
 #[test]
-fn a_drain_told_during_a_set_up_lets_it_stand_and_sends_nothing_more_there() {
-    let mut bench = Bench::new();
-    let out = bench.ask(1, "clip");
-    let out = bench.made(&out);
-    let (conn, _) = set_up(&out).unwrap();
-    let drains = bench.core.sessions[&1].session.at().unwrap().server;
-    let mut told = line(drains.0);
-    told.entry.state = ServerState::Draining;
-    bench.told(1, 6, Payload::Changes(vec![told]));
-    let out = bench.tell(NodeEvent::ServerMessage(conn, answer(1)));
-    assert!(said(&out).any(|m| m.kind == kind::ANSWER));
+fn drain_during_a_set_up_keeps_the_session_and_stops_further_set_ups() {
+    let mut node = TestNode::new();
+    let out = node.send_request(1, "clip");
+    let out = node.establish(&out);
+    let (conn, _) = sent_set_up(&out).unwrap();
+    let draining = node.core.sessions[&1].session.at().unwrap().server;
+    let mut update = listed(draining.0);
+    update.entry.state = ServerState::Draining;
+    node.list_frame(1, 6, Payload::Changes(vec![update]));
+    let out = node.handle(NodeEvent::ServerMessage(conn, answer_message(1)));
+    assert!(sent_to_client(&out).any(|m| m.kind == kind::ANSWER));
     for id in 2..12 {
-        let (_, at) = bench.playing(id, "clip");
-        assert_ne!(at, address(drains.0));
+        let (_, at) = node.start_session(id, "clip");
+        assert_ne!(at, address(draining.0));
     }
 }
 
 #[test]
-fn a_release_that_comes_twice_and_on_another_connection_is_told_the_client_once() {
-    let mut bench = Bench::new();
-    let (conn, at) = bench.playing(1, "clip");
-    let out = bench.tell(NodeEvent::ServerClosed(conn));
-    let look = out.iter().find_map(|o| match o {
+fn forwards_a_duplicate_release_on_another_connection_once() {
+    let mut node = TestNode::new();
+    let (conn, at) = node.start_session(1, "clip");
+    let out = node.handle(NodeEvent::ServerClosed(conn));
+    let check = out.iter().find_map(|o| match o {
         Command::Connect(conn, to) if *to == at => Some(*conn),
         _ => None,
     });
-    let other = look.expect("a new connection");
-    bench.tell(NodeEvent::ConnectEnded(other, Ok(())));
+    let other = check.expect("a new connection");
+    node.handle(NodeEvent::ConnectEnded(other, Ok(())));
     let released = Message::release(1, cause::NORMAL);
-    let out = bench.tell(NodeEvent::ServerMessage(other, released.clone()));
-    assert_eq!(said(&out).collect::<Vec<_>>(), [&released]);
-    let out = bench.tell(NodeEvent::ServerMessage(other, released));
-    assert_eq!(said(&out).count(), 0);
-    assert_eq!(sent(&out, kind::RELEASE_ACK).len(), 1);
+    let out = node.handle(NodeEvent::ServerMessage(other, released.clone()));
+    assert_eq!(sent_to_client(&out).collect::<Vec<_>>(), [&released]);
+    let out = node.handle(NodeEvent::ServerMessage(other, released));
+    assert_eq!(sent_to_client(&out).count(), 0);
+    assert_eq!(sent_to_server(&out, kind::RELEASE_ACK).len(), 1);
 }
 
 #[test]
-fn a_request_that_crossed_a_close_is_taken_on_a_new_connection() {
-    let mut bench = Bench::new();
-    bench.tell(NodeEvent::ClientConnected(ClientId(2)));
-    bench.tell(NodeEvent::ClientMessage(ClientId(2), request(9, "paid", "")));
-    bench.tell(NodeEvent::ClientClosed(ClientId(2)));
-    assert!(bench.core.sessions.is_empty(), "whoever asked is gone");
-    let out = bench.ask(9, "paid");
+fn accepts_a_request_again_on_a_new_connection_after_a_close() {
+    let mut node = TestNode::new();
+    node.handle(NodeEvent::ClientConnected(ClientId(2)));
+    node.handle(NodeEvent::ClientMessage(ClientId(2), request_message(9, "paid", "")));
+    node.handle(NodeEvent::ClientClosed(ClientId(2)));
+    assert!(node.core.sessions.is_empty(), "the client is gone");
+    let out = node.send_request(9, "paid");
     let mut all = out.clone();
-    all.extend(bench.made(&out));
-    let (conn, _) = set_up(&all).expect("asked again");
-    let out = bench.tell(NodeEvent::ServerMessage(conn, answer(9)));
-    assert_eq!(out[0], Command::SendToClient(ClientId(1), answer(9)));
+    all.extend(node.establish(&out));
+    let (conn, _) = sent_set_up(&all).expect("a second request");
+    let out = node.handle(NodeEvent::ServerMessage(conn, answer_message(9)));
+    assert_eq!(out[0], Command::SendToClient(ClientId(1), answer_message(9)));
 }
 
 #[test]
-fn an_answer_that_lay_unread_is_heard_before_its_time_out_and_never_plays_after_its_time() {
+fn handles_an_unread_answer_before_its_time_out_and_never_after_the_deadline() {
     for (stopped, plays) in [(3 * SECOND, true), (5 * SECOND, false)] {
-        let mut bench = Bench::with(Puppet::default());
-        bench.core.decider.0.push_back(Action::SetUp(name(1), ServerId(0), SECOND));
-        let out = bench.ask(1, "paid");
-        let made = bench.made(&out);
-        let (conn, _) = set_up(&made).expect("set up");
-        // The process stands still, past the set-up's time-out of a second; both answers wait in its sockets.
-        bench.now += stopped;
-        bench.tell(NodeEvent::ListFrame(1, Frame { number: 5, payload: Payload::Nothing }));
-        let out = bench.tell(NodeEvent::ServerMessage(conn, answer(1)));
-        let kinds: Vec<u8> = said(&out).map(|message| message.kind).collect();
+        let mut node = TestNode::with(ScriptedDecider::default());
+        node.core.decider.0.push_back(Action::SetUp(session_id(1), ServerId(0), SECOND));
+        let out = node.send_request(1, "paid");
+        let made = node.establish(&out);
+        let (conn, _) = sent_set_up(&made).expect("set up");
+        // The process is stopped past the set-up's time-out of one second; the answer waits in its sockets.
+        node.now += stopped;
+        node.handle(NodeEvent::ListFrame(1, Frame { number: 5, payload: Payload::Unchanged }));
+        let out = node.handle(NodeEvent::ServerMessage(conn, answer_message(1)));
+        let kinds: Vec<u8> = sent_to_client(&out).map(|message| message.kind).collect();
         assert_eq!(kinds, [if plays { kind::ANSWER } else { kind::RELEASE }], "{stopped}");
-        let ended = sent(&out, kind::RELEASE).len();
-        assert_eq!(ended, usize::from(!plays), "what nobody may be told is ended at its box");
-        assert_eq!(said(&bench.tell(NodeEvent::Tick)).count(), 0, "one answer");
+        let ended = sent_to_server(&out, kind::RELEASE).len();
+        assert_eq!(
+            ended,
+            usize::from(!plays),
+            "a session that no client learns of is released at its server"
+        );
+        assert_eq!(sent_to_client(&node.handle(NodeEvent::Tick)).count(), 0, "one answer");
     }
 }
--- a/crates/platform/src/core/tests/gone.rs
+++ b/crates/platform/src/core/tests/gone.rs
@@ -1,9 +1,9 @@
-//! What the decider hears of clients that have gone, and that nothing begins for them.
+//! Clients that have gone: what the decider is told about them, and that nothing is started for them.
 
 use super::*;
 
-/// Each way of going, on the connection of the request.
-fn ways(id: u64) -> [NodeEvent; 4] {
+/// Each way for a client to go, on the connection of the request.
+fn departures(id: u64) -> [NodeEvent; 4] {
     [
         NodeEvent::ClientClosed(ClientId(1)),
         NodeEvent::ClientHalfClosed(ClientId(1)),
@@ -12,70 +12,71 @@
     ]
 }
 
-fn heard_of(bench: &Bench<Puppet>, id: u64) -> Vec<&'static str> {
-    let heard = bench.core.decider.1.iter().filter_map(|event| match event {
-        Event::Request(request) if request.session == name(id) => Some("request"),
-        Event::Left(session) if *session == name(id) => Some("left"),
-        Event::Ended { session, last: true, .. } if *session == name(id) => Some("ended, over"),
-        Event::Ended { session, last: false, .. } if *session == name(id) => Some("ended"),
+fn decider_events(node: &TestNode<ScriptedDecider>, id: u64) -> Vec<&'static str> {
+    let names = node.core.decider.1.iter().filter_map(|event| match event {
+        Event::Request(request) if request.session == session_id(id) => Some("request"),
+        Event::Left(session) if *session == session_id(id) => Some("left"),
+        Event::Ended { session, last: true, .. } if *session == session_id(id) => Some("ended, over"),
+        Event::Ended { session, last: false, .. } if *session == session_id(id) => Some("ended"),
         _ => None,
     });
-    heard.collect()
+    names.collect()
 }
 
-// Caught requests that were sent on before the rest of what lay in the sockets was read.
+// Guards against requests being forwarded before the rest of what lay in the sockets was read.
 #[test]
-fn of_a_request_whose_client_has_gone_in_the_same_look_nothing_is_heard_or_sent() {
-    for way in ways(9) {
-        let mut bench = Bench::with(Puppet::default());
-        let asks = NodeEvent::ClientMessage(ClientId(1), request(9, "clip", ""));
-        bench.core.decider.0.push_back(Action::SetUp(name(9), ServerId(0), SECOND));
-        bench.core.handle(bench.now, asks, &mut bench.out);
-        let out = bench.tell(way.clone());
-        assert!(heard_of(&bench, 9).is_empty(), "{way:?}: {:?}", heard_of(&bench, 9));
+fn request_of_a_client_that_left_in_the_same_poll_is_dropped() {
+    for departure in departures(9) {
+        let mut node = TestNode::with(ScriptedDecider::default());
+        let request = NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", ""));
+        node.core.decider.0.push_back(Action::SetUp(session_id(9), ServerId(0), SECOND));
+        node.core.handle(node.now, request, &mut node.out);
+        let out = node.handle(departure.clone());
+        assert!(decider_events(&node, 9).is_empty(), "{departure:?}: {:?}", decider_events(&node, 9));
         assert!(
             !out.iter().any(|o| matches!(o, Command::Connect(..) | Command::SendToServer(..))),
-            "{way:?}: {out:?}"
+            "{departure:?}: {out:?}"
         );
-        assert!(bench.core.sessions.is_empty());
+        assert!(node.core.sessions.is_empty());
     }
 }
 
-// Caught a refusal that was acted on before the close of the client behind it was read.
+// Guards against acting on a refusal before the close of the client behind it was read.
 #[test]
-fn no_further_attempt_follows_for_a_client_that_has_gone_in_the_same_look() {
-    for way in ways(9) {
-        let mut bench = Bench::new();
-        let out = bench.ask(9, "clip");
-        let out = bench.made(&out);
-        let (conn, _) = set_up(&out).unwrap();
-        let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::NOT_SENT));
-        bench.core.handle(bench.now, turned_away, &mut bench.out);
-        let out = bench.tell(way.clone());
-        assert!(!out.iter().any(|o| matches!(o, Command::Connect(..))), "{way:?}: {out:?}");
-        assert!(set_up(&out).is_none(), "{way:?}: {out:?}");
-        let later = bench.after(5 * SECOND);
-        assert!(set_up(&later).is_none() && bench.core.sessions.is_empty(), "{way:?}");
+fn no_further_attempt_for_a_client_that_left_in_the_same_poll() {
+    for departure in departures(9) {
+        let mut node = TestNode::new();
+        let out = node.send_request(9, "clip");
+        let out = node.establish(&out);
+        let (conn, _) = sent_set_up(&out).unwrap();
+        let refusal = NodeEvent::ServerMessage(conn, Message::release(9, cause::NOT_SENT));
+        node.core.handle(node.now, refusal, &mut node.out);
+        let out = node.handle(departure.clone());
+        assert!(!out.iter().any(|o| matches!(o, Command::Connect(..))), "{departure:?}: {out:?}");
+        assert!(sent_set_up(&out).is_none(), "{departure:?}: {out:?}");
+        let later = node.advance(5 * SECOND);
+        assert!(sent_set_up(&later).is_none() && node.core.sessions.is_empty(), "{departure:?}");
     }
 }
 
 #[test]
-fn the_decider_hears_once_that_a_session_is_over_whenever_its_client_goes() {
-    for way in ways(9) {
-        // While it is held, and nothing is out for it: one that is not told keeps the session for ever.
-        let mut bench = Bench::with(Puppet::default());
-        bench.ask(9, "clip");
-        bench.tell(way.clone());
-        assert_eq!(heard_of(&bench, 9), ["request", "left"], "{way:?}");
-        // After an attempt whose end lies in the same look.
-        let mut bench = Bench::with(Puppet::default());
-        bench.core.decider.0.push_back(Action::SetUp(name(9), ServerId(0), SECOND));
-        let out = bench.ask(9, "clip");
-        let out = bench.made(&out);
-        let (conn, _) = set_up(&out).unwrap();
-        let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::FULL));
-        bench.core.handle(bench.now, turned_away, &mut bench.out);
-        bench.tell(way.clone());
-        assert_eq!(heard_of(&bench, 9), ["request", "ended, over"], "{way:?}");
+fn decider_gets_one_end_of_a_session_whenever_its_client_leaves() {
+    for departure in departures(9) {
+        // While the decider holds the request and no attempt is running: if it were not told, it would keep
+        // the session for ever.
+        let mut node = TestNode::with(ScriptedDecider::default());
+        node.send_request(9, "clip");
+        node.handle(departure.clone());
+        assert_eq!(decider_events(&node, 9), ["request", "left"], "{departure:?}");
+        // After an attempt whose end is read in the same poll.
+        let mut node = TestNode::with(ScriptedDecider::default());
+        node.core.decider.0.push_back(Action::SetUp(session_id(9), ServerId(0), SECOND));
+        let out = node.send_request(9, "clip");
+        let out = node.establish(&out);
+        let (conn, _) = sent_set_up(&out).unwrap();
+        let refusal = NodeEvent::ServerMessage(conn, Message::release(9, cause::FULL));
+        node.core.handle(node.now, refusal, &mut node.out);
+        node.handle(departure.clone());
+        assert_eq!(decider_events(&node, 9), ["request", "ended, over"], "{departure:?}");
     }
 }
--- a/crates/platform/src/core/tests/list.rs
+++ b/crates/platform/src/core/tests/list.rs
@@ -1,72 +1,73 @@
-//! The list and how soon it is heard again, by any settings.
+//! The server list, and how soon the coordinator is connected to again under any settings.
 
 use super::*;
 
-/// Graces from a twentieth of the usual one to ten times it, ms.
+/// Drain graces from a twentieth of the usual one to ten times it, in ms.
 const GRACES: [u64; 6] = [100, 200, 350, 500, 2_000, 20_000];
 
-fn with_grace(grace_ms: u64) -> Bench<Brain> {
+fn with_grace(grace_ms: u64) -> TestNode<Brain> {
     let mut facts = facts();
     facts.settings.drain_grace = grace_ms * 1_000;
     let core = Core::new(Brain::new(facts.settings.clone(), 7), facts, 256, START + grace_ms);
-    let mut bench = Bench { core, now: START + grace_ms, out: Vec::new() };
-    bench.core.begin(bench.now, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
-    bench.out.clear();
-    bench.told(1, 5, Payload::Nothing);
-    bench
+    let mut node = TestNode { core, now: START + grace_ms, out: Vec::new() };
+    node.core.start(node.now, (0..SERVER_COUNT).map(listed).collect(), 5, address(200), &mut node.out);
+    node.out.clear();
+    node.list_frame(1, 5, Payload::Unchanged);
+    node
 }
 
-/// Goes on until a call begins; which it is, and how long that took. What was over by then is taken off `open`.
-fn next_call(bench: &mut Bench<Brain>, open: &mut Vec<u64>) -> (u64, Micros) {
-    let since = bench.now;
+/// Advances the time until a connection attempt begins; returns its number, and how long that took.
+/// Connections closed by then are removed from `open`.
+fn next_connection(node: &mut TestNode<Brain>, open: &mut Vec<u64>) -> (u64, Micros) {
+    let since = node.now;
     loop {
-        bench.now = bench.core.next_due().expect("a call is always due").max(bench.now);
+        node.now = node.core.next_due().expect("a connection attempt is always due").max(node.now);
         let mut begun = None;
-        for output in bench.tell(NodeEvent::Tick) {
+        for output in node.handle(NodeEvent::Tick) {
             match output {
-                Command::CloseList(call) => open.retain(|other| *other != call),
-                Command::ConnectList(call, _, last) => {
-                    assert_eq!(last, 5, "asked from the last event on");
-                    open.push(call);
-                    begun = Some(call);
+                Command::CloseList(connection) => open.retain(|other| *other != connection),
+                Command::ConnectList(connection, _, last) => {
+                    assert_eq!(last, 5, "continues after the last event");
+                    open.push(connection);
+                    begun = Some(connection);
                 }
                 _ => {}
             }
         }
-        if let Some(call) = begun {
-            return (call, bench.now - since);
+        if let Some(connection) = begun {
+            return (connection, node.now - since);
         }
     }
 }
 
-// Caught pauses of up to 0.8 s between calls, longer than the whole grace of some settings: servers that were announced
-// as leaving in the meantime were sent requests.
+// Guards against pauses between connection attempts that exceed the drain grace: with pauses of up to 0.8 s,
+// requests were sent to servers that had been announced as leaving in the meantime.
 #[test]
-fn a_coordinator_that_refuses_is_called_again_well_within_any_grace() {
+fn reconnects_to_a_refusing_coordinator_well_within_the_drain_grace() {
     for grace in GRACES {
-        let mut bench = with_grace(grace);
-        bench.tell(NodeEvent::ListClosed(1));
+        let mut node = with_grace(grace);
+        node.handle(NodeEvent::ListClosed(1));
         let (mut open, mut longest) = (Vec::new(), 0);
         for _ in 0..60 {
-            let (call, took) = next_call(&mut bench, &mut open);
+            let (connection, took) = next_connection(&mut node, &mut open);
             longest = longest.max(took);
-            bench.tell(NodeEvent::ListClosed(call));
+            node.handle(NodeEvent::ListClosed(connection));
             open.clear();
         }
         assert!(longest <= grace * 1_000 / 4, "{longest} us of a grace of {grace} ms");
-        assert!(longest >= 20_000, "nor without a pause: {longest} us");
+        assert!(longest >= 20_000, "attempts have pauses: {longest} us");
     }
 }
 
-// Caught calls that hung for up to 2.2 s before the next one began.
+// Guards against connection attempts that hang, for up to 2.2 s, before the next one begins.
 #[test]
-fn calls_that_hang_do_not_hold_up_the_one_that_would_come_up() {
+fn hanging_connection_attempts_do_not_delay_the_next_one() {
     for grace in GRACES {
-        let mut bench = with_grace(grace);
-        bench.tell(NodeEvent::ListClosed(1));
+        let mut node = with_grace(grace);
+        node.handle(NodeEvent::ListClosed(1));
         let (mut open, mut longest, mut most) = (Vec::new(), 0, 0);
         for _ in 0..60 {
-            longest = longest.max(next_call(&mut bench, &mut open).1);
+            longest = longest.max(next_connection(&mut node, &mut open).1);
             most = most.max(open.len());
         }
         assert!(longest <= grace * 1_000 / 4, "{longest} us of a grace of {grace} ms");
@@ -75,116 +76,126 @@
 }
 
 #[test]
-fn a_network_in_which_connections_come_up_slowly_is_got_through() {
+fn connects_over_a_network_with_slow_handshakes() {
     for grace in GRACES {
-        let mut bench = with_grace(grace);
-        bench.tell(NodeEvent::ListClosed(1));
+        let mut node = with_grace(grace);
+        node.handle(NodeEvent::ListClosed(1));
         let (mut open, mut begun) = (Vec::new(), BTreeMap::new());
-        let until = bench.now + 4 * SECOND;
+        let until = node.now + 4 * SECOND;
         let up = loop {
-            let (call, _) = next_call(&mut bench, &mut open);
-            begun.insert(call, bench.now);
-            if let Some(call) = open.iter().find(|call| begun[call] + 3 * SECOND / 2 <= bench.now) {
-                break *call;
+            let (connection, _) = next_connection(&mut node, &mut open);
+            begun.insert(connection, node.now);
+            if let Some(connection) =
+                open.iter().find(|connection| begun[connection] + 3 * SECOND / 2 <= node.now)
+            {
+                break *connection;
             }
-            assert!(bench.now < until, "no call is kept long enough, grace {grace} ms");
+            assert!(node.now < until, "no connection attempt is kept long enough, grace {grace} ms");
         };
-        let out = bench.tell(NodeEvent::ListConnected(up));
-        let over: Vec<u64> = out
+        let out = node.handle(NodeEvent::ListConnected(up));
+        let closed: Vec<u64> = out
             .iter()
             .filter_map(|o| match o {
-                Command::CloseList(call) => Some(*call),
+                Command::CloseList(connection) => Some(*connection),
                 _ => None,
             })
             .collect();
-        open.retain(|call| *call != up);
-        assert_eq!(over, open, "the others are over");
-        let mut leaves = line(0);
-        leaves.entry.state = ServerState::Draining;
-        bench.told(up, 6, Payload::Changes(vec![leaves.clone()]));
-        assert!(bench.told(over.last().copied().unwrap_or(0), 7, Payload::Changes(vec![leaves])).is_empty());
-        bench.told(up, 6, Payload::Nothing);
+        open.retain(|connection| *connection != up);
+        assert_eq!(closed, open, "the other attempts are closed");
+        let mut draining = listed(0);
+        draining.entry.state = ServerState::Draining;
+        node.list_frame(up, 6, Payload::Changes(vec![draining.clone()]));
+        assert!(node
+            .list_frame(closed.last().copied().unwrap_or(0), 7, Payload::Changes(vec![draining]))
+            .is_empty());
+        node.list_frame(up, 6, Payload::Unchanged);
         assert_eq!(
-            bench.after(2 * SECOND).iter().filter(|o| matches!(o, Command::ConnectList(..))).count(),
+            node.advance(2 * SECOND).iter().filter(|o| matches!(o, Command::ConnectList(..))).count(),
             0
         );
     }
 }
 
 #[test]
-fn nodes_that_lost_their_coordinator_together_do_not_call_in_step() {
-    let calls: Vec<Vec<Micros>> = [1, 2]
+fn nodes_that_lost_their_coordinator_together_do_not_reconnect_in_step() {
+    let connections: Vec<Vec<Micros>> = [1, 2]
         .map(|seed| {
             let mut facts = facts();
             facts.settings.drain_grace = 500_000;
             let core = Core::new(Brain::new(facts.settings.clone(), 7), facts, 256, START + seed);
-            let mut bench = Bench { core, now: START + seed, out: Vec::new() };
-            bench.core.begin(bench.now, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
-            bench.told(1, 5, Payload::Nothing);
-            bench.now = START + SECOND;
-            bench.tell(NodeEvent::ListClosed(1));
-            let calls = (0..20).map(|_| {
-                let (call, _) = next_call(&mut bench, &mut Vec::new());
-                bench.tell(NodeEvent::ListClosed(call));
-                bench.now
+            let mut node = TestNode { core, now: START + seed, out: Vec::new() };
+            node.core.start(
+                node.now,
+                (0..SERVER_COUNT).map(listed).collect(),
+                5,
+                address(200),
+                &mut node.out,
+            );
+            node.list_frame(1, 5, Payload::Unchanged);
+            node.now = START + SECOND;
+            node.handle(NodeEvent::ListClosed(1));
+            let connections = (0..20).map(|_| {
+                let (connection, _) = next_connection(&mut node, &mut Vec::new());
+                node.handle(NodeEvent::ListClosed(connection));
+                node.now
             });
-            calls.collect()
+            connections.collect()
         })
         .into();
-    assert!(calls[0].iter().all(|at| !calls[1].contains(at)), "{calls:?}");
+    assert!(connections[0].iter().all(|at| !connections[1].contains(at)), "{connections:?}");
 }
 
 #[test]
-fn a_whole_list_under_the_last_number_is_taken_once_the_call_begins_with_it() {
-    let mut bench = with_grace(500);
-    bench.tell(NodeEvent::ListClosed(1));
-    let (call, _) = next_call(&mut bench, &mut Vec::new());
-    bench.tell(NodeEvent::ListConnected(call));
-    bench.told(call, 5, Payload::Whole(vec![line(1)]));
-    assert_eq!(bench.core.servers.keys().copied().collect::<Vec<_>>(), [ServerId(1)]);
-    // Later on it is a double of what has been told.
-    bench.told(call, 5, Payload::Whole(vec![line(2)]));
-    bench.told(call, 4, Payload::Whole(vec![line(2)]));
-    assert_eq!(bench.core.servers.keys().copied().collect::<Vec<_>>(), [ServerId(1)]);
+fn complete_list_under_the_last_number_is_applied_only_as_the_first_frame() {
+    let mut node = with_grace(500);
+    node.handle(NodeEvent::ListClosed(1));
+    let (connection, _) = next_connection(&mut node, &mut Vec::new());
+    node.handle(NodeEvent::ListConnected(connection));
+    node.list_frame(connection, 5, Payload::Full(vec![listed(1)]));
+    assert_eq!(node.core.servers.keys().copied().collect::<Vec<_>>(), [ServerId(1)]);
+    // Later, the same number is a duplicate.
+    node.list_frame(connection, 5, Payload::Full(vec![listed(2)]));
+    node.list_frame(connection, 4, Payload::Full(vec![listed(2)]));
+    assert_eq!(node.core.servers.keys().copied().collect::<Vec<_>>(), [ServerId(1)]);
 }
 
 #[test]
-fn a_coordinator_that_never_tells_what_is_missing_is_not_called_without_a_pause() {
-    let mut bench = with_grace(500);
-    let (mut call, mut calls, until) = (1, 0, bench.now + SECOND);
-    while bench.now < until {
-        let out = bench.told(call, 9, Payload::Changes(vec![line(1)]));
+fn reconnects_with_pauses_to_a_coordinator_that_never_sends_the_missing_event() {
+    let mut node = with_grace(500);
+    let (mut connection, mut connections, until) = (1, 0, node.now + SECOND);
+    while node.now < until {
+        let out = node.list_frame(connection, 9, Payload::Changes(vec![listed(1)]));
         let again = out.iter().find_map(|o| match o {
-            Command::ConnectList(call, ..) => Some(*call),
+            Command::ConnectList(connection, ..) => Some(*connection),
             _ => None,
         });
-        call = again.unwrap_or_else(|| next_call(&mut bench, &mut Vec::new()).0);
-        bench.tell(NodeEvent::ListConnected(call));
-        calls += 1;
+        connection = again.unwrap_or_else(|| next_connection(&mut node, &mut Vec::new()).0);
+        node.handle(NodeEvent::ListConnected(connection));
+        connections += 1;
     }
-    assert!((5..=40).contains(&calls), "{calls} calls in a second");
+    assert!((5..=40).contains(&connections), "{connections} connections in a second");
 }
 
-/// What is read in one look, in this order, and decided then.
-fn in_one_look(bench: &mut Bench<Brain>, inputs: Vec<NodeEvent>) -> Vec<Command> {
+/// Passes in the events of one poll in this order, and lets the decider act afterwards.
+fn in_one_poll(node: &mut TestNode<Brain>, inputs: Vec<NodeEvent>) -> Vec<Command> {
     for input in inputs {
-        bench.core.handle(bench.now, input, &mut bench.out);
+        node.core.handle(node.now, input, &mut node.out);
     }
-    bench.core.decide(bench.now, &mut bench.out);
-    std::mem::take(&mut bench.out)
+    node.core.decide(node.now, &mut node.out);
+    std::mem::take(&mut node.out)
 }
 
-fn announced(number: u64, lines: Vec<Listed>) -> NodeEvent {
+fn list_event(number: u64, lines: Vec<Listed>) -> NodeEvent {
     NodeEvent::ListFrame(1, Frame { number, payload: Payload::Changes(lines) })
 }
 
-fn leaving(id: u32, state: ServerState) -> Listed {
-    let mut line = line(id);
+fn listed_as(id: u32, state: ServerState) -> Listed {
+    let mut line = listed(id);
     line.entry.state = state;
     line
 }
 
-fn dialled(out: &[Command]) -> Vec<SocketAddr> {
+fn dialled_addresses(out: &[Command]) -> Vec<SocketAddr> {
     let dial = |output: &Command| match output {
         Command::Connect(_, at) => Some(*at),
         _ => None,
@@ -192,52 +203,53 @@
     out.iter().filter_map(dial).collect()
 }
 
-/// All but this one leave, or are gone.
+/// All servers but this one are in this state.
 fn all_but(kept: u32, state: ServerState) -> NodeEvent {
-    announced(6, (0..LISTED).filter(|id| *id != kept).map(|id| leaving(id, state)).collect())
+    list_event(6, (0..SERVER_COUNT).filter(|id| *id != kept).map(|id| listed_as(id, state)).collect())
 }
 
-// Caught requests that the decider heard of ahead of a drain in the same look, and sent to the server that was leaving.
+// Guards against a decider that gets a request ahead of a drain read in the same poll: the request was sent
+// to the server that was leaving.
 #[test]
-fn a_drain_that_is_read_behind_a_request_is_heard_before_it() {
+fn drain_read_after_a_request_reaches_the_decider_first() {
     for state in [ServerState::Draining, ServerState::Gone] {
-        for kept in 0..LISTED {
-            let mut bench = Bench::new();
-            let asks = NodeEvent::ClientMessage(ClientId(1), request(9, "clip", ""));
-            let out = in_one_look(&mut bench, vec![asks, all_but(kept, state)]);
-            assert_eq!(dialled(&out), [address(kept)], "{state:?}");
+        for kept in 0..SERVER_COUNT {
+            let mut node = TestNode::new();
+            let request = NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", ""));
+            let out = in_one_poll(&mut node, vec![request, all_but(kept, state)]);
+            assert_eq!(dialled_addresses(&out), [address(kept)], "{state:?}");
         }
     }
 }
 
-// Caught a further attempt at a server whose drain lay behind the refusal of the first.
+// Guards against a further attempt at a server whose drain is read after the refusal of the first attempt.
 #[test]
-fn a_drain_that_is_read_behind_a_refusal_is_heard_before_the_further_attempt() {
+fn drain_read_after_a_refusal_reaches_the_decider_before_the_next_attempt() {
     for state in [ServerState::Draining, ServerState::Gone] {
-        for kept in 0..LISTED {
-            let mut bench = Bench::new();
-            let out = bench.ask(9, "clip");
-            let out = bench.made(&out);
-            let (conn, _) = set_up(&out).unwrap();
-            if bench.core.sessions[&9].session.at().unwrap().server == ServerId(kept) {
+        for kept in 0..SERVER_COUNT {
+            let mut node = TestNode::new();
+            let out = node.send_request(9, "clip");
+            let out = node.establish(&out);
+            let (conn, _) = sent_set_up(&out).unwrap();
+            if node.core.sessions[&9].session.at().unwrap().server == ServerId(kept) {
                 continue;
             }
-            let turned_away = NodeEvent::ServerMessage(conn, Message::release(9, cause::FULL));
-            let out = in_one_look(&mut bench, vec![turned_away, all_but(kept, state)]);
-            assert_eq!(dialled(&out), [address(kept)], "{state:?}");
+            let refusal = NodeEvent::ServerMessage(conn, Message::release(9, cause::FULL));
+            let out = in_one_poll(&mut node, vec![refusal, all_but(kept, state)]);
+            assert_eq!(dialled_addresses(&out), [address(kept)], "{state:?}");
         }
     }
 }
 
-// A session that is handed over in the same look in which its server goes is over for the decider too.
+// A session that is handed over in the same poll in which its server goes is over for the decider too.
 #[test]
-fn what_is_handed_over_and_lost_in_one_look_is_over_for_the_decider() {
-    let mut bench = Bench::with(Puppet::default());
-    let handed = NodeEvent::ClientMessage(ClientId(1), request(9, "clip", ";at:s-00000000"));
-    bench.core.handle(bench.now, handed, &mut bench.out);
-    bench.core.handle(bench.now, announced(6, vec![leaving(0, ServerState::Gone)]), &mut bench.out);
-    bench.core.decide(bench.now, &mut bench.out);
-    let heard: Vec<&str> = bench
+fn session_handed_over_and_lost_in_one_poll_is_over_for_the_decider() {
+    let mut node = TestNode::with(ScriptedDecider::default());
+    let hand_over = NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", ";at:s-00000000"));
+    node.core.handle(node.now, hand_over, &mut node.out);
+    node.core.handle(node.now, list_event(6, vec![listed_as(0, ServerState::Gone)]), &mut node.out);
+    node.core.decide(node.now, &mut node.out);
+    let names: Vec<&str> = node
         .core
         .decider
         .1
@@ -249,26 +261,27 @@
             _ => None,
         })
         .collect();
-    assert_eq!(heard, ["resumed", "over", "list"]);
-    assert!(bench.core.sessions.is_empty());
+    assert_eq!(names, ["resumed", "over", "list"]);
+    assert!(node.core.sessions.is_empty());
 }
 
-// Caught a server that one event called gone and then ready: the decider sent sessions there and each was stopped here.
+// Guards against a server that one event names as gone and then as ready: the decider chose it, and each
+// set-up was rejected here.
 #[test]
-fn a_server_that_one_event_names_twice_is_what_its_last_record_says() {
-    let (gone, ready) = (leaving(0, ServerState::Gone), line(0));
+fn last_record_of_a_server_in_one_event_counts() {
+    let (gone, ready) = (listed_as(0, ServerState::Gone), listed(0));
     for whole in [true, false] {
         for (records, is_there) in
             [(vec![gone.clone(), ready.clone()], true), (vec![ready.clone(), gone.clone()], false)]
         {
-            let mut bench = Bench::new();
-            bench.told(1, 6, if whole { Payload::Whole(records) } else { Payload::Changes(records) });
-            assert_eq!(bench.core.ledger().contains_key(&ServerId(0)), is_there);
+            let mut node = TestNode::new();
+            node.list_frame(1, 6, if whole { Payload::Full(records) } else { Payload::Changes(records) });
+            assert_eq!(node.core.server_summaries().contains_key(&ServerId(0)), is_there);
             if whole {
                 let there: Vec<SocketAddr> = is_there.then_some(address(0)).into_iter().collect();
-                let out = bench.ask(9, "clip");
-                assert_eq!(dialled(&out), there);
-                assert_eq!(bench.core.counts().stopped, 0);
+                let out = node.send_request(9, "clip");
+                assert_eq!(dialled_addresses(&out), there);
+                assert_eq!(node.core.counts().stopped, 0);
             }
         }
     }
--- a/crates/platform/src/core/tests/releases.rs
+++ b/crates/platform/src/core/tests/releases.rs
@@ -1,92 +1,94 @@
-//! Ends whose connections are reset before anybody reads them.
+//! Releases on connections that are reset before they are read.
 
 use super::*;
 
-/// A session that its client has ended, and the connection on which its media server was told so.
-fn released() -> (Bench<Brain>, ConnId) {
-    let mut bench = Bench::new();
-    let (conn, _) = bench.playing(1, "clip");
-    let out = bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::release(1, cause::NORMAL)));
-    assert_eq!(sent(&out, kind::RELEASE).len(), 1);
-    (bench, conn)
+/// A session that its client has ended, and the connection on which its media server was sent the release.
+fn released_session() -> (TestNode<Brain>, ConnId) {
+    let mut node = TestNode::new();
+    let (conn, _) = node.start_session(1, "clip");
+    let out = node.handle(NodeEvent::ClientMessage(ClientId(1), Message::release(1, cause::NORMAL)));
+    assert_eq!(sent_to_server(&out, kind::RELEASE).len(), 1);
+    (node, conn)
 }
 
-/// Releases that are sent within this time over connections that are made as they are dialled.
-fn releases_within(bench: &mut Bench<Brain>, span: Micros) -> usize {
-    let (until, mut count) = (bench.now + span, 0);
-    while bench.now < until {
-        let out = bench.after(SECOND / 20);
-        count += sent(&out, kind::RELEASE).len();
-        let made = bench.made(&out);
-        count += sent(&made, kind::RELEASE).len();
+/// Number of releases sent within this time, with each dialled connection established at once.
+fn releases_within(node: &mut TestNode<Brain>, span: Micros) -> usize {
+    let (until, mut count) = (node.now + span, 0);
+    while node.now < until {
+        let out = node.advance(SECOND / 20);
+        count += sent_to_server(&out, kind::RELEASE).len();
+        let made = node.establish(&out);
+        count += sent_to_server(&made, kind::RELEASE).len();
     }
     count
 }
 
 #[test]
-fn a_release_that_was_reset_with_its_connection_is_sent_once_more() {
-    let (mut bench, conn) = released();
-    bench.tell(NodeEvent::ServerClosed(conn));
-    assert_eq!(releases_within(&mut bench, SECOND), 1);
+fn resends_a_release_that_was_reset_with_its_connection() {
+    let (mut node, conn) = released_session();
+    node.handle(NodeEvent::ServerClosed(conn));
+    assert_eq!(releases_within(&mut node, SECOND), 1);
 }
 
 #[test]
-fn a_release_that_was_answered_or_read_to_its_end_is_not_sent_again() {
-    let (mut bench, conn) = released();
-    bench.tell(NodeEvent::ServerMessage(conn, Message::release(1, cause::ON_PURPOSE)));
-    bench.tell(NodeEvent::ServerClosed(conn));
-    assert_eq!(releases_within(&mut bench, SECOND), 0, "answered");
-    let (mut bench, _) = released();
-    // The idle connection is ended here, and its server closes it when it has read all.
-    assert_eq!(releases_within(&mut bench, 12 * SECOND), 0, "read");
+fn does_not_resend_a_release_that_was_acknowledged_or_read() {
+    let (mut node, conn) = released_session();
+    node.handle(NodeEvent::ServerMessage(conn, Message::release(1, cause::ON_PURPOSE)));
+    node.handle(NodeEvent::ServerClosed(conn));
+    assert_eq!(releases_within(&mut node, SECOND), 0, "answered");
+    let (mut node, _) = released_session();
+    // The idle connection is finished here, and its server closes it after reading everything.
+    assert_eq!(releases_within(&mut node, 12 * SECOND), 0, "read");
 }
 
 #[test]
-fn an_end_that_no_client_has_heard_on_a_connection_that_is_gone_is_told_on_the_next() {
-    for hears in [false, true] {
-        let mut bench = Bench::new();
-        let (conn, _) = bench.playing(1, "clip");
+fn resends_an_unacknowledged_client_release_on_the_next_connection() {
+    for acknowledges in [false, true] {
+        let mut node = TestNode::new();
+        let (conn, _) = node.start_session(1, "clip");
         let end = Message::release(1, cause::NORMAL);
-        let out = bench.tell(NodeEvent::ServerMessage(conn, end.clone()));
-        assert_eq!(said(&out).collect::<Vec<_>>(), [&end]);
-        if hears {
-            bench.tell(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::RELEASE_ACK, 1)));
+        let out = node.handle(NodeEvent::ServerMessage(conn, end.clone()));
+        assert_eq!(sent_to_client(&out).collect::<Vec<_>>(), [&end]);
+        if acknowledges {
+            node.handle(NodeEvent::ClientMessage(ClientId(1), Message::new(kind::RELEASE_ACK, 1)));
         }
-        bench.tell(NodeEvent::ClientClosed(ClientId(1)));
-        bench.tell(NodeEvent::ClientConnected(ClientId(2)));
+        node.handle(NodeEvent::ClientClosed(ClientId(1)));
+        node.handle(NodeEvent::ClientConnected(ClientId(2)));
         let test = Message::new(kind::TEST, 0).with(code::CAUSE, [0]);
-        let out = bench.tell(NodeEvent::ClientMessage(ClientId(2), test));
-        assert_eq!(said(&out).any(|message| *message == end), !hears);
+        let out = node.handle(NodeEvent::ClientMessage(ClientId(2), test));
+        assert_eq!(sent_to_client(&out).any(|message| *message == end), !acknowledges);
     }
 }
 
 #[test]
-fn what_stands_at_a_machine_that_comes_back_is_released_though_its_clients_were_told_that_it_is_over() {
-    let mut bench = Bench::new();
-    bench.playing(1, "clip");
-    // Silent, and no dial comes up: its client is told within the 8 s of the page.
-    let mut told = false;
-    while !told {
-        told = said(&bench.after(SECOND / 20)).any(|message| message.kind == kind::RELEASE);
-        assert!(bench.now < START + 8 * SECOND);
+fn releases_sessions_at_a_machine_that_becomes_reachable_again() {
+    let mut node = TestNode::new();
+    node.start_session(1, "clip");
+    // The server is silent, and no connection is established: the client is released within the specified 8
+    // s.
+    let mut client_released = false;
+    while !client_released {
+        client_released =
+            sent_to_client(&node.advance(SECOND / 20)).any(|message| message.kind == kind::RELEASE);
+        assert!(node.now < START + 8 * SECOND);
     }
-    assert_eq!(releases_within(&mut bench, 2 * SECOND), 1, "the next dial comes up");
+    assert_eq!(releases_within(&mut node, 2 * SECOND), 1, "the next connection is established");
 }
 
 #[test]
-fn an_end_that_no_client_hears_is_told_no_longer_than_it_is_of_use_however_often_connections_go() {
-    let mut bench = Bench::new();
-    let (conn, _) = bench.playing(1, "clip");
+fn stops_resending_a_client_release_after_its_lifetime() {
+    let mut node = TestNode::new();
+    let (conn, _) = node.start_session(1, "clip");
     let end = Message::release(1, cause::NORMAL);
-    bench.tell(NodeEvent::ServerMessage(conn, end.clone()));
-    let over = bench.now;
+    node.handle(NodeEvent::ServerMessage(conn, end.clone()));
+    let ended_at = node.now;
     for client in 1..20 {
-        bench.after(SECOND);
-        bench.tell(NodeEvent::ClientClosed(ClientId(client)));
-        bench.tell(NodeEvent::ClientConnected(ClientId(client + 1)));
+        node.advance(SECOND);
+        node.handle(NodeEvent::ClientClosed(ClientId(client)));
+        node.handle(NodeEvent::ClientConnected(ClientId(client + 1)));
         let test = Message::new(kind::TEST, 0).with(code::CAUSE, [0]);
-        let out = bench.tell(NodeEvent::ClientMessage(ClientId(client + 1), test));
-        let is_told = said(&out).any(|message| *message == end);
-        assert_eq!(is_told, bench.now < over + 8 * SECOND, "{} s on", client);
+        let out = node.handle(NodeEvent::ClientMessage(ClientId(client + 1), test));
+        let is_resent = sent_to_client(&out).any(|message| *message == end);
+        assert_eq!(is_resent, node.now < ended_at + 8 * SECOND, "{} s later", client);
     }
 }
--- a/crates/platform/src/core/tests/room.rs
+++ b/crates/platform/src/core/tests/room.rs
@@ -1,36 +1,36 @@
-//! Connections to servers in short supply.
+//! Too few descriptors for the connections to servers.
 
 use super::*;
 
 const SERVERS: u32 = 40;
 
-/// A node by whose descriptors few connections can be made, with more servers than that.
-pub(super) fn crowded(sockets: usize) -> Bench<Puppet> {
-    let core = Core::new(Puppet::default(), facts(), sockets, START);
-    let mut bench = Bench { core, now: START, out: Vec::new() };
-    bench.core.begin(START, (0..SERVERS).map(line).collect(), 5, address(200), &mut bench.out);
-    bench.told(1, 5, Payload::Nothing);
-    bench.tell(NodeEvent::ClientConnected(ClientId(1)));
-    bench
+/// A node with more servers than the connections that its descriptors allow.
+pub(super) fn node_with_few_descriptors(sockets: usize) -> TestNode<ScriptedDecider> {
+    let core = Core::new(ScriptedDecider::default(), facts(), sockets, START);
+    let mut node = TestNode { core, now: START, out: Vec::new() };
+    node.core.start(START, (0..SERVERS).map(listed).collect(), 5, address(200), &mut node.out);
+    node.list_frame(1, 5, Payload::Unchanged);
+    node.handle(NodeEvent::ClientConnected(ClientId(1)));
+    node
 }
 
-pub(super) fn asks(bench: &mut Bench<Puppet>, id: u64, server: u32) -> Vec<Command> {
-    bench.core.decider.0.push_back(Action::SetUp(name(id), ServerId(server), SECOND));
-    bench.core.handle(
-        bench.now,
-        NodeEvent::ClientMessage(ClientId(1), request(id, "clip", "")),
-        &mut bench.out,
+pub(super) fn request_at(node: &mut TestNode<ScriptedDecider>, id: u64, server: u32) -> Vec<Command> {
+    node.core.decider.0.push_back(Action::SetUp(session_id(id), ServerId(server), SECOND));
+    node.core.handle(
+        node.now,
+        NodeEvent::ClientMessage(ClientId(1), request_message(id, "clip", "")),
+        &mut node.out,
     );
-    bench.core.decide(bench.now, &mut bench.out);
-    std::mem::take(&mut bench.out)
+    node.core.decide(node.now, &mut node.out);
+    std::mem::take(&mut node.out)
 }
 
 #[test]
-fn a_resting_connection_is_ended_in_order_before_its_room_is_needed() {
-    let mut bench = crowded(24);
+fn finishes_an_idle_connection_before_its_place_is_needed() {
+    let mut node = node_with_few_descriptors(24);
     let mut finished = 0;
     for server in 0..SERVERS {
-        let out = asks(&mut bench, u64::from(server) + 1, server);
+        let out = request_at(&mut node, u64::from(server) + 1, server);
         assert!(!out.iter().any(|command| matches!(command, Command::CloseServer(_))), "{server}: {out:?}");
         let ended = out.iter().filter_map(|command| match command {
             Command::FinishServer(conn) => Some(*conn),
@@ -38,33 +38,33 @@
         });
         let ended: Vec<ConnId> = ended.collect();
         finished += ended.len();
-        let made = bench.made(&out);
-        let (conn, _) = set_up(&made).expect("a connection is made");
-        ended.into_iter().for_each(|conn| drop(bench.tell(NodeEvent::ServerClosed(conn))));
-        bench.tell(NodeEvent::ServerMessage(conn, answer(u64::from(server) + 1)));
-        bench.now += SECOND / 100;
+        let made = node.establish(&out);
+        let (conn, _) = sent_set_up(&made).expect("a connection is established");
+        ended.into_iter().for_each(|conn| drop(node.handle(NodeEvent::ServerClosed(conn))));
+        node.handle(NodeEvent::ServerMessage(conn, answer_message(u64::from(server) + 1)));
+        node.now += SECOND / 100;
     }
-    assert!(finished > 0 && bench.core.pool.room().closed == 0, "{:?}", bench.core.pool.room());
+    assert!(finished > 0 && node.core.pool.room_counts().closed == 0, "{:?}", node.core.pool.room_counts());
 }
 
 #[test]
-fn an_attempt_without_room_for_its_connection_blames_no_server_and_is_tried_again_later() {
-    let mut bench = crowded(24);
+fn attempt_without_room_for_a_connection_ends_unsent_after_a_delay() {
+    let mut node = node_with_few_descriptors(24);
     let mut id = 0;
     let without_room = loop {
         id += 1;
-        let out = asks(&mut bench, id, id as u32 - 1);
+        let out = request_at(&mut node, id, id as u32 - 1);
         if !out.iter().any(|command| matches!(command, Command::Connect(..))) {
             break id;
         }
     };
-    let ended = |bench: &Bench<Puppet>| {
-        bench.core.decider.1.iter().find_map(|event| match event {
-            Event::Ended { session, outcome, .. } if *session == name(without_room) => Some(*outcome),
+    let ended = |node: &TestNode<ScriptedDecider>| {
+        node.core.decider.1.iter().find_map(|event| match event {
+            Event::Ended { session, outcome, .. } if *session == session_id(without_room) => Some(*outcome),
             _ => None,
         })
     };
-    assert_eq!(ended(&bench), None, "not at once");
-    bench.after(SECOND / 20);
-    assert_eq!(ended(&bench), Some(Outcome::NotSent));
+    assert_eq!(ended(&node), None, "not at once");
+    node.advance(SECOND / 20);
+    assert_eq!(ended(&node), Some(Outcome::NotSent));
 }
--- a/crates/platform/src/core/tests/shutdown.rs
+++ b/crates/platform/src/core/tests/shutdown.rs
@@ -1,88 +1,95 @@
-//! The end of the process against the kill at the page's earliest.
+//! The shutdown must finish before the earliest kill that the platform allows.
 
-use super::room::{asks, crowded};
+use super::room::{node_with_few_descriptors, request_at};
 use super::*;
 
-/// A node whose longest deadline is this, told to end, with one request that its server never answers.
-fn ending(longest_deadline: Micros) -> Bench<Puppet> {
+/// A node with this longest deadline, shutting down, with one request that its server never answers.
+fn shutting_down(longest_deadline: Micros) -> TestNode<ScriptedDecider> {
     let facts = Facts { longest_patience: longest_deadline, ..facts() };
-    let core = Core::new(Puppet::default(), facts, 256, START);
-    let mut bench = Bench { core, now: START, out: Vec::new() };
-    bench.core.begin(START, (0..LISTED).map(line).collect(), 5, address(200), &mut bench.out);
-    bench.told(1, 5, Payload::Nothing);
-    bench.tell(NodeEvent::ClientConnected(ClientId(1)));
-    bench.tell(NodeEvent::Shutdown);
-    bench.core.decider.0.push_back(Action::SetUp(name(9), ServerId(0), 0));
-    let out = bench.ask(9, "clip");
-    bench.made(&out);
-    bench
+    let core = Core::new(ScriptedDecider::default(), facts, 256, START);
+    let mut node = TestNode { core, now: START, out: Vec::new() };
+    node.core.start(START, (0..SERVER_COUNT).map(listed).collect(), 5, address(200), &mut node.out);
+    node.list_frame(1, 5, Payload::Unchanged);
+    node.handle(NodeEvent::ClientConnected(ClientId(1)));
+    node.handle(NodeEvent::Shutdown);
+    node.core.decider.0.push_back(Action::SetUp(session_id(9), ServerId(0), 0));
+    let out = node.send_request(9, "clip");
+    node.establish(&out);
+    node
 }
 
 #[test]
-fn what_is_owed_is_answered_before_the_kill_whatever_the_longest_deadline() {
-    // The longest deadline, and when the kill comes by the page: that, 3 s at most, and 0.7 s.
+fn answers_open_requests_before_the_kill_for_any_longest_deadline() {
+    // The longest deadline, and the earliest kill: that deadline, 3 s at most, plus 0.7 s.
     let cases = [(200_000, 900_000), (1_500_000, 2_200_000), (3_000_000, 3_700_000), (9_000_000, 3_700_000)];
     for (longest, kill) in cases {
-        let mut bench = ending(longest);
-        let out = bench.after(kill);
-        let answered = said(&out).any(|message| message.session == 9 && message.kind == kind::RELEASE);
+        let mut node = shutting_down(longest);
+        let out = node.advance(kill);
+        let answered =
+            sent_to_client(&out).any(|message| message.session == 9 && message.kind == kind::RELEASE);
         assert!(answered && out.contains(&Command::Exit), "{longest}: {out:?}");
     }
 }
 
 #[test]
-fn a_request_on_an_open_connection_is_refused_at_once_when_no_more_should_come() {
-    let mut bench = ending(9_000_000);
-    bench.after(SECOND);
-    let out = bench.ask(10, "paid");
-    assert_eq!(said(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::NOT_SENT)]);
-    assert!(set_up(&out).is_none() && !out.iter().any(|command| matches!(command, Command::Connect(..))));
+fn refuses_a_late_request_on_an_open_connection_at_once() {
+    let mut node = shutting_down(9_000_000);
+    node.advance(SECOND);
+    let out = node.send_request(10, "paid");
+    assert_eq!(sent_to_client(&out).map(Message::cause).collect::<Vec<_>>(), [Some(cause::NOT_SENT)]);
+    assert!(
+        sent_set_up(&out).is_none() && !out.iter().any(|command| matches!(command, Command::Connect(..)))
+    );
 }
 
 #[test]
-fn releases_at_more_servers_than_connections_are_all_sent_and_each_once() {
+fn sends_each_release_once_with_more_servers_than_connections() {
     const SERVERS: u32 = 40;
-    let core = Core::new(Puppet::default(), facts(), 24, START);
-    let mut bench = Bench { core, now: START, out: Vec::new() };
-    bench.core.begin(START, (0..SERVERS).map(line).collect(), 5, address(200), &mut bench.out);
-    bench.told(1, 5, Payload::Nothing);
-    bench.tell(NodeEvent::ClientConnected(ClientId(1)));
+    let core = Core::new(ScriptedDecider::default(), facts(), 24, START);
+    let mut node = TestNode { core, now: START, out: Vec::new() };
+    node.core.start(START, (0..SERVERS).map(listed).collect(), 5, address(200), &mut node.out);
+    node.list_frame(1, 5, Payload::Unchanged);
+    node.handle(NodeEvent::ClientConnected(ClientId(1)));
     for server in 0..SERVERS {
         let id = u64::from(server) + 1;
-        bench.core.decider.0.push_back(Action::SetUp(name(id), ServerId(server), SECOND));
-        let out = bench.ask(id, "clip");
-        let made = bench.made(&out);
-        let (conn, _) = set_up(&made).expect("set up");
-        bench.tell(NodeEvent::ServerMessage(conn, answer(id)));
+        node.core.decider.0.push_back(Action::SetUp(session_id(id), ServerId(server), SECOND));
+        let out = node.send_request(id, "clip");
+        let made = node.establish(&out);
+        let (conn, _) = sent_set_up(&made).expect("set up");
+        node.handle(NodeEvent::ServerMessage(conn, answer_message(id)));
     }
-    bench.tell(NodeEvent::Shutdown);
+    node.handle(NodeEvent::Shutdown);
     let (mut released, mut dials) = (Vec::new(), 0);
     for _ in 0..350 {
-        let mut out = bench.after(SECOND / 100);
-        let made = bench.made(&out);
+        let mut out = node.advance(SECOND / 100);
+        let made = node.establish(&out);
         out.extend(made);
         dials += out.iter().filter(|command| matches!(command, Command::Connect(..))).count();
-        released.extend(sent(&out, kind::RELEASE).into_iter().map(|(_, message)| message.session));
+        released.extend(sent_to_server(&out, kind::RELEASE).into_iter().map(|(_, message)| message.session));
         if out.contains(&Command::Exit) {
             break;
         }
     }
-    let each: BTreeSet<u64> = released.iter().copied().collect();
-    assert_eq!((each.len(), released.len()), (SERVERS as usize, SERVERS as usize), "{released:?}");
+    let sessions: BTreeSet<u64> = released.iter().copied().collect();
+    assert_eq!((sessions.len(), released.len()), (SERVERS as usize, SERVERS as usize), "{released:?}");
     assert!(dials <= 2 * SERVERS as usize, "{dials} dials");
 }
 
 #[test]
-fn connections_that_hung_servers_do_not_close_leave_room_for_releases_at_others() {
+fn connections_of_hung_servers_leave_room_for_releases_to_others() {
     const SERVERS: u32 = 40;
-    let mut bench = crowded(24);
-    // The first server closes none of the connections that are ended here, and answers nothing.
+    let mut node = node_with_few_descriptors(24);
+    // The first server closes none of the connections that are finished here, and answers nothing.
     for id in 100..140 {
-        let out = asks(&mut bench, id, 0);
-        bench.made(&out);
-        bench.now += SECOND + SECOND / 10;
-        bench.tick_unclosed();
+        let out = request_at(&mut node, id, 0);
+        node.establish(&out);
+        node.now += SECOND + SECOND / 10;
+        node.tick_without_closes();
     }
     let other = SERVERS - 1;
-    assert!(bench.core.pool.has_room_to((ServerId(other), address(other))), "{:?}", bench.core.pool.room());
+    assert!(
+        node.core.pool.has_room_to((ServerId(other), address(other))),
+        "{:?}",
+        node.core.pool.room_counts()
+    );
 }
--- a/crates/platform/src/node/connection.rs
+++ b/crates/platform/src/node/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client or a media server: what was read of it and what waits to be written.
+//! One connection of a client or a media server: its decoder and its unwritten bytes.
 
 use std::net::TcpStream;
 
@@ -8,28 +8,29 @@
 use salttally::interface::Micros;
 use salttally_front::session_api::core::backlog::{Backlog, Step};
 
-use super::End;
+use super::CloseKind;
 use crate::wire::{kind, Decoder, Message};
 
-/// A client that takes nothing for this long is cut off.
-pub(super) const STALLED: Micros = 2_000_000;
+/// A client that accepts no bytes for this long is cut off.
+pub(super) const STALL_TIMEOUT: Micros = 2_000_000;
 
-/// What a connection that is read is watched for: bytes, and that its peer writes no more.
-pub(super) const READS: EventFlags = EventFlags::IN.union(EventFlags::RDHUP);
+/// The events for which a connection that is read is watched: bytes, and the close of the peer's writing
+/// side.
+pub(super) const READ_EVENTS: EventFlags = EventFlags::IN.union(EventFlags::RDHUP);
 
-/// How writing ended.
+/// The result of writing.
 #[derive(Debug, PartialEq)]
-pub(super) enum Flushed {
-    /// All is written.
-    All,
-    /// The socket takes nothing more now.
-    Waits,
-    /// It takes nothing more: of the set-up of this session a part was written, of these messages not a byte. They are
-    /// handed back, for whoever may take them back yet.
-    Stalled(Option<u64>, Vec<Message>),
-    /// It takes something again, and nothing waits here.
+pub(super) enum FlushOutcome {
+    /// Everything is written.
+    Complete,
+    /// The socket accepts no more bytes for now.
+    Pending,
+    /// A server's socket accepts no more bytes: the set-up of this session was partly written, and of these
+    /// messages not a byte was. They are handed back, so that they can still be withdrawn.
+    Blocked(Option<u64>, Vec<Message>),
+    /// The socket accepts bytes again, and the rest of the cut message is written.
     Resumed,
-    /// It is of no more use.
+    /// The connection is broken.
     Broken,
 }
 
@@ -39,47 +40,47 @@
     pub outgoing: Vec<u8>,
     pub connecting: bool,
     pub watched: EventFlags,
-    /// Closed when all is written.
+    /// To be closed once everything is written.
     pub closing: bool,
-    /// Its peer writes no more.
+    /// The peer has closed its writing side.
     pub half_closed: bool,
-    /// Nothing more is written here, and it is read on.
+    /// The writing side is closed here, and the connection is still read.
     pub finishing: bool,
-    /// It takes nothing, and is tried again by a time that is set.
+    /// The socket accepts no bytes, and a retry is scheduled.
     pub stalled: bool,
-    /// When something was written last.
-    pub wrote: Micros,
-    /// Bytes read after it was closed.
+    /// When bytes were last written.
+    pub last_written: Micros,
+    /// Number of bytes read since the connection was closed.
     pub discarded: usize,
-    /// Messages and bytes read, and bytes written, since they were last told.
-    pub crossed: [usize; 3],
-    kept: Kept,
+    /// Numbers of messages and bytes read, and of bytes written, since the last log line.
+    pub traffic: [usize; 3],
+    unwritten: Unwritten,
 }
 
-/// What the socket did not take.
-enum Kept {
-    /// A client's answers wait here, up to a limit.
+/// Bytes that the socket has not accepted.
+enum Unwritten {
+    /// Answers to a client, up to a limit.
     Backlog(Backlog),
-    /// Of what goes to a media server no more waits here than the rest of one message; nothing once it is written.
-    Rest(Option<Vec<u8>>),
+    /// The rest of one message to a media server, if it was partly written.
+    PartialMessage(Option<Vec<u8>>),
 }
 
 impl Connection {
-    /// A client's connection, for which so many bytes may wait.
-    pub fn client(stream: TcpStream, most: usize) -> Connection {
-        Connection::new(stream, false, Kept::Backlog(Backlog::new(most, STALLED)))
+    /// A client's connection, for which at most so many bytes may wait.
+    pub fn client(stream: TcpStream, max_backlog_bytes: usize) -> Connection {
+        Connection::new(stream, false, Unwritten::Backlog(Backlog::new(max_backlog_bytes, STALL_TIMEOUT)))
     }
 
-    /// A connection to a media server, which is being made.
+    /// A connection to a media server that is being established.
     pub fn dialed(stream: TcpStream) -> Connection {
-        Connection::new(stream, true, Kept::Rest(None))
+        Connection::new(stream, true, Unwritten::PartialMessage(None))
     }
 
-    fn new(stream: TcpStream, connecting: bool, kept: Kept) -> Connection {
+    fn new(stream: TcpStream, connecting: bool, unwritten: Unwritten) -> Connection {
         let (decoder, outgoing) = (Decoder::default(), Vec::new());
-        let watched = if connecting { EventFlags::OUT } else { READS };
+        let watched = if connecting { EventFlags::OUT } else { READ_EVENTS };
         let (closing, half_closed, finishing, stalled) = (false, false, false, false);
-        let (wrote, discarded, crossed) = (0, 0, [0; 3]);
+        let (last_written, discarded, traffic) = (0, 0, [0; 3]);
         Connection {
             stream,
             decoder,
@@ -90,55 +91,57 @@
             half_closed,
             finishing,
             stalled,
-            wrote,
+            last_written,
             discarded,
-            crossed,
-            kept,
+            traffic,
+            unwritten,
         }
     }
 
-    /// Whether something waits that the socket has not taken.
-    pub fn waits(&self) -> bool {
-        match &self.kept {
-            Kept::Backlog(backlog) => !backlog.is_clear(),
-            Kept::Rest(rest) => rest.is_some(),
+    /// Whether bytes wait that the socket has not accepted.
+    pub fn has_unwritten(&self) -> bool {
+        match &self.unwritten {
+            Unwritten::Backlog(backlog) => !backlog.is_clear(),
+            Unwritten::PartialMessage(rest) => rest.is_some(),
         }
     }
 
-    /// How its peer, which writes no more, has ended it. A socket that has read the close says nothing of a reset when it
-    /// is read again.
-    pub fn end_by_peer(&self) -> End {
+    /// How the peer, which has closed its writing side, ended the connection. After a socket has returned the
+    /// close, reading it again does not report a reset.
+    pub fn close_kind(&self) -> CloseKind {
         match self.stream.take_error() {
-            Ok(None) => End::ByPeer,
-            Ok(Some(_)) | Err(_) => End::Reset,
+            Ok(None) => CloseKind::Closed,
+            Ok(Some(_)) | Err(_) => CloseKind::Reset,
         }
     }
 
-    /// Writes as much as the socket takes now.
-    pub fn flush(&mut self, now: Micros) -> Flushed {
+    /// Writes as much as the socket accepts now.
+    pub fn flush(&mut self, now: Micros) -> FlushOutcome {
         if self.connecting {
-            return Flushed::All;
+            return FlushOutcome::Complete;
         }
-        let flushed = match &mut self.kept {
-            Kept::Backlog(backlog) => through_backlog(&self.stream, &mut self.outgoing, backlog, now),
-            Kept::Rest(rest) => by_message(&self.stream, &mut self.outgoing, rest),
+        let flushed = match &mut self.unwritten {
+            Unwritten::Backlog(backlog) => {
+                flush_through_backlog(&self.stream, &mut self.outgoing, backlog, now)
+            }
+            Unwritten::PartialMessage(rest) => flush_by_message(&self.stream, &mut self.outgoing, rest),
         };
-        flushed.map_or(Flushed::Broken, |(flushed, sent)| {
-            self.crossed[2] += sent;
+        flushed.map_or(FlushOutcome::Broken, |(flushed, sent)| {
+            self.traffic[2] += sent;
             if sent > 0 {
-                self.wrote = now;
+                self.last_written = now;
             }
             flushed
         })
     }
 }
 
-fn through_backlog(
+fn flush_through_backlog(
     stream: &TcpStream,
     outgoing: &mut Vec<u8>,
     backlog: &mut Backlog,
     now: Micros,
-) -> Result<(Flushed, usize), ()> {
+) -> Result<(FlushOutcome, usize), ()> {
     let mut sent = 0;
     if backlog.is_clear() {
         sent = send_all(stream, outgoing)?;
@@ -152,31 +155,31 @@
         sent += taken;
         match backlog.tried(Some(taken), now) {
             Step::Cut => return Err(()),
-            _ if taken == 0 => return Ok((Flushed::Waits, sent)),
+            _ if taken == 0 => return Ok((FlushOutcome::Pending, sent)),
             _ => {}
         }
     }
-    Ok((Flushed::All, sent))
+    Ok((FlushOutcome::Complete, sent))
 }
 
-fn by_message(
+fn flush_by_message(
     stream: &TcpStream,
     outgoing: &mut Vec<u8>,
     rest: &mut Option<Vec<u8>>,
-) -> Result<(Flushed, usize), ()> {
+) -> Result<(FlushOutcome, usize), ()> {
     if let Some(bytes) = rest {
         let sent = send_all(stream, bytes)?;
         bytes.drain(..sent);
         if !bytes.is_empty() {
-            return Ok((Flushed::Waits, sent));
+            return Ok((FlushOutcome::Pending, sent));
         }
         *rest = None;
-        return Ok((Flushed::Resumed, sent));
+        return Ok((FlushOutcome::Resumed, sent));
     }
     let bytes = std::mem::take(outgoing);
     let sent = send_all(stream, &bytes)?;
     if sent == bytes.len() {
-        return Ok((Flushed::All, sent));
+        return Ok((FlushOutcome::Complete, sent));
     }
     let (mut from, mut end) = (0, 0);
     while end < sent {
@@ -192,7 +195,7 @@
     let cut = (end > sent).then(|| messages.remove(0));
     let cut = cut.filter(|message| message.kind == kind::SET_UP).map(|message| message.session);
     *rest = Some(bytes[sent..end.max(sent)].to_vec());
-    Ok((Flushed::Stalled(cut, messages), sent))
+    Ok((FlushOutcome::Blocked(cut, messages), sent))
 }
 
 fn send_all(stream: &TcpStream, bytes: &[u8]) -> Result<usize, ()> {
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One thread that reads, writes and waits for a front node; it holds no rule. All that comes is handed to
-//! [`Core`], and what that answers is carried out in order.
+//! The event loop of a front node: one thread that reads, writes and waits, and makes no decisions. All
+//! events are passed to [`Core`], and the commands it returns are executed in order.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, Read};
@@ -31,85 +31,86 @@
 mod sockets;
 mod telemetry;
 
-use connection::{Connection, Flushed, STALLED};
+use connection::{Connection, FlushOutcome, STALL_TIMEOUT};
 use list::ListConnection;
 use reload::Reload;
-use telemetry::{Held, Telemetry};
+use telemetry::{NodeStatus, Telemetry};
 
-use sockets::{again, dial, dial_error, listen};
+use sockets::{dial, dial_error, listen, would_block};
 
-/// Read at once from one connection; the others have their turn in between.
+/// Bytes read at once from one connection; the others have their turn in between.
 const READ_SIZE: usize = 16 * 1024;
-/// Times that a connection whose peer writes no more is read on in its turn; others with more to read wait for the next.
-/// Danger: the longer a flood's turn, the longer all others wait for theirs.
+/// Reads in one turn from a connection whose peer has closed its writing side; others with more to read wait
+/// for the next turn. The longer the turn of a flooded connection, the longer all others wait for theirs.
 const READS_PER_TURN: usize = 4;
-/// Sockets that one look tells of.
+/// Maximum number of sockets reported by one poll.
 const POLL_EVENTS: usize = 512;
-/// What waits in the sockets is read to its end within this time, before it is looked at what is due.
+/// Time within which everything that waits in the sockets is read, before timers fire.
 const READ_BUDGET: Micros = 100_000;
-/// Where the sockets were looked at so shortly before, what lies in them says nothing that is old: who asks is served
-/// in steps of this length, and does not wait until a flood by others is read.
-const RECENT_POLL: Micros = 50_000;
+/// If the previous poll was no longer ago than this, the bytes in the sockets are recent: requests are then
+/// decided at intervals of [`DECIDE_INTERVAL`], and do not wait until a flood from others is read.
+const RECENT_POLL_AGE: Micros = 50_000;
 const DECIDE_INTERVAL: Micros = 10_000;
-/// Looks at the sockets before anything is decided, however long they take. Danger: what a client says on a new
-/// connection, that its request is taken back or that it asks, is accepted in one turn and read in the next; a flood by
-/// others that takes all of the time to read would keep it unheard.
-const TURNS_AT_LEAST: usize = 2;
-/// The same while newcomers are accepted: no turn takes more than [`ACCEPTS_PER_TURN`] of them.
-const TURNS_FOR_NEWCOMERS: usize = 4;
-/// Descriptors that are neither clients' nor servers': the calls to the coordinator, and about a dozen of the process.
+/// Minimum number of polls before anything is decided, however long they take. A message on a new connection,
+/// a request or its cancellation, is accepted in one turn and read in the next; a flood from others that
+/// takes up the whole read budget would keep it unread.
+const MIN_TURNS: usize = 2;
+/// The same while new clients are accepted: no turn accepts more than `accept::ACCEPTS_PER_TURN` of them.
+const MIN_TURNS_WHILE_ACCEPTING: usize = 4;
+/// Descriptors that neither clients nor servers use: the connections to the coordinator, and about a dozen of
+/// the process.
 const RESERVED_DESCRIPTORS: usize = 20 + MAX_CONNECTS;
-/// Bytes that wait for all clients together take this part of the memory at most.
-const BACKLOG_MEMORY_SHARE: f64 = 0.25;
-/// Waiting to be written to one client at least and at most.
-const BACKLOG: (usize, usize) = (8 * 1024, 256 * 1024);
-/// A closed connection is read on for so long, so that what was written last is not lost by a reset.
-const LINGER: Micros = 300_000;
-/// Read on at most from a connection that is closed.
+/// Maximum fraction of the memory for bytes that wait to be written to clients.
+const BACKLOG_MEMORY_FRACTION: f64 = 0.25;
+/// Minimum and maximum number of bytes that may wait for one client.
+const CLIENT_BACKLOG_BYTES: (usize, usize) = (8 * 1024, 256 * 1024);
+/// How long a closed connection is still read, so that a reset does not discard the bytes written last.
+const LINGER_TIMEOUT: Micros = 300_000;
+/// Maximum number of bytes read from a connection that is closed.
 const MAX_DISCARDED: usize = 256 * 1024;
-/// Longest sleep.
+/// Longest wait in one poll.
 const MAX_POLL_WAIT: Micros = 1_000_000;
 
 const LISTENER: u64 = 1;
-const TERM: u64 = 2;
-const HANG_UP: u64 = 3;
+const TERM_SIGNAL: u64 = 2;
+const HANG_UP_SIGNAL: u64 = 3;
 const LIST: u64 = 1 << 60;
 const CLIENT: u64 = 2 << 60;
 const SERVER: u64 = 3 << 60;
 const LINGERING: u64 = 4 << 60;
-const KINDS: u64 = 7 << 60;
+const KIND_MASK: u64 = 7 << 60;
 
 /// Why a front node does not start, or stops.
 #[derive(Debug, Error)]
 pub enum NodeError {
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
     /// The address of `listen` cannot be bound.
     #[error("{0}: listen: cannot listen at {1}: {2}")]
     Listen(PathBuf, SocketAddr, io::Error),
-    /// No readiness to be had.
+    /// The readiness of sockets cannot be watched.
     #[error("cannot wait for sockets: {0}")]
     Wait(io::Error),
 }
 
-/// The signals of the process, each as a pipe that becomes readable.
+/// The signals to the process, each as a pipe that becomes readable.
 pub struct Signals {
-    /// The process is to end.
+    /// SIGTERM: shut down.
     pub term: UnixStream,
-    /// The configuration is to be read anew.
+    /// SIGHUP: read the configuration again.
     pub hang_up: UnixStream,
 }
 
-/// Who ended a connection.
+/// How a connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
+enum CloseKind {
     /// Its peer closed it.
-    ByPeer,
+    Closed,
     /// Its peer reset it, and may not have read what was written last.
     Reset,
-    /// It is waited for no longer, or the network failed; its peer may not know.
-    NotByPeer,
+    /// This node gave it up, or the network failed; the peer may not know.
+    Abandoned,
 }
 
 struct Node {
@@ -117,47 +118,47 @@
     poll: OwnedFd,
     core: Core<Brain>,
     reload: Reload,
-    /// Nothing once the process has said all.
+    /// `None` once the process no longer accepts clients.
     listener: Option<TcpListener>,
-    /// Nothing is accepted until then.
+    /// Accepting is paused until this time.
     accept_again_at: Option<Micros>,
-    /// Bytes that may wait for one client, and closed connections that may be kept.
-    backlog: usize,
-    most_lingering: usize,
-    /// Clients' connections that are open here, closed ones that wait for their peers included.
+    /// Maximum number of bytes that may wait for one client, and of closed connections that may be kept.
+    client_backlog: usize,
+    max_lingering: usize,
+    /// Maximum number of client connections, including the closed ones that wait for their peers.
     max_clients: usize,
     signals: Signals,
     connections: BTreeMap<u64, Connection>,
-    /// Calls to the coordinator by their numbers.
+    /// Connections to the coordinator by number.
     list_connections: BTreeMap<u64, ListConnection>,
-    clients: u64,
-    events_in: VecDeque<NodeEvent>,
-    /// Connections to servers that take what waits for them: handed in once all is read, since whoever asked
-    /// for what waits may have gone.
-    writable: VecDeque<NodeEvent>,
+    last_client: u64,
+    incoming_events: VecDeque<NodeEvent>,
+    /// Server connections that accept their unsent messages: passed in once everything is read, since the
+    /// clients of those messages may have gone.
+    deferred_events: VecDeque<NodeEvent>,
     to_flush: VecDeque<u64>,
-    /// When connections to media servers go that are ended here, and wait for them.
+    /// When each finishing connection to a media server is closed.
     finishing: BTreeSet<(Micros, u64)>,
-    /// A reset that answers what was written comes within this time.
-    reset_within: Micros,
-    /// When clients' connections go that are closed and wait for them.
+    /// Time within which a reset in answer to written bytes arrives.
+    reset_timeout: Micros,
+    /// When each lingering client connection is closed.
     lingering: BTreeSet<(Micros, u64)>,
-    /// When clients' connections are tried again that take nothing, each once.
+    /// When each stalled client connection is retried, once.
     stalled: BTreeSet<(Micros, u64)>,
     finished: bool,
-    /// More may lie in the sockets than the last look at them has shown.
+    /// Whether the sockets may hold more than the last poll has shown.
     unread: bool,
-    /// When the last look at the sockets began.
+    /// When the last poll began.
     last_poll: Micros,
-    /// When what is believed is told next.
+    /// When the state of the servers is logged next.
     next_log: Micros,
     telemetry: Telemetry,
 }
 
-/// Runs a front node until it has ended in order.
+/// Runs a front node until it has shut down.
 ///
 /// # Errors
-/// The configuration cannot be used, or the address cannot be bound.
+/// The configuration is invalid, or the address cannot be bound.
 pub fn run(path: &Path, signals: Signals) -> Result<Counts, NodeError> {
     let config = Config::load(path)?;
     let clock = Clock::start();
@@ -168,19 +169,20 @@
         stream.set_nonblocking(true).map_err(NodeError::Wait)?;
     }
     epoll::add(&poll, &listener, EventData::new_u64(LISTENER), EventFlags::IN).map_err(wait)?;
-    epoll::add(&poll, &signals.term, EventData::new_u64(TERM), EventFlags::IN).map_err(wait)?;
-    epoll::add(&poll, &signals.hang_up, EventData::new_u64(HANG_UP), EventFlags::IN).map_err(wait)?;
+    epoll::add(&poll, &signals.term, EventData::new_u64(TERM_SIGNAL), EventFlags::IN).map_err(wait)?;
+    epoll::add(&poll, &signals.hang_up, EventData::new_u64(HANG_UP_SIGNAL), EventFlags::IN).map_err(wait)?;
     tracing::info!(name = config.name, listen = %config.listen, servers = config.known.len(), "front node starts");
     let brain = Brain::new(config.facts.settings.clone(), config.seed);
     let now = clock.now();
     let sockets = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
-    // A handshake takes no less than the way there and back.
-    let reset_within = config.facts.connect_within;
+    // A handshake takes no less time than a round trip.
+    let reset_timeout = config.facts.connect_within;
     let mut core = Core::new(brain, config.facts, sockets, now);
-    let for_backlogs = config.limits.memory_mb.max(1.0) * 1_048_576.0 * BACKLOG_MEMORY_SHARE;
-    let backlog = (for_backlogs as usize / sockets).clamp(BACKLOG.0, BACKLOG.1);
+    let backlog_memory = config.limits.memory_mb.max(1.0) * 1_048_576.0 * BACKLOG_MEMORY_FRACTION;
+    let client_backlog =
+        (backlog_memory as usize / sockets).clamp(CLIENT_BACKLOG_BYTES.0, CLIENT_BACKLOG_BYTES.1);
     let mut out = Vec::new();
-    core.begin(now, config.known, config.index, config.coordinator, &mut out);
+    core.start(now, config.known, config.index, config.coordinator, &mut out);
     let mut node = Node {
         clock,
         poll,
@@ -188,18 +190,18 @@
         reload: Reload::new(path.into()),
         listener: Some(listener),
         accept_again_at: None,
-        backlog,
-        most_lingering: (sockets / 12).max(4),
+        client_backlog,
+        max_lingering: (sockets / 12).max(4),
         max_clients: sockets / 2 + (sockets / 12).max(4),
         signals,
         connections: BTreeMap::new(),
         list_connections: BTreeMap::new(),
-        clients: 0,
-        events_in: VecDeque::new(),
-        writable: VecDeque::new(),
+        last_client: 0,
+        incoming_events: VecDeque::new(),
+        deferred_events: VecDeque::new(),
         to_flush: VecDeque::new(),
         finishing: BTreeSet::new(),
-        reset_within,
+        reset_timeout,
         lingering: BTreeSet::new(),
         stalled: BTreeSet::new(),
         finished: false,
@@ -208,7 +210,7 @@
         next_log: 0,
         telemetry: Telemetry::default(),
     };
-    node.carry_out(&mut out);
+    node.execute_commands(&mut out);
     node.decide(&mut out);
     node.serve()
 }
@@ -218,27 +220,27 @@
         let mut events = Vec::with_capacity(POLL_EVENTS);
         let mut out = Vec::new();
         while !self.finished {
-            // What is due by now is done when all that lies in the sockets by now has been handed in. Danger: a process
-            // that is stopped before or after its look at them finds time-outs that have run out meanwhile, and they
-            // would go ahead of the answers that came in time.
+            // Timers due by `now` fire after everything that lies in the sockets by `now` has been passed in.
+            // A process that is stopped before or after the poll finds timers that have expired meanwhile,
+            // which must not fire before the answers that arrived in time are read.
             let now = self.clock.now();
-            let closes = [&self.lingering, &self.stalled, &self.finishing];
-            let closes = closes.into_iter().filter_map(|queue| queue.first().map(|(due, _)| *due));
+            let deadlines = [&self.lingering, &self.stalled, &self.finishing];
+            let deadlines = deadlines.into_iter().filter_map(|queue| queue.first().map(|(due, _)| *due));
             let due = [self.core.next_due(), self.accept_again_at, self.reload.next_due()];
-            let due = due.into_iter().flatten().chain(closes).min().unwrap_or(Micros::MAX);
+            let due = due.into_iter().flatten().chain(deadlines).min().unwrap_or(Micros::MAX);
             let wait = due.saturating_sub(now).min(MAX_POLL_WAIT);
-            let looked = epoll::wait(&self.poll, spare_capacity(&mut events), Some(&timespec(wait)));
-            if looked == Err(Errno::INTR) {
-                // Danger: a process that goes on after a stop is woken so. Taken for a look at the sockets, it would
-                // let what lies in them from the time of the stop be acted on before the rest of it is read.
+            let polled = epoll::wait(&self.poll, spare_capacity(&mut events), Some(&timespec(wait)));
+            if polled == Err(Errno::INTR) {
+                // A process that resumes after a stop is woken this way. If this counted as a poll of the
+                // sockets, some bytes from the time of the stop would be acted on before the rest is read.
                 continue;
             }
             let began = self.clock.now();
             self.poll_all(now, &mut events, &mut out);
-            self.reload_again(&mut out);
+            self.retry_reload(&mut out);
             self.decide(&mut out);
             self.core.handle(now, NodeEvent::Tick, &mut out);
-            self.carry_out(&mut out);
+            self.execute_commands(&mut out);
             self.decide(&mut out);
             self.close_lingering();
             self.close_finished();
@@ -252,49 +254,51 @@
         Ok(self.core.counts())
     }
 
-    /// Hands in what is ready, and looks again where a look has not shown all: more sockets than it tells of, more bytes
-    /// than one turn reads, the first words on connections that it accepted, and whatever came since a look that began
-    /// some time ago. A flood is not read to its end, but no flood keeps newcomers from being heard. The look that
-    /// showed these events began at `looked`: where the process was stopped or had no processor, nobody knows when it
-    /// ended.
-    fn poll_all(&mut self, mut looked: Micros, events: &mut Vec<epoll::Event>, out: &mut Vec<Command>) {
+    /// Passes in what is ready, and polls again if a poll may not have shown everything: more sockets than it
+    /// can report, more bytes than one turn reads, the first messages on accepted connections, and whatever
+    /// arrived since a poll that began some time ago. A flood is not read to its end, but it never keeps new
+    /// clients from being heard. `poll_began` is when the poll that returned these events began: if the process
+    /// was stopped or had no processor time, it is unknown when the poll ended.
+    fn poll_all(&mut self, mut poll_began: Micros, events: &mut Vec<epoll::Event>, out: &mut Vec<Command>) {
         let mut began = self.clock.now();
-        let mut recent = looked.saturating_sub(self.last_poll) < RECENT_POLL;
-        let (mut decides, mut turns, mut was_late) = (began + DECIDE_INTERVAL, 0, false);
+        let mut recent = poll_began.saturating_sub(self.last_poll) < RECENT_POLL_AGE;
+        let (mut next_decide, mut turns, mut was_late) = (began + DECIDE_INTERVAL, 0, false);
         while !events.is_empty() {
             self.unread = events.len() >= POLL_EVENTS;
-            let accepted = self.clients;
-            // What has ended or was taken back goes ahead of what begins, and that ahead of what is sent on new
-            // connections; each connection's own order stays.
-            events.sort_by_key(|event| self.rank(event.data.u64()));
+            let last_client = self.last_client;
+            // Ends and cancellations come before new requests, and those before new connections to servers;
+            // the order within each connection stays.
+            events.sort_by_key(|event| self.event_priority(event.data.u64()));
             for event in events.drain(..) {
                 self.socket_ready(event.data.u64(), event.flags);
-                self.work(out);
+                self.process_queues(out);
             }
             turns += 1;
             let now = self.clock.now();
-            let is_recent = now.saturating_sub(looked) < RECENT_POLL;
+            let is_recent = now.saturating_sub(poll_began) < RECENT_POLL_AGE;
             recent &= is_recent;
             if !is_recent && !std::mem::replace(&mut was_late, true) {
-                // What lies there came while nobody looked: it has its time to be read, once.
+                // These bytes arrived while the sockets were not polled: they get their own time to be read,
+                // once.
                 (began, turns) = (now, 0);
             }
-            let whole = if self.clients > accepted { TURNS_FOR_NEWCOMERS } else { TURNS_AT_LEAST };
-            if is_recent && !self.unread || now >= began + READ_BUDGET && turns >= whole {
+            let min_turns =
+                if self.last_client > last_client { MIN_TURNS_WHILE_ACCEPTING } else { MIN_TURNS };
+            if is_recent && !self.unread || now >= began + READ_BUDGET && turns >= min_turns {
                 break;
             }
-            if recent && now >= decides {
-                decides = now + DECIDE_INTERVAL;
+            if recent && now >= next_decide {
+                next_decide = now + DECIDE_INTERVAL;
                 self.decide(out);
             }
-            looked = self.clock.now();
+            poll_began = self.clock.now();
             let _ = epoll::wait(&self.poll, spare_capacity(events), Some(&timespec(0)));
         }
-        self.last_poll = looked;
+        self.last_poll = poll_began;
     }
 
-    fn rank(&self, token: u64) -> u32 {
-        match token & KINDS {
+    fn event_priority(&self, token: u64) -> u32 {
+        match token & KIND_MASK {
             SERVER if self.connections.get(&token).is_some_and(|connection| connection.connecting) => 3,
             CLIENT => 1,
             0 => 2,
@@ -302,23 +306,24 @@
         }
     }
 
-    /// Once a second and media server: what the module believes and the ledger counts, beside what crossed the sockets.
+    /// Once a second, logs for each media server the decider's beliefs, the counts of the core and the
+    /// traffic on the sockets.
     fn log_state(&mut self) {
         let now = self.clock.now();
         if now < self.next_log {
             return;
         }
         self.next_log = now + 1_000_000;
-        for (server, (connections, plays, out, heard)) in self.core.ledger() {
+        for (server, (connections, plays, out, heard)) in self.core.server_summaries() {
             let Some((load, tier, own)) = self.core.decider().believed(server) else { continue };
-            let mut crossed = [0; 3];
+            let mut traffic = [0; 3];
             for conn in &connections {
                 let Some(connection) = self.connections.get_mut(&(SERVER | conn.0)) else { continue };
-                let part = std::mem::take(&mut connection.crossed);
-                (0..3).for_each(|at| crossed[at] += part[at]);
+                let since_last = std::mem::take(&mut connection.traffic);
+                (0..3).for_each(|at| traffic[at] += since_last[at]);
             }
             let silent_ms = heard.map(|at| now.saturating_sub(at) / 1000);
-            let (connections, [heard, read, written]) = (connections.len(), crossed);
+            let (connections, [heard, read, written]) = (connections.len(), traffic);
             let id = format!("s-{:08x}", server.0);
             tracing::debug!(
                 id,
@@ -337,24 +342,24 @@
         }
     }
 
-    /// Once a second: what is held, what was done since the start, and how long the longest turn took.
+    /// Once a second, logs the gauges, the counters since the start, and the longest turn of the loop.
     fn log_counts(&mut self, began: Micros) {
         let now = self.clock.now();
-        self.telemetry.turn(began, now);
+        self.telemetry.record_turn(began, now);
         if self.telemetry.is_due(now) {
-            let (event, heard) = self.core.list_heard();
-            let (held, counts, room) = (self.core.held(), self.core.counts(), self.core.room());
+            let (event, heard) = self.core.list_status();
+            let (gauges, counts, room) = (self.core.gauges(), self.core.counts(), self.core.room_counts());
             let list = (event, heard.map(|at| now.saturating_sub(at)));
-            self.telemetry.tell(now, &Held { held, counts, room, list });
+            self.telemetry.report(now, &NodeStatus { gauges, counts, room, list });
         }
     }
 
-    /// Hands in what has come, carries out what is answered, and writes.
-    fn work(&mut self, out: &mut Vec<Command>) {
-        while !(self.events_in.is_empty() && self.to_flush.is_empty()) {
-            while let Some(input) = self.events_in.pop_front() {
+    /// Passes in the queued events, executes the resulting commands, and writes.
+    fn process_queues(&mut self, out: &mut Vec<Command>) {
+        while !(self.incoming_events.is_empty() && self.to_flush.is_empty()) {
+            while let Some(input) = self.incoming_events.pop_front() {
                 self.core.handle(self.clock.now(), input, out);
-                self.carry_out(out);
+                self.execute_commands(out);
             }
             while let Some(token) = self.to_flush.pop_front() {
                 self.flush(token);
@@ -362,29 +367,30 @@
         }
     }
 
-    /// Lets the module decide on what was handed in, and on what comes of that at once.
+    /// Lets the decider act on the events passed in, and on those that follow from its actions at once.
     fn decide(&mut self, out: &mut Vec<Command>) {
         loop {
-            self.events_in.append(&mut self.writable);
-            self.work(out);
+            self.incoming_events.append(&mut self.deferred_events);
+            self.process_queues(out);
             self.core.decide(self.clock.now(), out);
-            self.carry_out(out);
-            if self.events_in.is_empty() && self.to_flush.is_empty() && self.writable.is_empty() {
+            self.execute_commands(out);
+            if self.incoming_events.is_empty() && self.to_flush.is_empty() && self.deferred_events.is_empty()
+            {
                 return;
             }
         }
     }
 
-    fn carry_out(&mut self, out: &mut Vec<Command>) {
-        for output in out.drain(..) {
-            match output {
+    fn execute_commands(&mut self, out: &mut Vec<Command>) {
+        for command in out.drain(..) {
+            match command {
                 Command::SendToClient(client, message) => self.write(CLIENT | client.0, &message),
                 Command::SendToServer(conn, message) => self.write(SERVER | conn.0, &message),
                 Command::CloseClient(client) => self.close(CLIENT | client.0),
                 Command::CloseServer(conn) => self.close(SERVER | conn.0),
                 Command::FinishServer(conn) => self.finish(SERVER | conn.0),
                 Command::Connect(conn, to) => self.dial(conn, to),
-                Command::ConnectList(number, to, last) => self.follow(number, to, last),
+                Command::ConnectList(number, to, last) => self.connect_list(number, to, last),
                 Command::CloseList(number) => {
                     self.list_connections.remove(&number);
                 }
@@ -415,37 +421,41 @@
     fn flush(&mut self, token: u64) {
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let is_client = token & KINDS == CLIENT;
-        if connection.closing && !is_client && connection.waits() {
-            // Half a message stays half: what a media server has not taken by now it does not get.
+        let is_client = token & KIND_MASK == CLIENT;
+        if connection.closing && !is_client && connection.has_unwritten() {
+            // What a media server has not accepted by now is not sent: a partial message stays partial.
             return self.shut_down(token);
         }
         let waits = match connection.flush(now) {
-            Flushed::Broken => {
-                // Its peer may have said something before it closed.
+            FlushOutcome::Broken => {
+                // The peer may have sent something before it closed.
                 while self.read_connection(token) {}
-                return self.connection_gone(token, End::Reset);
+                return self.connection_gone(token, CloseKind::Reset);
             }
             _ if connection.closing && !is_client => return self.shut_down(token),
-            Flushed::All if connection.closing => return self.shut_down(token),
-            Flushed::All => false,
-            Flushed::Waits => {
+            FlushOutcome::Complete if connection.closing => return self.shut_down(token),
+            FlushOutcome::Complete => false,
+            FlushOutcome::Pending => {
                 if is_client && !std::mem::replace(&mut connection.stalled, true) {
-                    // Looked at again by then, whether it takes something or not.
-                    self.stalled.insert((now + STALLED, token));
+                    // Retried at this time, whether or not the socket accepts bytes by then.
+                    self.stalled.insert((now + STALL_TIMEOUT, token));
                 }
                 true
             }
-            Flushed::Stalled(cut, unsent) => {
-                self.events_in.push_back(NodeEvent::ServerBlocked(ConnId(token & !KINDS), cut, unsent));
+            FlushOutcome::Blocked(cut, unsent) => {
+                self.incoming_events.push_back(NodeEvent::ServerBlocked(
+                    ConnId(token & !KIND_MASK),
+                    cut,
+                    unsent,
+                ));
                 true
             }
-            Flushed::Resumed => {
-                self.writable.push_back(NodeEvent::ServerWritable(ConnId(token & !KINDS)));
+            FlushOutcome::Resumed => {
+                self.deferred_events.push_back(NodeEvent::ServerWritable(ConnId(token & !KIND_MASK)));
                 false
             }
         };
-        let mut flags = if connection.half_closed { EventFlags::empty() } else { connection::READS };
+        let mut flags = if connection.half_closed { EventFlags::empty() } else { connection::READ_EVENTS };
         flags.set(EventFlags::OUT, waits);
         if !connection.connecting && flags != connection.watched {
             connection.watched = flags;
@@ -456,18 +466,18 @@
         }
     }
 
-    /// All is written: a client is read on for a while, a media server's connection just closes.
+    /// Everything is written: a client's connection lingers for a while, a media server's is just closed.
     fn shut_down(&mut self, token: u64) {
         let Some(connection) = self.connections.remove(&token) else { return };
         trace_close(token, "closed here");
         let _ = epoll::delete(&self.poll, &connection.stream);
-        let over = token & KINDS != CLIENT || connection.half_closed;
+        let over = token & KIND_MASK != CLIENT || connection.half_closed;
         if over || connection.stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let token = LINGERING | (token & !KINDS);
+        let token = LINGERING | (token & !KIND_MASK);
         if epoll::add(&self.poll, &connection.stream, EventData::new_u64(token), EventFlags::IN).is_ok() {
-            self.lingering.insert((self.clock.now() + LINGER, token));
+            self.lingering.insert((self.clock.now() + LINGER_TIMEOUT, token));
             self.connections.insert(token, connection);
         }
     }
@@ -475,11 +485,11 @@
     fn close_lingering(&mut self) {
         let now = self.clock.now();
         while let Some((due, token)) = self.lingering.first().copied() {
-            if due > now && self.lingering.len() <= self.most_lingering {
+            if due > now && self.lingering.len() <= self.max_lingering {
                 break;
             }
             self.lingering.pop_first();
-            self.connection_gone(token, End::NotByPeer);
+            self.connection_gone(token, CloseKind::Abandoned);
         }
         while let Some((_, token)) = self.stalled.first().copied().filter(|(due, _)| *due <= now) {
             self.stalled.pop_first();
@@ -488,57 +498,58 @@
             if connection.closing {
                 self.connections.remove(&token);
             } else {
-                // Tried once more, and cut off where that is vain.
+                // Retried once, and cut off if nothing is accepted.
                 self.to_flush.push_back(token);
             }
         }
     }
 
-    /// Lets the connection go that was closed first and waits for its peer; tells whether there was one.
-    fn drop_lingering(&mut self) -> bool {
+    /// Closes the lingering connection that was closed first; returns whether there was one.
+    fn evict_lingering(&mut self) -> bool {
         while let Some((_, token)) = self.lingering.pop_first() {
             if self.connections.contains_key(&token) {
-                self.connection_gone(token, End::NotByPeer);
+                self.connection_gone(token, CloseKind::Abandoned);
                 return true;
             }
         }
-        let closes = |(_, token): &&(Micros, u64)| {
+        let is_closing = |(_, token): &&(Micros, u64)| {
             self.connections.get(token).is_some_and(|connection| connection.closing)
         };
-        let Some(first) = self.stalled.iter().find(closes).copied() else { return false };
+        let Some(first) = self.stalled.iter().find(is_closing).copied() else { return false };
         self.stalled.remove(&first);
         self.connections.remove(&first.1).is_some()
     }
 
-    /// The process ends. What clients have asked by now is answered, what is written waits a moment for the sockets to
-    /// take it, and they are read on until their peers have closed. Danger: closed over bytes that nobody read, a
-    /// connection is reset, and what was written last is lost with it.
+    /// The last step before the process exits: answers what clients have asked by now, gives the sockets a
+    /// moment to accept the written bytes, and reads until the peers have closed. A connection that is closed
+    /// over unread bytes is reset, and the bytes written last are lost with it.
     fn drain_sockets(&mut self, out: &mut Vec<Command>) {
         self.stop_listening();
-        self.work(out);
-        let until = self.clock.now() + LINGER;
-        let mut shut = BTreeSet::new();
+        self.process_queues(out);
+        let until = self.clock.now() + LINGER_TIMEOUT;
+        let mut half_closed = BTreeSet::new();
         while self.clock.now() < until && !self.connections.is_empty() {
             for token in self.connections.keys().copied().collect::<Vec<_>>() {
-                if shut.contains(&token) {
+                if half_closed.contains(&token) {
                     self.discard(token);
-                } else if self.farewell(token, out) {
-                    shut.insert(token);
+                } else if self.flush_and_half_close(token, out) {
+                    half_closed.insert(token);
                 }
             }
             thread::sleep(Duration::from_millis(2));
         }
     }
 
-    /// Answers what has come on a connection and writes no more on it; tells whether all was written.
-    fn farewell(&mut self, token: u64, out: &mut Vec<Command>) -> bool {
-        if token & KINDS == CLIENT {
+    /// Answers what has arrived on a connection, and closes its writing side; returns whether everything is
+    /// written.
+    fn flush_and_half_close(&mut self, token: u64, out: &mut Vec<Command>) -> bool {
+        if token & KIND_MASK == CLIENT {
             for _ in 0..READS_PER_TURN {
                 if !self.read_connection(token) {
                     break;
                 }
             }
-            self.work(out);
+            self.process_queues(out);
         }
         let now = self.clock.now();
         let Some(connection) = self.connections.get_mut(&token) else { return true };
@@ -546,9 +557,9 @@
             return self.connections.remove(&token).is_some();
         }
         match connection.flush(now) {
-            Flushed::Waits | Flushed::Stalled(..) => return false,
-            Flushed::Broken => return self.connections.remove(&token).is_some(),
-            Flushed::All | Flushed::Resumed => {}
+            FlushOutcome::Pending | FlushOutcome::Blocked(..) => return false,
+            FlushOutcome::Broken => return self.connections.remove(&token).is_some(),
+            FlushOutcome::Complete | FlushOutcome::Resumed => {}
         }
         if connection.stream.shutdown(Shutdown::Write).is_err() {
             self.connections.remove(&token);
@@ -556,7 +567,7 @@
         true
     }
 
-    fn watched_dial(&self, to: SocketAddr, token: u64) -> io::Result<TcpStream> {
+    fn dial_and_watch(&self, to: SocketAddr, token: u64) -> io::Result<TcpStream> {
         let stream = dial(to)?;
         epoll::add(&self.poll, &stream, EventData::new_u64(token), EventFlags::OUT)?;
         Ok(stream)
@@ -565,46 +576,48 @@
     fn dial(&mut self, conn: ConnId, to: SocketAddr) {
         let token = SERVER | conn.0;
         tracing::trace!(number = conn.0, %to, "dialled");
-        match self.watched_dial(to, token) {
+        match self.dial_and_watch(to, token) {
             Ok(stream) => {
                 self.connections.insert(token, Connection::dialed(stream));
             }
-            Err(error) => self.events_in.push_back(NodeEvent::ConnectEnded(conn, Err(dial_error(&error)))),
+            Err(error) => {
+                self.incoming_events.push_back(NodeEvent::ConnectEnded(conn, Err(dial_error(&error))))
+            }
         }
     }
 
-    // ---- What is ready ----
+    // ---- Ready sockets ----
 
     fn socket_ready(&mut self, token: u64, flags: EventFlags) {
-        match token & KINDS {
-            0 => self.process_ready(token),
-            LIST => self.list_ready(token & !KINDS),
+        match token & KIND_MASK {
+            0 => self.listener_or_signal_ready(token),
+            LIST => self.list_ready(token & !KIND_MASK),
             LINGERING => self.discard(token),
             _ => self.connection_ready(token, flags),
         }
     }
 
-    fn process_ready(&mut self, token: u64) {
+    fn listener_or_signal_ready(&mut self, token: u64) {
         let mut bytes = [0; 16];
         match token {
             LISTENER => self.accept(),
-            TERM => {
+            TERM_SIGNAL => {
                 let _ = (&self.signals.term).read(&mut bytes);
-                tracing::info!("the front node is to end");
-                self.events_in.push_back(NodeEvent::Shutdown);
+                tracing::info!("SIGTERM: the front node shuts down");
+                self.incoming_events.push_back(NodeEvent::Shutdown);
             }
             _ => {
                 let _ = (&self.signals.hang_up).read(&mut bytes);
-                let coordinator = self.reload.hang_up(self.clock.now());
-                self.events_in.extend(coordinator.map(NodeEvent::CoordinatorMoved));
+                let coordinator = self.reload.reload(self.clock.now());
+                self.incoming_events.extend(coordinator.map(NodeEvent::CoordinatorMoved));
             }
         }
     }
 
-    fn reload_again(&mut self, out: &mut Vec<Command>) {
+    fn retry_reload(&mut self, out: &mut Vec<Command>) {
         if let Some(coordinator) = self.reload.retry(self.clock.now()) {
-            self.events_in.push_back(NodeEvent::CoordinatorMoved(coordinator));
-            self.work(out);
+            self.incoming_events.push_back(NodeEvent::CoordinatorMoved(coordinator));
+            self.process_queues(out);
         }
     }
 
@@ -617,7 +630,7 @@
                 connection.discarded += count;
                 connection.discarded > MAX_DISCARDED
             }
-            Err(error) => !again(&error),
+            Err(error) => !would_block(&error),
         };
         if over {
             self.connections.remove(&token);
@@ -628,7 +641,7 @@
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.connecting {
             connection.connecting = false;
-            let conn = ConnId(token & !KINDS);
+            let conn = ConnId(token & !KIND_MASK);
             let result = match connection.stream.take_error() {
                 Ok(None) => Ok(()),
                 Ok(Some(error)) | Err(error) => Err(dial_error(&error)),
@@ -636,18 +649,18 @@
             if result.is_err() {
                 self.connections.remove(&token);
             } else {
-                connection.watched = connection::READS;
+                connection.watched = connection::READ_EVENTS;
                 let _ = epoll::modify(
                     &self.poll,
                     &connection.stream,
                     EventData::new_u64(token),
-                    connection::READS,
+                    connection::READ_EVENTS,
                 );
             }
             tracing::trace!(number = conn.0, ?result, "dial ended");
             return match result {
-                Ok(()) => self.writable.push_back(NodeEvent::ConnectEnded(conn, result)),
-                Err(_) => self.events_in.push_back(NodeEvent::ConnectEnded(conn, result)),
+                Ok(()) => self.deferred_events.push_back(NodeEvent::ConnectEnded(conn, result)),
+                Err(_) => self.incoming_events.push_back(NodeEvent::ConnectEnded(conn, result)),
             };
         }
         if flags.contains(EventFlags::OUT) {
@@ -656,7 +669,8 @@
         if !flags.intersects(EventFlags::IN | EventFlags::HUP | EventFlags::ERR) {
             return;
         }
-        // Danger: of one who has left already, the request alone is read, and sent on before the rest is.
+        // If the peer has left already, it is read on at once: otherwise its request alone would be read, and
+        // forwarded before the rest is.
         let has_left = flags.contains(EventFlags::RDHUP);
         for _ in 0..READS_PER_TURN {
             let more = self.read_connection(token);
@@ -679,39 +693,39 @@
         let Some(connection) = self.connections.get_mut(&token) else { return false };
         let mut bytes = [0; READ_SIZE];
         let count = match (&connection.stream).read(&mut bytes) {
-            Ok(0) if token & KINDS == CLIENT => {
-                // Nothing more comes; what is owed may reach its reader yet.
+            Ok(0) if token & KIND_MASK == CLIENT => {
+                // Nothing more arrives, but open answers may still reach the client.
                 connection.half_closed = true;
                 if connection.closing {
                     self.to_flush.push_back(token);
                 } else {
-                    self.events_in.push_back(NodeEvent::ClientHalfClosed(ClientId(token & !KINDS)));
+                    self.incoming_events.push_back(NodeEvent::ClientHalfClosed(ClientId(token & !KIND_MASK)));
                 }
                 return false;
             }
             Ok(0) => {
-                self.closed_by_server(token);
+                self.server_half_closed(token);
                 return false;
             }
             Ok(count) => count,
-            Err(error) if again(&error) => return false,
+            Err(error) if would_block(&error) => return false,
             Err(error) => {
                 let is_reset = error.kind() == io::ErrorKind::ConnectionReset;
-                self.connection_gone(token, if is_reset { End::Reset } else { End::NotByPeer });
+                self.connection_gone(token, if is_reset { CloseKind::Reset } else { CloseKind::Abandoned });
                 return false;
             }
         };
         if connection.closing {
             return false;
         }
-        connection.crossed[1] += count;
+        connection.traffic[1] += count;
         connection.decoder.feed(&bytes[..count]);
-        let (id, is_client) = (token & !KINDS, token & KINDS == CLIENT);
+        let (id, is_client) = (token & !KIND_MASK, token & KIND_MASK == CLIENT);
         let mut messages = Vec::new();
         let unreadable = loop {
             match connection.decoder.next_message() {
                 Ok(Some(message)) => {
-                    connection.crossed[0] += 1;
+                    connection.traffic[0] += 1;
                     trace_message("in", token, &message);
                     messages.push(message);
                 }
@@ -720,62 +734,63 @@
             }
         };
         if is_client {
-            let said = messages.into_iter().map(|message| NodeEvent::ClientMessage(ClientId(id), message));
-            self.events_in.extend(said);
+            let received =
+                messages.into_iter().map(|message| NodeEvent::ClientMessage(ClientId(id), message));
+            self.incoming_events.extend(received);
         } else if !messages.is_empty() {
-            self.events_in.push_back(NodeEvent::ServerMessages(ConnId(id), messages));
+            self.incoming_events.push_back(NodeEvent::ServerMessages(ConnId(id), messages));
         }
         if let Some(error) = unreadable {
-            tracing::debug!(%error, "a peer cannot be read");
-            let spoilt = if is_client {
+            tracing::debug!(%error, "cannot decode bytes from a peer");
+            let event = if is_client {
                 NodeEvent::ClientUnreadable(ClientId(id))
             } else {
                 NodeEvent::ServerUnreadable(ConnId(id))
             };
-            self.events_in.push_back(spoilt);
+            self.incoming_events.push_back(event);
         }
         unreadable.is_none() && count == READ_SIZE
     }
 
-    /// A connection is of no more use.
-    fn connection_gone(&mut self, token: u64, end: End) {
+    /// Removes a connection that is of no more use, and reports its end.
+    fn connection_gone(&mut self, token: u64, end: CloseKind) {
         let Some(connection) = self.connections.remove(&token) else { return };
         trace_close(
             token,
             match end {
-                End::ByPeer => "closed by its peer",
-                End::Reset => "reset by its peer",
-                End::NotByPeer => "waited for no longer",
+                CloseKind::Closed => "closed by its peer",
+                CloseKind::Reset => "reset by its peer",
+                CloseKind::Abandoned => "given up here",
             },
         );
-        let id = token & !KINDS;
+        let id = token & !KIND_MASK;
         if connection.closing {
             return;
         }
-        self.events_in.push_back(match token & KINDS {
+        self.incoming_events.push_back(match token & KIND_MASK {
             CLIENT => NodeEvent::ClientClosed(ClientId(id)),
             _ => match end {
-                End::ByPeer => NodeEvent::ServerClosed(ConnId(id)),
-                End::Reset => NodeEvent::ServerReset(ConnId(id)),
-                End::NotByPeer => NodeEvent::ServerLost(ConnId(id)),
+                CloseKind::Closed => NodeEvent::ServerClosed(ConnId(id)),
+                CloseKind::Reset => NodeEvent::ServerReset(ConnId(id)),
+                CloseKind::Abandoned => NodeEvent::ServerLost(ConnId(id)),
             },
         });
     }
 }
 
-/// At `trace`, each message with clients and servers, for whoever follows one session through its nodes.
-fn trace_message(way: &'static str, token: u64, message: &Message) {
+/// Traces each message with clients and servers, to follow one session through its nodes.
+fn trace_message(direction: &'static str, token: u64, message: &Message) {
     if tracing::enabled!(tracing::Level::TRACE) {
-        let peer = if token & KINDS == CLIENT { "client" } else { "server" };
-        let (number, id, cause) = (token & !KINDS, format!("{:016x}", message.session), message.cause());
-        tracing::trace!(peer, number, kind = message.kind, id, ?cause, "{way}");
+        let peer = if token & KIND_MASK == CLIENT { "client" } else { "server" };
+        let (number, id, cause) = (token & !KIND_MASK, format!("{:016x}", message.session), message.cause());
+        tracing::trace!(peer, number, kind = message.kind, id, ?cause, "{direction}");
     }
 }
 
-/// At `trace`, the end of a connection with clients and servers.
+/// Traces the end of a connection with a client or server.
 fn trace_close(token: u64, how: &'static str) {
-    let peer = if token & KINDS == CLIENT { "client" } else { "server" };
-    tracing::trace!(peer, number = token & !KINDS, "{how}");
+    let peer = if token & KIND_MASK == CLIENT { "client" } else { "server" };
+    tracing::trace!(peer, number = token & !KIND_MASK, "{how}");
 }
 
 #[cfg(test)]
--- a/crates/platform/src/node/reload.rs
+++ b/crates/platform/src/node/reload.rs
@@ -1,7 +1,7 @@
-//! The configuration read anew at SIGHUP: the address of the coordinator, and nothing else.
+//! Reads the configuration again at SIGHUP: the address of the coordinator, and nothing else.
 //!
-//! The signal may come while the file is still being written. What cannot be read as a whole is read again until it can be,
-//! for a while; without that the node would follow the coordinator that the new file has left.
+//! The signal may arrive while the file is still being written. A file that is not complete is read again for
+//! a while; otherwise the node would go on following the coordinator that the new file replaces.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,13 +10,13 @@
 
 use crate::config::{load_coordinator, ConfigError};
 
-/// Pauses before a file that is not whole is read again: the first one, which doubles, and the longest.
+/// The first pause before an incomplete file is read again, which doubles, and the longest one.
 const FIRST_PAUSE: Micros = 20_000;
-const LONGEST_PAUSE: Micros = 160_000;
-/// A file that is not whole so long after the signal stays unused.
-const GIVES_UP_AFTER: Micros = 3_000_000;
+const MAX_PAUSE: Micros = 160_000;
+/// A file that is incomplete for this long after the signal is ignored.
+const RETRY_TIMEOUT: Micros = 3_000_000;
 
-/// The file, and when it is read again.
+/// The configuration file, and when to read it again.
 pub(super) struct Reload {
     path: PathBuf,
     retry: Option<Retry>,
@@ -26,26 +26,26 @@
 struct Retry {
     due: Micros,
     pause: Micros,
-    gives_up: Micros,
+    deadline: Micros,
 }
 
 impl Reload {
-    /// The configuration in this file, which was read at the start.
+    /// Reloads the configuration from this file, which was read at the start.
     pub fn new(path: PathBuf) -> Reload {
         Reload { path, retry: None }
     }
 
-    /// When the file is to be read again.
+    /// When the file is to be read again, if it is.
     pub fn next_due(&self) -> Option<Micros> {
         self.retry.map(|retry| retry.due)
     }
 
-    /// SIGHUP has come. Returns the coordinator, if the file can be used as it is.
-    pub fn hang_up(&mut self, now: Micros) -> Option<SocketAddr> {
-        self.read(now, Retry { due: now, pause: FIRST_PAUSE, gives_up: now + GIVES_UP_AFTER })
+    /// Reads the file after SIGHUP. Returns the coordinator, if the file is complete.
+    pub fn reload(&mut self, now: Micros) -> Option<SocketAddr> {
+        self.read(now, Retry { due: now, pause: FIRST_PAUSE, deadline: now + RETRY_TIMEOUT })
     }
 
-    /// Reads a file again that was not whole, when that is due.
+    /// Reads an incomplete file again, when that is due.
     pub fn retry(&mut self, now: Micros) -> Option<SocketAddr> {
         let retry = self.retry.filter(|retry| retry.due <= now)?;
         self.read(now, retry)
@@ -55,25 +55,25 @@
         self.retry = None;
         match load_coordinator(&self.path) {
             Ok(coordinator) => {
-                tracing::info!(%coordinator, "configuration read anew");
+                tracing::info!(%coordinator, "configuration reloaded");
                 Some(coordinator)
             }
-            Err(error) if is_partial(&error) && now < attempt.gives_up => {
+            Err(error) if is_partial(&error) && now < attempt.deadline => {
                 let due = now + attempt.pause;
-                let pause = (attempt.pause * 2).min(LONGEST_PAUSE);
+                let pause = (attempt.pause * 2).min(MAX_PAUSE);
                 self.retry = Some(Retry { due, pause, ..attempt });
-                tracing::info!(%error, pause_ms = attempt.pause / 1000, "the configuration is read again");
+                tracing::info!(%error, pause_ms = attempt.pause / 1000, "configuration file is incomplete, reading it again");
                 None
             }
             Err(error) => {
-                tracing::warn!(%error, "the configuration stays as it was");
+                tracing::warn!(%error, "new configuration ignored");
                 None
             }
         }
     }
 }
 
-/// Whether the file may only not have been written whole yet, or not be there between two names.
+/// Whether the file may be incomplete, or missing while it is being renamed.
 fn is_partial(error: &ConfigError) -> bool {
     matches!(error, ConfigError::Read(..) | ConfigError::Json(..))
 }
--- a/crates/platform/src/node/sockets.rs
+++ b/crates/platform/src/node/sockets.rs
@@ -1,4 +1,4 @@
-//! Sockets as the kernel has them: made without waiting, and what their errors prove.
+//! Opens non-blocking sockets, and interprets their errors.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -29,22 +29,24 @@
     Ok(socket.into())
 }
 
-pub(super) fn again(error: &io::Error) -> bool {
+pub(super) fn would_block(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Either proves that nothing was sent; only a refusal proves that no process listens. Danger: this process's own lack
-/// of files or ports, taken for the machine being gone, would end all that plays there.
+/// Either error proves that nothing was sent; only a refusal proves that no process listens. A lack of
+/// descriptors or ports in this process must not be taken for the loss of the machine, which would end all
+/// sessions that play there.
 pub(super) fn dial_error(error: &io::Error) -> DialError {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => DialError::Refused,
-        _ if is_own_lack(error) => DialError::NotTried,
+        _ if is_resource_shortage(error) => DialError::NotTried,
         _ => DialError::TimedOut,
     }
 }
 
-/// Whether this process or machine has no room for another socket.
-pub(super) fn is_own_lack(error: &io::Error) -> bool {
-    let ours = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN];
-    error.raw_os_error().is_some_and(|code| ours.iter().any(|ours| ours.raw_os_error() == code))
+/// Whether this process or machine has no resources for another socket.
+pub(super) fn is_resource_shortage(error: &io::Error) -> bool {
+    let shortages =
+        [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL, Errno::AGAIN];
+    error.raw_os_error().is_some_and(|code| shortages.iter().any(|shortage| shortage.raw_os_error() == code))
 }
--- a/crates/platform/src/node/telemetry.rs
+++ b/crates/platform/src/node/telemetry.rs
@@ -1,63 +1,64 @@
-//! What a front node tells of itself in its log: a line each second, and of what happens no more lines than a limit.
+//! Log lines of a front node: one line of counters each second, and a limited number of lines about events.
 
 use salttally::interface::Micros;
 
 use crate::core::{Counts, Level, RoomCounts};
 
-/// The line of counts comes so often.
+/// Interval between two lines of counters.
 const INTERVAL: Micros = 1_000_000;
-/// Lines at `info` of what happened, in one interval; a flood of refused requests would write nothing else.
+/// Maximum number of event lines at `info` in one interval; otherwise a flood of refused requests would fill
+/// the log.
 const MAX_LINES: u32 = 50;
 
-/// Figures of the edge itself, since the last line.
+/// Counters of the event loop since the last line.
 #[derive(Debug, Default)]
 pub(super) struct Telemetry {
     next: Micros,
     lines: u32,
-    left_out: u32,
+    lines_left_out: u32,
     turns: u32,
     longest_turn: Micros,
     last: Counts,
 }
 
-/// What is held at the moment.
+/// The state of the node for a line of counters.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Held {
-    /// Sessions in hand, those that play, clients' connections, connections to servers, timers.
-    pub held: [usize; 5],
-    /// Since the start.
+pub(super) struct NodeStatus {
+    /// Numbers of sessions, playing sessions, client connections, server connections and timers.
+    pub gauges: [usize; 5],
+    /// Counters since the start.
     pub counts: Counts,
-    /// What became of connections for want of room.
+    /// What happened to connections for lack of room.
     pub room: RoomCounts,
-    /// Number of the last event of the list, and how long ago its coordinator was heard.
+    /// Number of the last event of the list, and how long ago the coordinator was heard.
     pub list: (u64, Option<Micros>),
 }
 
 impl Telemetry {
-    /// A turn of the loop took from one time to the other, without its wait.
-    pub fn turn(&mut self, began: Micros, ended: Micros) {
+    /// Records a turn of the loop, without its wait.
+    pub fn record_turn(&mut self, began: Micros, ended: Micros) {
         self.turns += 1;
         self.longest_turn = self.longest_turn.max(ended.saturating_sub(began));
     }
 
-    /// Whether the line of this interval is due.
+    /// Whether the line of counters is due.
     pub fn is_due(&self, now: Micros) -> bool {
         now >= self.next
     }
 
-    /// The line of this interval, where something has happened in it.
-    pub fn tell(&mut self, now: Micros, of: &Held) {
-        let last = std::mem::replace(&mut self.last, of.counts);
-        if last != of.counts || self.left_out > 0 {
-            self.write_line(of);
+    /// Writes the line of counters, if a counter has changed.
+    pub fn report(&mut self, now: Micros, status: &NodeStatus) {
+        let last = std::mem::replace(&mut self.last, status.counts);
+        if last != status.counts || self.lines_left_out > 0 {
+            self.write_line(status);
         }
-        let (next, last) = (now + INTERVAL, of.counts);
+        let (next, last) = (now + INTERVAL, status.counts);
         *self = Telemetry { next, last, ..Telemetry::default() };
     }
 
-    fn write_line(&self, of: &Held) {
-        let [sessions, playing, clients, connections, timers] = of.held;
-        let (event, heard_ms_ago) = (of.list.0, of.list.1.map(|ago| ago / 1000));
+    fn write_line(&self, status: &NodeStatus) {
+        let [sessions, playing, clients, connections, timers] = status.gauges;
+        let (event, heard_ms_ago) = (status.list.0, status.list.1.map(|ago| ago / 1000));
         let longest_turn_us = self.longest_turn;
         tracing::info!(
             sessions,
@@ -69,14 +70,14 @@
             ?heard_ms_ago,
             turns = self.turns,
             longest_turn_us,
-            lines_left_out = self.left_out,
-            room = ?of.room,
-            counts = ?of.counts,
+            lines_left_out = self.lines_left_out,
+            room = ?status.room,
+            counts = ?status.counts,
             "front node"
         );
     }
 
-    /// A line of what happened.
+    /// Writes a line about an event.
     pub fn log(&mut self, level: Level, text: &str) {
         match level {
             Level::Debug => tracing::debug!("{text}"),
@@ -85,7 +86,7 @@
                 self.lines += 1;
                 tracing::info!("{text}");
             }
-            Level::Info => self.left_out += 1,
+            Level::Info => self.lines_left_out += 1,
         }
     }
 }
--- a/crates/platform/src/node/tests.rs
+++ b/crates/platform/src/node/tests.rs
@@ -1,11 +1,11 @@
-//! What a connection does with a peer that takes nothing.
+//! Connections to peers that read nothing or have closed.
 
 use std::net::{TcpListener, TcpStream};
 
 use super::*;
 
 #[test]
-fn a_peer_that_reads_nothing_is_given_up_and_not_tried_for_ever() {
+fn gives_up_a_peer_that_reads_nothing() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     stream.set_nonblocking(true).unwrap();
@@ -14,7 +14,7 @@
     let mut given_up = false;
     for now in 0..1_000 {
         connection.outgoing = vec![0; 64 * 1024];
-        given_up = connection.flush(now) == Flushed::Broken;
+        given_up = connection.flush(now) == FlushOutcome::Broken;
         if given_up {
             break;
         }
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn bytes_written_to_a_server_that_had_closed_are_not_taken_for_read() {
-    for (writes_late, end) in [(false, End::ByPeer), (true, End::Reset)] {
+fn detects_a_reset_after_writing_to_a_closed_server() {
+    for (writes_late, end) in [(false, CloseKind::Closed), (true, CloseKind::Reset)] {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (mut server, _) = listener.accept().unwrap();
@@ -32,14 +32,14 @@
         connection.connecting = false;
         connection.outgoing = vec![1; 11];
         if !writes_late {
-            assert_eq!(connection.flush(0), Flushed::All);
+            assert_eq!(connection.flush(0), FlushOutcome::Complete);
             server.read_exact(&mut [0; 11]).unwrap();
         }
         drop(server);
         thread::sleep(Duration::from_millis(20));
         connection.flush(1);
         thread::sleep(Duration::from_millis(20));
-        assert_eq!((&connection.stream).read(&mut [0; 1]).unwrap(), 0, "its close is read first");
-        assert_eq!(connection.end_by_peer(), end);
+        assert_eq!((&connection.stream).read(&mut [0; 1]).unwrap(), 0, "the close is read first");
+        assert_eq!(connection.close_kind(), end);
     }
 }
--- a/crates/platform/src/wire/frames.rs
+++ b/crates/platform/src/wire/frames.rs
@@ -1,4 +1,4 @@
-//! Frames of the coordinator, which tells the list of servers: length, number of the event, kind, records.
+//! Frames of the coordinator, which sends the server list: length, number of the event, kind, records.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -6,100 +6,100 @@
 use salttally_front::core::Listed;
 use thiserror::Error;
 
-const HEAD: usize = 4 + 8 + 1;
-const RECORD: usize = 27;
-/// Media servers that one frame tells of at most; more is no list.
-const MOST: usize = 20_000;
+const HEADER_BYTES: usize = 4 + 8 + 1;
+const RECORD_BYTES: usize = 27;
+/// Maximum number of media servers in one frame; a longer frame is invalid.
+const MAX_RECORDS: usize = 20_000;
 
-/// What a frame tells.
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Payload {
-    /// Nothing new.
-    Nothing,
-    /// The whole list.
-    Whole(Vec<Listed>),
-    /// What has changed.
+    /// Nothing has changed.
+    Unchanged,
+    /// The complete list.
+    Full(Vec<Listed>),
+    /// The entries that have changed.
     Changes(Vec<Listed>),
 }
 
 /// A numbered frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// Number of the event; with [`Payload::Nothing`], of the last one.
+    /// Number of the event; with [`Payload::Unchanged`], of the last one.
     pub number: u64,
-    /// What it tells.
+    /// The content.
     pub payload: Payload,
 }
 
-/// Why the coordinator's bytes cannot be read.
+/// Why the coordinator's bytes cannot be decoded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum BadFrame {
-    /// A length that no frame has.
-    #[error("a frame of {0} bytes")]
+pub enum FrameError {
+    /// An invalid length.
+    #[error("invalid frame length {0}")]
     Length(usize),
     /// An unknown kind.
-    #[error("frame kind {0} is none")]
+    #[error("unknown frame kind {0}")]
     Kind(u8),
     /// An unknown state of a media server.
-    #[error("state {0} is none")]
+    #[error("unknown server state {0}")]
     State(u8),
 }
 
-/// Takes bytes in and gives frames out; half a frame tells nothing.
+/// Decodes frames from a stream of bytes; a partial frame yields nothing.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     bytes: Vec<u8>,
-    /// Of these, the first that no frame has given out yet.
-    from: usize,
+    /// Index of the first byte that is not part of a returned frame.
+    consumed: usize,
 }
 
-impl Frames {
-    /// Takes in what was read.
+impl FrameDecoder {
+    /// Adds bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.drain(..std::mem::take(&mut self.from));
+        self.bytes.drain(..std::mem::take(&mut self.consumed));
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole frame.
+    /// The next complete frame.
     ///
     /// # Errors
-    /// The bytes cannot be read, and nothing after them.
-    pub fn take(&mut self) -> Result<Option<Frame>, BadFrame> {
-        let rest = &self.bytes[self.from..];
-        let Some(head) = rest.get(..HEAD) else { return Ok(None) };
-        let size = number(&head[..4]) as usize;
-        let length = size.checked_sub(HEAD - 4).ok_or(BadFrame::Length(size))?;
-        if length % RECORD != 0 || length / RECORD > MOST {
-            return Err(BadFrame::Length(size));
+    /// The bytes cannot be decoded, nor can any after them.
+    pub fn next_frame(&mut self) -> Result<Option<Frame>, FrameError> {
+        let rest = &self.bytes[self.consumed..];
+        let Some(head) = rest.get(..HEADER_BYTES) else { return Ok(None) };
+        let size = be_integer(&head[..4]) as usize;
+        let length = size.checked_sub(HEADER_BYTES - 4).ok_or(FrameError::Length(size))?;
+        if length % RECORD_BYTES != 0 || length / RECORD_BYTES > MAX_RECORDS {
+            return Err(FrameError::Length(size));
         }
-        let (event, kind) = (number(&head[4..12]), head[12]);
-        let Some(records) = rest.get(HEAD..HEAD + length) else { return Ok(None) };
-        let lines = records.chunks_exact(RECORD).map(line).collect::<Result<Vec<_>, _>>()?;
+        let (event, kind) = (be_integer(&head[4..12]), head[12]);
+        let Some(records) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
+        let lines = records.chunks_exact(RECORD_BYTES).map(parse_record).collect::<Result<Vec<_>, _>>()?;
         let payload = match kind {
-            0 => Payload::Nothing,
-            1 => Payload::Whole(lines),
+            0 => Payload::Unchanged,
+            1 => Payload::Full(lines),
             2 => Payload::Changes(lines),
-            other => return Err(BadFrame::Kind(other)),
+            other => return Err(FrameError::Kind(other)),
         };
-        self.from += HEAD + length;
+        self.consumed += HEADER_BYTES + length;
         Ok(Some(Frame { number: event, payload }))
     }
 }
 
-fn number(bytes: &[u8]) -> u64 {
+fn be_integer(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-fn line(record: &[u8]) -> Result<Listed, BadFrame> {
-    let part = |from: usize, size: usize| number(&record[from..from + size]);
+fn parse_record(record: &[u8]) -> Result<Listed, FrameError> {
+    let part = |from: usize, size: usize| be_integer(&record[from..from + size]);
     let state = match record[10] {
         0 => ServerState::Ready,
         1 => ServerState::Draining,
         2 => ServerState::Gone,
-        other => return Err(BadFrame::State(other)),
+        other => return Err(FrameError::State(other)),
     };
     let address = Ipv4Addr::from(part(4, 4) as u32);
-    // Unix ms; nothing for a start long ago. The front's clock is Unix time too.
+    // In Unix ms; 0 for a start long ago. The front's clock is Unix time too.
     let started = part(19, 8);
     Ok(Listed {
         entry: ServerEntry {
