--- a/crates/platform/src/wire/mod.rs
+++ b/crates/platform/src/wire/mod.rs
@@ -1,64 +1,65 @@
-//! What crosses the sockets, read and written: [`Message`]s with clients and servers, [`frames`] of the list,
-//! [`words`] inside the parameters. Nothing here allocates by what a peer claims, waits, or panics.
+//! Encoding and decoding of everything on the sockets: [`Message`]s with clients and servers, [`frames`] of
+//! the server list, and the [`values`] in parameters. Nothing here allocates memory by a length that a peer
+//! claims, blocks or panics.
 
 pub mod frames;
-pub mod words;
+pub mod values;
 
 use thiserror::Error;
 
-/// A message is no longer than this, its length field included.
+/// Maximum length of a message, including its length field.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
-const HEAD: usize = 2 + 1 + 8;
+const HEADER_BYTES: usize = 2 + 1 + 8;
 
-/// Types of message.
+/// Message types.
 pub mod kind {
-    /// Set a session up.
+    /// Requests a session, or sets one up at a media server.
     pub const SET_UP: u8 = 1;
-    /// Progress; means nothing.
+    /// Progress of a set-up; has no effect.
     pub const PROGRESS: u8 = 6;
-    /// The session stands.
+    /// The session plays.
     pub const ANSWER: u8 = 9;
-    /// Refusal, give-up, failure, or the end of what stands; the cause tells.
+    /// A refusal, a give-up, a failure, or the end of a playing session, depending on the cause.
     pub const RELEASE: u8 = 12;
-    /// A release was heard.
+    /// Acknowledges a release.
     pub const RELEASE_ACK: u8 = 16;
-    /// A note on a session that stands.
+    /// A note on a playing session.
     pub const NOTE: u8 = 44;
-    /// The session is moved.
+    /// The session is to move to another media server.
     pub const MOVE: u8 = 51;
-    /// A test.
+    /// A readiness test or a probe.
     pub const TEST: u8 = 52;
-    /// Its result.
+    /// The result of a test.
     pub const TEST_RESULT: u8 = 53;
-    /// A new rung.
+    /// Sets a new rung.
     pub const RUNG: u8 = 60;
 }
 
-/// Codes of parameters.
+/// Parameter codes.
 pub mod code {
     /// Class, by name.
     pub const CLASS: u8 = 3;
-    /// Time for which the sender waits, ms.
+    /// How long the sender waits for an answer, in ms.
     pub const WAIT_MS: u8 = 6;
     /// Title, 16 hex digits.
     pub const TITLE: u8 = 15;
-    /// Figures of a request.
+    /// Fields of a request, see [`values::RequestFields`].
     pub const REQUEST_FIELDS: u8 = 18;
-    /// Time to stay away, ms.
+    /// Time to wait before the next request, in ms.
     pub const HOLD_OFF_MS: u8 = 21;
     /// Kind of a note.
     pub const NOTE_KIND: u8 = 24;
-    /// A load report.
+    /// Load report, see [`values::load_report`].
     pub const REPORT: u8 = 30;
-    /// A guess of the length, ms.
+    /// Expected length of the session, in ms.
     pub const LENGTH_HINT_MS: u8 = 33;
     /// Rung, counted from 0.
     pub const RUNG: u8 = 36;
-    /// Figure of a note.
+    /// Value of a note.
     pub const NOTE_VALUE: u8 = 39;
     /// Cause, one byte.
     pub const CAUSE: u8 = 45;
-    /// Description.
+    /// Description of the session, forwarded unchanged.
     pub const DESCRIPTION: u8 = 48;
     /// Codes are multiples of this, up to [`DESCRIPTION`].
     pub const STEP: u8 = 3;
@@ -66,48 +67,48 @@
 
 /// Causes of a release.
 pub mod cause {
-    /// The normal end; before the answer: given up.
+    /// Normal end; before the answer, a give-up.
     pub const NORMAL: u8 = 16;
-    /// Ended on purpose: moved, or by its client.
+    /// Deliberate end: by a move, or by the client.
     pub const ON_PURPOSE: u8 = 31;
-    /// Full; never ran.
+    /// The server is full; the set-up never ran.
     pub const FULL: u8 = 34;
-    /// Broken on its way, or cut.
+    /// Interrupted on its way, or cut.
     pub const BROKEN: u8 = 41;
     /// An error.
     pub const ERROR: u8 = 47;
-    /// What was sent cannot be used.
+    /// The request is invalid.
     pub const INVALID: u8 = 100;
-    /// Moot: it never left.
+    /// The set-up was never sent.
     pub const NOT_SENT: u8 = 102;
 }
 
-/// Why a peer's bytes cannot be read; nothing after them can be either.
+/// Why a peer's bytes cannot be decoded; nothing after them can be decoded either.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// The length is too small for a message, or over [`MAX_MESSAGE_BYTES`].
-    #[error("a message of {0} bytes")]
+    /// The length is too small for a message, or above [`MAX_MESSAGE_BYTES`].
+    #[error("invalid message length {0}")]
     Length(usize),
     /// A parameter ends past its message.
     #[error("a parameter ends past its message")]
-    Parameter,
-    /// A code that no parameter has.
-    #[error("parameter {0} is none")]
+    TruncatedParameter,
+    /// An unknown parameter code.
+    #[error("unknown parameter code {0}")]
     Code(u8),
-    /// A parameter that comes twice.
-    #[error("parameter {0} comes twice")]
-    Twice(u8),
-    /// A type that no message has.
-    #[error("message type {0} is none")]
+    /// A duplicate parameter.
+    #[error("duplicate parameter {0}")]
+    DuplicateParameter(u8),
+    /// An unknown message type.
+    #[error("unknown message type {0}")]
     Kind(u8),
 }
 
 /// One message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its type.
+    /// Message type, one of [`kind`].
     pub kind: u8,
-    /// The session that it names.
+    /// The session that the message is about.
     pub session: u64,
     /// Code and value of each parameter, in order.
     pub parameters: Vec<(u8, Vec<u8>)>,
@@ -124,23 +125,23 @@
         Message::new(kind::RELEASE, session).with(code::CAUSE, [cause])
     }
 
-    /// With one more parameter.
+    /// Adds a parameter.
     pub fn with(mut self, code: u8, value: impl Into<Vec<u8>>) -> Message {
         self.parameters.push((code, value.into()));
         self
     }
 
-    /// The value of a parameter, if it is there.
+    /// The value of a parameter, if present.
     pub fn get(&self, code: u8) -> Option<&[u8]> {
         self.parameters.iter().find(|(other, _)| *other == code).map(|(_, value)| value.as_slice())
     }
 
-    /// The same as text.
+    /// The value of a parameter as text, if present and valid UTF-8.
     pub fn text(&self, code: u8) -> Option<&str> {
         std::str::from_utf8(self.get(code)?).ok()
     }
 
-    /// The cause, if there is one of one byte.
+    /// The cause, if present with one byte.
     pub fn cause(&self) -> Option<u8> {
         match self.get(code::CAUSE)? {
             [cause] => Some(*cause),
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Writes it. What was taken from a peer's message fits again; own parameters are short.
+    /// Appends the encoded message to `to`. Forwarded parameters fit, since they were decoded from a message;
+    /// the node's own are short.
     pub fn write(&self, to: &mut Vec<u8>) {
         let size = 9 + self.parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
         to.extend((size as u16).to_be_bytes());
@@ -161,7 +163,7 @@
         }
     }
 
-    fn read(body: &[u8]) -> Result<Message, DecodeError> {
+    fn decode(body: &[u8]) -> Result<Message, DecodeError> {
         let (Some(kind), Some(id)) = (body.first(), body.get(1..9)) else {
             return Err(DecodeError::Length(body.len()));
         };
@@ -174,12 +176,13 @@
         let mut rest = &body[9..];
         while let Some((code, after)) = rest.split_first() {
             let size = after.get(..2).map(|b| usize::from(b[0]) << 8 | usize::from(b[1]));
-            let value = size.and_then(|size| after.get(2..2 + size)).ok_or(DecodeError::Parameter)?;
+            let value =
+                size.and_then(|size| after.get(2..2 + size)).ok_or(DecodeError::TruncatedParameter)?;
             if *code == 0 || *code > code::DESCRIPTION || *code % code::STEP != 0 {
                 return Err(DecodeError::Code(*code));
             }
             if message.get(*code).is_some() {
-                return Err(DecodeError::Twice(*code));
+                return Err(DecodeError::DuplicateParameter(*code));
             }
             message.parameters.push((*code, value.to_vec()));
             rest = &after[2 + value.len()..];
@@ -188,50 +191,50 @@
     }
 }
 
-/// Takes bytes in as they come and gives messages out. Holds at most one message and what was last read.
+/// Decodes messages from a stream of bytes. Holds at most one message and the bytes read last.
 #[derive(Debug, Default)]
 pub struct Decoder {
     bytes: Vec<u8>,
-    from: usize,
+    consumed: usize,
 }
 
 impl Decoder {
-    /// Takes in what was read.
+    /// Adds bytes that were read.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.from > 0 {
-            self.bytes.drain(..self.from);
-            self.from = 0;
+        if self.consumed > 0 {
+            self.bytes.drain(..self.consumed);
+            self.consumed = 0;
         }
         self.bytes.extend_from_slice(bytes);
     }
 
-    /// The next whole message.
+    /// The next complete message.
     ///
     /// # Errors
-    /// The bytes cannot be read, and nothing after them.
+    /// The bytes cannot be decoded, nor can any after them.
     pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
-        let rest = &self.bytes[self.from..];
-        let Some(head) = rest.get(..2) else { return Ok(self.nothing()) };
+        let rest = &self.bytes[self.consumed..];
+        let Some(head) = rest.get(..2) else { return Ok(self.no_message()) };
         let size = usize::from(head[0]) << 8 | usize::from(head[1]);
-        if size + 2 < HEAD || size + 2 > MAX_MESSAGE_BYTES {
+        if size + 2 < HEADER_BYTES || size + 2 > MAX_MESSAGE_BYTES {
             return Err(DecodeError::Length(size));
         }
-        let Some(body) = rest.get(2..2 + size) else { return Ok(self.nothing()) };
-        let message = Message::read(body)?;
-        self.from += 2 + size;
+        let Some(body) = rest.get(2..2 + size) else { return Ok(self.no_message()) };
+        let message = Message::decode(body)?;
+        self.consumed += 2 + size;
         Ok(Some(message))
     }
 
-    /// Whether a message has begun and is not whole.
+    /// Whether part of a message has arrived.
     pub fn has_partial_message(&self) -> bool {
-        self.bytes.len() > self.from
+        self.bytes.len() > self.consumed
     }
 
-    /// An idle connection holds no memory.
-    fn nothing(&mut self) -> Option<Message> {
+    /// Frees the buffer when it is empty, so that an idle connection holds no memory.
+    fn no_message(&mut self) -> Option<Message> {
         if !self.has_partial_message() {
             self.bytes = Vec::new();
-            self.from = 0;
+            self.consumed = 0;
         }
         None
     }
--- a/crates/platform/src/wire/tests.rs
+++ b/crates/platform/src/wire/tests.rs
@@ -1,19 +1,19 @@
-//! Dangers of the wire.
+//! Malformed, cut and random input to the decoders.
 
 use proptest::prelude::*;
 use salttally::interface::{ReportField, ServerState};
 
-use super::frames::{BadFrame, Frames, Payload};
-use super::words::{self, Figures, Unusable};
+use super::frames::{FrameDecoder, FrameError, Payload};
+use super::values::{self, InvalidRequest, RequestFields};
 use super::*;
 
-fn bytes_of(message: &Message) -> Vec<u8> {
+fn encode(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
     message.write(&mut bytes);
     bytes
 }
 
-fn read(bytes: &[u8]) -> Result<Option<Message>, DecodeError> {
+fn decode(bytes: &[u8]) -> Result<Option<Message>, DecodeError> {
     let mut decoder = Decoder::default();
     decoder.feed(bytes);
     decoder.next_message()
@@ -32,11 +32,11 @@
 
 proptest! {
     #[test]
-    fn messages_cut_anywhere_are_read_as_they_were_written(
+    fn decodes_messages_split_at_any_byte(
         row in prop::collection::vec(messages(), 1..5),
         step in 1usize..40,
     ) {
-        let bytes: Vec<u8> = row.iter().flat_map(bytes_of).collect();
+        let bytes: Vec<u8> = row.iter().flat_map(encode).collect();
         let (mut decoder, mut got) = (Decoder::default(), Vec::new());
         for part in bytes.chunks(step) {
             decoder.feed(part);
@@ -49,49 +49,49 @@
     }
 
     #[test]
-    fn noise_is_no_panic_and_keeps_no_more_than_one_message(
+    fn random_bytes_do_not_panic_the_decoders(
         noise in prop::collection::vec(any::<u8>(), 0..4_000),
     ) {
-        let (mut decoder, mut frames) = (Decoder::default(), Frames::default());
+        let (mut decoder, mut frames) = (Decoder::default(), FrameDecoder::default());
         decoder.feed(&noise);
         while let Ok(Some(_)) = decoder.next_message() {}
         frames.feed(&noise);
-        while let Ok(Some(_)) = frames.take() {}
-        let _ = Figures::read(&String::from_utf8_lossy(&noise));
+        while let Ok(Some(_)) = frames.next_frame() {}
+        let _ = RequestFields::parse(&String::from_utf8_lossy(&noise));
     }
 }
 
 #[test]
-fn lengths_that_no_message_has_are_told_before_their_bytes_are_awaited() {
-    assert_eq!(read(&[0, 8]), Err(DecodeError::Length(8)));
-    assert_eq!(read(&[0xff, 0xff]), Err(DecodeError::Length(65_535)));
-    assert_eq!(read(&[0x40, 0x00]), Err(DecodeError::Length(16_384)));
-    assert_eq!(read(&[0x3f, 0xfe]), Ok(None), "the longest is awaited");
+fn rejects_invalid_lengths_before_their_bytes_arrive() {
+    assert_eq!(decode(&[0, 8]), Err(DecodeError::Length(8)));
+    assert_eq!(decode(&[0xff, 0xff]), Err(DecodeError::Length(65_535)));
+    assert_eq!(decode(&[0x40, 0x00]), Err(DecodeError::Length(16_384)));
+    assert_eq!(decode(&[0x3f, 0xfe]), Ok(None), "the longest message is awaited");
 }
 
 #[test]
-fn parameters_that_overrun_repeat_or_do_not_exist_spoil_the_message() {
-    let whole = bytes_of(&Message::new(kind::ANSWER, 7).with(code::TITLE, "x"));
+fn rejects_truncated_duplicate_and_unknown_parameters() {
+    let whole = encode(&Message::new(kind::ANSWER, 7).with(code::TITLE, "x"));
     let with = |at: usize, byte: u8| {
         let mut bytes = whole.clone();
         bytes[at] = byte;
-        read(&bytes)
+        decode(&bytes)
     };
-    assert!(matches!(read(&whole), Ok(Some(_))));
-    assert_eq!(with(13, 9), Err(DecodeError::Parameter));
+    assert!(matches!(decode(&whole), Ok(Some(_))));
+    assert_eq!(with(13, 9), Err(DecodeError::TruncatedParameter));
     assert_eq!(with(11, 4), Err(DecodeError::Code(4)));
     assert_eq!(with(11, 51), Err(DecodeError::Code(51)));
     assert_eq!(with(2, 200), Err(DecodeError::Kind(200)));
     let twice = Message::new(kind::ANSWER, 7).with(3, "a").with(3, "b");
-    assert_eq!(read(&bytes_of(&twice)), Err(DecodeError::Twice(3)));
+    assert_eq!(decode(&encode(&twice)), Err(DecodeError::DuplicateParameter(3)));
 }
 
 #[test]
-fn figures_that_are_missing_negative_or_no_numbers_are_named() {
+fn names_the_invalid_or_missing_request_field() {
     let good = "home:4;copies:3;top:4;viewer:00000000b4d65521;again:1;at:s-00c41f7a";
-    let figures = Figures::read(good).unwrap();
-    assert_eq!((figures.home, figures.copies, figures.top), (4, 3, 4));
-    assert_eq!((figures.viewer, figures.again, figures.at), (0xb4d6_5521, true, Some(0x00c4_1f7a)));
+    let fields = RequestFields::parse(good).unwrap();
+    assert_eq!((fields.first_cell, fields.cell_count, fields.top_rung), (4, 3, 4));
+    assert_eq!((fields.viewer, fields.returned, fields.playing_at), (0xb4d6_5521, true, Some(0x00c4_1f7a)));
     for (from, to, name) in [
         ("home:4", "home:-1", "home"),
         ("copies:3", "copies:nan", "copies"),
@@ -101,23 +101,24 @@
         ("at:s-00c41f7a", "at:s-1", "at"),
         ("home:4;", "", "home"),
     ] {
-        assert_eq!(Figures::read(&good.replace(from, to)), Err(Unusable::Figure(name)), "{to}");
+        assert_eq!(RequestFields::parse(&good.replace(from, to)), Err(InvalidRequest::Field(name)), "{to}");
     }
 }
 
 #[test]
-fn a_report_that_lacks_a_figure_is_none_rather_than_shifted() {
+fn load_report_with_a_missing_value_is_empty_rather_than_shifted() {
     let names = ["inflight".to_owned(), "x0".to_owned()];
     let fields = [ReportField::Streams, ReportField::Link];
-    let report =
-        |text: &str| words::report(&Message::new(kind::RELEASE, 1).with(code::REPORT, text), &names, &fields);
+    let report = |text: &str| {
+        values::load_report(&Message::new(kind::RELEASE, 1).with(code::REPORT, text), &names, &fields)
+    };
     assert_eq!(report("x0:0.5;inflight:12;queue:3"), [12.0, 0.5]);
     assert_eq!(report("inflight:12"), Vec::<f64>::new());
     assert_eq!(report("inflight:12;x0:inf"), Vec::<f64>::new());
 }
 
 #[test]
-fn half_an_event_of_the_list_tells_nothing_and_a_bad_one_is_told() {
+fn partial_list_frame_yields_nothing_and_an_invalid_one_an_error() {
     let mut record = vec![0, 0xc4, 0x1f, 0x7a, 127, 0, 0, 9, 0x0f, 0x1c, 1, 1, 0, 0, 2];
     record.extend(1500u32.to_be_bytes());
     record.extend(41_000u64.to_be_bytes());
@@ -128,12 +129,12 @@
         bytes.extend(records);
         bytes
     };
-    let mut frames = Frames::default();
+    let mut frames = FrameDecoder::default();
     let bytes = frame(2, &record);
     frames.feed(&bytes[..bytes.len() - 1]);
-    assert_eq!(frames.take(), Ok(None));
+    assert_eq!(frames.next_frame(), Ok(None));
     frames.feed(&bytes[bytes.len() - 1..]);
-    let got = frames.take().unwrap().unwrap();
+    let got = frames.next_frame().unwrap().unwrap();
     let Payload::Changes(lines) = got.payload else { panic!("{got:?}") };
     let line = &lines[0];
     assert_eq!(
@@ -143,12 +144,12 @@
     assert_eq!((line.entry.state, line.entry.zone, line.entry.cell), (ServerState::Draining, 1, 2));
     assert_eq!((line.entry.units, line.entry.started), (1.5, Some(41_000_000)));
     for (bytes, error) in [
-        (frame(7, &[]), BadFrame::Kind(7)),
-        (frame(2, &record[1..]), BadFrame::Length(35)),
-        (vec![0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0], BadFrame::Length(3)),
+        (frame(7, &[]), FrameError::Kind(7)),
+        (frame(2, &record[1..]), FrameError::Length(35)),
+        (vec![0, 0, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0], FrameError::Length(3)),
     ] {
-        let mut frames = Frames::default();
+        let mut frames = FrameDecoder::default();
         frames.feed(&bytes);
-        assert_eq!(frames.take(), Err(error));
+        assert_eq!(frames.next_frame(), Err(error));
     }
 }
