--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use salttally::facts::{Facts, FactsError};
 use salttally::interface::{ServerEntry, ServerId, ServerState};
+use salttally::platform_settings::{PlatformSettings, PlatformSettingsError};
 use salttally_front::core::Listed;
 use serde::Deserialize;
 use thiserror::Error;
@@ -31,7 +31,7 @@
     Field(PathBuf, String, String),
     /// The settings are invalid.
     #[error("{0}: settings: {1}")]
-    Settings(PathBuf, FactsError),
+    Settings(PathBuf, PlatformSettingsError),
 }
 
 /// Resources that the process may use.
@@ -70,7 +70,7 @@
     /// The list as of that event; it may be outdated.
     pub known: Vec<Listed>,
     /// The settings of the decider and of the sockets.
-    pub facts: Facts,
+    pub platform_settings: PlatformSettings,
 }
 
 #[derive(Deserialize)]
@@ -141,8 +141,9 @@
     pub fn parse(text: &str, path: &Path) -> Result<Config, ConfigError> {
         let file: File = serde_json::from_str(text).map_err(|e| ConfigError::Json(path.into(), e))?;
         let field_error = |field: &str, why: &str| ConfigError::Field(path.into(), field.into(), why.into());
-        let facts = Facts::from_value(file.settings).map_err(|e| ConfigError::Settings(path.into(), e))?;
-        if facts.settings.classes.is_empty() || facts.settings.ladder.is_empty() {
+        let platform_settings =
+            PlatformSettings::from_value(file.settings).map_err(|e| ConfigError::Settings(path.into(), e))?;
+        if platform_settings.settings.classes.is_empty() || platform_settings.settings.ladder.is_empty() {
             return Err(field_error("settings", "no classes or no rungs"));
         }
         let seed = match &file.seed {
@@ -157,9 +158,10 @@
                 known.clear();
             }
             for host in update.endpoints.hosts {
-                let listed = host.listed(&facts).map_err(|(field, why)| field_error(field, &why))?;
+                let listed =
+                    host.listed(&platform_settings).map_err(|(field, why)| field_error(field, &why))?;
                 let server = listed.entry.server;
-                if listed.entry.state == ServerState::Gone {
+                if listed.entry.state == ServerState::Removed {
                     known.remove(&server);
                 } else {
                     known.insert(server, listed);
@@ -174,7 +176,7 @@
             limits: file.limits,
             index: file.known.index,
             known: known.into_values().collect(),
-            facts,
+            platform_settings,
         })
     }
 }
@@ -201,7 +203,7 @@
 }
 
 impl Host {
-    fn listed(&self, facts: &Facts) -> Result<Listed, (&'static str, String)> {
+    fn listed(&self, platform_settings: &PlatformSettings) -> Result<Listed, (&'static str, String)> {
         let index_of =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
         let id = values::parse_server_id(&self.host)
@@ -209,19 +211,20 @@
         let state = match self.health.as_str() {
             "active" => ServerState::Ready,
             "leaving" => ServerState::Draining,
-            "left" => ServerState::Gone,
+            "left" => ServerState::Removed,
             other => return Err(("known.health", format!("unknown state `{other}`"))),
         };
         let address = self.dial.parse();
         Ok(Listed {
             entry: ServerEntry {
                 server: ServerId(id),
-                zone: index_of(&facts.zones, &self.site),
-                kind: index_of(&facts.kinds, &self.class),
+                zone: index_of(&platform_settings.zone_names, &self.site),
+                kind: index_of(&platform_settings.kind_names, &self.class),
                 cell: self.block,
                 state,
                 units: self.share.filter(|units| units.is_finite()).unwrap_or(1.0),
-                started: Some(salttally::facts::micros(self.born_ms)).filter(|at| *at > 0),
+                started: Some(salttally::platform_settings::micros_from_ms(self.born_ms))
+                    .filter(|at| *at > 0),
             },
             address: address.map_err(|_| ("known.dial", format!("`{}` is not an address", self.dial)))?,
         })
--- a/crates/platform/src/core/clients.rs
+++ b/crates/platform/src/core/clients.rs
@@ -93,7 +93,8 @@
                 self.counts.taken += 1;
                 let request = opening.request(&session_id(id), moved.is_some());
                 let session = self.new_session(client, opening);
-                self.timers.set(session.overdue_at(self.facts.answer_slack), Timer::AnswerDeadline(id));
+                self.timers
+                    .set(session.overdue_at(self.platform_settings.answer_slack), Timer::AnswerDeadline(id));
                 let forwarded_codes = [code::CLASS, code::TITLE, code::DESCRIPTION];
                 let forwarded_parameters = message
                     .parameters
@@ -110,7 +111,7 @@
     }
 
     fn new_session(&self, client: ClientId, opening: Opening) -> Session {
-        let class = self.facts.settings.classes.get(opening.class);
+        let class = self.platform_settings.settings.classes.get(opening.class);
         let (effect, floor) = class.map_or((Effect::Safe, 0), |class| (class.effect, class.floor));
         Session::new(Some((client, PLATFORM_TICKET)), opening, effect, floor, self.now)
     }
@@ -120,11 +121,11 @@
         if message.session == 0 {
             return Err(InvalidRequest::Field("id"));
         }
-        let names = &self.facts.class_names;
+        let names = &self.platform_settings.class_names;
         let class = text(code::CLASS)?;
         let class = names.iter().position(|n| n == class).ok_or(InvalidRequest::Value(code::CLASS))?;
         let fields = RequestFields::parse(text(code::REQUEST_FIELDS)?)?;
-        let settings = &self.facts.settings;
+        let settings = &self.platform_settings.settings;
         let cells_in_range = fields.first_cell < settings.cells.max(1)
             && (1..=settings.cells.max(1)).contains(&fields.cell_count);
         if !cells_in_range || fields.top_rung >= settings.ladder.len() {
--- a/crates/platform/src/core/health.rs
+++ b/crates/platform/src/core/health.rs
@@ -55,13 +55,13 @@
 #[derive(Clone, Debug)]
 pub struct Health {
     servers: BTreeMap<ServerId, ServerHealth>,
-    connect_within: Micros,
+    connect_timeout: Micros,
 }
 
 impl Health {
-    /// No servers yet. A connection that is not established within `connect_within` has failed.
-    pub fn new(connect_within: Micros) -> Health {
-        Health { servers: BTreeMap::new(), connect_within }
+    /// No servers yet. A connection that is not established within `connect_timeout` has failed.
+    pub fn new(connect_timeout: Micros) -> Health {
+        Health { servers: BTreeMap::new(), connect_timeout }
     }
 
     /// A media server holds one more session. Returns the time of the first check, if none is scheduled yet.
@@ -103,7 +103,7 @@
         let dial = disconnected || is_silent || health.failing_since.is_some();
         // A connection attempt in progress ends by itself, and is judged then.
         let next_check = if dial {
-            now + self.connect_within + RETRY_PAUSE
+            now + self.connect_timeout + RETRY_PAUSE
         } else {
             health.last_heard + CHECK_AFTER_SILENCE
         };
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -2,7 +2,7 @@
 //! out.
 //!
 //! [`Core::handle`] takes the time and one [`NodeEvent`]; [`Core::next_due`] returns when it must be called
-//! next. All decisions are made by a [`Decider`], in production [`salttally::brain::Brain`]. The rules that
+//! next. All decisions are made by a [`Decider`], in production [`salttally::controller::Controller`]. The rules that
 //! allow one answer per request, one attempt at a time and no repeated side effect are in
 //! [`salttally_front::core::session`], shared with every other entry.
 //!
@@ -31,8 +31,8 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use salttally::facts::Facts;
 use salttally::interface::*;
+use salttally::platform_settings::PlatformSettings;
 use salttally_front::core::gone;
 use salttally_front::core::session::{Attempt, Session, Stage, Stop};
 use salttally_front::core::timers::Timers;
@@ -253,7 +253,7 @@
 /// The state of a front node.
 pub struct Core<D> {
     decider: D,
-    facts: Facts,
+    platform_settings: PlatformSettings,
     now: Micros,
     sessions: BTreeMap<u64, SessionEntry>,
     admission: Admission,
@@ -286,14 +286,14 @@
 impl<D: Decider> Core<D> {
     /// A front node at its start. `sockets` is the number of file descriptors for client and server
     /// connections.
-    pub fn new(decider: D, facts: Facts, sockets: usize, now: Micros) -> Self {
-        let pool = Pool::new(&facts, sockets);
-        let health = Health::new(facts.connect_within);
+    pub fn new(decider: D, platform_settings: PlatformSettings, sockets: usize, now: Micros) -> Self {
+        let pool = Pool::new(&platform_settings, sockets);
+        let health = Health::new(platform_settings.connect_timeout);
         // The start time serves as the seed of the backoff: few nodes start in the same microsecond.
-        let list_watch = ListWatch::new(facts.settings.drain_grace, now);
+        let list_watch = ListWatch::new(platform_settings.settings.drain_grace, now);
         Core {
             decider,
-            facts,
+            platform_settings,
             now,
             sessions: BTreeMap::new(),
             admission: Admission::new(sockets),
@@ -328,7 +328,7 @@
         out: &mut Vec<Command>,
     ) {
         self.now = self.now.max(now);
-        self.apply_list_update(ListKind::Remembered, known, out);
+        self.apply_list_update(ListKind::Cached, known, out);
         self.list_watch.start(self.now, index, at, &mut self.timers, out);
         self.deliver_events(out);
     }
@@ -439,7 +439,7 @@
             NodeEvent::ListBytes(number) => self.list_watch.bytes_received(self.now, number),
             NodeEvent::ListFrame(number, frame) => {
                 match self.list_watch.frame_received(self.now, number, frame, &mut self.timers, out) {
-                    Some(Update::Full(lines)) => self.apply_list_update(ListKind::Whole, lines, out),
+                    Some(Update::Full(lines)) => self.apply_list_update(ListKind::Complete, lines, out),
                     Some(Update::Changes(lines)) => self.apply_list_update(ListKind::Changes, lines, out),
                     None => {}
                 }
@@ -517,7 +517,7 @@
                 }
             }
         }
-        self.events.push_back(Event::Left(left));
+        self.events.push_back(Event::ClientLeft(left));
     }
 
     fn reject_action(&mut self, what: &str, id: u64, out: &mut Vec<Command>) {
@@ -532,7 +532,7 @@
         };
         let in_doubt = entry.in_doubt.iter().any(|(at, _)| *at == server);
         let session = &mut entry.session;
-        let number = match (session.next_attempt(self.now, &self.facts.settings), address) {
+        let number = match (session.next_attempt(self.now, &self.platform_settings.settings), address) {
             (Err(Stop::TooMany), _) => return self.reject_action("an attempt beyond the limit", id, out),
             (Ok(number), _) if in_doubt => Err(number),
             (Ok(number), Some(_)) => Ok(number),
@@ -579,7 +579,7 @@
     fn set_rung(&mut self, id: u64, rung: usize, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         let session = &mut entry.session;
-        if !session.in_terms(rung, self.facts.settings.classes.get(session.opening.class)) {
+        if !session.in_terms(rung, self.platform_settings.settings.classes.get(session.opening.class)) {
             return self.reject_action("a rung outside the terms", id, out);
         }
         session.wanted = rung;
@@ -621,7 +621,7 @@
         match sent {
             Some(conn) => {
                 self.probes.insert(id, (server, conn));
-                self.timers.set(self.now + self.facts.connect_within, Timer::ProbeTimeout(id));
+                self.timers.set(self.now + self.platform_settings.connect_timeout, Timer::ProbeTimeout(id));
             }
             None => {
                 let (outcome, report) = (Outcome::NotSent, Vec::new());
@@ -646,7 +646,7 @@
         let mut restarted = BTreeMap::new();
         for line in &lines {
             let id = line.entry.server;
-            if line.entry.state == ServerState::Gone {
+            if line.entry.state == ServerState::Removed {
                 continue;
             }
             if line.entry.state == ServerState::Draining {
@@ -656,7 +656,7 @@
             if before.is_some_and(|before| before != line.address) {
                 readdressed.push(id);
             }
-            if let (Some(started), true) = (line.entry.started, kind != ListKind::Remembered) {
+            if let (Some(started), true) = (line.entry.started, kind != ListKind::Cached) {
                 restarted.insert(id, started);
             }
         }
@@ -768,7 +768,8 @@
 
     fn drop_session(&mut self, id: u64) {
         let Some(entry) = self.sessions.remove(&id) else { return };
-        self.timers.unset(entry.session.overdue_at(self.facts.answer_slack), Timer::AnswerDeadline(id));
+        self.timers
+            .unset(entry.session.overdue_at(self.platform_settings.answer_slack), Timer::AnswerDeadline(id));
         if let Some((client, _)) = entry.session.client {
             self.admission.session_ended(self.now, client, id, &mut self.timers);
         }
@@ -787,7 +788,8 @@
 /// Whether the decider may start an attempt in response to this event. Events of one session keep their
 /// order: whatever follows one of these is about the next attempt.
 fn may_start_attempt(event: &Event) -> bool {
-    let ends_session = |event: &Event| matches!(event, Event::Ended { last: true, .. } | Event::Left(_));
+    let ends_session =
+        |event: &Event| matches!(event, Event::Ended { last: true, .. } | Event::ClientLeft(_));
     let is_about_playing_session =
         |event: &Event| matches!(event, Event::Resumed(..) | Event::Started { .. } | Event::Note { .. });
     !ends_session(event) && !is_about_playing_session(event)
--- a/crates/platform/src/core/pool.rs
+++ b/crates/platform/src/core/pool.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-use salttally::facts::Facts;
 use salttally::interface::{Micros, ServerId};
+use salttally::platform_settings::PlatformSettings;
 use salttally_front::core::timers::Timers;
 
 use super::{Command, ConnId, Timer};
@@ -131,23 +131,25 @@
     room_counts: RoomCounts,
     max_streams: usize,
     max_connections: usize,
-    connect_within: Micros,
+    connect_timeout: Micros,
     idle_timeout: Micros,
 }
 
 impl Pool {
     /// An empty pool. It may use the descriptors of the process that client connections, open and closing,
     /// leave over.
-    pub fn new(facts: &Facts, sockets: usize) -> Pool {
+    pub fn new(platform_settings: &PlatformSettings, sockets: usize) -> Pool {
         Pool {
             connections: BTreeMap::new(),
             last_id: 0,
             dials: [0; 3],
             room_counts: RoomCounts::default(),
-            max_streams: facts.streams,
+            max_streams: platform_settings.streams_per_connection,
             max_connections: (sockets * 5 / 12).max(1),
-            connect_within: facts.connect_within,
-            idle_timeout: (facts.idle_closed * IDLE_TIMEOUT_FRACTION.0 / IDLE_TIMEOUT_FRACTION.1).max(1),
+            connect_timeout: platform_settings.connect_timeout,
+            idle_timeout: (platform_settings.idle_timeout * IDLE_TIMEOUT_FRACTION.0
+                / IDLE_TIMEOUT_FRACTION.1)
+                .max(1),
         }
     }
 
@@ -264,7 +266,7 @@
         };
         self.connections.insert(id, conn);
         self.reserve_room(out);
-        timers.set(now + self.connect_within, Timer::ConnectTimeout(id));
+        timers.set(now + self.connect_timeout, Timer::ConnectTimeout(id));
         out.push(Command::Connect(id, address));
         Some(id)
     }
@@ -540,8 +542,8 @@
             conn.state = State::Finishing;
             out.push(Command::FinishServer(id));
         } else if conn.state != State::Finishing {
-            let next_check = if conn.suspect { now + self.connect_within } else { last + self.idle_timeout };
-            timers.set(next_check.max(now + self.connect_within), Timer::IdleTimeout(id));
+            let next_check = if conn.suspect { now + self.connect_timeout } else { last + self.idle_timeout };
+            timers.set(next_check.max(now + self.connect_timeout), Timer::IdleTimeout(id));
         }
     }
 
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -185,7 +185,11 @@
     }
 
     fn report(&self, message: &Message) -> Vec<f64> {
-        values::load_report(message, &self.facts.report_names, &self.facts.settings.reports)
+        values::load_report(
+            message,
+            &self.platform_settings.report_field_names,
+            &self.platform_settings.settings.reports,
+        )
     }
 
     /// The session plays, if this answers the current attempt. Any other answer is a duplicate, late or
@@ -201,7 +205,7 @@
             out.push(Command::Log(Level::Debug, text));
             return;
         };
-        let overdue = entry.session.overdue_at(self.facts.answer_slack);
+        let overdue = entry.session.overdue_at(self.platform_settings.answer_slack);
         if overdue <= self.now {
             // No client may be told that its session plays after the deadline, however long the answer lay
             // unread.
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -90,7 +90,7 @@
 
     /// The earliest time of the kill. Settings without a deadline leave it open; the maximum counts then.
     fn earliest_kill(&self, since: Micros) -> Micros {
-        let longest = Some(self.facts.longest_patience).filter(|longest| *longest > 0);
+        let longest = Some(self.platform_settings.longest_patience).filter(|longest| *longest > 0);
         since + longest.unwrap_or(Micros::MAX).min(MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE
     }
 }
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -3,9 +3,9 @@
 
 use std::net::SocketAddr;
 
-use salttally::brain::Brain;
-use salttally::facts::Facts;
+use salttally::controller::Controller;
 use salttally::interface::*;
+use salttally::platform_settings::PlatformSettings;
 
 use super::*;
 use crate::wire::frames::Payload;
@@ -15,8 +15,8 @@
 const SERVER_COUNT: u32 = 3;
 
 /// Two classes: `clip` may be set up again, `paid` is set up at most once and never plays on the lowest rung.
-fn facts() -> Facts {
-    Facts::parse(
+fn platform_settings() -> PlatformSettings {
+    PlatformSettings::parse(
         r#"{"balancers": 1, "zone": 0, "localities": ["a"], "host_types": ["k"],
         "classes": [
           {"name": "clip", "aim_ms": 1500, "deadline_ms": 4000, "effect": "idempotent", "gain": 1},
@@ -59,15 +59,15 @@
     out: Vec<Command>,
 }
 
-impl TestNode<Brain> {
+impl TestNode<Controller> {
     fn new() -> Self {
-        TestNode::with(Brain::new(facts().settings, 7))
+        TestNode::with(Controller::new(platform_settings().settings, 7))
     }
 }
 
 impl<D: Decider> TestNode<D> {
     fn with(decider: D) -> Self {
-        let core = Core::new(decider, facts(), 256, START);
+        let core = Core::new(decider, platform_settings(), 256, START);
         let mut node = TestNode { core, now: START, out: Vec::new() };
         let known = (0..SERVER_COUNT).map(listed).collect();
         node.core.start(START, known, 5, address(200), &mut node.out);
@@ -463,7 +463,7 @@
     let mut node = TestNode::new();
     let (conn, at) = node.start_session(1, "clip");
     let old = node.core.sessions[&1].session.at().unwrap().server;
-    let gone = ServerEntry { server: old, state: ServerState::Gone, ..ServerEntry::default() };
+    let gone = ServerEntry { server: old, state: ServerState::Removed, ..ServerEntry::default() };
     let new = ServerEntry { server: ServerId(90), cell: old.0, units: 1.0, ..ServerEntry::default() };
     let lines = vec![Listed { entry: gone, address: at }, Listed { entry: new, address: at }];
     let out = node.list_frame(1, 6, Payload::Changes(lines));
@@ -702,7 +702,7 @@
     let mut node = TestNode::new();
     let gone_event = |id: u32| {
         let mut line = listed(id);
-        line.entry.state = ServerState::Gone;
+        line.entry.state = ServerState::Removed;
         Payload::Changes(vec![line])
     };
     node.list_frame(1, 6, gone_event(0));
@@ -726,7 +726,7 @@
 
 #[test]
 fn passes_the_readiness_test_only_with_a_list_and_not_during_shutdown() {
-    let passes = |node: &mut TestNode<Brain>| {
+    let passes = |node: &mut TestNode<Controller>| {
         let out = node.handle(NodeEvent::ClientMessage(
             ClientId(1),
             Message::new(kind::TEST, 0).with(code::CAUSE, [0]),
@@ -734,7 +734,7 @@
         let cause = sent_to_client(&out).next().and_then(Message::cause);
         cause == Some(1)
     };
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(platform_settings().settings, 7), platform_settings(), 256, START);
     let mut node = TestNode { core, now: START, out: Vec::new() };
     node.core.start(START, (0..SERVER_COUNT).map(listed).collect(), 5, address(200), &mut node.out);
     node.handle(NodeEvent::ClientConnected(ClientId(1)));
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -303,7 +303,7 @@
 #[test]
 fn returned_server_gets_no_set_up_that_waited_for_its_predecessor() {
     let (mut node, conn) = waiting_set_up("paid");
-    let out = node.list_frame(1, 6, state_change(0, ServerState::Gone));
+    let out = node.list_frame(1, 6, state_change(0, ServerState::Removed));
     assert!(out.contains(&Command::CloseServer(conn)));
     let ended = node.core.decider.1.iter().position(|e| matches!(e, Event::Ended { .. }));
     let list_update = node.core.decider.1.iter().rposition(|e| matches!(e, Event::Servers(..)));
@@ -392,7 +392,7 @@
 
 #[test]
 fn start_without_a_coordinator_serves_by_the_configured_list() {
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(platform_settings().settings, 7), platform_settings(), 256, START);
     let mut node = TestNode { core, now: START, out: Vec::new() };
     node.core.start(START, (0..SERVER_COUNT).map(listed).collect(), 5, address(200), &mut node.out);
     node.handle(NodeEvent::ClientConnected(ClientId(1)));
@@ -402,7 +402,7 @@
     assert!(node.core.is_ready(), "well within the 10 s of a restart");
     node.start_session(1, "paid");
     // A node that was started without a list cannot serve.
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(platform_settings().settings, 7), platform_settings(), 256, START);
     let mut node = TestNode { core, now: START, out: Vec::new() };
     node.core.start(START, Vec::new(), 0, address(200), &mut node.out);
     node.advance(20 * SECOND);
@@ -413,7 +413,7 @@
 // serve none.
 #[test]
 fn node_without_servers_is_not_ready_until_one_is_announced() {
-    let core = Core::new(Brain::new(facts().settings, 7), facts(), 256, START);
+    let core = Core::new(Controller::new(platform_settings().settings, 7), platform_settings(), 256, START);
     let mut node = TestNode { core, now: START, out: Vec::new() };
     node.core.start(START, Vec::new(), 5, address(200), &mut node.out);
     node.list_frame(1, 5, Payload::Unchanged);
--- a/crates/platform/src/core/tests/gone.rs
+++ b/crates/platform/src/core/tests/gone.rs
@@ -15,7 +15,7 @@
 fn decider_events(node: &TestNode<ScriptedDecider>, id: u64) -> Vec<&'static str> {
     let names = node.core.decider.1.iter().filter_map(|event| match event {
         Event::Request(request) if request.session == session_id(id) => Some("request"),
-        Event::Left(session) if *session == session_id(id) => Some("left"),
+        Event::ClientLeft(session) if *session == session_id(id) => Some("left"),
         Event::Ended { session, last: true, .. } if *session == session_id(id) => Some("ended, over"),
         Event::Ended { session, last: false, .. } if *session == session_id(id) => Some("ended"),
         _ => None,
--- a/crates/platform/src/core/tests/list.rs
+++ b/crates/platform/src/core/tests/list.rs
@@ -5,10 +5,15 @@
 /// Drain graces from a twentieth of the usual one to ten times it, in ms.
 const GRACES: [u64; 6] = [100, 200, 350, 500, 2_000, 20_000];
 
-fn with_grace(grace_ms: u64) -> TestNode<Brain> {
-    let mut facts = facts();
-    facts.settings.drain_grace = grace_ms * 1_000;
-    let core = Core::new(Brain::new(facts.settings.clone(), 7), facts, 256, START + grace_ms);
+fn with_grace(grace_ms: u64) -> TestNode<Controller> {
+    let mut platform_settings = platform_settings();
+    platform_settings.settings.drain_grace = grace_ms * 1_000;
+    let core = Core::new(
+        Controller::new(platform_settings.settings.clone(), 7),
+        platform_settings,
+        256,
+        START + grace_ms,
+    );
     let mut node = TestNode { core, now: START + grace_ms, out: Vec::new() };
     node.core.start(node.now, (0..SERVER_COUNT).map(listed).collect(), 5, address(200), &mut node.out);
     node.out.clear();
@@ -18,7 +23,7 @@
 
 /// Advances the time until a connection attempt begins; returns its number, and how long that took.
 /// Connections closed by then are removed from `open`.
-fn next_connection(node: &mut TestNode<Brain>, open: &mut Vec<u64>) -> (u64, Micros) {
+fn next_connection(node: &mut TestNode<Controller>, open: &mut Vec<u64>) -> (u64, Micros) {
     let since = node.now;
     loop {
         node.now = node.core.next_due().expect("a connection attempt is always due").max(node.now);
@@ -120,9 +125,14 @@
 fn nodes_that_lost_their_coordinator_together_do_not_reconnect_in_step() {
     let connections: Vec<Vec<Micros>> = [1, 2]
         .map(|seed| {
-            let mut facts = facts();
-            facts.settings.drain_grace = 500_000;
-            let core = Core::new(Brain::new(facts.settings.clone(), 7), facts, 256, START + seed);
+            let mut platform_settings = platform_settings();
+            platform_settings.settings.drain_grace = 500_000;
+            let core = Core::new(
+                Controller::new(platform_settings.settings.clone(), 7),
+                platform_settings,
+                256,
+                START + seed,
+            );
             let mut node = TestNode { core, now: START + seed, out: Vec::new() };
             node.core.start(
                 node.now,
@@ -177,7 +187,7 @@
 }
 
 /// Passes in the events of one poll in this order, and lets the decider act afterwards.
-fn in_one_poll(node: &mut TestNode<Brain>, inputs: Vec<NodeEvent>) -> Vec<Command> {
+fn in_one_poll(node: &mut TestNode<Controller>, inputs: Vec<NodeEvent>) -> Vec<Command> {
     for input in inputs {
         node.core.handle(node.now, input, &mut node.out);
     }
@@ -212,7 +222,7 @@
 // to the server that was leaving.
 #[test]
 fn drain_read_after_a_request_reaches_the_decider_first() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         for kept in 0..SERVER_COUNT {
             let mut node = TestNode::new();
             let request = NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", ""));
@@ -225,7 +235,7 @@
 // Guards against a further attempt at a server whose drain is read after the refusal of the first attempt.
 #[test]
 fn drain_read_after_a_refusal_reaches_the_decider_before_the_next_attempt() {
-    for state in [ServerState::Draining, ServerState::Gone] {
+    for state in [ServerState::Draining, ServerState::Removed] {
         for kept in 0..SERVER_COUNT {
             let mut node = TestNode::new();
             let out = node.send_request(9, "clip");
@@ -247,7 +257,7 @@
     let mut node = TestNode::with(ScriptedDecider::default());
     let hand_over = NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", ";at:s-00000000"));
     node.core.handle(node.now, hand_over, &mut node.out);
-    node.core.handle(node.now, list_event(6, vec![listed_as(0, ServerState::Gone)]), &mut node.out);
+    node.core.handle(node.now, list_event(6, vec![listed_as(0, ServerState::Removed)]), &mut node.out);
     node.core.decide(node.now, &mut node.out);
     let names: Vec<&str> = node
         .core
@@ -269,7 +279,7 @@
 // set-up was rejected here.
 #[test]
 fn last_record_of_a_server_in_one_event_counts() {
-    let (gone, ready) = (listed_as(0, ServerState::Gone), listed(0));
+    let (gone, ready) = (listed_as(0, ServerState::Removed), listed(0));
     for whole in [true, false] {
         for (records, is_there) in
             [(vec![gone.clone(), ready.clone()], true), (vec![ready.clone(), gone.clone()], false)]
--- a/crates/platform/src/core/tests/releases.rs
+++ b/crates/platform/src/core/tests/releases.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// A session that its client has ended, and the connection on which its media server was sent the release.
-fn released_session() -> (TestNode<Brain>, ConnId) {
+fn released_session() -> (TestNode<Controller>, ConnId) {
     let mut node = TestNode::new();
     let (conn, _) = node.start_session(1, "clip");
     let out = node.handle(NodeEvent::ClientMessage(ClientId(1), Message::release(1, cause::NORMAL)));
@@ -12,7 +12,7 @@
 }
 
 /// Number of releases sent within this time, with each dialled connection established at once.
-fn releases_within(node: &mut TestNode<Brain>, span: Micros) -> usize {
+fn releases_within(node: &mut TestNode<Controller>, span: Micros) -> usize {
     let (until, mut count) = (node.now + span, 0);
     while node.now < until {
         let out = node.advance(SECOND / 20);
