--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -66,15 +66,15 @@
     /// Address of the coordinator, which sends the server list.
     pub coordinator: SocketAddr,
     /// Number of the last known event of the list.
-    pub index: u64,
+    pub last_event: u64,
     /// The list as of that event; it may be outdated.
-    pub known: Vec<Listed>,
+    pub known_servers: Vec<Listed>,
     /// The settings of the decider and of the sockets.
     pub platform_settings: PlatformSettings,
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: String,
     #[serde(default)]
@@ -139,7 +139,7 @@
     /// # Errors
     /// The configuration is invalid.
     pub fn parse(text: &str, path: &Path) -> Result<Config, ConfigError> {
-        let file: File = serde_json::from_str(text).map_err(|e| ConfigError::Json(path.into(), e))?;
+        let file: ConfigFile = serde_json::from_str(text).map_err(|e| ConfigError::Json(path.into(), e))?;
         let field_error = |field: &str, why: &str| ConfigError::Field(path.into(), field.into(), why.into());
         let platform_settings =
             PlatformSettings::from_value(file.settings).map_err(|e| ConfigError::Settings(path.into(), e))?;
@@ -152,19 +152,19 @@
                 .map_err(|_| field_error("seed", "neither a number nor hex digits"))?,
             _ => 0,
         };
-        let mut known: BTreeMap<ServerId, Listed> = BTreeMap::new();
+        let mut known_servers: BTreeMap<ServerId, Listed> = BTreeMap::new();
         for update in file.known.updates {
             if update.endpoints.whole {
-                known.clear();
+                known_servers.clear();
             }
             for host in update.endpoints.hosts {
                 let listed =
                     host.listed(&platform_settings).map_err(|(field, why)| field_error(field, &why))?;
                 let server = listed.entry.server;
                 if listed.entry.state == ServerState::Removed {
-                    known.remove(&server);
+                    known_servers.remove(&server);
                 } else {
-                    known.insert(server, listed);
+                    known_servers.insert(server, listed);
                 }
             }
         }
@@ -174,8 +174,8 @@
             name: file.name,
             seed,
             limits: file.limits,
-            index: file.known.index,
-            known: known.into_values().collect(),
+            last_event: file.known.index,
+            known_servers: known_servers.into_values().collect(),
             platform_settings,
         })
     }
--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -18,8 +18,8 @@
 struct Connection {
     connected_at: Micros,
     last_message: Option<Micros>,
-    open: BTreeSet<u64>,
-    playing: BTreeSet<u64>,
+    open_requests: BTreeSet<u64>,
+    playing_sessions: BTreeSet<u64>,
     /// When the next check for silence is due, if one is.
     next_check: Option<Micros>,
 }
@@ -27,7 +27,7 @@
 impl Connection {
     /// Whether no request or session belongs to this connection.
     fn has_no_session(&self) -> bool {
-        self.open.is_empty() && self.playing.is_empty()
+        self.open_requests.is_empty() && self.playing_sessions.is_empty()
     }
 }
 
@@ -98,7 +98,7 @@
     /// A set-up is open on a connection.
     pub fn request_opened(&mut self, id: ClientId, session: u64, timers: &mut Timers<Timer>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        connection.open.insert(session);
+        connection.open_requests.insert(session);
         if let Some(due) = connection.next_check.take() {
             timers.unset(due, Timer::ClientIdle(id));
         }
@@ -107,14 +107,15 @@
     /// An open set-up has become a playing session.
     pub fn session_started(&mut self, id: ClientId, session: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        connection.open.remove(&session);
-        connection.playing.insert(session);
+        connection.open_requests.remove(&session);
+        connection.playing_sessions.insert(session);
     }
 
     /// An open set-up was answered otherwise, or a playing session is over.
     pub fn session_ended(&mut self, now: Micros, id: ClientId, session: u64, timers: &mut Timers<Timer>) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        let belonged = connection.open.remove(&session) | connection.playing.remove(&session);
+        let belonged =
+            connection.open_requests.remove(&session) | connection.playing_sessions.remove(&session);
         if belonged && connection.has_no_session() && connection.next_check.is_none() {
             self.schedule_check(now + IDLE_TIMEOUT, id, timers);
         }
@@ -122,7 +123,9 @@
 
     /// Sessions whose requests are open on a connection.
     pub fn open_requests(&self, id: ClientId) -> Vec<u64> {
-        self.connections.get(&id).map_or(Vec::new(), |connection| connection.open.iter().copied().collect())
+        self.connections
+            .get(&id)
+            .map_or(Vec::new(), |connection| connection.open_requests.iter().copied().collect())
     }
 
     /// Removes a connection that is gone; returns the sessions that belonged to it.
@@ -131,7 +134,7 @@
         if let Some(due) = connection.next_check {
             timers.unset(due, Timer::ClientIdle(id));
         }
-        connection.open.into_iter().chain(connection.playing).collect()
+        connection.open_requests.into_iter().chain(connection.playing_sessions).collect()
     }
 
     /// Checks a connection for silence; returns whether it is to be closed.
--- a/crates/platform/src/core/clients.rs
+++ b/crates/platform/src/core/clients.rs
@@ -194,8 +194,8 @@
         self.admission.session_started(client, id);
         self.events.push_back(Event::Resumed(request, at));
         self.watch_health(at);
-        let gone = !self.pool.is_up(at);
-        self.check_health(at, gone, out);
+        let disconnected = !self.pool.is_up(at);
+        self.check_health(at, disconnected, out);
     }
 
     /// A client gives up a request, or ends a playing session.
--- a/crates/platform/src/core/list_watch.rs
+++ b/crates/platform/src/core/list_watch.rs
@@ -104,12 +104,12 @@
     pub fn start(
         &mut self,
         now: Micros,
-        last: u64,
-        at: SocketAddr,
+        last_event: u64,
+        coordinator: SocketAddr,
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) {
-        (self.last_event, self.coordinator) = (last, Some(at));
+        (self.last_event, self.coordinator) = (last_event, Some(coordinator));
         self.connect(now, timers, out);
     }
 
@@ -117,14 +117,16 @@
     pub fn follow(
         &mut self,
         now: Micros,
-        at: SocketAddr,
+        coordinator: SocketAddr,
         timers: &mut Timers<Timer>,
         out: &mut Vec<Command>,
     ) {
-        if self.coordinator == Some(at) && (self.established.is_some() || !self.connecting.is_empty()) {
+        if self.coordinator == Some(coordinator)
+            && (self.established.is_some() || !self.connecting.is_empty())
+        {
             return;
         }
-        self.coordinator = Some(at);
+        self.coordinator = Some(coordinator);
         self.failures = 0;
         let connections = std::mem::take(&mut self.connecting);
         out.extend(connections.into_iter().map(|(connection, _)| Command::CloseList(connection)));
@@ -133,23 +135,25 @@
 
     /// Begins a connection attempt; an established connection is closed.
     fn connect(&mut self, now: Micros, timers: &mut Timers<Timer>, out: &mut Vec<Command>) {
-        let Some(at) = self.coordinator else { return };
+        let Some(coordinator) = self.coordinator else { return };
         out.extend(self.established.take().map(Command::CloseList));
         if self.connecting.len() >= MAX_CONNECTS {
             out.extend(self.connecting.remove(1).map(|(connection, _)| Command::CloseList(connection)));
         }
         self.last_connection += 1;
         self.connecting.push_back((self.last_connection, now));
-        let text =
-            format!("list: connection {} to {at} after event {}", self.last_connection, self.last_event);
+        let text = format!(
+            "list: connection {} to {coordinator} after event {}",
+            self.last_connection, self.last_event
+        );
         out.push(Command::Log(Level::Info, text));
-        out.push(Command::ConnectList(self.last_connection, at, self.last_event));
+        out.push(Command::ConnectList(self.last_connection, coordinator, self.last_event));
         self.schedule_check(now + self.reconnect_interval, timers);
     }
 
     fn schedule_check(&mut self, at: Micros, timers: &mut Timers<Timer>) {
-        if let Some(before) = self.next_check.replace(at) {
-            timers.unset(before, Timer::ListWatch);
+        if let Some(previous) = self.next_check.replace(at) {
+            timers.unset(previous, Timer::ListWatch);
         }
         timers.set(at, Timer::ListWatch);
     }
@@ -246,12 +250,14 @@
             Payload::Unchanged => Some(Update::Changes(Vec::new())),
             // A complete list under the last number is the state after that event, as good as the event
             // itself.
-            Payload::Full(lines) if frame.number == self.last_event && first_of_connection => {
-                Some(Update::Full(lines))
+            Payload::Full(records) if frame.number == self.last_event && first_of_connection => {
+                Some(Update::Full(records))
             }
             _ if frame.number <= self.last_event => return None,
-            Payload::Full(lines) => Some(Update::Full(lines)),
-            Payload::Changes(lines) if frame.number == self.last_event + 1 => Some(Update::Changes(lines)),
+            Payload::Full(records) => Some(Update::Full(records)),
+            Payload::Changes(records) if frame.number == self.last_event + 1 => {
+                Some(Update::Changes(records))
+            }
             Payload::Changes(_) => None,
         };
         let Some(update) = update else {
@@ -271,9 +277,9 @@
             return None;
         };
         self.failures = 0;
-        let empty = matches!(&update, Update::Changes(lines) if lines.is_empty());
+        let is_empty = matches!(&update, Update::Changes(records) if records.is_empty());
         self.last_event = self.last_event.max(frame.number);
-        let first = !std::mem::replace(&mut self.synced, true);
-        (first || !empty).then_some(update)
+        let is_first = !std::mem::replace(&mut self.synced, true);
+        (is_first || !is_empty).then_some(update)
     }
 }
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -264,7 +264,7 @@
     /// Clients that this node moved and that have not come back, and until when they are expected.
     moved_clients: BTreeMap<ViewerId, Micros>,
     probes: BTreeMap<u64, (ServerId, ConnId)>,
-    next_probe: u64,
+    last_probe_id: u64,
     timers: Timers<Timer>,
     events: VecDeque<Event>,
     /// Events of the list and ends of sessions caused by it; the decider gets them before all others.
@@ -303,7 +303,7 @@
             servers: BTreeMap::new(),
             moved_clients: BTreeMap::new(),
             probes: BTreeMap::new(),
-            next_probe: 0,
+            last_probe_id: 0,
             timers: Timers::default(),
             events: VecDeque::new(),
             list_events: VecDeque::new(),
@@ -340,7 +340,7 @@
 
     /// For each media server of the list: its connections, the number of sessions that play there, the number
     /// of set-ups in flight, and when the server was last heard if it is being checked. Used to compare the
-    /// node's state with the traffic and with the decider's beliefs.
+    /// node's state with the traffic and with the decider's estimates.
     pub fn server_summaries(&self) -> BTreeMap<ServerId, (Vec<ConnId>, i32, i32, Option<Micros>)> {
         let mut servers: BTreeMap<_, _> =
             self.servers.keys().map(|id| (*id, (self.pool.connections_to(*id), 0, 0, None))).collect();
@@ -350,8 +350,8 @@
             let plays = i32::from(entry.session.playing().is_some());
             (row.1, row.2) = (row.1 + plays, row.2 + 1 - plays);
         }
-        for (id, _, heard) in self.health.states() {
-            servers.entry(id).and_modify(|row| row.3 = Some(heard));
+        for (id, _, last_heard) in self.health.states() {
+            servers.entry(id).and_modify(|row| row.3 = Some(last_heard));
         }
         servers
     }
@@ -387,8 +387,8 @@
     /// as long; without the check for a server, a node that knows none would be given clients and could serve
     /// none of them.
     pub fn is_ready(&self) -> bool {
-        let heard = self.list_watch.synced() || self.now >= self.started_at + READY_WITHOUT_LIST_AFTER;
-        heard && !self.servers.is_empty() && self.shutdown_since.is_none()
+        let list_known = self.list_watch.synced() || self.now >= self.started_at + READY_WITHOUT_LIST_AFTER;
+        list_known && !self.servers.is_empty() && self.shutdown_since.is_none()
     }
 
     /// Whether the process was asked to shut down.
@@ -439,8 +439,8 @@
             NodeEvent::ListBytes(number) => self.list_watch.bytes_received(self.now, number),
             NodeEvent::ListFrame(number, frame) => {
                 match self.list_watch.frame_received(self.now, number, frame, &mut self.timers, out) {
-                    Some(Update::Full(lines)) => self.apply_list_update(ListKind::Complete, lines, out),
-                    Some(Update::Changes(lines)) => self.apply_list_update(ListKind::Changes, lines, out),
+                    Some(Update::Full(records)) => self.apply_list_update(ListKind::Complete, records, out),
+                    Some(Update::Changes(records)) => self.apply_list_update(ListKind::Changes, records, out),
                     None => {}
                 }
             }
@@ -450,8 +450,8 @@
             NodeEvent::Tick => {
                 self.deliver_events(out);
                 // Timers are compared with the time of the poll, which may lie in the past.
-                while let Some(due) = self.timers.pop(now) {
-                    self.timer_fired(due, out);
+                while let Some(timer) = self.timers.pop(now) {
+                    self.timer_fired(timer, out);
                     self.deliver_events(out);
                 }
                 self.check_shutdown(now, out);
@@ -601,8 +601,8 @@
         self.counts.moved += 1;
         let (client, viewer) = (entry.session.client.map(|(client, _)| client), entry.session.opening.viewer);
         let until = self.now + MOVED_CLIENT_RETENTION;
-        if let Some(before) = self.moved_clients.insert(viewer, until) {
-            self.timers.unset(before, Timer::MovedClientExpiry(viewer));
+        if let Some(previous) = self.moved_clients.insert(viewer, until) {
+            self.timers.unset(previous, Timer::MovedClientExpiry(viewer));
         }
         self.timers.set(until, Timer::MovedClientExpiry(viewer));
         self.timers.set(self.now + MOVE_TIMEOUT, Timer::MoveTimeout(id));
@@ -614,8 +614,8 @@
             let (outcome, report) = (Outcome::NotSent, Vec::new());
             return self.events.push_back(Event::Probed { server, outcome, report });
         };
-        self.next_probe += 1;
-        let id = self.next_probe;
+        self.last_probe_id += 1;
+        let id = self.last_probe_id;
         let message = Message::new(kind::TEST, id).with(code::CAUSE, [1]);
         let sent = self.pool.send(self.now, (server, address), None, message, &mut self.timers, out);
         match sent {
@@ -635,48 +635,48 @@
     /// Applies an update of the list. A request, or a refusal that leads to a further attempt, may be read
     /// before a drain that was announced long before, when the process resumes after a stop or the list is
     /// long. The decider therefore gets the list before either.
-    fn apply_list_update(&mut self, kind: ListKind, lines: Vec<Listed>, out: &mut Vec<Command>) {
-        let lines = keep_last_records(lines);
+    fn apply_list_update(&mut self, kind: ListKind, records: Vec<Listed>, out: &mut Vec<Command>) {
+        let records = keep_last_records(records);
         let (immediate, deferred): (Vec<_>, Vec<_>) =
             self.events.drain(..).partition(|event| !may_start_attempt(event));
         self.events = std::mem::take(&mut self.list_events);
         self.events.extend(immediate);
-        let mut gone: BTreeSet<ServerId> = gone(kind, &lines, self.servers.keys()).into_iter().collect();
+        let mut removed: BTreeSet<ServerId> = gone(kind, &records, self.servers.keys()).into_iter().collect();
         let (mut draining, mut readdressed) = (BTreeSet::new(), Vec::new());
         let mut restarted = BTreeMap::new();
-        for line in &lines {
-            let id = line.entry.server;
-            if line.entry.state == ServerState::Removed {
+        for record in &records {
+            let id = record.entry.server;
+            if record.entry.state == ServerState::Removed {
                 continue;
             }
-            if line.entry.state == ServerState::Draining {
+            if record.entry.state == ServerState::Draining {
                 draining.insert(id);
             }
-            let before = self.servers.insert(id, line.address);
-            if before.is_some_and(|before| before != line.address) {
+            let previous = self.servers.insert(id, record.address);
+            if previous.is_some_and(|previous| previous != record.address) {
                 readdressed.push(id);
             }
-            if let (Some(started), true) = (line.entry.started, kind != ListKind::Cached) {
+            if let (Some(started), true) = (record.entry.started, kind != ListKind::Cached) {
                 restarted.insert(id, started);
             }
         }
-        for id in &gone {
+        for id in &removed {
             self.servers.remove(id);
         }
         // A restarted server has lost the sessions of its previous process.
         let lost_by_restart =
             |at: ServerId, since: Micros| restarted.get(&at).is_some_and(|start| since < *start);
         self.end_lost_sessions(
-            |at, entry| gone.contains(&at) || lost_by_restart(at, entry.playing_since),
+            |at, entry| removed.contains(&at) || lost_by_restart(at, entry.playing_since),
             out,
         );
-        self.drop_releases(|at| gone.contains(&at));
-        let entries = lines.into_iter().map(|line| line.entry).collect();
+        self.drop_releases(|at| removed.contains(&at));
+        let entries = records.into_iter().map(|record| record.entry).collect();
         self.events.push_back(Event::Servers(kind, entries));
         self.list_events = std::mem::replace(&mut self.events, deferred.into());
         // Set-ups withdrawn from a media server now must not be sent there again.
-        gone.extend(readdressed);
-        self.drop_connections(&gone, out);
+        removed.extend(readdressed);
+        self.drop_connections(&removed, out);
         for id in self.pool.unsent_set_ups_to(&draining) {
             self.withdraw_attempt(id, false, out);
             self.attempt_ended(id, Outcome::NotSent, Vec::new());
@@ -685,8 +685,8 @@
 
     // ---- Time ----
 
-    fn timer_fired(&mut self, due: Timer, out: &mut Vec<Command>) {
-        match due {
+    fn timer_fired(&mut self, timer: Timer, out: &mut Vec<Command>) {
+        match timer {
             Timer::AttemptTimeout(id, number) => self.expire_attempt(id, number, out),
             Timer::Wake(tag) => self.events.push_back(Event::Wake(tag)),
             Timer::AnswerDeadline(id) => self.answer_overdue(id, out),
@@ -778,11 +778,11 @@
 
 /// Keeps the last record of each server that one event names several times. Otherwise a server that is gone
 /// by one record and back by the next would exist for the decider and not here.
-fn keep_last_records(lines: Vec<Listed>) -> Vec<Listed> {
+fn keep_last_records(records: Vec<Listed>) -> Vec<Listed> {
     let last: BTreeMap<ServerId, usize> =
-        lines.iter().enumerate().map(|(at, line)| (line.entry.server, at)).collect();
-    let is_last = |(at, line): &(usize, Listed)| last.get(&line.entry.server) == Some(at);
-    lines.into_iter().enumerate().filter(is_last).map(|(_, line)| line).collect()
+        records.iter().enumerate().map(|(at, record)| (record.entry.server, at)).collect();
+    let is_last = |(at, record): &(usize, Listed)| last.get(&record.entry.server) == Some(at);
+    records.into_iter().enumerate().filter(is_last).map(|(_, record)| record).collect()
 }
 
 /// Whether the decider may start an attempt in response to this event. Events of one session keep their
--- a/crates/platform/src/core/pool.rs
+++ b/crates/platform/src/core/pool.rs
@@ -414,8 +414,8 @@
         let is_withdrawn = |message: &Message| !conn.in_flight.contains(&message.session);
         let sessions = unsent.iter().filter(is_set_up).filter(|m| is_withdrawn(m)).map(|m| m.session);
         let withdrawn: BTreeSet<u64> = sessions.collect();
-        let kept = unsent.into_iter().filter(|message| !withdrawn.contains(&message.session));
-        kept.rev().for_each(|message| conn.unsent.push_front(message));
+        let remaining = unsent.into_iter().filter(|message| !withdrawn.contains(&message.session));
+        remaining.rev().for_each(|message| conn.unsent.push_front(message));
         timers.set(now + WRITE_TIMEOUT, Timer::WriteTimeout(id));
     }
 
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -52,12 +52,12 @@
             return;
         }
         if !by_server {
-            self.attempts_in_doubt(server, &ended, out);
+            self.mark_attempts_in_doubt(server, &ended, out);
         }
         self.end_attempts_on(ended, Outcome::Broken);
         // Sessions that play there go on, unless the server's process has died: a health check finds out.
-        let gone = !self.pool.is_up(server);
-        self.check_health(server, gone, out);
+        let disconnected = !self.pool.is_up(server);
+        self.check_health(server, disconnected, out);
     }
 
     /// Closes a connection whose bytes cannot be decoded: nothing that follows on it can be trusted.
@@ -72,7 +72,7 @@
         self.connection_closed(conn, false, out);
     }
 
-    fn attempts_in_doubt(&mut self, server: ServerId, ended: &EndedConnection, out: &mut Vec<Command>) {
+    fn mark_attempts_in_doubt(&mut self, server: ServerId, ended: &EndedConnection, out: &mut Vec<Command>) {
         for id in &ended.set_ups {
             self.mark_in_doubt(*id, server, ended.conn, out);
             self.release_abandoned(*id, server, out);
@@ -100,7 +100,7 @@
         for (conn, server) in self.pool.connections_of(servers) {
             out.push(Command::CloseServer(conn));
             let ended = self.pool.remove(conn);
-            self.attempts_in_doubt(server, &ended, out);
+            self.mark_attempts_in_doubt(server, &ended, out);
             self.end_attempts_on(ended, Outcome::Broken);
         }
     }
@@ -133,7 +133,7 @@
                 if self.probes.get(&id).is_some_and(|(of, _)| *of == server) {
                     self.probes.remove(&id);
                     let outcome = if message.cause() == Some(1) { Outcome::Ok } else { Outcome::Failed };
-                    let report = self.report(&message);
+                    let report = self.load_report(&message);
                     self.events.push_back(Event::Probed { server, outcome, report });
                 }
             }
@@ -184,7 +184,7 @@
         self.attempt_ended(id, Outcome::Withdrawn, Vec::new());
     }
 
-    fn report(&self, message: &Message) -> Vec<f64> {
+    fn load_report(&self, message: &Message) -> Vec<f64> {
         values::load_report(
             message,
             &self.platform_settings.report_field_names,
@@ -253,7 +253,7 @@
         if entry.session.at().is_none_or(|at| at.server != server) || is_late {
             return;
         }
-        let (report, cause) = (self.report(&message), message.cause());
+        let (report, cause) = (self.load_report(&message), message.cause());
         if entry.session.playing().is_some() {
             let moving = entry.moving;
             let (outcome, client_cause) = interpret_end_cause(cause);
@@ -281,8 +281,8 @@
         }
     }
 
-    pub(super) fn check_health(&mut self, server: ServerId, gone: bool, out: &mut Vec<Command>) {
-        let check = self.health.check(self.now, server, gone);
+    pub(super) fn check_health(&mut self, server: ServerId, disconnected: bool, out: &mut Vec<Command>) {
+        let check = self.health.check(self.now, server, disconnected);
         if let Some(at) = check.next_check {
             self.timers.set(at, Timer::HealthCheck(server));
         }
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -153,7 +153,7 @@
 }
 
 fn answer_message(id: u64) -> Message {
-    Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by a box")
+    Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by a server")
 }
 
 fn sent_to_client(out: &[Command]) -> impl Iterator<Item = &Message> {
@@ -176,10 +176,10 @@
 }
 
 mod crossings;
-mod gone;
+mod departed_clients;
+mod descriptor_limits;
 mod list;
 mod releases;
-mod room;
 mod shutdown;
 
 #[test]
@@ -211,8 +211,8 @@
     let give_up = out.iter().position(
         |o| matches!(o, Command::SendToServer(on, m) if *on == first && m.kind == kind::RELEASE && m.cause() == Some(16)),
     );
-    let again = out.iter().position(|o| matches!(o, Command::Connect(..)));
-    assert!(give_up.unwrap() < again.unwrap(), "{out:?}");
+    let next_dial = out.iter().position(|o| matches!(o, Command::Connect(..)));
+    assert!(give_up.unwrap() < next_dial.unwrap(), "{out:?}");
     let second = node.establish(&out);
     let (second, _) = sent_set_up(&second).unwrap();
     assert_ne!(first, second);
@@ -266,14 +266,14 @@
         all.extend(node.establish(&out));
         sent_set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
-    let again = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
-    node.core.decider.0.push_back(again.clone());
+    let next_attempt = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
+    node.core.decider.0.push_back(next_attempt.clone());
     let first = request(&mut node, NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", "")));
     // The attempt times out, the media server acknowledges the give-up, and the next attempt goes to the same
     // server.
     node.now += SECOND / 2;
     node.tick_without_closes();
-    node.core.decider.0.push_back(again);
+    node.core.decider.0.push_back(next_attempt);
     let second = request(&mut node, NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
     assert_ne!(first, second);
     assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(first, answer_message(9)))).count(), 0);
@@ -293,15 +293,17 @@
         assert!(out.iter().any(|o| matches!(o, Command::Connect(..))), "{out:?}");
     }
     // Refused by a server that is full, or never sent.
-    for (cause, again) in [(cause::FULL, true), (cause::NOT_SENT, true), (cause::ERROR, false), (99, false)] {
+    for (cause, is_retried) in
+        [(cause::FULL, true), (cause::NOT_SENT, true), (cause::ERROR, false), (99, false)]
+    {
         let mut node = TestNode::new();
         let out = node.send_request(9, "paid");
         let out = node.establish(&out);
         let (conn, _) = sent_set_up(&out).unwrap();
         let out = node.handle(NodeEvent::ServerMessage(conn, Message::release(9, cause)));
-        assert_eq!(out.iter().any(|o| matches!(o, Command::Connect(..))), again, "{cause}: {out:?}");
+        assert_eq!(out.iter().any(|o| matches!(o, Command::Connect(..))), is_retried, "{cause}: {out:?}");
         let failed = sent_to_client(&out).any(|m| m.kind == kind::RELEASE && m.cause() == Some(FAILED_CAUSE));
-        assert_eq!(failed, !again, "{cause}");
+        assert_eq!(failed, !is_retried, "{cause}");
     }
     // The connection ends after the set-up was written.
     let mut node = TestNode::new();
@@ -463,10 +465,10 @@
     let mut node = TestNode::new();
     let (conn, at) = node.start_session(1, "clip");
     let old = node.core.sessions[&1].session.at().unwrap().server;
-    let gone = ServerEntry { server: old, state: ServerState::Removed, ..ServerEntry::default() };
+    let removed = ServerEntry { server: old, state: ServerState::Removed, ..ServerEntry::default() };
     let new = ServerEntry { server: ServerId(90), cell: old.0, units: 1.0, ..ServerEntry::default() };
-    let lines = vec![Listed { entry: gone, address: at }, Listed { entry: new, address: at }];
-    let out = node.list_frame(1, 6, Payload::Changes(lines));
+    let records = vec![Listed { entry: removed, address: at }, Listed { entry: new, address: at }];
+    let out = node.list_frame(1, 6, Payload::Changes(records));
     assert!(
         out.contains(&Command::CloseServer(conn)),
         "a connection to the old server is never used for the new one"
@@ -481,9 +483,9 @@
     node.start_session(1, "clip");
     let server = node.core.sessions[&1].session.at().unwrap().server;
     node.advance(SECOND);
-    let mut again = listed(server.0);
-    again.entry.started = Some(node.now - SECOND / 2);
-    let out = node.list_frame(1, 6, Payload::Changes(vec![again.clone()]));
+    let mut restarted = listed(server.0);
+    restarted.entry.started = Some(node.now - SECOND / 2);
+    let out = node.list_frame(1, 6, Payload::Changes(vec![restarted.clone()]));
     assert!(sent_to_client(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
     node.start_session(2, "clip");
     let server = node.core.sessions[&2].session.at().unwrap().server;
@@ -692,8 +694,8 @@
     assert_eq!(node.core.moved_clients.len(), 1, "the request is from another viewer");
     let mut back = request_message(3, "clip", "");
     back.parameters.retain(|(code, _)| *code != code::REQUEST_FIELDS);
-    let figures = format!("home:0;copies:3;top:2;viewer:{:016x};again:1", 1);
-    node.handle(NodeEvent::ClientMessage(ClientId(1), back.with(code::REQUEST_FIELDS, figures)));
+    let fields = format!("home:0;copies:3;top:2;viewer:{:016x};again:1", 1);
+    node.handle(NodeEvent::ClientMessage(ClientId(1), back.with(code::REQUEST_FIELDS, fields)));
     assert!(node.core.moved_clients.is_empty());
 }
 
@@ -802,12 +804,12 @@
 #[test]
 fn refuses_at_once_with_a_hold_off_time_when_no_server_is_left() {
     let mut node = TestNode::new();
-    let lines = (0..SERVER_COUNT).map(|id| {
+    let records = (0..SERVER_COUNT).map(|id| {
         let mut line = listed(id);
         line.entry.state = ServerState::Draining;
         line
     });
-    node.list_frame(1, 6, Payload::Changes(lines.collect()));
+    node.list_frame(1, 6, Payload::Changes(records.collect()));
     let out = node.send_request(9, "paid");
     let answer = sent_to_client(&out).next().expect("an answer at once");
     assert_eq!((answer.cause(), answer.text(code::HOLD_OFF_MS)), (Some(cause::FULL), Some("1000")));
@@ -872,8 +874,8 @@
         let mut node = TestNode::with(ScriptedDecider::default());
         node.core.decider.0.push_back(Action::SetUp(session_id(1), ServerId(0), SECOND));
         let out = node.send_request(1, "paid");
-        let made = node.establish(&out);
-        let (conn, _) = sent_set_up(&made).expect("set up");
+        let established = node.establish(&out);
+        let (conn, _) = sent_set_up(&established).expect("set up");
         // The process is stopped past the set-up's time-out of one second; the answer waits in its sockets.
         node.now += stopped;
         node.handle(NodeEvent::ListFrame(1, Frame { number: 5, payload: Payload::Unchanged }));
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -148,17 +148,17 @@
 fn late_refusal_of_an_earlier_attempt_ends_neither_the_next_attempt_nor_the_session() {
     for plays in [false, true] {
         let mut node = TestNode::with(ScriptedDecider::default());
-        let again = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
-        node.core.decider.0.push_back(again.clone());
+        let next_attempt = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
+        node.core.decider.0.push_back(next_attempt.clone());
         let out = node.send_request(9, "clip");
-        let made = node.establish(&out);
-        let (first, _) = sent_set_up(&made).unwrap();
+        let established = node.establish(&out);
+        let (first, _) = sent_set_up(&established).unwrap();
         node.now += SECOND / 2;
         node.tick_without_closes();
-        node.core.decider.0.push_back(again);
+        node.core.decider.0.push_back(next_attempt);
         let out = node.handle(NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
-        let made = node.establish(&out);
-        let (second, _) = sent_set_up(&made).unwrap();
+        let established = node.establish(&out);
+        let (second, _) = sent_set_up(&established).unwrap();
         assert_ne!(first, second);
         if plays {
             node.handle(NodeEvent::ServerMessage(second, answer_message(9)));
@@ -215,8 +215,8 @@
         let mut node = TestNode::with(ScriptedDecider::default());
         node.core.decider.0.push_back(set_up_at(0));
         let out = node.send_request(9, "clip");
-        let made = node.establish(&out);
-        let (first, _) = sent_set_up(&made).unwrap();
+        let established = node.establish(&out);
+        let (first, _) = sent_set_up(&established).unwrap();
         node.now += 2 * SECOND;
         node.tick_without_closes();
         match (says, ends) {
@@ -242,8 +242,8 @@
             None => node.send_request(9, "clip"),
             Some(conn) => node.handle(NodeEvent::ServerMessage(*conn, Message::release(9, cause::FULL))),
         };
-        let made = node.establish(&out);
-        let (conn, _) = sent_set_up(&made).or(sent_set_up(&out)).expect("set up");
+        let established = node.establish(&out);
+        let (conn, _) = sent_set_up(&established).or(sent_set_up(&out)).expect("set up");
         assert!(!used.contains(&conn), "a duplicate of the refusal would end the attempt");
         used.push(conn);
     }
@@ -521,8 +521,8 @@
     node.core.pool.mark_suspect(conn);
     node.core.decider.0.push_back(Action::SetUp(session_id(10), ServerId(0), 0));
     let out = node.send_request(10, "clip");
-    let made = node.establish(&out);
-    let (other, _) = sent_set_up(&made).unwrap();
+    let established = node.establish(&out);
+    let (other, _) = sent_set_up(&established).unwrap();
     assert_ne!(other, conn);
     assert_eq!(
         sent_to_client(&node.handle(NodeEvent::ServerMessage(other, Message::release(9, cause::FULL))))
--- a/crates/platform/src/core/tests/room.rs
+++ b/crates/platform/src/core/tests/descriptor_limits.rs
@@ -38,8 +38,8 @@
         });
         let ended: Vec<ConnId> = ended.collect();
         finished += ended.len();
-        let made = node.establish(&out);
-        let (conn, _) = sent_set_up(&made).expect("a connection is established");
+        let established = node.establish(&out);
+        let (conn, _) = sent_set_up(&established).expect("a connection is established");
         ended.into_iter().for_each(|conn| drop(node.handle(NodeEvent::ServerClosed(conn))));
         node.handle(NodeEvent::ServerMessage(conn, answer_message(u64::from(server) + 1)));
         node.now += SECOND / 100;
--- a/crates/platform/src/core/tests/list.rs
+++ b/crates/platform/src/core/tests/list.rs
@@ -70,13 +70,13 @@
     for grace in GRACES {
         let mut node = with_grace(grace);
         node.handle(NodeEvent::ListClosed(1));
-        let (mut open, mut longest, mut most) = (Vec::new(), 0, 0);
+        let (mut open, mut longest, mut max_open) = (Vec::new(), 0, 0);
         for _ in 0..60 {
             longest = longest.max(next_connection(&mut node, &mut open).1);
-            most = most.max(open.len());
+            max_open = max_open.max(open.len());
         }
         assert!(longest <= grace * 1_000 / 4, "{longest} us of a grace of {grace} ms");
-        assert!(most <= list_watch::MAX_CONNECTS, "{most} descriptors");
+        assert!(max_open <= list_watch::MAX_CONNECTS, "{max_open} descriptors");
     }
 }
 
@@ -95,7 +95,7 @@
             {
                 break *connection;
             }
-            assert!(node.now < until, "no connection attempt is kept long enough, grace {grace} ms");
+            assert!(node.now < until, "no connection attempt is remaining long enough, grace {grace} ms");
         };
         let out = node.handle(NodeEvent::ListConnected(up));
         let closed: Vec<u64> = out
@@ -175,11 +175,11 @@
     let (mut connection, mut connections, until) = (1, 0, node.now + SECOND);
     while node.now < until {
         let out = node.list_frame(connection, 9, Payload::Changes(vec![listed(1)]));
-        let again = out.iter().find_map(|o| match o {
+        let next = out.iter().find_map(|o| match o {
             Command::ConnectList(connection, ..) => Some(*connection),
             _ => None,
         });
-        connection = again.unwrap_or_else(|| next_connection(&mut node, &mut Vec::new()).0);
+        connection = next.unwrap_or_else(|| next_connection(&mut node, &mut Vec::new()).0);
         node.handle(NodeEvent::ListConnected(connection));
         connections += 1;
     }
@@ -195,8 +195,8 @@
     std::mem::take(&mut node.out)
 }
 
-fn list_event(number: u64, lines: Vec<Listed>) -> NodeEvent {
-    NodeEvent::ListFrame(1, Frame { number, payload: Payload::Changes(lines) })
+fn list_event(number: u64, records: Vec<Listed>) -> NodeEvent {
+    NodeEvent::ListFrame(1, Frame { number, payload: Payload::Changes(records) })
 }
 
 fn listed_as(id: u32, state: ServerState) -> Listed {
@@ -214,8 +214,8 @@
 }
 
 /// All servers but this one are in this state.
-fn all_but(kept: u32, state: ServerState) -> NodeEvent {
-    list_event(6, (0..SERVER_COUNT).filter(|id| *id != kept).map(|id| listed_as(id, state)).collect())
+fn all_but(remaining: u32, state: ServerState) -> NodeEvent {
+    list_event(6, (0..SERVER_COUNT).filter(|id| *id != remaining).map(|id| listed_as(id, state)).collect())
 }
 
 // Guards against a decider that gets a request ahead of a drain read in the same poll: the request was sent
@@ -223,11 +223,11 @@
 #[test]
 fn drain_read_after_a_request_reaches_the_decider_first() {
     for state in [ServerState::Draining, ServerState::Removed] {
-        for kept in 0..SERVER_COUNT {
+        for remaining in 0..SERVER_COUNT {
             let mut node = TestNode::new();
             let request = NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", ""));
-            let out = in_one_poll(&mut node, vec![request, all_but(kept, state)]);
-            assert_eq!(dialled_addresses(&out), [address(kept)], "{state:?}");
+            let out = in_one_poll(&mut node, vec![request, all_but(remaining, state)]);
+            assert_eq!(dialled_addresses(&out), [address(remaining)], "{state:?}");
         }
     }
 }
@@ -236,17 +236,17 @@
 #[test]
 fn drain_read_after_a_refusal_reaches_the_decider_before_the_next_attempt() {
     for state in [ServerState::Draining, ServerState::Removed] {
-        for kept in 0..SERVER_COUNT {
+        for remaining in 0..SERVER_COUNT {
             let mut node = TestNode::new();
             let out = node.send_request(9, "clip");
             let out = node.establish(&out);
             let (conn, _) = sent_set_up(&out).unwrap();
-            if node.core.sessions[&9].session.at().unwrap().server == ServerId(kept) {
+            if node.core.sessions[&9].session.at().unwrap().server == ServerId(remaining) {
                 continue;
             }
             let refusal = NodeEvent::ServerMessage(conn, Message::release(9, cause::FULL));
-            let out = in_one_poll(&mut node, vec![refusal, all_but(kept, state)]);
-            assert_eq!(dialled_addresses(&out), [address(kept)], "{state:?}");
+            let out = in_one_poll(&mut node, vec![refusal, all_but(remaining, state)]);
+            assert_eq!(dialled_addresses(&out), [address(remaining)], "{state:?}");
         }
     }
 }
@@ -267,7 +267,7 @@
         .filter_map(|event| match event {
             Event::Resumed(..) => Some("resumed"),
             Event::Ended { last: true, .. } => Some("over"),
-            Event::Servers(ListKind::Changes, lines) if !lines.is_empty() => Some("list"),
+            Event::Servers(ListKind::Changes, records) if !records.is_empty() => Some("list"),
             _ => None,
         })
         .collect();
@@ -279,16 +279,16 @@
 // set-up was rejected here.
 #[test]
 fn last_record_of_a_server_in_one_event_counts() {
-    let (gone, ready) = (listed_as(0, ServerState::Removed), listed(0));
-    for whole in [true, false] {
-        for (records, is_there) in
-            [(vec![gone.clone(), ready.clone()], true), (vec![ready.clone(), gone.clone()], false)]
+    let (removed, ready) = (listed_as(0, ServerState::Removed), listed(0));
+    for is_full in [true, false] {
+        for (records, is_listed) in
+            [(vec![removed.clone(), ready.clone()], true), (vec![ready.clone(), removed.clone()], false)]
         {
             let mut node = TestNode::new();
-            node.list_frame(1, 6, if whole { Payload::Full(records) } else { Payload::Changes(records) });
-            assert_eq!(node.core.server_summaries().contains_key(&ServerId(0)), is_there);
-            if whole {
-                let there: Vec<SocketAddr> = is_there.then_some(address(0)).into_iter().collect();
+            node.list_frame(1, 6, if is_full { Payload::Full(records) } else { Payload::Changes(records) });
+            assert_eq!(node.core.server_summaries().contains_key(&ServerId(0)), is_listed);
+            if is_full {
+                let there: Vec<SocketAddr> = is_listed.then_some(address(0)).into_iter().collect();
                 let out = node.send_request(9, "clip");
                 assert_eq!(dialled_addresses(&out), there);
                 assert_eq!(node.core.counts().stopped, 0);
--- a/crates/platform/src/core/tests/releases.rs
+++ b/crates/platform/src/core/tests/releases.rs
@@ -17,8 +17,8 @@
     while node.now < until {
         let out = node.advance(SECOND / 20);
         count += sent_to_server(&out, kind::RELEASE).len();
-        let made = node.establish(&out);
-        count += sent_to_server(&made, kind::RELEASE).len();
+        let established = node.establish(&out);
+        count += sent_to_server(&established, kind::RELEASE).len();
     }
     count
 }
--- a/crates/platform/src/core/tests/shutdown.rs
+++ b/crates/platform/src/core/tests/shutdown.rs
@@ -1,6 +1,6 @@
 //! The shutdown must finish before the earliest kill that the platform allows.
 
-use super::room::{node_with_few_descriptors, request_at};
+use super::descriptor_limits::{node_with_few_descriptors, request_at};
 use super::*;
 
 /// A node with this longest deadline, shutting down, with one request that its server never answers.
@@ -54,16 +54,16 @@
         let id = u64::from(server) + 1;
         node.core.decider.0.push_back(Action::SetUp(session_id(id), ServerId(server), SECOND));
         let out = node.send_request(id, "clip");
-        let made = node.establish(&out);
-        let (conn, _) = sent_set_up(&made).expect("set up");
+        let established = node.establish(&out);
+        let (conn, _) = sent_set_up(&established).expect("set up");
         node.handle(NodeEvent::ServerMessage(conn, answer_message(id)));
     }
     node.handle(NodeEvent::Shutdown);
     let (mut released, mut dials) = (Vec::new(), 0);
     for _ in 0..350 {
         let mut out = node.advance(SECOND / 100);
-        let made = node.establish(&out);
-        out.extend(made);
+        let established = node.establish(&out);
+        out.extend(established);
         dials += out.iter().filter(|command| matches!(command, Command::Connect(..))).count();
         released.extend(sent_to_server(&out, kind::RELEASE).into_iter().map(|(_, message)| message.session));
         if out.contains(&Command::Exit) {
--- a/crates/platform/src/node/accept.rs
+++ b/crates/platform/src/node/accept.rs
@@ -25,7 +25,7 @@
             // Without this limit, a crowd accepted in one turn would use up the descriptors for connections
             // to the coordinator and the servers, before any of its connections is closed again.
             if room == 0 && !self.evict_lingering() {
-                return self.accept_later("all client connections are in use");
+                return self.pause_accepting("all client connections are in use");
             }
             room = room.max(1);
             let Some(listener) = &self.listener else { return };
@@ -34,7 +34,7 @@
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if is_resource_shortage(&error) => {
                     self.evict_lingering();
-                    return self.accept_later(&error.to_string());
+                    return self.pause_accepting(&error.to_string());
                 }
                 Err(error) => {
                     // This one connection was closed before it was accepted.
@@ -46,10 +46,11 @@
             self.last_client += 1;
             let client = ClientId(self.last_client);
             let token = CLIENT | client.0;
-            if epoll::add(&self.poll, &stream, EventData::new_u64(token), connection::READ_EVENTS).is_ok() {
+            if epoll::add(&self.epoll_fd, &stream, EventData::new_u64(token), connection::READ_EVENTS).is_ok()
+            {
                 self.connections.insert(token, Connection::client(stream, self.client_backlog));
                 self.incoming_events.push_back(NodeEvent::ClientConnected(client));
-                self.unread = true;
+                self.may_have_unread = true;
                 room -= 1;
             }
         }
@@ -58,34 +59,34 @@
     /// Stops accepting for a while, as there are no descriptors: new clients wait in the kernel's queue, and
     /// the others are served. A listener that stays ready and cannot be served would otherwise keep the event
     /// loop busy.
-    pub(super) fn accept_later(&mut self, why: &str) {
+    pub(super) fn pause_accepting(&mut self, why: &str) {
         tracing::debug!(why, "no room for a connection");
-        self.accept_again_at = Some(self.clock.now() + ACCEPT_PAUSE);
+        self.accept_paused_until = Some(self.clock.now() + ACCEPT_PAUSE);
         self.watch_listener(EventFlags::empty());
     }
 
-    pub(super) fn accept_again(&mut self) {
-        if self.accept_again_at.is_some_and(|until| until <= self.clock.now()) {
-            self.accept_again_at = None;
+    pub(super) fn resume_accepting(&mut self) {
+        if self.accept_paused_until.is_some_and(|until| until <= self.clock.now()) {
+            self.accept_paused_until = None;
             self.watch_listener(EventFlags::IN);
         }
     }
 
     pub(super) fn watch_listener(&self, flags: EventFlags) {
         if let Some(listener) = &self.listener {
-            let _ = epoll::modify(&self.poll, listener, EventData::new_u64(LISTENER), flags);
+            let _ = epoll::modify(&self.epoll_fd, listener, EventData::new_u64(LISTENER), flags);
         }
     }
 
     /// Accepts the clients that have connected by now, and closes the listener. A connection in the queue of
     /// a listener that closes is reset, and the request on it lost.
     pub(super) fn stop_listening(&mut self) {
-        let mut before = None;
-        while before.replace(self.last_client) != Some(self.last_client) {
+        let mut previous = None;
+        while previous.replace(self.last_client) != Some(self.last_client) {
             self.accept();
         }
         if let Some(listener) = self.listener.take() {
-            let _ = epoll::delete(&self.poll, &listener);
+            let _ = epoll::delete(&self.epoll_fd, &listener);
         }
     }
 }
--- a/crates/platform/src/node/connection.rs
+++ b/crates/platform/src/node/connection.rs
@@ -151,11 +151,11 @@
         return Err(());
     }
     while !backlog.is_clear() {
-        let taken = send(stream, &backlog.turn())?;
-        sent += taken;
-        match backlog.tried(Some(taken), now) {
+        let accepted = send(stream, &backlog.turn())?;
+        sent += accepted;
+        match backlog.tried(Some(accepted), now) {
             Step::Cut => return Err(()),
-            _ if taken == 0 => return Ok((FlushOutcome::Pending, sent)),
+            _ if accepted == 0 => return Ok((FlushOutcome::Pending, sent)),
             _ => {}
         }
     }
@@ -203,7 +203,7 @@
     while sent < bytes.len() {
         match send(stream, &bytes[sent..])? {
             0 => break,
-            taken => sent += taken,
+            accepted => sent += accepted,
         }
     }
     Ok(sent)
@@ -211,7 +211,7 @@
 
 pub(super) fn send(stream: &TcpStream, bytes: &[u8]) -> Result<usize, ()> {
     match rustix::net::send(stream, bytes, SendFlags::NOSIGNAL) {
-        Ok(taken) => Ok(taken),
+        Ok(accepted) => Ok(accepted),
         Err(Errno::AGAIN | Errno::INTR) => Ok(0),
         Err(_) => Err(()),
     }
--- a/crates/platform/src/node/finishing.rs
+++ b/crates/platform/src/node/finishing.rs
@@ -22,7 +22,7 @@
         self.flush(token);
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.has_unwritten() || connection.stream.shutdown(Shutdown::Write).is_err() {
-            return self.connection_gone(token, CloseKind::Abandoned);
+            return self.remove_connection(token, CloseKind::Abandoned);
         }
         connection.finishing = true;
         self.finishing.insert((self.clock.now() + FINISHING_TIMEOUT, token));
@@ -37,11 +37,11 @@
         let reset_by = connection.last_written + self.reset_timeout;
         if !connection.finishing || reset_by <= now {
             let end = connection.close_kind();
-            return self.connection_gone(token, end);
+            return self.remove_connection(token, end);
         }
         connection.half_closed = true;
         self.incoming_events.push_back(NodeEvent::ServerHalfClosed(ConnId(token & !KIND_MASK)));
-        let _ = epoll::delete(&self.poll, &connection.stream);
+        let _ = epoll::delete(&self.epoll_fd, &connection.stream);
         self.finishing.insert((reset_by, token));
     }
 
@@ -52,7 +52,7 @@
             self.finishing.remove(&(due, token));
             let Some(connection) = self.connections.get_mut(&token) else { continue };
             let end = if connection.half_closed { connection.close_kind() } else { CloseKind::Abandoned };
-            self.connection_gone(token, end);
+            self.remove_connection(token, end);
         }
     }
 }
--- a/crates/platform/src/node/list.rs
+++ b/crates/platform/src/node/list.rs
@@ -45,7 +45,7 @@
             let is_established = connection.stream.take_error().ok().flatten().is_none()
                 && send(&connection.stream, &last_event) == Ok(last_event.len())
                 && epoll::modify(
-                    &self.poll,
+                    &self.epoll_fd,
                     &connection.stream,
                     EventData::new_u64(LIST | number),
                     EventFlags::IN,
@@ -59,25 +59,25 @@
         }
         // A drain that lies behind many other bytes would otherwise be read only after requests were sent to
         // that server.
-        let (mut bytes, mut more, mut over) = ([0; READ_SIZE], true, false);
+        let (mut bytes, mut may_have_more, mut ended) = ([0; READ_SIZE], true, false);
         for _ in 0..LIST_READS_PER_TURN {
             match (&connection.stream).read(&mut bytes) {
                 Ok(count) => {
                     connection.frames.feed(&bytes[..count]);
                     self.incoming_events.push_back(NodeEvent::ListBytes(number));
-                    (more, over) = (count == READ_SIZE, count == 0);
+                    (may_have_more, ended) = (count == READ_SIZE, count == 0);
                 }
-                Err(error) => (more, over) = (false, !would_block(&error)),
+                Err(error) => (may_have_more, ended) = (false, !would_block(&error)),
             }
-            if !more || over {
+            if !may_have_more || ended {
                 break;
             }
         }
-        self.unread |= more;
+        self.may_have_unread |= may_have_more;
         loop {
             match connection.frames.next_frame() {
                 Ok(Some(frame)) => self.incoming_events.push_back(NodeEvent::ListFrame(number, frame)),
-                Ok(None) if over => return self.list_connection_closed(number),
+                Ok(None) if ended => return self.list_connection_closed(number),
                 Ok(None) => return,
                 Err(error) => {
                     tracing::warn!(%error, "cannot decode the list");
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -50,6 +50,7 @@
 /// If the previous poll was no longer ago than this, the bytes in the sockets are recent: requests are then
 /// decided at intervals of [`DECIDE_INTERVAL`], and do not wait until a flood from others is read.
 const RECENT_POLL_AGE: Micros = 50_000;
+/// Interval between decisions while a flood is read.
 const DECIDE_INTERVAL: Micros = 10_000;
 /// Minimum number of polls before anything is decided, however long they take. A message on a new connection,
 /// a request or its cancellation, is accepted in one turn and read in the next; a flood from others that
@@ -71,6 +72,7 @@
 /// Longest wait in one poll.
 const MAX_POLL_WAIT: Micros = 1_000_000;
 
+// Tokens of polled sockets: the kind in the top bits, the number of the connection in the others.
 const LISTENER: u64 = 1;
 const TERM_SIGNAL: u64 = 2;
 const HANG_UP_SIGNAL: u64 = 3;
@@ -115,13 +117,13 @@
 
 struct Node {
     clock: Clock,
-    poll: OwnedFd,
+    epoll_fd: OwnedFd,
     core: Core<Controller>,
     reload: Reload,
     /// `None` once the process no longer accepts clients.
     listener: Option<TcpListener>,
     /// Accepting is paused until this time.
-    accept_again_at: Option<Micros>,
+    accept_paused_until: Option<Micros>,
     /// Maximum number of bytes that may wait for one client, and of closed connections that may be kept.
     client_backlog: usize,
     max_lingering: usize,
@@ -147,7 +149,7 @@
     stalled: BTreeSet<(Micros, u64)>,
     finished: bool,
     /// Whether the sockets may hold more than the last poll has shown.
-    unread: bool,
+    may_have_unread: bool,
     /// When the last poll began.
     last_poll: Micros,
     /// When the state of the servers is logged next.
@@ -163,15 +165,17 @@
     let config = Config::load(path)?;
     let clock = Clock::start();
     let listener = listen(config.listen).map_err(|e| NodeError::Listen(path.into(), config.listen, e))?;
-    let wait = |error: Errno| NodeError::Wait(error.into());
-    let poll = epoll::create(epoll::CreateFlags::CLOEXEC).map_err(wait)?;
+    let poll_error = |error: Errno| NodeError::Wait(error.into());
+    let epoll_fd = epoll::create(epoll::CreateFlags::CLOEXEC).map_err(poll_error)?;
     for stream in [&signals.term, &signals.hang_up] {
         stream.set_nonblocking(true).map_err(NodeError::Wait)?;
     }
-    epoll::add(&poll, &listener, EventData::new_u64(LISTENER), EventFlags::IN).map_err(wait)?;
-    epoll::add(&poll, &signals.term, EventData::new_u64(TERM_SIGNAL), EventFlags::IN).map_err(wait)?;
-    epoll::add(&poll, &signals.hang_up, EventData::new_u64(HANG_UP_SIGNAL), EventFlags::IN).map_err(wait)?;
-    tracing::info!(name = config.name, listen = %config.listen, servers = config.known.len(), "front node starts");
+    epoll::add(&epoll_fd, &listener, EventData::new_u64(LISTENER), EventFlags::IN).map_err(poll_error)?;
+    epoll::add(&epoll_fd, &signals.term, EventData::new_u64(TERM_SIGNAL), EventFlags::IN)
+        .map_err(poll_error)?;
+    epoll::add(&epoll_fd, &signals.hang_up, EventData::new_u64(HANG_UP_SIGNAL), EventFlags::IN)
+        .map_err(poll_error)?;
+    tracing::info!(name = config.name, listen = %config.listen, servers = config.known_servers.len(), "front node starts");
     let controller = Controller::new(config.platform_settings.settings.clone(), config.seed);
     let now = clock.now();
     let sockets = config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
@@ -182,14 +186,14 @@
     let client_backlog =
         (backlog_memory as usize / sockets).clamp(CLIENT_BACKLOG_BYTES.0, CLIENT_BACKLOG_BYTES.1);
     let mut out = Vec::new();
-    core.start(now, config.known, config.index, config.coordinator, &mut out);
+    core.start(now, config.known_servers, config.last_event, config.coordinator, &mut out);
     let mut node = Node {
         clock,
-        poll,
+        epoll_fd,
         core,
         reload: Reload::new(path.into()),
         listener: Some(listener),
-        accept_again_at: None,
+        accept_paused_until: None,
         client_backlog,
         max_lingering: (sockets / 12).max(4),
         max_clients: sockets / 2 + (sockets / 12).max(4),
@@ -205,7 +209,7 @@
         lingering: BTreeSet::new(),
         stalled: BTreeSet::new(),
         finished: false,
-        unread: false,
+        may_have_unread: false,
         last_poll: 0,
         next_log: 0,
         telemetry: Telemetry::default(),
@@ -226,10 +230,10 @@
             let now = self.clock.now();
             let deadlines = [&self.lingering, &self.stalled, &self.finishing];
             let deadlines = deadlines.into_iter().filter_map(|queue| queue.first().map(|(due, _)| *due));
-            let due = [self.core.next_due(), self.accept_again_at, self.reload.next_due()];
+            let due = [self.core.next_due(), self.accept_paused_until, self.reload.next_due()];
             let due = due.into_iter().flatten().chain(deadlines).min().unwrap_or(Micros::MAX);
             let wait = due.saturating_sub(now).min(MAX_POLL_WAIT);
-            let polled = epoll::wait(&self.poll, spare_capacity(&mut events), Some(&timespec(wait)));
+            let polled = epoll::wait(&self.epoll_fd, spare_capacity(&mut events), Some(&timespec(wait)));
             if polled == Err(Errno::INTR) {
                 // A process that resumes after a stop is woken this way. If this counted as a poll of the
                 // sockets, some bytes from the time of the stop would be acted on before the rest is read.
@@ -244,7 +248,7 @@
             self.decide(&mut out);
             self.close_lingering();
             self.close_finished();
-            self.accept_again();
+            self.resume_accepting();
             self.log_counts(began);
             if tracing::enabled!(tracing::Level::DEBUG) {
                 self.log_state();
@@ -264,7 +268,7 @@
         let mut recent = poll_began.saturating_sub(self.last_poll) < RECENT_POLL_AGE;
         let (mut next_decide, mut turns, mut was_late) = (began + DECIDE_INTERVAL, 0, false);
         while !events.is_empty() {
-            self.unread = events.len() >= POLL_EVENTS;
+            self.may_have_unread = events.len() >= POLL_EVENTS;
             let last_client = self.last_client;
             // Ends and cancellations come before new requests, and those before new connections to servers;
             // the order within each connection stays.
@@ -284,7 +288,7 @@
             }
             let min_turns =
                 if self.last_client > last_client { MIN_TURNS_WHILE_ACCEPTING } else { MIN_TURNS };
-            if is_recent && !self.unread || now >= began + READ_BUDGET && turns >= min_turns {
+            if is_recent && !self.may_have_unread || now >= began + READ_BUDGET && turns >= min_turns {
                 break;
             }
             if recent && now >= next_decide {
@@ -292,7 +296,7 @@
                 self.decide(out);
             }
             poll_began = self.clock.now();
-            let _ = epoll::wait(&self.poll, spare_capacity(events), Some(&timespec(0)));
+            let _ = epoll::wait(&self.epoll_fd, spare_capacity(events), Some(&timespec(0)));
         }
         self.last_poll = poll_began;
     }
@@ -306,7 +310,7 @@
         }
     }
 
-    /// Once a second, logs for each media server the decider's beliefs, the counts of the core and the
+    /// Once a second, logs for each media server the decider's estimates, the counts of the core and the
     /// traffic on the sockets.
     fn log_state(&mut self) {
         let now = self.clock.now();
@@ -430,7 +434,7 @@
             FlushOutcome::Broken => {
                 // The peer may have sent something before it closed.
                 while self.read_connection(token) {}
-                return self.connection_gone(token, CloseKind::Reset);
+                return self.remove_connection(token, CloseKind::Reset);
             }
             _ if connection.closing && !is_client => return self.shut_down(token),
             FlushOutcome::Complete if connection.closing => return self.shut_down(token),
@@ -459,7 +463,7 @@
         flags.set(EventFlags::OUT, waits);
         if !connection.connecting && flags != connection.watched {
             connection.watched = flags;
-            let _ = epoll::modify(&self.poll, &connection.stream, EventData::new_u64(token), flags);
+            let _ = epoll::modify(&self.epoll_fd, &connection.stream, EventData::new_u64(token), flags);
         }
         if !waits && !connection.outgoing.is_empty() {
             self.to_flush.push_back(token);
@@ -470,13 +474,13 @@
     fn shut_down(&mut self, token: u64) {
         let Some(connection) = self.connections.remove(&token) else { return };
         trace_close(token, "closed here");
-        let _ = epoll::delete(&self.poll, &connection.stream);
-        let over = token & KIND_MASK != CLIENT || connection.half_closed;
-        if over || connection.stream.shutdown(Shutdown::Write).is_err() {
+        let _ = epoll::delete(&self.epoll_fd, &connection.stream);
+        let is_done = token & KIND_MASK != CLIENT || connection.half_closed;
+        if is_done || connection.stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
         let token = LINGERING | (token & !KIND_MASK);
-        if epoll::add(&self.poll, &connection.stream, EventData::new_u64(token), EventFlags::IN).is_ok() {
+        if epoll::add(&self.epoll_fd, &connection.stream, EventData::new_u64(token), EventFlags::IN).is_ok() {
             self.lingering.insert((self.clock.now() + LINGER_TIMEOUT, token));
             self.connections.insert(token, connection);
         }
@@ -489,7 +493,7 @@
                 break;
             }
             self.lingering.pop_first();
-            self.connection_gone(token, CloseKind::Abandoned);
+            self.remove_connection(token, CloseKind::Abandoned);
         }
         while let Some((_, token)) = self.stalled.first().copied().filter(|(due, _)| *due <= now) {
             self.stalled.pop_first();
@@ -508,7 +512,7 @@
     fn evict_lingering(&mut self) -> bool {
         while let Some((_, token)) = self.lingering.pop_first() {
             if self.connections.contains_key(&token) {
-                self.connection_gone(token, CloseKind::Abandoned);
+                self.remove_connection(token, CloseKind::Abandoned);
                 return true;
             }
         }
@@ -569,7 +573,7 @@
 
     fn dial_and_watch(&self, to: SocketAddr, token: u64) -> io::Result<TcpStream> {
         let stream = dial(to)?;
-        epoll::add(&self.poll, &stream, EventData::new_u64(token), EventFlags::OUT)?;
+        epoll::add(&self.epoll_fd, &stream, EventData::new_u64(token), EventFlags::OUT)?;
         Ok(stream)
     }
 
@@ -624,7 +628,7 @@
     fn discard(&mut self, token: u64) {
         let mut bytes = [0; READ_SIZE];
         let Some(connection) = self.connections.get_mut(&token) else { return };
-        let over = match (&connection.stream).read(&mut bytes) {
+        let is_done = match (&connection.stream).read(&mut bytes) {
             Ok(0) => true,
             Ok(count) => {
                 connection.discarded += count;
@@ -632,7 +636,7 @@
             }
             Err(error) => !would_block(&error),
         };
-        if over {
+        if is_done {
             self.connections.remove(&token);
         }
     }
@@ -651,7 +655,7 @@
             } else {
                 connection.watched = connection::READ_EVENTS;
                 let _ = epoll::modify(
-                    &self.poll,
+                    &self.epoll_fd,
                     &connection.stream,
                     EventData::new_u64(token),
                     connection::READ_EVENTS,
@@ -673,19 +677,19 @@
         // forwarded before the rest is.
         let has_left = flags.contains(EventFlags::RDHUP);
         for _ in 0..READS_PER_TURN {
-            let more = self.read_connection(token);
-            let over = self
+            let may_have_more = self.read_connection(token);
+            let is_done = self
                 .connections
                 .get(&token)
                 .is_none_or(|connection| connection.half_closed || connection.closing);
-            if over || !(more || has_left) {
+            if is_done || !(may_have_more || has_left) {
                 return;
             }
             if !has_left {
                 break;
             }
         }
-        self.unread = true;
+        self.may_have_unread = true;
     }
 
     /// Reads once from a connection. Returns whether more may wait there.
@@ -711,7 +715,7 @@
             Err(error) if would_block(&error) => return false,
             Err(error) => {
                 let is_reset = error.kind() == io::ErrorKind::ConnectionReset;
-                self.connection_gone(token, if is_reset { CloseKind::Reset } else { CloseKind::Abandoned });
+                self.remove_connection(token, if is_reset { CloseKind::Reset } else { CloseKind::Abandoned });
                 return false;
             }
         };
@@ -753,7 +757,7 @@
     }
 
     /// Removes a connection that is of no more use, and reports its end.
-    fn connection_gone(&mut self, token: u64, end: CloseKind) {
+    fn remove_connection(&mut self, token: u64, end: CloseKind) {
         let Some(connection) = self.connections.remove(&token) else { return };
         trace_close(
             token,
--- a/crates/platform/src/wire/frames.rs
+++ b/crates/platform/src/wire/frames.rs
@@ -74,11 +74,11 @@
         }
         let (event, kind) = (be_integer(&head[4..12]), head[12]);
         let Some(records) = rest.get(HEADER_BYTES..HEADER_BYTES + length) else { return Ok(None) };
-        let lines = records.chunks_exact(RECORD_BYTES).map(parse_record).collect::<Result<Vec<_>, _>>()?;
+        let servers = records.chunks_exact(RECORD_BYTES).map(parse_record).collect::<Result<Vec<_>, _>>()?;
         let payload = match kind {
             0 => Payload::Unchanged,
-            1 => Payload::Full(lines),
-            2 => Payload::Changes(lines),
+            1 => Payload::Full(servers),
+            2 => Payload::Changes(servers),
             other => return Err(FrameError::Kind(other)),
         };
         self.consumed += HEADER_BYTES + length;
--- a/crates/platform/src/wire/tests.rs
+++ b/crates/platform/src/wire/tests.rs
@@ -71,13 +71,13 @@
 
 #[test]
 fn rejects_truncated_duplicate_and_unknown_parameters() {
-    let whole = encode(&Message::new(kind::ANSWER, 7).with(code::TITLE, "x"));
+    let valid = encode(&Message::new(kind::ANSWER, 7).with(code::TITLE, "x"));
     let with = |at: usize, byte: u8| {
-        let mut bytes = whole.clone();
+        let mut bytes = valid.clone();
         bytes[at] = byte;
         decode(&bytes)
     };
-    assert!(matches!(decode(&whole), Ok(Some(_))));
+    assert!(matches!(decode(&valid), Ok(Some(_))));
     assert_eq!(with(13, 9), Err(DecodeError::TruncatedParameter));
     assert_eq!(with(11, 4), Err(DecodeError::Code(4)));
     assert_eq!(with(11, 51), Err(DecodeError::Code(51)));
@@ -88,8 +88,8 @@
 
 #[test]
 fn names_the_invalid_or_missing_request_field() {
-    let good = "home:4;copies:3;top:4;viewer:00000000b4d65521;again:1;at:s-00c41f7a";
-    let fields = RequestFields::parse(good).unwrap();
+    let valid = "home:4;copies:3;top:4;viewer:00000000b4d65521;again:1;at:s-00c41f7a";
+    let fields = RequestFields::parse(valid).unwrap();
     assert_eq!((fields.first_cell, fields.cell_count, fields.top_rung), (4, 3, 4));
     assert_eq!((fields.viewer, fields.returned, fields.playing_at), (0xb4d6_5521, true, Some(0x00c4_1f7a)));
     for (from, to, name) in [
@@ -101,7 +101,7 @@
         ("at:s-00c41f7a", "at:s-1", "at"),
         ("home:4;", "", "home"),
     ] {
-        assert_eq!(RequestFields::parse(&good.replace(from, to)), Err(InvalidRequest::Field(name)), "{to}");
+        assert_eq!(RequestFields::parse(&valid.replace(from, to)), Err(InvalidRequest::Field(name)), "{to}");
     }
 }
 
@@ -135,14 +135,14 @@
     assert_eq!(frames.next_frame(), Ok(None));
     frames.feed(&bytes[bytes.len() - 1..]);
     let got = frames.next_frame().unwrap().unwrap();
-    let Payload::Changes(lines) = got.payload else { panic!("{got:?}") };
-    let line = &lines[0];
+    let Payload::Changes(servers) = got.payload else { panic!("{got:?}") };
+    let listed = &servers[0];
     assert_eq!(
-        (got.number, line.entry.server.0, line.address.to_string()),
+        (got.number, listed.entry.server.0, listed.address.to_string()),
         (41, 0x00c4_1f7a, "127.0.0.9:3868".into())
     );
-    assert_eq!((line.entry.state, line.entry.zone, line.entry.cell), (ServerState::Draining, 1, 2));
-    assert_eq!((line.entry.units, line.entry.started), (1.5, Some(41_000_000)));
+    assert_eq!((listed.entry.state, listed.entry.zone, listed.entry.cell), (ServerState::Draining, 1, 2));
+    assert_eq!((listed.entry.units, listed.entry.started), (1.5, Some(41_000_000)));
     for (bytes, error) in [
         (frame(7, &[]), FrameError::Kind(7)),
         (frame(2, &record[1..]), FrameError::Length(35)),
