--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -8,7 +8,7 @@
 
 use salttally::interface::{ServerEntry, ServerId, ServerState};
 use salttally::platform_settings::{PlatformSettings, PlatformSettingsError};
-use salttally_front::core::Listed;
+use salttally_front::core::ListEntry;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -68,7 +68,7 @@
     /// Number of the last known event of the list.
     pub last_event: u64,
     /// The list as of that event; it may be outdated.
-    pub known_servers: Vec<Listed>,
+    pub known_servers: Vec<ListEntry>,
     /// The settings of the decider and of the sockets.
     pub platform_settings: PlatformSettings,
 }
@@ -152,7 +152,7 @@
                 .map_err(|_| field_error("seed", "neither a number nor hex digits"))?,
             _ => 0,
         };
-        let mut known_servers: BTreeMap<ServerId, Listed> = BTreeMap::new();
+        let mut known_servers: BTreeMap<ServerId, ListEntry> = BTreeMap::new();
         for update in file.known.updates {
             if update.endpoints.whole {
                 known_servers.clear();
@@ -203,7 +203,7 @@
 }
 
 impl Host {
-    fn listed(&self, platform_settings: &PlatformSettings) -> Result<Listed, (&'static str, String)> {
+    fn listed(&self, platform_settings: &PlatformSettings) -> Result<ListEntry, (&'static str, String)> {
         let index_of =
             |names: &[String], name: &str| names.iter().position(|n| n == name).unwrap_or(0) as u32;
         let id = values::parse_server_id(&self.host)
@@ -215,7 +215,7 @@
             other => return Err(("known.health", format!("unknown state `{other}`"))),
         };
         let address = self.dial.parse();
-        Ok(Listed {
+        Ok(ListEntry {
             entry: ServerEntry {
                 server: ServerId(id),
                 zone: index_of(&platform_settings.zone_names, &self.site),
--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -100,7 +100,7 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.open_requests.insert(session);
         if let Some(due) = connection.next_check.take() {
-            timers.unset(due, Timer::ClientIdle(id));
+            timers.cancel(due, Timer::ClientIdle(id));
         }
     }
 
@@ -132,7 +132,7 @@
     pub fn remove(&mut self, id: ClientId, timers: &mut Timers<Timer>) -> Vec<u64> {
         let Some(connection) = self.connections.remove(&id) else { return Vec::new() };
         if let Some(due) = connection.next_check {
-            timers.unset(due, Timer::ClientIdle(id));
+            timers.cancel(due, Timer::ClientIdle(id));
         }
         connection.open_requests.into_iter().chain(connection.playing_sessions).collect()
     }
--- a/crates/platform/src/core/clients.rs
+++ b/crates/platform/src/core/clients.rs
@@ -1,6 +1,6 @@
 //! Messages from clients, and the single answer to each request.
 
-use salttally_front::core::{Opening, Ticket};
+use salttally_front::core::{OpenRequest, Ticket};
 
 use super::*;
 use crate::wire::values::{self, InvalidRequest, RequestFields};
@@ -53,7 +53,7 @@
     pub(super) fn client_closed(&mut self, client: ClientId, out: &mut Vec<Command>) {
         for id in self.admission.remove(client, &mut self.timers) {
             let Some(entry) = self.sessions.get_mut(&id) else { continue };
-            if entry.session.owed() {
+            if entry.session.answer_pending() {
                 self.give_up(id, out);
             } else {
                 entry.session.client = None;
@@ -64,7 +64,7 @@
 
     fn handle_request(&mut self, client: ClientId, message: &Message, out: &mut Vec<Command>) {
         let id = message.session;
-        match self.parse_opening(message) {
+        match self.parse_open_request(message) {
             Err(why) => {
                 self.counts.unusable += 1;
                 out.push(Command::Log(Level::Debug, format!("request {id:016x}: {why}")));
@@ -73,7 +73,7 @@
                     false => out.push(Command::SendToClient(client, Message::release(id, cause::INVALID))),
                 }
             }
-            Ok((opening, Some(at))) => self.resume_session(client, id, opening, ServerId(at), out),
+            Ok((open_request, Some(at))) => self.resume_session(client, id, open_request, ServerId(at), out),
             // An answer under this id would be taken for the answer to the open request.
             Ok(_) if self.sessions.contains_key(&id) => {
                 self.counts.unusable += 1;
@@ -85,14 +85,14 @@
                 self.counts.refused += 1;
                 out.push(Command::SendToClient(client, Message::release(id, cause::NOT_SENT)));
             }
-            Ok((opening, None)) => {
-                let moved = self.moved_clients.remove(&opening.viewer);
+            Ok((open_request, None)) => {
+                let moved = self.moved_clients.remove(&open_request.viewer);
                 if let Some(until) = moved {
-                    self.timers.unset(until, Timer::MovedClientExpiry(opening.viewer));
+                    self.timers.cancel(until, Timer::MovedClientExpiry(open_request.viewer));
                 }
                 self.counts.taken += 1;
-                let request = opening.request(&session_id(id), moved.is_some());
-                let session = self.new_session(client, opening);
+                let request = open_request.to_request(&session_id(id), moved.is_some());
+                let session = self.new_session(client, open_request);
                 self.timers
                     .set(session.overdue_at(self.platform_settings.answer_slack), Timer::AnswerDeadline(id));
                 let forwarded_codes = [code::CLASS, code::TITLE, code::DESCRIPTION];
@@ -110,13 +110,13 @@
         }
     }
 
-    fn new_session(&self, client: ClientId, opening: Opening) -> Session {
-        let class = self.platform_settings.settings.classes.get(opening.class);
+    fn new_session(&self, client: ClientId, open_request: OpenRequest) -> Session {
+        let class = self.platform_settings.settings.classes.get(open_request.class);
         let (effect, floor) = class.map_or((Effect::Safe, 0), |class| (class.effect, class.floor));
-        Session::new(Some((client, PLATFORM_TICKET)), opening, effect, floor, self.now)
+        Session::new(Some((client, PLATFORM_TICKET)), open_request, effect, floor, self.now)
     }
 
-    fn parse_opening(&self, message: &Message) -> Result<(Opening, Option<u32>), InvalidRequest> {
+    fn parse_open_request(&self, message: &Message) -> Result<(OpenRequest, Option<u32>), InvalidRequest> {
         let text = |code| message.text(code).ok_or(InvalidRequest::Missing(code));
         if message.session == 0 {
             return Err(InvalidRequest::Field("id"));
@@ -141,9 +141,9 @@
         if fields.playing_at.is_none() && message.get(code::DESCRIPTION).is_none_or(<[u8]>::is_empty) {
             return Err(InvalidRequest::Missing(code::DESCRIPTION));
         }
-        let opening = Opening {
+        let open_request = OpenRequest {
             viewer: ViewerId(fields.viewer),
-            firm: None,
+            tenant: None,
             title: TitleId(
                 values::parse_hex16(text(code::TITLE)?).ok_or(InvalidRequest::Value(code::TITLE))?,
             ),
@@ -152,11 +152,11 @@
             cell_count: fields.cell_count,
             top_rung: fields.top_rung,
             patience,
-            length: values::parse_time(message, code::LENGTH_HINT_MS)?,
+            length_hint: values::parse_time(message, code::LENGTH_HINT_MS)?,
             returned: fields.returned,
             moved_from: None,
         };
-        Ok((opening, fields.playing_at))
+        Ok((open_request, fields.playing_at))
     }
 
     /// Takes over a session that plays already, handed over by its client after a start of the node. It gets
@@ -165,7 +165,7 @@
         &mut self,
         client: ClientId,
         id: u64,
-        opening: Opening,
+        open_request: OpenRequest,
         at: ServerId,
         out: &mut Vec<Command>,
     ) {
@@ -179,16 +179,16 @@
             return;
         }
         self.counts.resumed += 1;
-        let request = opening.request(&session_id(id), false);
-        let mut session = self.new_session(client, opening);
+        let request = open_request.to_request(&session_id(id), false);
+        let mut session = self.new_session(client, open_request);
         let unknown = SocketAddr::from(([0, 0, 0, 0], 0));
         let address = self.servers.get(&at).copied().unwrap_or(unknown);
-        let (sent, expires) = (self.now, self.now);
+        let (sent_at, expires_at) = (self.now, self.now);
         // The rung is unknown until the media server reports it. Until then, any rung that the decider
         // chooses is sent to the media server.
         let rung = usize::MAX;
-        let attempt = Attempt { number: 0, wire: 0, server: at, address, sent, expires, rung };
-        session.plays_already(attempt);
+        let attempt = Attempt { number: 0, wire_number: 0, server: at, address, sent_at, expires_at, rung };
+        session.resume_playing(attempt);
         self.sessions.insert(id, SessionEntry::new(session, self.now));
         self.admission.request_opened(client, id, &mut self.timers);
         self.admission.session_started(client, id);
@@ -203,7 +203,7 @@
         let id = message.session;
         out.push(Command::SendToClient(client, Message::new(kind::RELEASE_ACK, id)));
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        if entry.session.owed() {
+        if entry.session.answer_pending() {
             self.give_up(id, out);
         } else if entry.session.playing().is_some() {
             let cause = message.cause().unwrap_or(cause::ON_PURPOSE);
@@ -222,7 +222,7 @@
     /// attempt is withdrawn.
     fn finish_request(&mut self, id: u64, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        if entry.session.settled() {
+        if entry.session.settle_answer() {
             self.drop_session(id);
         } else {
             let outcome = self.withdraw_attempt(id, false, out);
@@ -231,7 +231,7 @@
     }
 
     pub(super) fn answer_overdue(&mut self, id: u64, out: &mut Vec<Command>) {
-        if self.sessions.get(&id).is_some_and(|entry| entry.session.owed()) {
+        if self.sessions.get(&id).is_some_and(|entry| entry.session.answer_pending()) {
             self.counts.overdue += 1;
             self.report_client_gone(id);
             self.fail(id, out);
@@ -242,7 +242,7 @@
 
     /// Sends the single answer, if it has not been sent; returns whether it was sent now.
     fn send_answer(&mut self, id: u64, answer: Message, out: &mut Vec<Command>) -> bool {
-        let Some(entry) = self.sessions.get(&id).filter(|entry| entry.session.owed()) else {
+        let Some(entry) = self.sessions.get(&id).filter(|entry| entry.session.answer_pending()) else {
             self.reject_action("a second answer", id, out);
             return false;
         };
@@ -254,7 +254,7 @@
     }
 
     pub(super) fn refuse(&mut self, id: u64, hold_off: Micros, out: &mut Vec<Command>) {
-        if self.sessions.get(&id).is_some_and(|entry| entry.session.not_to_refuse()) {
+        if self.sessions.get(&id).is_some_and(|entry| entry.session.must_not_refuse()) {
             self.reject_action("a refusal of a session that may have run", id, out);
             return self.fail(id, out);
         }
@@ -271,7 +271,7 @@
     fn log_answer(&self, id: u64, answer: &str, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
         let session = &entry.session;
-        let after = (self.now - session.taken) / 1000;
+        let after = (self.now - session.accepted_at) / 1000;
         let left = session.deadline.saturating_sub(self.now) / 1000;
         let attempts = session.attempts;
         let text = format!(
@@ -313,7 +313,7 @@
     /// its media server.
     pub(super) fn end_for_shutdown(&mut self, id: u64, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        if entry.session.owed() {
+        if entry.session.answer_pending() {
             self.fail(id, out);
         } else if entry.session.playing().is_some() {
             let client_cause = Some(cause::BROKEN).filter(|_| !entry.moving);
--- a/crates/platform/src/core/in_doubt.rs
+++ b/crates/platform/src/core/in_doubt.rs
@@ -12,7 +12,9 @@
     /// Marks an attempt that was given up on this connection, or whose connection was closed here, and that
     /// may still run at the server.
     pub(super) fn mark_in_doubt(&mut self, id: u64, server: ServerId, conn: ConnId, out: &mut Vec<Command>) {
-        let Some(entry) = self.sessions.get_mut(&id).filter(|entry| entry.session.owed()) else { return };
+        let Some(entry) = self.sessions.get_mut(&id).filter(|entry| entry.session.answer_pending()) else {
+            return;
+        };
         entry.in_doubt.push((server, conn));
         self.counts.in_doubt += 1;
         let text =
--- a/crates/platform/src/core/list_watch.rs
+++ b/crates/platform/src/core/list_watch.rs
@@ -15,7 +15,7 @@
 use salttally::interface::Micros;
 use salttally_front::core::timers::Timers;
 
-use super::{Command, Level, Listed, Timer};
+use super::{Command, Level, ListEntry, Timer};
 use crate::wire::frames::{Frame, Payload};
 
 /// The coordinator sends something each second: after this long without a byte it has stopped, and a
@@ -40,9 +40,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Update {
     /// The complete list.
-    Full(Vec<Listed>),
+    Full(Vec<ListEntry>),
     /// The entries that have changed; empty where none have.
-    Changes(Vec<Listed>),
+    Changes(Vec<ListEntry>),
 }
 
 /// The connection to the coordinator, one coordinator at a time.
@@ -153,7 +153,7 @@
 
     fn schedule_check(&mut self, at: Micros, timers: &mut Timers<Timer>) {
         if let Some(previous) = self.next_check.replace(at) {
-            timers.unset(previous, Timer::ListWatch);
+            timers.cancel(previous, Timer::ListWatch);
         }
         timers.set(at, Timer::ListWatch);
     }
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -33,10 +33,10 @@
 
 use salttally::interface::*;
 use salttally::platform_settings::PlatformSettings;
-use salttally_front::core::gone;
-use salttally_front::core::session::{Attempt, Session, Stage, Stop};
+use salttally_front::core::removed_servers;
+use salttally_front::core::session::{Attempt, Session, SetUpDenied, Stage};
 use salttally_front::core::timers::Timers;
-pub use salttally_front::core::{ClientId, ConnId, Decider, DialError, Level, Listed};
+pub use salttally_front::core::{ClientId, ConnId, Decider, DialError, Level, ListEntry};
 
 use crate::wire::frames::Frame;
 use crate::wire::{cause, code, kind, Message};
@@ -322,7 +322,7 @@
     pub fn start(
         &mut self,
         now: Micros,
-        known: Vec<Listed>,
+        known: Vec<ListEntry>,
         index: u64,
         at: SocketAddr,
         out: &mut Vec<Command>,
@@ -345,7 +345,7 @@
         let mut servers: BTreeMap<_, _> =
             self.servers.keys().map(|id| (*id, (self.pool.connections_to(*id), 0, 0, None))).collect();
         for entry in self.sessions.values() {
-            let Some(at) = entry.session.at() else { continue };
+            let Some(at) = entry.session.current_attempt() else { continue };
             let Some(row) = servers.get_mut(&at.server) else { continue };
             let plays = i32::from(entry.session.playing().is_some());
             (row.1, row.2) = (row.1 + plays, row.2 + 1 - plays);
@@ -358,7 +358,7 @@
 
     /// When the next timer is due.
     pub fn next_due(&self) -> Option<Micros> {
-        self.timers.next()
+        self.timers.next_at()
     }
 
     /// The counters since the start.
@@ -533,15 +533,24 @@
         let in_doubt = entry.in_doubt.iter().any(|(at, _)| *at == server);
         let session = &mut entry.session;
         let number = match (session.next_attempt(self.now, &self.platform_settings.settings), address) {
-            (Err(Stop::TooMany), _) => return self.reject_action("an attempt beyond the limit", id, out),
+            (Err(SetUpDenied::TooManyAttempts), _) => {
+                return self.reject_action("an attempt beyond the limit", id, out)
+            }
             (Ok(number), _) if in_doubt => Err(number),
             (Ok(number), Some(_)) => Ok(number),
             (Ok(number), None)
-            | (Err(Stop::NotHeld(number) | Stop::MayHaveRun(number) | Stop::Terms(number)), _) => Err(number),
+            | (
+                Err(
+                    SetUpDenied::NotWaiting(number)
+                    | SetUpDenied::MayHaveRun(number)
+                    | SetUpDenied::RungNotAllowed(number),
+                ),
+                _,
+            ) => Err(number),
         };
         let (Ok(number), Some(address)) = (number, address) else {
             let attempt = number.unwrap_or_else(|number| number);
-            let last = !session.owed();
+            let last = !session.answer_pending();
             let (outcome, report) = (Outcome::NotSent, Vec::new());
             let session = session_id(id);
             self.events.push_back(Event::Ended { session, attempt, server, outcome, last, report });
@@ -550,9 +559,10 @@
         // A time-out of 0 lasts until the client's patience ends; no time-out lasts longer than that.
         let remaining = session.deadline - self.now;
         let time_out = if time_out == 0 { remaining } else { time_out.min(remaining) };
-        let (expires, rung) = (self.now + time_out, session.wanted);
-        let attempt = Attempt { number, wire: number, server, address, sent: self.now, expires, rung };
-        session.stage = Stage::Trying(attempt);
+        let (expires_at, rung) = (self.now + time_out, session.target_rung);
+        let attempt =
+            Attempt { number, wire_number: number, server, address, sent_at: self.now, expires_at, rung };
+        session.stage = Stage::Attempting(attempt);
         let mut message = Message::new(kind::SET_UP, id);
         message.parameters.clone_from(&entry.forwarded_parameters);
         let message = message
@@ -562,14 +572,14 @@
         entry.conn = self.pool.set_up(self.now, to, message, &entry.earlier_conns, &mut self.timers, out);
         if entry.conn.is_some() {
             self.counts.attempts += 1;
-            return self.timers.set(expires, Timer::AttemptTimeout(id, number));
+            return self.timers.set(expires_at, Timer::AttemptTimeout(id, number));
         }
         // The attempt ends unsent after a short delay, when there may be room for the next one. Retrying at
         // once would keep a process without room busy with nothing else.
         self.counts.no_room += 1;
-        let ends = expires.min(self.now + NO_ROOM_DELAY);
-        if let Stage::Trying(attempt) = &mut entry.session.stage {
-            attempt.expires = ends;
+        let ends = expires_at.min(self.now + NO_ROOM_DELAY);
+        if let Stage::Attempting(attempt) = &mut entry.session.stage {
+            attempt.expires_at = ends;
         }
         self.timers.set(ends, Timer::AttemptTimeout(id, number));
         let text = format!("session {id:016x}: no room for a connection to s-{:08x}", server.0);
@@ -579,10 +589,11 @@
     fn set_rung(&mut self, id: u64, rung: usize, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
         let session = &mut entry.session;
-        if !session.in_terms(rung, self.platform_settings.settings.classes.get(session.opening.class)) {
+        if !session.allows_rung(rung, self.platform_settings.settings.classes.get(session.open_request.class))
+        {
             return self.reject_action("a rung outside the terms", id, out);
         }
-        session.wanted = rung;
+        session.target_rung = rung;
         let Stage::Playing(playing) = &mut session.stage else { return };
         if playing.attempt.rung == rung {
             return;
@@ -599,10 +610,11 @@
         };
         entry.moving = true;
         self.counts.moved += 1;
-        let (client, viewer) = (entry.session.client.map(|(client, _)| client), entry.session.opening.viewer);
+        let (client, viewer) =
+            (entry.session.client.map(|(client, _)| client), entry.session.open_request.viewer);
         let until = self.now + MOVED_CLIENT_RETENTION;
         if let Some(previous) = self.moved_clients.insert(viewer, until) {
-            self.timers.unset(previous, Timer::MovedClientExpiry(viewer));
+            self.timers.cancel(previous, Timer::MovedClientExpiry(viewer));
         }
         self.timers.set(until, Timer::MovedClientExpiry(viewer));
         self.timers.set(self.now + MOVE_TIMEOUT, Timer::MoveTimeout(id));
@@ -635,13 +647,14 @@
     /// Applies an update of the list. A request, or a refusal that leads to a further attempt, may be read
     /// before a drain that was announced long before, when the process resumes after a stop or the list is
     /// long. The decider therefore gets the list before either.
-    fn apply_list_update(&mut self, kind: ListKind, records: Vec<Listed>, out: &mut Vec<Command>) {
+    fn apply_list_update(&mut self, kind: ListKind, records: Vec<ListEntry>, out: &mut Vec<Command>) {
         let records = keep_last_records(records);
         let (immediate, deferred): (Vec<_>, Vec<_>) =
             self.events.drain(..).partition(|event| !may_start_attempt(event));
         self.events = std::mem::take(&mut self.list_events);
         self.events.extend(immediate);
-        let mut removed: BTreeSet<ServerId> = gone(kind, &records, self.servers.keys()).into_iter().collect();
+        let mut removed: BTreeSet<ServerId> =
+            removed_servers(kind, &records, self.servers.keys()).into_iter().collect();
         let (mut draining, mut readdressed) = (BTreeSet::new(), Vec::new());
         let mut restarted = BTreeMap::new();
         for record in &records {
@@ -723,7 +736,7 @@
 
     fn expire_attempt(&mut self, id: u64, number: u32, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        if entry.session.out().is_none_or(|attempt| attempt.number != number) {
+        if entry.session.pending_attempt().is_none_or(|attempt| attempt.number != number) {
             return;
         }
         let outcome = self.withdraw_attempt(id, true, out);
@@ -734,7 +747,7 @@
     /// give-up is sent before anything that follows.
     fn withdraw_attempt(&mut self, id: u64, timed_out: bool, out: &mut Vec<Command>) -> Outcome {
         let Some(entry) = self.sessions.get_mut(&id) else { return Outcome::NoConnection };
-        let server = entry.session.out().map(|attempt| attempt.server);
+        let server = entry.session.pending_attempt().map(|attempt| attempt.server);
         // There was no room for its connection: this proves nothing about the server.
         let Some((conn, server)) = entry.conn.take().zip(server) else { return Outcome::NotSent };
         entry.earlier_conns.push(conn);
@@ -755,9 +768,9 @@
     /// Ends the current attempt, which did not lead to a playing session.
     fn attempt_ended(&mut self, id: u64, outcome: Outcome, report: Vec<f64>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        let Some(attempt) = entry.session.out().cloned() else { return };
+        let Some(attempt) = entry.session.pending_attempt().cloned() else { return };
         entry.earlier_conns.extend(entry.conn.take());
-        self.timers.unset(attempt.expires, Timer::AttemptTimeout(id, attempt.number));
+        self.timers.cancel(attempt.expires_at, Timer::AttemptTimeout(id, attempt.number));
         let last = entry.session.attempt_ended(outcome);
         if last {
             self.drop_session(id);
@@ -769,7 +782,7 @@
     fn drop_session(&mut self, id: u64) {
         let Some(entry) = self.sessions.remove(&id) else { return };
         self.timers
-            .unset(entry.session.overdue_at(self.platform_settings.answer_slack), Timer::AnswerDeadline(id));
+            .cancel(entry.session.overdue_at(self.platform_settings.answer_slack), Timer::AnswerDeadline(id));
         if let Some((client, _)) = entry.session.client {
             self.admission.session_ended(self.now, client, id, &mut self.timers);
         }
@@ -778,10 +791,10 @@
 
 /// Keeps the last record of each server that one event names several times. Otherwise a server that is gone
 /// by one record and back by the next would exist for the decider and not here.
-fn keep_last_records(records: Vec<Listed>) -> Vec<Listed> {
+fn keep_last_records(records: Vec<ListEntry>) -> Vec<ListEntry> {
     let last: BTreeMap<ServerId, usize> =
         records.iter().enumerate().map(|(at, record)| (record.entry.server, at)).collect();
-    let is_last = |(at, record): &(usize, Listed)| last.get(&record.entry.server) == Some(at);
+    let is_last = |(at, record): &(usize, ListEntry)| last.get(&record.entry.server) == Some(at);
     records.into_iter().enumerate().filter(is_last).map(|(_, record)| record).collect()
 }
 
--- a/crates/platform/src/core/releases.rs
+++ b/crates/platform/src/core/releases.rs
@@ -40,7 +40,7 @@
     /// Releases a session at its media server.
     pub(super) fn release_at_server(&mut self, id: u64, cause: u8, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        let Some(at) = entry.session.at() else { return };
+        let Some(at) = entry.session.current_attempt() else { return };
         let (server, on) = (at.server, entry.conn);
         // The session is gone with its media server, and another server may listen at the address.
         let Some(address) = self.servers.get(&server).copied() else { return };
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -172,10 +172,10 @@
     /// The current attempt succeeded and has ended since: its client is told that the request failed.
     fn fail_unanswered(&mut self, conn: ConnId, id: u64, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get_mut(&id) else { return };
-        if entry.conn != Some(conn) || !matches!(entry.session.stage, Stage::Trying(_)) {
+        if entry.conn != Some(conn) || !matches!(entry.session.stage, Stage::Attempting(_)) {
             return;
         }
-        entry.session.settled();
+        entry.session.settle_answer();
         if let Some((client, _)) = entry.session.client {
             out.push(Command::SendToClient(client, Message::release(id, FAILED_CAUSE)));
         }
@@ -197,7 +197,7 @@
     fn set_up_answered(&mut self, server: ServerId, conn: ConnId, message: Message, out: &mut Vec<Command>) {
         let id = message.session;
         let is_expected = |entry: &&mut SessionEntry| match &entry.session.stage {
-            Stage::Trying(attempt) => attempt.server == server && entry.conn == Some(conn),
+            Stage::Attempting(attempt) => attempt.server == server && entry.conn == Some(conn),
             _ => false,
         };
         let Some(entry) = self.sessions.get_mut(&id).filter(is_expected) else {
@@ -214,12 +214,12 @@
         let Some(description) = message.get(code::DESCRIPTION).map(<[u8]>::to_vec) else {
             return self.server_unreadable(conn, out);
         };
-        let Some(attempt) = entry.session.out().cloned() else { return };
+        let Some(attempt) = entry.session.pending_attempt().cloned() else { return };
         let client = entry.session.client.map(|(client, _)| client);
         self.pool.set_up_ended(conn, id, out);
-        self.timers.unset(attempt.expires, Timer::AttemptTimeout(id, attempt.number));
-        self.timers.unset(overdue, Timer::AnswerDeadline(id));
-        let took = self.now - attempt.sent;
+        self.timers.cancel(attempt.expires_at, Timer::AttemptTimeout(id, attempt.number));
+        self.timers.cancel(overdue, Timer::AnswerDeadline(id));
+        let took = self.now - attempt.sent_at;
         let answer = Message::new(kind::ANSWER, id).with(code::DESCRIPTION, description);
         if let Some(client) = client {
             out.push(Command::SendToClient(client, answer));
@@ -228,7 +228,7 @@
         entry.forwarded_parameters = Vec::new();
         entry.playing_since = self.now;
         entry.session.may_have_run = true;
-        entry.session.stage = Stage::Playing(Playing { attempt, changing: None, missed: 0 });
+        entry.session.stage = Stage::Playing(Playing { attempt, pending_rung: None, failed_rung_changes: 0 });
         self.counts.played += 1;
         self.watch_health(server);
         self.events.push_back(Event::Started { session: session_id(id), server, took });
@@ -250,7 +250,7 @@
         let has_current_conn =
             entry.conn.is_some_and(|on| self.pool.exists(on) && !self.pool.is_finishing(on));
         let is_late = !is_current_conn && entry.earlier_conns.contains(&conn) && has_current_conn;
-        if entry.session.at().is_none_or(|at| at.server != server) || is_late {
+        if entry.session.current_attempt().is_none_or(|at| at.server != server) || is_late {
             return;
         }
         let (report, cause) = (self.load_report(&message), message.cause());
@@ -343,7 +343,7 @@
     /// Sends a media server a message about a session that it holds.
     pub(super) fn notify_server(&mut self, id: u64, message: Message, out: &mut Vec<Command>) {
         let Some(entry) = self.sessions.get(&id) else { return };
-        let Some(at) = entry.session.at() else { return };
+        let Some(at) = entry.session.current_attempt() else { return };
         // The session is gone with its media server, and another server may listen at the address.
         let Some(address) = self.servers.get(&at.server).copied() else { return };
         let to = (at.server, address);
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -51,7 +51,7 @@
     /// a session would play on for no client; if later, the kill would interrupt it.
     pub(super) fn check_shutdown(&mut self, now: Micros, out: &mut Vec<Command>) {
         let Some(since) = self.shutdown_since.filter(|_| !self.finished) else { return };
-        let has_open_requests = self.sessions.values().any(|entry| entry.session.owed());
+        let has_open_requests = self.sessions.values().any(|entry| entry.session.answer_pending());
         let is_done = now >= since + REQUEST_GRACE && !has_open_requests;
         if self.releasing_until.is_none() && (is_done || now >= self.answer_deadline(since)) {
             self.begin_releasing(since, out);
@@ -76,7 +76,7 @@
         let deadline = self.earliest_kill(since) - FLUSH_MARGIN;
         self.releasing_until = Some(deadline);
         self.timers.set(deadline, Timer::Shutdown);
-        let owed = self.sessions.values().filter(|entry| entry.session.owed()).count();
+        let owed = self.sessions.values().filter(|entry| entry.session.answer_pending()).count();
         let text =
             format!("shutdown: {owed} requests failed, {} sessions released", self.sessions.len() - owed);
         out.push(Command::Log(Level::Info, text));
--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -37,9 +37,9 @@
     SocketAddr::from(([127, 0, 0, id as u8 + 1], 3868))
 }
 
-fn listed(id: u32) -> Listed {
+fn listed(id: u32) -> ListEntry {
     let entry = ServerEntry { server: ServerId(id), cell: id, units: 1.0, ..ServerEntry::default() };
-    Listed { entry, address: address(id) }
+    ListEntry { entry, address: address(id) }
 }
 
 /// A decider that returns the actions given by the test, and records the events.
@@ -136,7 +136,7 @@
         let mut all = out.clone();
         all.extend(self.establish(&out));
         let (conn, _) = sent_set_up(&all).expect("set up");
-        let at = self.core.sessions[&id].session.at().unwrap().address;
+        let at = self.core.sessions[&id].session.current_attempt().unwrap().address;
         let answered = self.handle(NodeEvent::ServerMessage(conn, answer_message(id)));
         assert!(sent_to_client(&answered).any(|message| message.kind == kind::ANSWER));
         (conn, at)
@@ -464,10 +464,10 @@
 fn new_server_at_a_reused_address_ends_the_sessions_of_the_old_one() {
     let mut node = TestNode::new();
     let (conn, at) = node.start_session(1, "clip");
-    let old = node.core.sessions[&1].session.at().unwrap().server;
+    let old = node.core.sessions[&1].session.current_attempt().unwrap().server;
     let removed = ServerEntry { server: old, state: ServerState::Removed, ..ServerEntry::default() };
     let new = ServerEntry { server: ServerId(90), cell: old.0, units: 1.0, ..ServerEntry::default() };
-    let records = vec![Listed { entry: removed, address: at }, Listed { entry: new, address: at }];
+    let records = vec![ListEntry { entry: removed, address: at }, ListEntry { entry: new, address: at }];
     let out = node.list_frame(1, 6, Payload::Changes(records));
     assert!(
         out.contains(&Command::CloseServer(conn)),
@@ -481,14 +481,14 @@
 fn restarted_server_loses_the_sessions_set_up_before_its_start_and_no_later_ones() {
     let mut node = TestNode::new();
     node.start_session(1, "clip");
-    let server = node.core.sessions[&1].session.at().unwrap().server;
+    let server = node.core.sessions[&1].session.current_attempt().unwrap().server;
     node.advance(SECOND);
     let mut restarted = listed(server.0);
     restarted.entry.started = Some(node.now - SECOND / 2);
     let out = node.list_frame(1, 6, Payload::Changes(vec![restarted.clone()]));
     assert!(sent_to_client(&out).any(|m| m.kind == kind::RELEASE && m.session == 1));
     node.start_session(2, "clip");
-    let server = node.core.sessions[&2].session.at().unwrap().server;
+    let server = node.core.sessions[&2].session.current_attempt().unwrap().server;
     let mut update = listed(server.0);
     update.entry.started = Some(node.now - SECOND);
     let out = node.list_frame(1, 7, Payload::Changes(vec![update]));
@@ -822,7 +822,7 @@
     let out = node.send_request(1, "clip");
     let out = node.establish(&out);
     let (conn, _) = sent_set_up(&out).unwrap();
-    let draining = node.core.sessions[&1].session.at().unwrap().server;
+    let draining = node.core.sessions[&1].session.current_attempt().unwrap().server;
     let mut update = listed(draining.0);
     update.entry.state = ServerState::Draining;
     node.list_frame(1, 6, Payload::Changes(vec![update]));
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -168,7 +168,11 @@
             assert_eq!(sent_to_client(&out).count(), 0, "{plays} {cause}: {out:?}");
         }
         assert_eq!(node.core.sessions[&9].session.playing().is_some(), plays);
-        assert_eq!(node.core.sessions[&9].session.at().unwrap().number, 1, "the second attempt is current");
+        assert_eq!(
+            node.core.sessions[&9].session.current_attempt().unwrap().number,
+            1,
+            "the second attempt is current"
+        );
     }
 }
 
@@ -227,7 +231,7 @@
         node.core.decider.0.push_back(set_up_at(0));
         // Any event makes the decider act.
         node.handle(NodeEvent::ClientMessage(ClientId(1), request_message(10, "clip", "")));
-        let is_out = node.core.sessions[&9].session.out().is_some();
+        let is_out = node.core.sessions[&9].session.pending_attempt().is_some();
         assert_eq!(is_out, is_over, "{:?}", node.core.decider.1);
     }
 }
@@ -322,7 +326,8 @@
     let mut node = TestNode::new();
     let (conn, _) = node.start_session(1, "clip");
     node.handle(NodeEvent::ServerClosed(conn));
-    let checks = node.core.pool.connections_to(node.core.sessions[&1].session.at().unwrap().server);
+    let checks =
+        node.core.pool.connections_to(node.core.sessions[&1].session.current_attempt().unwrap().server);
     checks
         .into_iter()
         .for_each(|conn| drop(node.handle(NodeEvent::ConnectEnded(conn, Err(DialError::TimedOut)))));
@@ -529,6 +534,6 @@
             .count(),
         0
     );
-    assert!(node.core.sessions[&9].session.out().is_some(), "the attempt is still current");
+    assert!(node.core.sessions[&9].session.pending_attempt().is_some(), "the attempt is still current");
     assert!(outcomes(&node).is_empty());
 }
--- a/crates/platform/src/core/tests/list.rs
+++ b/crates/platform/src/core/tests/list.rs
@@ -195,11 +195,11 @@
     std::mem::take(&mut node.out)
 }
 
-fn list_event(number: u64, records: Vec<Listed>) -> NodeEvent {
+fn list_event(number: u64, records: Vec<ListEntry>) -> NodeEvent {
     NodeEvent::ListFrame(1, Frame { number, payload: Payload::Changes(records) })
 }
 
-fn listed_as(id: u32, state: ServerState) -> Listed {
+fn listed_as(id: u32, state: ServerState) -> ListEntry {
     let mut line = listed(id);
     line.entry.state = state;
     line
@@ -241,7 +241,7 @@
             let out = node.send_request(9, "clip");
             let out = node.establish(&out);
             let (conn, _) = sent_set_up(&out).unwrap();
-            if node.core.sessions[&9].session.at().unwrap().server == ServerId(remaining) {
+            if node.core.sessions[&9].session.current_attempt().unwrap().server == ServerId(remaining) {
                 continue;
             }
             let refusal = NodeEvent::ServerMessage(conn, Message::release(9, cause::FULL));
--- a/crates/platform/src/wire/frames.rs
+++ b/crates/platform/src/wire/frames.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use salttally::interface::{ServerEntry, ServerId, ServerState};
-use salttally_front::core::Listed;
+use salttally_front::core::ListEntry;
 use thiserror::Error;
 
 const HEADER_BYTES: usize = 4 + 8 + 1;
@@ -17,9 +17,9 @@
     /// Nothing has changed.
     Unchanged,
     /// The complete list.
-    Full(Vec<Listed>),
+    Full(Vec<ListEntry>),
     /// The entries that have changed.
-    Changes(Vec<Listed>),
+    Changes(Vec<ListEntry>),
 }
 
 /// A numbered frame.
@@ -90,7 +90,7 @@
     bytes.iter().fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
 
-fn parse_record(record: &[u8]) -> Result<Listed, FrameError> {
+fn parse_record(record: &[u8]) -> Result<ListEntry, FrameError> {
     let part = |from: usize, size: usize| be_integer(&record[from..from + size]);
     let state = match record[10] {
         0 => ServerState::Ready,
@@ -101,7 +101,7 @@
     let address = Ipv4Addr::from(part(4, 4) as u32);
     // In Unix ms; 0 for a start long ago. The front's clock is Unix time too.
     let started = part(19, 8);
-    Ok(Listed {
+    Ok(ListEntry {
         entry: ServerEntry {
             server: ServerId(part(0, 4) as u32),
             zone: part(11, 1) as u32,
