--- a/crates/platform/src/core/tests.rs
+++ b/crates/platform/src/core/tests.rs
@@ -224,23 +224,23 @@
 #[test]
 fn sends_nothing_new_on_a_connection_with_a_missing_answer_even_if_notes_arrive_on_it() {
     let mut node = TestNode::with(ScriptedDecider::default());
-    let request = |node: &mut TestNode<ScriptedDecider>, id: u64| {
+    let request_conn = |node: &mut TestNode<ScriptedDecider>, id: u64| {
         node.core.decider.0.push_back(Action::SetUp(session_id(id), ServerId(0), SECOND / 2));
         let out = node.send_request(id, "clip");
         let mut all = out.clone();
         all.extend(node.establish(&out));
         sent_set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
-    let first = request(&mut node, 1);
+    let first = request_conn(&mut node, 1);
     node.handle(NodeEvent::ServerMessage(first, answer_message(1)));
-    assert_eq!(request(&mut node, 2), first, "a working connection is reused");
+    assert_eq!(request_conn(&mut node, 2), first, "a working connection is reused");
     node.advance(SECOND / 4);
     node.handle(NodeEvent::ServerMessage(
         first,
         Message::new(kind::NOTE, 1).with(24, "port").with(39, "0.5"),
     ));
     node.advance(SECOND / 2);
-    assert_ne!(request(&mut node, 3), first);
+    assert_ne!(request_conn(&mut node, 3), first);
 }
 
 #[test]
@@ -260,21 +260,23 @@
 #[test]
 fn ignores_a_late_answer_of_the_same_server_during_the_next_attempt() {
     let mut node = TestNode::with(ScriptedDecider::default());
-    let request = |node: &mut TestNode<ScriptedDecider>, input: NodeEvent| {
+    let set_up_conn_after = |node: &mut TestNode<ScriptedDecider>, input: NodeEvent| {
         let out = node.handle(input);
         let mut all = out.clone();
         all.extend(node.establish(&out));
         sent_set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
-    let next_attempt = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
-    node.core.decider.0.push_back(next_attempt.clone());
-    let first = request(&mut node, NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", "")));
+    let attempt = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
+    node.core.decider.0.push_back(attempt.clone());
+    let first =
+        set_up_conn_after(&mut node, NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", "")));
     // The attempt times out, the media server acknowledges the give-up, and the next attempt goes to the same
     // server.
     node.now += SECOND / 2;
     node.tick_without_closes();
-    node.core.decider.0.push_back(next_attempt);
-    let second = request(&mut node, NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
+    node.core.decider.0.push_back(attempt);
+    let second =
+        set_up_conn_after(&mut node, NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
     assert_ne!(first, second);
     assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(first, answer_message(9)))).count(), 0);
     assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(second, answer_message(9)))).count(), 1);
@@ -347,12 +349,12 @@
         let out = node.send_request(id, "clip");
         node.establish(&out);
     }
-    let mut on = BTreeMap::new();
+    let mut set_ups_by_conn = BTreeMap::new();
     for entry in node.core.sessions.values() {
-        *on.entry(entry.conn).or_insert(0) += 1;
+        *set_ups_by_conn.entry(entry.conn).or_insert(0) += 1;
     }
-    assert_eq!(on.remove(&None), Some(6), "six connections to a server, four set-ups on each");
-    assert_eq!(on.into_values().collect::<Vec<_>>(), [4; 6]);
+    assert_eq!(set_ups_by_conn.remove(&None), Some(6), "six connections to a server, four set-ups on each");
+    assert_eq!(set_ups_by_conn.into_values().collect::<Vec<_>>(), [4; 6]);
 }
 
 #[test]
@@ -579,21 +581,21 @@
 #[test]
 fn answers_invalid_requests_without_asking_the_decider() {
     let mut node = TestNode::new();
-    let bad = |id: u64, code: u8, value: &str| {
+    let invalid_request = |id: u64, code: u8, value: &str| {
         let mut message = request_message(id, "clip", "");
         message.parameters.retain(|(other, _)| *other != code);
         message.with(code, value)
     };
     for (n, message) in [
-        bad(11, code::CLASS, "gold"),
-        bad(12, code::WAIT_MS, "-4"),
-        bad(13, code::WAIT_MS, "nan"),
-        bad(14, code::TITLE, "seven"),
-        bad(15, code::LENGTH_HINT_MS, "1e300"),
-        bad(16, code::REQUEST_FIELDS, "home:9;copies:3;top:2;viewer:0000000000000010"),
-        bad(17, code::REQUEST_FIELDS, "home:0;copies:4;top:2;viewer:0000000000000010"),
-        bad(18, code::REQUEST_FIELDS, "home:0;copies:3;top:3;viewer:0000000000000010"),
-        bad(19, code::DESCRIPTION, ""),
+        invalid_request(11, code::CLASS, "gold"),
+        invalid_request(12, code::WAIT_MS, "-4"),
+        invalid_request(13, code::WAIT_MS, "nan"),
+        invalid_request(14, code::TITLE, "seven"),
+        invalid_request(15, code::LENGTH_HINT_MS, "1e300"),
+        invalid_request(16, code::REQUEST_FIELDS, "home:9;copies:3;top:2;viewer:0000000000000010"),
+        invalid_request(17, code::REQUEST_FIELDS, "home:0;copies:4;top:2;viewer:0000000000000010"),
+        invalid_request(18, code::REQUEST_FIELDS, "home:0;copies:3;top:3;viewer:0000000000000010"),
+        invalid_request(19, code::DESCRIPTION, ""),
         request_message(0, "clip", ""),
         Message::new(kind::SET_UP, 21),
     ]
@@ -643,11 +645,11 @@
 #[test]
 fn session_handed_over_twice_is_resumed_once_and_its_server_is_checked() {
     let mut node = TestNode::new();
-    let handed = request_message(5, "paid", ";at:s-00000001");
-    let out = node.handle(NodeEvent::ClientMessage(ClientId(1), handed.clone()));
+    let hand_over = request_message(5, "paid", ";at:s-00000001");
+    let out = node.handle(NodeEvent::ClientMessage(ClientId(1), hand_over.clone()));
     assert_eq!(sent_to_client(&out).count(), 0, "a hand-over gets no answer");
     assert!(out.iter().any(|o| matches!(o, Command::Connect(_, to) if *to == address(1))));
-    assert_eq!(node.handle(NodeEvent::ClientMessage(ClientId(1), handed)), []);
+    assert_eq!(node.handle(NodeEvent::ClientMessage(ClientId(1), hand_over)), []);
     assert_eq!((node.core.counts().resumed, node.core.gauges()[1]), (1, 1));
 }
 
@@ -692,29 +694,29 @@
     assert!(node.core.sessions.is_empty() && node.core.moved_clients.len() == 1);
     node.handle(NodeEvent::ClientMessage(ClientId(1), request_message(2, "clip", "").with(33, "5")));
     assert_eq!(node.core.moved_clients.len(), 1, "the request is from another viewer");
-    let mut back = request_message(3, "clip", "");
-    back.parameters.retain(|(code, _)| *code != code::REQUEST_FIELDS);
+    let mut return_request = request_message(3, "clip", "");
+    return_request.parameters.retain(|(code, _)| *code != code::REQUEST_FIELDS);
     let fields = format!("home:0;copies:3;top:2;viewer:{:016x};again:1", 1);
-    node.handle(NodeEvent::ClientMessage(ClientId(1), back.with(code::REQUEST_FIELDS, fields)));
+    node.handle(NodeEvent::ClientMessage(ClientId(1), return_request.with(code::REQUEST_FIELDS, fields)));
     assert!(node.core.moved_clients.is_empty());
 }
 
 #[test]
 fn reconnects_to_the_coordinator_after_a_gap_a_break_or_silence_and_ignores_duplicates() {
     let mut node = TestNode::new();
-    let gone_event = |id: u32| {
-        let mut line = listed(id);
-        line.entry.state = ServerState::Removed;
-        Payload::Changes(vec![line])
+    let removal = |id: u32| {
+        let mut record = listed(id);
+        record.entry.state = ServerState::Removed;
+        Payload::Changes(vec![record])
     };
-    node.list_frame(1, 6, gone_event(0));
+    node.list_frame(1, 6, removal(0));
     assert_eq!(node.core.servers.len(), 2);
-    node.list_frame(1, 6, gone_event(1));
+    node.list_frame(1, 6, removal(1));
     assert_eq!(node.core.servers.len(), 2, "a duplicate event");
-    let out = node.list_frame(1, 8, gone_event(1));
+    let out = node.list_frame(1, 8, removal(1));
     assert!(out.contains(&Command::ConnectList(2, address(200), 6)), "{out:?}");
-    assert!(node.list_frame(1, 7, gone_event(1)).is_empty(), "the earlier connection is closed");
-    node.list_frame(2, 7, gone_event(1));
+    assert!(node.list_frame(1, 7, removal(1)).is_empty(), "the earlier connection is closed");
+    node.list_frame(2, 7, removal(1));
     assert_eq!(node.core.servers.len(), 1);
     node.handle(NodeEvent::ListClosed(2));
     let out = node.advance(SECOND / 5);
@@ -805,9 +807,9 @@
 fn refuses_at_once_with_a_hold_off_time_when_no_server_is_left() {
     let mut node = TestNode::new();
     let records = (0..SERVER_COUNT).map(|id| {
-        let mut line = listed(id);
-        line.entry.state = ServerState::Draining;
-        line
+        let mut record = listed(id);
+        record.entry.state = ServerState::Draining;
+        record
     });
     node.list_frame(1, 6, Payload::Changes(records.collect()));
     let out = node.send_request(9, "paid");
@@ -845,10 +847,10 @@
     });
     let other = check.expect("a new connection");
     node.handle(NodeEvent::ConnectEnded(other, Ok(())));
-    let released = Message::release(1, cause::NORMAL);
-    let out = node.handle(NodeEvent::ServerMessage(other, released.clone()));
-    assert_eq!(sent_to_client(&out).collect::<Vec<_>>(), [&released]);
-    let out = node.handle(NodeEvent::ServerMessage(other, released));
+    let release = Message::release(1, cause::NORMAL);
+    let out = node.handle(NodeEvent::ServerMessage(other, release.clone()));
+    assert_eq!(sent_to_client(&out).collect::<Vec<_>>(), [&release]);
+    let out = node.handle(NodeEvent::ServerMessage(other, release));
     assert_eq!(sent_to_client(&out).count(), 0);
     assert_eq!(sent_to_server(&out, kind::RELEASE_ACK).len(), 1);
 }
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -4,9 +4,9 @@
 use super::*;
 
 fn state_change(id: u32, state: ServerState) -> Payload {
-    let mut line = listed(id);
-    line.entry.state = state;
-    Payload::Changes(vec![line])
+    let mut record = listed(id);
+    record.entry.state = state;
+    Payload::Changes(vec![record])
 }
 
 fn set_up_at(server: u32) -> Action {
@@ -33,11 +33,11 @@
 }
 
 fn outcomes(node: &TestNode<ScriptedDecider>) -> Vec<Outcome> {
-    let ended = |event: &Event| match event {
+    let ended_outcome = |event: &Event| match event {
         Event::Ended { outcome, .. } => Some(*outcome),
         _ => None,
     };
-    node.core.decider.1.iter().filter_map(ended).collect()
+    node.core.decider.1.iter().filter_map(ended_outcome).collect()
 }
 
 fn no_set_up(out: &[Command]) -> bool {
@@ -118,14 +118,14 @@
     node.core.decider.1.clear();
     let out = node.advance(5 * SECOND / 2);
     assert!(out.contains(&Command::CloseServer(conn)), "the blocked connection is closed: {out:?}");
-    let of = |id: u64| {
-        let ended = |event: &Event| match event {
+    let outcome_of = |id: u64| {
+        let ended_outcome = |event: &Event| match event {
             Event::Ended { session, outcome, .. } if *session == session_id(id) => Some(*outcome),
             _ => None,
         };
-        node.core.decider.1.iter().find_map(ended)
+        node.core.decider.1.iter().find_map(ended_outcome)
     };
-    assert_eq!((of(10), of(11)), (Some(Outcome::Broken), Some(Outcome::NoConnection)));
+    assert_eq!((outcome_of(10), outcome_of(11)), (Some(Outcome::Broken), Some(Outcome::NoConnection)));
 }
 
 #[test]
@@ -148,14 +148,14 @@
 fn late_refusal_of_an_earlier_attempt_ends_neither_the_next_attempt_nor_the_session() {
     for plays in [false, true] {
         let mut node = TestNode::with(ScriptedDecider::default());
-        let next_attempt = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
-        node.core.decider.0.push_back(next_attempt.clone());
+        let attempt = Action::SetUp(session_id(9), ServerId(0), SECOND / 2);
+        node.core.decider.0.push_back(attempt.clone());
         let out = node.send_request(9, "clip");
         let established = node.establish(&out);
         let (first, _) = sent_set_up(&established).unwrap();
         node.now += SECOND / 2;
         node.tick_without_closes();
-        node.core.decider.0.push_back(next_attempt);
+        node.core.decider.0.push_back(attempt);
         let out = node.handle(NodeEvent::ServerMessage(first, Message::new(kind::RELEASE_ACK, 9)));
         let established = node.establish(&out);
         let (second, _) = sent_set_up(&established).unwrap();
@@ -179,24 +179,31 @@
 #[test]
 fn handles_a_session_end_on_an_earlier_connection_once_the_current_one_is_finishing() {
     let mut node = TestNode::with(ScriptedDecider::default());
-    let attempt = |node: &mut TestNode<ScriptedDecider>, id: u64, input: NodeEvent| {
+    let set_up_conn_after = |node: &mut TestNode<ScriptedDecider>, id: u64, input: NodeEvent| {
         node.core.decider.0.push_back(Action::SetUp(session_id(id), ServerId(0), SECOND / 2));
         let out = node.handle(input);
         let mut all = out.clone();
         all.extend(node.establish(&out));
         sent_set_up(&all).map(|(conn, _)| conn).expect("sent")
     };
-    let first = attempt(&mut node, 9, NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", "")));
+    let first = set_up_conn_after(
+        &mut node,
+        9,
+        NodeEvent::ClientMessage(ClientId(1), request_message(9, "clip", "")),
+    );
     let refusal = NodeEvent::ServerMessage(first, Message::release(9, cause::NOT_SENT));
-    let second = attempt(&mut node, 9, refusal);
+    let second = set_up_conn_after(&mut node, 9, refusal);
     assert_ne!(first, second);
     node.handle(NodeEvent::ServerMessage(second, answer_message(9)));
     // Another request times out on the connection of the session, which is finished for that and not closed
     // yet.
     node.now += 1;
     node.handle(NodeEvent::ServerMessage(second, Message::new(kind::PROGRESS, 9)));
-    let other =
-        attempt(&mut node, 10, NodeEvent::ClientMessage(ClientId(1), request_message(10, "clip", "")));
+    let other = set_up_conn_after(
+        &mut node,
+        10,
+        NodeEvent::ClientMessage(ClientId(1), request_message(10, "clip", "")),
+    );
     assert_eq!(other, second);
     node.now += SECOND / 2;
     let out = node.tick_without_closes();
@@ -207,7 +214,7 @@
 
 #[test]
 fn server_gets_no_second_attempt_until_the_first_is_proven_over() {
-    let shown = [
+    let cases = [
         (Some(Message::new(kind::RELEASE_ACK, 9)), None, true),
         (Some(Message::release(9, cause::FULL)), None, true),
         (None, Some(NodeEvent::ServerClosed as fn(ConnId) -> NodeEvent), true),
@@ -215,7 +222,7 @@
         (Some(answer_message(9)), None, false),
         (Some(Message::new(kind::RELEASE_ACK, 8)), None, false),
     ];
-    for (says, ends, is_over) in shown {
+    for (message, close, is_over) in cases {
         let mut node = TestNode::with(ScriptedDecider::default());
         node.core.decider.0.push_back(set_up_at(0));
         let out = node.send_request(9, "clip");
@@ -223,16 +230,16 @@
         let (first, _) = sent_set_up(&established).unwrap();
         node.now += 2 * SECOND;
         node.tick_without_closes();
-        match (says, ends) {
+        match (message, close) {
             (Some(message), _) => drop(node.handle(NodeEvent::ServerMessage(first, message))),
-            (_, Some(ends)) => drop(node.handle(ends(first))),
+            (_, Some(close)) => drop(node.handle(close(first))),
             _ => {}
         }
         node.core.decider.0.push_back(set_up_at(0));
         // Any event makes the decider act.
         node.handle(NodeEvent::ClientMessage(ClientId(1), request_message(10, "clip", "")));
-        let is_out = node.core.sessions[&9].session.pending_attempt().is_some();
-        assert_eq!(is_out, is_over, "{:?}", node.core.decider.1);
+        let has_attempt = node.core.sessions[&9].session.pending_attempt().is_some();
+        assert_eq!(has_attempt, is_over, "{:?}", node.core.decider.1);
     }
 }
 
@@ -258,13 +265,13 @@
     let mut node = TestNode::new();
     let (conn, _) = node.start_session(1, "clip");
     node.handle(NodeEvent::ClientClosed(ClientId(1)));
-    let released = Message::release(1, cause::NORMAL);
-    assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(conn, released.clone()))).count(), 0);
+    let release = Message::release(1, cause::NORMAL);
+    assert_eq!(sent_to_client(&node.handle(NodeEvent::ServerMessage(conn, release.clone()))).count(), 0);
     node.advance(SECOND);
     node.handle(NodeEvent::ClientConnected(ClientId(2)));
     let test = Message::new(kind::TEST, 0).with(code::CAUSE, [0]);
     let out = node.handle(NodeEvent::ClientMessage(ClientId(2), test.clone()));
-    assert_eq!(sent_to_client(&out).next(), Some(&released));
+    assert_eq!(sent_to_client(&out).next(), Some(&release));
     let out = node.handle(NodeEvent::ClientMessage(ClientId(2), test));
     assert!(sent_to_client(&out).all(|m| m.kind != kind::RELEASE), "once");
 }
@@ -315,9 +322,9 @@
         list_update.unwrap() < ended.unwrap(),
         "otherwise an attempt would be wasted on a server that is gone"
     );
-    let mut back = listed(7);
-    back.address = address(0);
-    node.list_frame(1, 7, Payload::Changes(vec![back]));
+    let mut returned = listed(7);
+    returned.address = address(0);
+    node.list_frame(1, 7, Payload::Changes(vec![returned]));
     assert!(no_set_up(&node.handle(NodeEvent::ConnectEnded(conn, Ok(())))));
 }
 
--- a/crates/platform/src/core/tests/list.rs
+++ b/crates/platform/src/core/tests/list.rs
@@ -87,7 +87,7 @@
         node.handle(NodeEvent::ListClosed(1));
         let (mut open, mut begun) = (Vec::new(), BTreeMap::new());
         let until = node.now + 4 * SECOND;
-        let up = loop {
+        let established = loop {
             let (connection, _) = next_connection(&mut node, &mut open);
             begun.insert(connection, node.now);
             if let Some(connection) =
@@ -95,9 +95,9 @@
             {
                 break *connection;
             }
-            assert!(node.now < until, "no connection attempt is remaining long enough, grace {grace} ms");
+            assert!(node.now < until, "no connection attempt is kept long enough, grace {grace} ms");
         };
-        let out = node.handle(NodeEvent::ListConnected(up));
+        let out = node.handle(NodeEvent::ListConnected(established));
         let closed: Vec<u64> = out
             .iter()
             .filter_map(|o| match o {
@@ -105,15 +105,15 @@
                 _ => None,
             })
             .collect();
-        open.retain(|connection| *connection != up);
+        open.retain(|connection| *connection != established);
         assert_eq!(closed, open, "the other attempts are closed");
         let mut draining = listed(0);
         draining.entry.state = ServerState::Draining;
-        node.list_frame(up, 6, Payload::Changes(vec![draining.clone()]));
+        node.list_frame(established, 6, Payload::Changes(vec![draining.clone()]));
         assert!(node
             .list_frame(closed.last().copied().unwrap_or(0), 7, Payload::Changes(vec![draining]))
             .is_empty());
-        node.list_frame(up, 6, Payload::Unchanged);
+        node.list_frame(established, 6, Payload::Unchanged);
         assert_eq!(
             node.advance(2 * SECOND).iter().filter(|o| matches!(o, Command::ConnectList(..))).count(),
             0
@@ -200,9 +200,9 @@
 }
 
 fn listed_as(id: u32, state: ServerState) -> ListEntry {
-    let mut line = listed(id);
-    line.entry.state = state;
-    line
+    let mut record = listed(id);
+    record.entry.state = state;
+    record
 }
 
 fn dialled_addresses(out: &[Command]) -> Vec<SocketAddr> {
@@ -288,9 +288,9 @@
             node.list_frame(1, 6, if is_full { Payload::Full(records) } else { Payload::Changes(records) });
             assert_eq!(node.core.server_summaries().contains_key(&ServerId(0)), is_listed);
             if is_full {
-                let there: Vec<SocketAddr> = is_listed.then_some(address(0)).into_iter().collect();
+                let expected: Vec<SocketAddr> = is_listed.then_some(address(0)).into_iter().collect();
                 let out = node.send_request(9, "clip");
-                assert_eq!(dialled_addresses(&out), there);
+                assert_eq!(dialled_addresses(&out), expected);
                 assert_eq!(node.core.counts().stopped, 0);
             }
         }
