--- a/crates/platform/src/node/connection.rs
+++ b/crates/platform/src/node/connection.rs
@@ -6,7 +6,7 @@
 use rustix::io::Errno;
 use rustix::net::SendFlags;
 use salttally::interface::Micros;
-use salttally_front::session_api::core::backlog::{Backlog, Step};
+use salttally_front::session_api::core::backlog::{Backlog, BacklogAction};
 
 use super::CloseKind;
 use crate::wire::{kind, Decoder, Message};
@@ -101,7 +101,7 @@
     /// Whether bytes wait that the socket has not accepted.
     pub fn has_unwritten(&self) -> bool {
         match &self.unwritten {
-            Unwritten::Backlog(backlog) => !backlog.is_clear(),
+            Unwritten::Backlog(backlog) => !backlog.accepts_direct_writes(),
             Unwritten::PartialMessage(rest) => rest.is_some(),
         }
     }
@@ -143,18 +143,18 @@
     now: Micros,
 ) -> Result<(FlushOutcome, usize), ()> {
     let mut sent = 0;
-    if backlog.is_clear() {
+    if backlog.accepts_direct_writes() {
         sent = send_all(stream, outgoing)?;
     }
     let rest = std::mem::take(outgoing).split_off(sent);
-    if backlog.add(&rest, now) == Step::Cut {
+    if backlog.push_unsent(&rest, now) == BacklogAction::Disconnect {
         return Err(());
     }
-    while !backlog.is_clear() {
-        let accepted = send(stream, &backlog.turn())?;
+    while !backlog.accepts_direct_writes() {
+        let accepted = send(stream, &backlog.next_chunk())?;
         sent += accepted;
-        match backlog.tried(Some(accepted), now) {
-            Step::Cut => return Err(()),
+        match backlog.record_write(Some(accepted), now) {
+            BacklogAction::Disconnect => return Err(()),
             _ if accepted == 0 => return Ok((FlushOutcome::Pending, sent)),
             _ => {}
         }
