--- a/crates/platform/src/core/in_doubt.rs
+++ b/crates/platform/src/core/in_doubt.rs
@@ -33,10 +33,11 @@
 
     /// The server has closed this connection: every attempt given up on it is over.
     pub(super) fn closed_by_server(&mut self, conn: ConnId, out: &mut Vec<Command>) {
-        let on = |entry: &SessionEntry| {
+        let server_in_doubt = |entry: &SessionEntry| {
             entry.in_doubt.iter().find(|(_, on)| *on == conn).map(|(server, _)| *server)
         };
-        let resolved: Vec<_> = self.sessions.iter().filter_map(|(id, e)| Some((*id, on(e)?))).collect();
+        let resolved: Vec<_> =
+            self.sessions.iter().filter_map(|(id, e)| Some((*id, server_in_doubt(e)?))).collect();
         for (id, server) in resolved {
             self.sessions.entry(id).and_modify(|entry| entry.in_doubt.retain(|(_, on)| *on != conn));
             self.resolve(id, server, "closed", out);
--- a/crates/platform/src/node/list.rs
+++ b/crates/platform/src/node/list.rs
@@ -23,12 +23,12 @@
 }
 
 impl Node {
-    /// Connects to the coordinator, which sends the events after `last`.
-    pub(super) fn connect_list(&mut self, number: u64, to: SocketAddr, last: u64) {
+    /// Connects to the coordinator, which sends the events after `last_event`.
+    pub(super) fn connect_list(&mut self, number: u64, to: SocketAddr, last_event: u64) {
         match self.dial_and_watch(to, LIST | number) {
             Ok(stream) => {
                 let frames = FrameDecoder::default();
-                let connection = ListConnection { stream, connecting: true, last_event: last, frames };
+                let connection = ListConnection { stream, connecting: true, last_event, frames };
                 self.list_connections.insert(number, connection);
             }
             Err(error) => {
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -68,7 +68,7 @@
 /// How long a closed connection is still read, so that a reset does not discard the bytes written last.
 const LINGER_TIMEOUT: Micros = 300_000;
 /// Maximum number of bytes read from a connection that is closed.
-const MAX_DISCARDED: usize = 256 * 1024;
+const MAX_DISCARDED_BYTES: usize = 256 * 1024;
 /// Longest wait in one poll.
 const MAX_POLL_WAIT: Micros = 1_000_000;
 
@@ -632,7 +632,7 @@
             Ok(0) => true,
             Ok(count) => {
                 connection.discarded += count;
-                connection.discarded > MAX_DISCARDED
+                connection.discarded > MAX_DISCARDED_BYTES
             }
             Err(error) => !would_block(&error),
         };
