--- a/crates/front/src/box_list/mod.rs
+++ b/crates/front/src/box_list/mod.rs
@@ -208,7 +208,7 @@
 /// Writes a new file and renames it: if the front is killed meanwhile, either the old or the new list is
 /// complete.
 fn write_atomically(path: &Path, text: &str) -> std::io::Result<()> {
-    let beside = path.with_extension("new");
-    fs::write(&beside, text)?;
-    fs::rename(&beside, path)
+    let temporary = path.with_extension("new");
+    fs::write(&temporary, text)?;
+    fs::rename(&temporary, path)
 }
--- a/crates/front/src/boxes/link.rs
+++ b/crates/front/src/boxes/link.rs
@@ -26,8 +26,8 @@
 /// Reports that there was no thread for an event stream. It says nothing about the box, so this is no
 /// refusal.
 pub fn report_stream_without_thread(engine: &Sender<EngineMessage>, server: ServerId, number: u64) {
-    let news = StreamEvent::NoConnection(DialError::TimedOut);
-    let _ = engine.send(EngineMessage::Input(Input::Stream(server, number, news)));
+    let event = StreamEvent::NoConnection(DialError::TimedOut);
+    let _ = engine.send(EngineMessage::Input(Input::Stream(server, number, event)));
 }
 
 /// A connection that carries requests.
@@ -49,8 +49,8 @@
             return;
         }
         let Ok(mut stream) = stream else { return };
-        while let Ok((request, writ)) = requests.recv() {
-            let end = self.exchange(&mut stream, &request, writ);
+        while let Ok((request, authority)) = requests.recv() {
+            let end = self.exchange(&mut stream, &request, authority);
             tracing::trace!(server = self.server.0, conn = self.id.0, ?end, "exchange");
             if self.engine.send(EngineMessage::Input(Input::Exchanged(self.id, end))).is_err() {
                 return;
@@ -58,13 +58,18 @@
         }
     }
 
-    fn exchange(&self, stream: &mut TcpStream, request: &BoxRequest, writ: WriteAuthority) -> ExchangeEnd {
+    fn exchange(
+        &self,
+        stream: &mut TcpStream,
+        request: &BoxRequest,
+        authority: WriteAuthority,
+    ) -> ExchangeEnd {
         if !is_idle_and_open(stream) {
             return ExchangeEnd::Stale;
         }
-        let bytes = wire::encode_request(request, writ.epoch, &self.settings);
+        let bytes = wire::encode_request(request, authority.epoch, &self.settings);
         // Danger: the process may have been stopped since the decision, and its lease may have expired.
-        if writ.valid_until.is_some_and(|until| salttally_accord::edge::now() >= until) {
+        if authority.valid_until.is_some_and(|until| salttally_accord::edge::now() >= until) {
             return ExchangeEnd::Unwritten;
         }
         // Either the whole request is written, or an incomplete one, which the box must not run (RFC 9112
@@ -134,7 +139,7 @@
                         exceeded = Some(reason);
                         return Err(reason.to_string());
                     }
-                    events.into_iter().for_each(|news| self.report(news));
+                    events.into_iter().for_each(|event| self.report(event));
                     Ok(())
                 });
                 match (exceeded, ended) {
@@ -154,7 +159,7 @@
         self.report(last);
     }
 
-    fn report(&self, news: StreamEvent) {
-        let _ = self.engine.send(EngineMessage::Input(Input::Stream(self.server, self.number, news)));
+    fn report(&self, event: StreamEvent) {
+        let _ = self.engine.send(EngineMessage::Input(Input::Stream(self.server, self.number, event)));
     }
 }
--- a/crates/front/src/boxes/mod.rs
+++ b/crates/front/src/boxes/mod.rs
@@ -72,10 +72,10 @@
     }
 
     /// Sends a request on an open connection, with the lease and epoch that it is sent under.
-    pub fn send(&mut self, id: ConnId, request: &BoxRequest, writ: WriteAuthority) {
+    pub fn send(&mut self, id: ConnId, request: &BoxRequest, authority: WriteAuthority) {
         if let Some(connection) = self.connections.get(&id) {
             // If the thread has ended, it has reported that.
-            let _ = connection.requests.send((request.clone(), writ));
+            let _ = connection.requests.send((request.clone(), authority));
         }
     }
 
--- a/crates/front/src/boxes/wire.rs
+++ b/crates/front/src/boxes/wire.rs
@@ -112,7 +112,7 @@
     if let (BoxRequest::Claim { .. }, 200) = (request, response.status) {
         let held: Vec<HeldSessionBody> = match serde_json::from_value(body.sessions) {
             Ok(held) => held,
-            Err(error) => return malformed(format!("invalid sessions of a claimed life: {error}")),
+            Err(error) => return malformed(format!("invalid sessions of a claimed incarnation: {error}")),
         };
         let held = held.into_iter().map(|held| held_session(held, settings)).collect();
         return ExchangeEnd::Claimed { held, keep_alive: response.keep_alive };
@@ -144,7 +144,7 @@
     if load.is_null() {
         return Ok(Vec::new());
     }
-    let mut figures = Vec::new();
+    let mut numbers = Vec::new();
     for field in &settings.decision.reports {
         let name = match field {
             ReportField::Streams => "streams",
@@ -155,9 +155,9 @@
         let Some(value) = load.get(name).and_then(Value::as_f64).filter(|v| *v >= 0.0) else {
             return Err(format!("load report has no number `{name}`"));
         };
-        figures.push(if *field == ReportField::LinkCapped { value.min(1.0) } else { value });
+        numbers.push(if *field == ReportField::LinkCapped { value.min(1.0) } else { value });
     }
-    Ok(figures)
+    Ok(numbers)
 }
 
 #[derive(Deserialize)]
@@ -177,7 +177,7 @@
         let name = data.get("session").and_then(Value::as_str);
         name.map(|name| SessionId(Arc::from(name))).ok_or(format!("event `{}` has no session", event.name))
     };
-    let figure = |key: &str| data.get(key).and_then(Value::as_f64).filter(|v| *v >= 0.0);
+    let number = |key: &str| data.get(key).and_then(Value::as_f64).filter(|v| *v >= 0.0);
     let missing = |key: &str| format!("event `{}` has no number `{key}`", event.name);
     Ok(match event.name.as_str() {
         "held" => {
@@ -190,13 +190,13 @@
             vec![StreamEvent::Began(held_session(body, settings))]
         }
         "delivered" => {
-            let share = figure("share").ok_or_else(|| missing("share"))?;
+            let share = number("share").ok_or_else(|| missing("share"))?;
             vec![StreamEvent::Note(session()?, Note::Delivered(share))]
         }
         "link" => {
-            let link = figure("link").ok_or_else(|| missing("link"))?;
+            let link = number("link").ok_or_else(|| missing("link"))?;
             let mut notes = vec![StreamEvent::Note(session()?, Note::Link(link))];
-            if let Some(uplink) = figure("uplink") {
+            if let Some(uplink) = number("uplink") {
                 notes.push(StreamEvent::Note(session()?, Note::Uplink(uplink)));
             }
             notes
--- a/crates/front/src/session_api/core/admission.rs
+++ b/crates/front/src/session_api/core/admission.rs
@@ -163,7 +163,7 @@
             self.remove(dropped);
             self.count_drop(DropReason::Handshake);
         }
-        self.insert(id, Connection { prefix, state: State::Handshake(self.limits.pace.due(now, 0)) });
+        self.insert(id, Connection { prefix, state: State::Handshake(self.limits.pace.deadline(now, 0)) });
         Ok(dropped.map(|dropped| (dropped, DropReason::Handshake)))
     }
 
@@ -175,7 +175,7 @@
 
     /// Updates the deadline of a handshake that began at `begun` and has received `bytes` so far.
     pub fn handshake_progress(&mut self, id: ClientId, begun: Micros, bytes: u64) {
-        let due = self.limits.pace.due(begun, bytes);
+        let due = self.limits.pace.deadline(begun, bytes);
         self.update_state(
             id,
             |state| if let State::Handshake(_) = state { State::Handshake(due) } else { state },
--- a/crates/front/src/session_api/core/calls.rs
+++ b/crates/front/src/session_api/core/calls.rs
@@ -131,8 +131,8 @@
         self.pending.insert(ticket, PendingCall { id: call.id, is_open, batch });
         let client = self.client;
         accepted.inputs.push(match method {
-            Method::Open(opening) if self.reserve_only => Input::Reopen(client, ticket, opening),
-            Method::Open(opening) => Input::Open(client, ticket, opening),
+            Method::Open(open_request) if self.reserve_only => Input::Reopen(client, ticket, open_request),
+            Method::Open(open_request) => Input::Open(client, ticket, open_request),
             // No call has ticket 0, so an id that matches no pending open cancels nothing.
             Method::Cancel(_) => Input::Cancel(client, ticket, cancelled.unwrap_or(Ticket(0))),
             Method::Close(session) => Input::Close(client, ticket, session),
--- a/crates/front/src/session_api/core/pace.rs
+++ b/crates/front/src/session_api/core/pace.rs
@@ -22,7 +22,7 @@
 
 impl Pace {
     /// The deadline of a step that began at `begun` and has received `bytes` so far.
-    pub fn due(&self, begun: Micros, bytes: u64) -> Micros {
+    pub fn deadline(&self, begun: Micros, bytes: u64) -> Micros {
         let earned = bytes.saturating_mul(SECOND_US) / self.min_bytes_per_s.max(1);
         begun.saturating_add(self.timeout.min(self.grace.saturating_add(earned)))
     }
@@ -32,13 +32,17 @@
 /// payloads; it does not validate frames, which the WebSocket library does.
 #[derive(Clone, Debug, Default)]
 pub struct FrameScanner {
+    /// The frame header so far.
     head: Vec<u8>,
+    /// Bytes of the payload that are still to come.
     payload_left: u64,
     frame_is_final: bool,
     frame_is_control: bool,
     /// A fragmented message has begun and not ended.
     in_fragmented_message: bool,
+    /// Begin and received bytes of the current step.
     step: Option<(Micros, u64)>,
+    /// Complete control frames that were not asked for yet.
     control_frames: u64,
 }
 
--- a/crates/front/src/session_api/core/rate_limit.rs
+++ b/crates/front/src/session_api/core/rate_limit.rs
@@ -49,8 +49,10 @@
 #[derive(Clone, Debug)]
 pub struct CallAllowance {
     limits: RateLimits,
+    /// Tokens left, in millionths of a call.
     credit: u64,
     updated_at: Micros,
+    /// Weight of the calls over the limit since the last allowed one.
     excess: u64,
 }
 
--- a/crates/front/src/session_api/core/tests/connections.rs
+++ b/crates/front/src/session_api/core/tests/connections.rs
@@ -209,9 +209,9 @@
     // The header of a masked text frame of 4,096 bytes, and three bytes of its payload.
     frames.push(7, &[0x81, 0x80 | 126, 0x10, 0x00, 1, 2, 3, 4, b'{', b'"', b'a']);
     assert_eq!(frames.in_progress(), Some((7, 11)));
-    assert_eq!(WATCHDOG.message.due(7, 11), 7 + 3 * SECOND + 11 * SECOND / 512);
+    assert_eq!(WATCHDOG.message.deadline(7, 11), 7 + 3 * SECOND + 11 * SECOND / 512);
     assert_eq!(
-        PACE.due(7, 1 << 40),
+        PACE.deadline(7, 1 << 40),
         7 + PACE.timeout,
         "the deadline of the whole message applies at any rate"
     );
@@ -473,15 +473,19 @@
                 }
                 _ => {
                     // A message of normal priority.
-                    let earlier = queue.take_client(id(client));
-                    earlier.into_iter().for_each(|(player, number)| handled[player].push(number));
+                    queue
+                        .take_client(id(client))
+                        .into_iter()
+                        .for_each(|(player, number)| handled[player].push(number));
                     sent[player].push(number);
                     handled[player].push(number);
                 }
             }
             if number % 5 == 0 {
-                let popped: Option<(usize, usize)> = queue.pop();
-                popped.into_iter().for_each(|(player, number)| handled[player].push(number));
+                queue
+                    .pop()
+                    .into_iter()
+                    .for_each(|(player, number): (usize, usize)| handled[player].push(number));
             }
         }
         while let Some((player, number)) = queue.pop() {
--- a/crates/front/src/session_api/core/watchdog.rs
+++ b/crates/front/src/session_api/core/watchdog.rs
@@ -137,11 +137,11 @@
 
     fn step_deadline(&self) -> Micros {
         match &self.phase {
-            Phase::Handshake { begun, bytes } => self.limits.handshake.due(*begun, *bytes),
+            Phase::Handshake { begun, bytes } => self.limits.handshake.deadline(*begun, *bytes),
             Phase::Established => self
                 .frames
                 .in_progress()
-                .map_or(Micros::MAX, |(begun, bytes)| self.limits.message.due(begun, bytes)),
+                .map_or(Micros::MAX, |(begun, bytes)| self.limits.message.deadline(begun, bytes)),
         }
     }
 
--- a/crates/front/src/session_api/rpc.rs
+++ b/crates/front/src/session_api/rpc.rs
@@ -241,7 +241,7 @@
     }
     let given = Params(given);
     Ok(match name {
-        "session.open" => Method::Open(parse_opening(&given, settings)?),
+        "session.open" => Method::Open(parse_open_request(&given, settings)?),
         "session.cancel" => Method::Cancel(given.0.get("open").cloned().unwrap_or(Value::Null)),
         "session.close" => Method::Close(SessionId(Arc::from(given.name("session")?))),
         _ => {
@@ -277,7 +277,7 @@
     }
 }
 
-fn parse_opening(given: &Params, settings: &Settings) -> Result<OpenRequest, RpcError> {
+fn parse_open_request(given: &Params, settings: &Settings) -> Result<OpenRequest, RpcError> {
     let wrong = |text: String| RpcError::new(INVALID_PARAMS, text);
     let title = given.name("title")?;
     let title_entry = settings.titles.get(title).ok_or_else(|| wrong(format!("no title `{title}` here")))?;
@@ -417,8 +417,8 @@
 }
 
 /// A notification.
-pub fn notification(news: &Notification) -> Value {
-    let (method, params) = match news {
+pub fn notification(notification: &Notification) -> Value {
+    let (method, params) = match notification {
         Notification::RungChanged(session, rung, rate) => {
             ("session.rung", json!({"session": &*session.0, "rung": rung, "rate_kb": rate}))
         }
--- a/crates/front/src/session_api/server.rs
+++ b/crates/front/src/session_api/server.rs
@@ -37,8 +37,8 @@
 use crate::core::{ClientId, Input};
 use crate::settings::{Settings, SUB_PROTOCOL};
 
-/// Stack of a thread that reads one player. It holds a message, its JSON and the WebSocket buffers, which are
-/// on the heap.
+/// Stack of a thread that reads one player. It can be small, since messages, their JSON and the WebSocket
+/// buffers are on the heap.
 const READER_STACK_BYTES: usize = 128 * 1024;
 /// How long a connection is still read after its close frame, so that a reset does not destroy the close
 /// reason.
@@ -461,8 +461,8 @@
         };
         let mut slot = Slot::Regular;
         #[allow(clippy::result_large_err)]
-        let enter = |request: &Request, response: Response| self.negotiate(request, response, &mut slot);
-        let mut socket = match tungstenite::accept_hdr_with_config(duplex, enter, Some(self.config())) {
+        let on_request = |request: &Request, response: Response| self.negotiate(request, response, &mut slot);
+        let mut socket = match tungstenite::accept_hdr_with_config(duplex, on_request, Some(self.config())) {
             Ok(socket) => socket,
             Err(error) => {
                 tracing::debug!(client = self.id.0, %error, "handshake failed");
@@ -474,8 +474,8 @@
         socket.get_mut().watchdog.on_established(self.clock.now(), in_reserve);
         let calls = PendingCalls::new(self.id, self.settings.io.max_pending_opens, in_reserve);
         let share = Arc::new(Mutex::new(ThreadShare::new(self.clock.now())));
-        let port = ClientSink::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
-        if self.channels.engine.send(EngineMessage::Attach(self.id, port)).is_ok() {
+        let sink = ClientSink::socket(Arc::clone(&self.outbox), calls, Arc::clone(&share));
+        if self.channels.engine.send(EngineMessage::Attach(self.id, sink)).is_ok() {
             let duplex = self.read(socket, &share);
             let may_return = matches!(duplex.verdict, Some(Verdict::Unresponsive | Verdict::TooSlow));
             let input = if may_return { Input::ClientLost(self.id) } else { Input::ClientClosed(self.id) };
@@ -501,8 +501,8 @@
     fn read(&self, mut socket: WebSocket<Duplex>, share: &Arc<Mutex<ThreadShare>>) -> Duplex {
         let mut allowance = CallAllowance::new(self.settings.io.call_rate, self.clock.now());
         loop {
-            let read = socket.read();
-            let message = match read {
+            let received = socket.read();
+            let message = match received {
                 Ok(Message::Text(text)) => Some(rpc::parse(text.as_str(), &self.settings)),
                 Ok(Message::Binary(_)) => {
                     send_close(&self.outbox, CloseCode::Unsupported, "calls are text messages");
@@ -516,11 +516,11 @@
                 }
             };
             let (releases, requests) = message.as_ref().map_or((0, 0), rpc::Message::weights);
-            let allowed = match requests {
+            let decision = match requests {
                 0 => RateDecision::Allow,
                 weight => allowance.charge(weight, self.clock.now(), self.connections.established()),
             };
-            let pause = match (allowed, message) {
+            let pause = match (decision, message) {
                 (RateDecision::Disconnect, _) => {
                     send_close(&self.outbox, CloseCode::Policy, "far too many calls");
                     break;
@@ -600,7 +600,7 @@
 
     /// Sends the player the reason for the end of its connection, as a close code of RFC 6455 section 7.4.1.
     fn report_end(&self, error: &Error, verdict: Option<Verdict>) {
-        tracing::debug!(client = self.id.0, %error, ended = ?verdict, "connection ends");
+        tracing::debug!(client = self.id.0, %error, ended = ?verdict, "connection ended");
         let (code, reason) = match (error, verdict) {
             (_, Some(Verdict::TooSlow)) => (CloseCode::Policy, "a message was begun and not ended".into()),
             (_, Some(Verdict::Unresponsive)) => (CloseCode::Policy, "pings were not answered".into()),
