--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The listed servers, and which of them stand where: in a cell of the ring, in a rack, with own sessions. No decisions.
+//! The listed servers, indexed by cell, by rack, and by whether they carry sessions of this front. No decisions.
 //!
-//! What is asked again and again is kept as an index and changed with the list or with own sessions, so that a request, a
-//! figure or a look costs as much as the servers concerned, however many are listed.
+//! The indices are updated when the list or the front's own demand changes, so that the cost of a request, a load report or
+//! a tick depends on the number of servers concerned and not on the length of the list.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,16 +15,16 @@
 pub struct Fleet {
     servers: BTreeMap<ServerId, Server>,
     cells: BTreeMap<u32, BTreeSet<ServerId>>,
-    /// Cell and id of each server in the rack.
+    /// Cell and id of each server in a rack.
     racks: BTreeMap<usize, BTreeSet<(u32, ServerId)>>,
-    /// Those that own sessions ask something of.
+    /// Servers on which this front's own sessions have demand.
     in_use: BTreeSet<ServerId>,
-    /// What own sessions ask of all of them, kB a second.
-    own_kb: f64,
+    /// Demand of this front's own sessions on all servers, in kB/s.
+    own_demand_kb: f64,
     rack_count: u32,
 }
 
-/// What is remembered of the servers; the indices follow from it.
+/// Shows the servers alone: the indices follow from them.
 impl fmt::Debug for Fleet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.servers.fmt(f)
@@ -32,7 +32,7 @@
 }
 
 impl Fleet {
-    /// No server yet, in a fleet of so many racks; none where racks are not told.
+    /// An empty fleet with `rack_count` racks; 0 if the servers are not grouped in racks.
     pub fn new(rack_count: u32) -> Fleet {
         Fleet { rack_count, ..Fleet::default() }
     }
@@ -42,7 +42,8 @@
         self.servers.get(&id)
     }
 
-    /// A listed server, to note something of it; its entry and own load change by [`Fleet::list`] and [`Fleet::add_own`].
+    /// A listed server for updates. Its entry and own demand must be changed by [`Fleet::upsert`] and
+    /// [`Fleet::add_own_demand`], which keep the indices up to date.
     pub fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
@@ -54,16 +55,17 @@
         }
     }
 
-    /// The server as this entry lists it. A later start is a new process: what was known of the one before is forgotten.
-    pub fn list(&mut self, entry: &ServerEntry) -> &mut Server {
+    /// Adds or updates a server from its list entry. A later start time means a new process: what was known of the previous
+    /// one is dropped.
+    pub fn upsert(&mut self, entry: &ServerEntry) -> &mut Server {
         let id = entry.server;
         let before = self.servers.get(&id).map(|server| (server.entry.cell, server.entry.started));
         if before.is_some_and(|(cell, _)| cell != entry.cell) {
-            self.unplace(id);
+            self.remove_from_indices(id);
         }
         if before.is_some_and(|(_, started)| entry.started > started) {
             self.servers.insert(id, Server::default());
-            self.count_own(id);
+            self.update_own_demand(id);
         }
         self.cells.entry(entry.cell).or_default().insert(id);
         if let Some(rack) = entry.rack(self.rack_count) {
@@ -74,22 +76,22 @@
         server
     }
 
-    /// A server is listed no more.
+    /// Removes a server that is no longer listed.
     pub fn remove(&mut self, id: ServerId) {
-        self.unplace(id);
+        self.remove_from_indices(id);
         self.servers.remove(&id);
-        self.count_own(id);
+        self.update_own_demand(id);
     }
 
-    /// Those alone stay that are listed here.
+    /// Removes all servers that are not in `listed`.
     pub fn retain(&mut self, listed: &BTreeSet<ServerId>) {
-        let gone = self.servers.keys().filter(|id| !listed.contains(id)).copied();
-        for id in gone.collect::<Vec<_>>() {
+        let removed = self.servers.keys().filter(|id| !listed.contains(id)).copied();
+        for id in removed.collect::<Vec<_>>() {
             self.remove(id);
         }
     }
 
-    fn unplace(&mut self, id: ServerId) {
+    fn remove_from_indices(&mut self, id: ServerId) {
         let Some(entry) = self.servers.get(&id).map(|server| &server.entry) else { return };
         if let Some(cell) = self.cells.get_mut(&entry.cell) {
             cell.remove(&id);
@@ -103,49 +105,55 @@
         }
     }
 
-    /// Books a change of own demand, in kB a second, and of own streams at a server.
-    pub fn add_own(&mut self, now: Micros, id: ServerId, kb: f64, streams: i32) -> Option<&mut Server> {
+    /// Adds a change of own demand, in kB/s, and of the number of own streams at a server.
+    pub fn add_own_demand(
+        &mut self,
+        now: Micros,
+        id: ServerId,
+        kb: f64,
+        streams: i32,
+    ) -> Option<&mut Server> {
         let server = self.servers.get_mut(&id)?;
-        server.own_kb = (server.own_kb + kb).max(0.0);
-        server.own += streams;
-        server.changes.push_back((now, kb, streams));
-        self.count_own(id);
+        server.own_demand_kb = (server.own_demand_kb + kb).max(0.0);
+        server.own_sessions += streams;
+        server.demand_changes.push_back((now, kb, streams));
+        self.update_own_demand(id);
         self.servers.get_mut(&id)
     }
 
-    /// What own sessions ask of a server has changed.
-    fn count_own(&mut self, id: ServerId) {
-        let is_in_use = self.servers.get(&id).is_some_and(|server| server.own_kb > 0.0);
-        let changed = if is_in_use { self.in_use.insert(id) } else { self.in_use.remove(&id) };
-        if is_in_use || changed {
-            // Summed anew each time: differences would add up.
-            self.own_kb = self.in_use().map(|(_, server)| server.own_kb).sum();
+    /// Updates the index and the total after a change of own demand at a server.
+    fn update_own_demand(&mut self, id: ServerId) {
+        let has_demand = self.servers.get(&id).is_some_and(|server| server.own_demand_kb > 0.0);
+        let changed = if has_demand { self.in_use.insert(id) } else { self.in_use.remove(&id) };
+        if has_demand || changed {
+            // Summed again each time: rounding errors of differences would accumulate.
+            self.own_demand_kb = self.in_use().map(|(_, server)| server.own_demand_kb).sum();
         }
     }
 
-    /// What own sessions ask of all servers, kB a second.
-    pub fn own_kb(&self) -> f64 {
-        self.own_kb
+    /// Demand of this front's own sessions on all servers, in kB/s.
+    pub fn own_demand_kb(&self) -> f64 {
+        self.own_demand_kb
     }
 
-    /// Servers that own sessions ask something of, by id.
+    /// Servers on which own sessions have demand, by id.
     pub fn in_use(&self) -> impl Iterator<Item = (ServerId, &Server)> {
         self.in_use.iter().filter_map(|id| Some((*id, self.servers.get(id)?)))
     }
 
-    /// Servers of a rack, by cell.
+    /// Servers of a rack, ordered by cell.
     pub fn in_rack(&self, rack: usize) -> impl Iterator<Item = (ServerId, &Server)> {
         let inside = self.racks.get(&rack).into_iter().flatten();
         inside.filter_map(|(_, id)| Some((*id, self.servers.get(id)?)))
     }
 
-    /// Servers that hold a title, by cell, in a ring of so many cells.
+    /// Servers that hold the requested title, ordered by cell, in a ring of `ring` cells.
     pub fn holders(&self, request: &Request, ring: u32) -> Vec<ServerId> {
         let ring = ring.max(1);
-        let is_numbered_over_the_ring = self.cells.last_key_value().is_some_and(|(cell, _)| *cell >= ring);
-        let [wrapped, straight] = match is_numbered_over_the_ring {
+        let has_cells_beyond_ring = self.cells.last_key_value().is_some_and(|(cell, _)| *cell >= ring);
+        let [wrapped, straight] = match has_cells_beyond_ring {
             true => [0..0, 0..u32::MAX],
-            false => held_cells(request, ring),
+            false => holder_cells(request, ring),
         };
         let cells = self.cells.range(wrapped).chain(self.cells.range(straight));
         let held = cells.filter(|(cell, _)| request.held_in(**cell, ring));
@@ -153,8 +161,8 @@
     }
 }
 
-/// Cells of the ring that hold a title: from its beginning those that come round again, then the others.
-fn held_cells(request: &Request, ring: u32) -> [Range<u32>; 2] {
+/// Cells of the ring that hold a title: first the part of the range that wraps past the end of the ring, then the rest.
+fn holder_cells(request: &Request, ring: u32) -> [Range<u32>; 2] {
     let first = request.first_cell % ring;
     let end = first.saturating_add(request.cell_count.min(ring));
     [0..end.saturating_sub(ring).min(first), first..end.min(ring)]
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,15 +1,15 @@
-//! What the module remembers of servers, racks and sessions: plain records, no decisions.
+//! What the controller remembers of servers, racks and sessions: plain records, no decisions.
 
 use std::collections::VecDeque;
 
 use crate::interface::*;
 
-/// A figure and the moment it speaks of.
-pub type Heard = Option<(f64, Micros)>;
+/// The latest value of a measurement, with the time at which it was taken.
+pub type Measurement = Option<(f64, Micros)>;
 
-/// Takes a figure in, unless a later one is known.
-pub fn hear(slot: &mut Heard, value: f64, at: Micros) {
-    if value.is_finite() && slot.is_none_or(|old| old.1 <= at) {
+/// Replaces a measurement, unless a later one is known already. Values that are not finite are ignored.
+pub fn record_measurement(slot: &mut Measurement, value: f64, at: Micros) {
+    if value.is_finite() && slot.is_none_or(|known| known.1 <= at) {
         *slot = Some((value.max(0.0), at));
     }
 }
@@ -18,41 +18,51 @@
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     pub entry: ServerEntry,
+    /// Capacity of its link as configured, in kB/s.
     pub link_kb: f64,
-    /// Share asked of the link as last heard, and the moment it speaks of.
-    pub asked: Heard,
-    /// Own changes of demand, kB a second.
-    pub changes: VecDeque<(Micros, f64, i32)>,
-    /// Share delivered as last heard while short, and when.
-    pub short: Heard,
-    /// Streams that it ran as last reported, and when.
-    pub streams: Heard,
-    /// Own sessions there, set-ups included, and what they ask.
-    pub own: i32,
-    pub own_kb: f64,
-    pub stepped_up: Micros,
-    /// When own sessions were last stepped down here; older figures don't count again.
-    pub relieved: Micros,
+    /// Demand on its link as a share of the link's capacity, as last reported.
+    pub reported_link_load: Measurement,
+    /// Changes of this front's own demand: time, kB/s, and number of streams.
+    pub demand_changes: VecDeque<(Micros, f64, i32)>,
+    /// Share of the demand that was delivered, while that is too little.
+    pub short_delivery: Measurement,
+    /// Number of streams as last reported.
+    pub reported_streams: Measurement,
+    /// This front's sessions at the server, set-ups included, and their demand in kB/s.
+    pub own_sessions: i32,
+    pub own_demand_kb: f64,
+    /// When a session here was last stepped up; older measurements lead to no further step.
+    pub stepped_up_at: Micros,
+    /// When own sessions here were last stepped down; older measurements lead to no further step.
+    pub stepped_down_at: Micros,
+    /// When a session was last moved off the server.
     pub moved_at: Option<Micros>,
+    /// Failures that no success has offset yet.
     pub failures: u32,
-    /// Set-ups answered lately: when, and whether with an error.
+    /// Recent answers to set-ups: time, and whether the answer was an error.
     pub answers: VecDeque<(Micros, bool)>,
+    /// The server counts as full until then, after it turned a set-up away.
     pub full_until: Micros,
     pub failed_at: Option<Micros>,
-    pub out_until: Micros,
-    /// Start of its warm-up where it is told, seen or feared.
+    /// End of the backoff after its latest failure.
+    pub backoff_until: Micros,
+    /// Start of its warm-up, as observed or suspected by this front.
     pub cold_since: Option<Micros>,
-    pub cold_sent: Option<Micros>,
+    /// When the latest set-up was sent to it.
+    pub last_set_up_at: Option<Micros>,
 }
 
 /// The uplink that the servers of a rack share.
 #[derive(Clone, Debug, Default)]
 pub struct Rack {
-    pub asked: Heard,
-    /// What its uplink carries over what is told of the mean; learnt from short delivery, and when.
-    pub scale: f64,
+    /// Demand on the uplink as a share of its capacity, as last reported.
+    pub reported_uplink_load: Measurement,
+    /// Estimated capacity of the uplink, as a multiple of the configured mean.
+    pub uplink_scale: f64,
+    /// When the uplink last delivered less than was asked for.
     pub short_at: Micros,
-    pub relieved: Micros,
+    /// When own sessions in the rack were last stepped down.
+    pub stepped_down_at: Micros,
 }
 
 /// A session from its request to its end.
@@ -61,79 +71,82 @@
     pub request: Request,
     pub class: Class,
     /// Highest rung that class, viewer and ladder allow.
-    pub top: usize,
+    pub top_rung: usize,
     ladder: Vec<Rung>,
-    pub taken: Micros,
+    pub requested_at: Micros,
     pub deadline: Micros,
     pub rung: usize,
     pub attempts: u32,
-    /// The attempt that is out or plays: its place and server.
-    pub at: Option<ServerId>,
-    pub playing: Option<Micros>,
+    /// The server of the attempt that is pending or playing.
+    pub server: Option<ServerId>,
+    pub playing_since: Option<Micros>,
     pub tried: Vec<ServerId>,
-    /// Servers that answered a set-up of it with an error, in order.
-    pub erred: Vec<ServerId>,
-    /// A set-up that may have run, and when it was sent.
-    pub ran: Option<(ServerId, Micros)>,
-    pub sent: Micros,
-    /// Servers at which a given-up attempt is not known to be over, and until when a word on it is waited for.
+    /// Servers that answered a set-up of this session with an error, in order.
+    pub error_servers: Vec<ServerId>,
+    /// The server of the latest attempt that may have run, and when it was sent.
+    pub may_have_run: Option<(ServerId, Micros)>,
+    pub sent_at: Micros,
+    /// Servers at which an attempt was given up and is not known to be over.
     pub in_doubt: Vec<ServerId>,
-    pub resolved_by: Option<Micros>,
+    /// Until when a word on those servers is waited for.
+    pub in_doubt_until: Option<Micros>,
     pub answered: bool,
+    /// The session is waiting to be placed until then.
     pub wait_until: Option<Micros>,
-    /// Whether holders were probed for it, and those that have not answered.
-    pub looked: bool,
-    pub probed: Vec<ServerId>,
+    /// Whether holders were probed for the session.
+    pub probes_sent: bool,
+    /// Probed holders that have not answered yet.
+    pub pending_probes: Vec<ServerId>,
+    /// Whether the session is being moved off its server.
     pub moving: bool,
-    /// A draw that decides whether it may go to a cold server.
-    pub luck: f64,
-    /// Latest change of its rung.
-    pub changed: Micros,
+    /// Random number in 0..1 that decides whether the session may go to a cold server.
+    pub cold_draw: f64,
+    pub rung_changed_at: Micros,
 }
 
 impl Server {
-    /// Own change of demand here since a moment, kB a second.
-    pub fn since(&self, at: Micros) -> f64 {
-        self.changes.iter().filter(|change| change.0 > at).map(|change| change.1).sum()
+    /// Change of this front's own demand here after a time, in kB/s.
+    pub fn demand_change_since(&self, at: Micros) -> f64 {
+        self.demand_changes.iter().filter(|change| change.0 > at).map(|change| change.1).sum()
     }
 }
 
 impl Session {
-    /// A session that has just been asked for.
+    /// A session that has just been requested.
     pub fn new(request: &Request, class: &Class, ladder: &[Rung], now: Micros) -> Self {
         Session {
             request: request.clone(),
             class: class.clone(),
-            top: request.top_rung.min(class.top).min(ladder.len().saturating_sub(1)),
+            top_rung: request.top_rung.min(class.top).min(ladder.len().saturating_sub(1)),
             ladder: ladder.to_vec(),
-            taken: now,
+            requested_at: now,
             deadline: now.saturating_add(request.patience),
             rung: class.floor,
             attempts: 0,
-            at: None,
-            playing: None,
+            server: None,
+            playing_since: None,
             tried: Vec::new(),
-            erred: Vec::new(),
-            ran: None,
-            sent: now,
+            error_servers: Vec::new(),
+            may_have_run: None,
+            sent_at: now,
             in_doubt: Vec::new(),
-            resolved_by: None,
+            in_doubt_until: None,
             answered: false,
             wait_until: None,
-            looked: false,
-            probed: Vec::new(),
+            probes_sent: false,
+            pending_probes: Vec::new(),
             moving: false,
-            luck: 1.0,
-            changed: 0,
+            cold_draw: 1.0,
+            rung_changed_at: 0,
         }
     }
 
-    /// Its rate at a rung, kB a second.
+    /// Rate of the session at a rung, in kB/s.
     pub fn rate(&self, rung: usize) -> f64 {
         self.ladder.get(rung).map_or(0.0, |step| step.kb * self.class.rate_factor)
     }
 
-    /// Worth of a second of it at a rung.
+    /// Worth of one second of the session at a rung.
     pub fn worth(&self, rung: usize) -> f64 {
         self.ladder.get(rung).map_or(0.0, |step| step.worth * self.class.gain)
     }
