--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -20,7 +20,7 @@
     /// Servers on which this front's own sessions have demand.
     in_use: BTreeSet<ServerId>,
     /// Demand of this front's own sessions on all servers, in kB/s.
-    own_demand_kb: f64,
+    own_kb: f64,
     rack_count: u32,
 }
 
@@ -114,26 +114,26 @@
         streams: i32,
     ) -> Option<&mut Server> {
         let server = self.servers.get_mut(&id)?;
-        server.own_demand_kb = (server.own_demand_kb + kb).max(0.0);
+        server.own_kb = (server.own_kb + kb).max(0.0);
         server.own_sessions += streams;
-        server.demand_changes.push_back((now, kb, streams));
+        server.changes.push_back((now, kb, streams));
         self.update_own_demand(id);
         self.servers.get_mut(&id)
     }
 
     /// Updates the index and the total after a change of own demand at a server.
     fn update_own_demand(&mut self, id: ServerId) {
-        let has_demand = self.servers.get(&id).is_some_and(|server| server.own_demand_kb > 0.0);
+        let has_demand = self.servers.get(&id).is_some_and(|server| server.own_kb > 0.0);
         let changed = if has_demand { self.in_use.insert(id) } else { self.in_use.remove(&id) };
         if has_demand || changed {
             // Summed again each time: rounding errors of differences would accumulate.
-            self.own_demand_kb = self.in_use().map(|(_, server)| server.own_demand_kb).sum();
+            self.own_kb = self.in_use().map(|(_, server)| server.own_kb).sum();
         }
     }
 
     /// Demand of this front's own sessions on all servers, in kB/s.
-    pub fn own_demand_kb(&self) -> f64 {
-        self.own_demand_kb
+    pub fn own_kb(&self) -> f64 {
+        self.own_kb
     }
 
     /// Servers on which own sessions have demand, by id.
--- a/src/state.rs
+++ b/src/state.rs
@@ -21,16 +21,16 @@
     /// Capacity of its link as configured, in kB/s.
     pub link_kb: f64,
     /// Demand on its link as a share of the link's capacity, as last reported.
-    pub reported_link_load: Measurement,
+    pub measured_load: Measurement,
     /// Changes of this front's own demand: time, kB/s, and number of streams.
-    pub demand_changes: VecDeque<(Micros, f64, i32)>,
+    pub changes: VecDeque<(Micros, f64, i32)>,
     /// Share of the demand that was delivered, while that is too little.
     pub short_delivery: Measurement,
     /// Number of streams as last reported.
-    pub reported_streams: Measurement,
+    pub measured_streams: Measurement,
     /// This front's sessions at the server, set-ups included, and their demand in kB/s.
     pub own_sessions: i32,
-    pub own_demand_kb: f64,
+    pub own_kb: f64,
     /// When a session here was last stepped up; older measurements lead to no further step.
     pub stepped_up_at: Micros,
     /// When own sessions here were last stepped down; older measurements lead to no further step.
@@ -56,9 +56,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rack {
     /// Demand on the uplink as a share of its capacity, as last reported.
-    pub reported_uplink_load: Measurement,
+    pub measured_load: Measurement,
     /// Estimated capacity of the uplink, as a multiple of the configured mean.
-    pub uplink_scale: f64,
+    pub scale: f64,
     /// When the uplink last delivered less than was asked for.
     pub short_at: Micros,
     /// When own sessions in the rack were last stepped down.
@@ -94,20 +94,20 @@
     /// The session is waiting to be placed until then.
     pub wait_until: Option<Micros>,
     /// Whether holders were probed for the session.
-    pub probes_sent: bool,
+    pub probed: bool,
     /// Probed holders that have not answered yet.
     pub pending_probes: Vec<ServerId>,
     /// Whether the session is being moved off its server.
     pub moving: bool,
     /// Random number in 0..1 that decides whether the session may go to a cold server.
     pub cold_draw: f64,
-    pub rung_changed_at: Micros,
+    pub rung_set_at: Micros,
 }
 
 impl Server {
     /// Change of this front's own demand here after a time, in kB/s.
-    pub fn demand_change_since(&self, at: Micros) -> f64 {
-        self.demand_changes.iter().filter(|change| change.0 > at).map(|change| change.1).sum()
+    pub fn change_since(&self, at: Micros) -> f64 {
+        self.changes.iter().filter(|change| change.0 > at).map(|change| change.1).sum()
     }
 }
 
@@ -133,11 +133,11 @@
             in_doubt_until: None,
             answered: false,
             wait_until: None,
-            probes_sent: false,
+            probed: false,
             pending_probes: Vec::new(),
             moving: false,
             cold_draw: 1.0,
-            rung_changed_at: 0,
+            rung_set_at: 0,
         }
     }
 
