--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,40 +1,40 @@
-//! The vocabulary between a front and the decision module: settings, events and actions.
+//! The interface between a front and its controller: settings, events and actions. No decisions are made here.
 //!
-//! Nothing here decides anything. Times are whole microseconds of the front's own clock; rates are kB a second.
+//! Times are whole microseconds of the front's own clock; rates, links and uplinks are in kB/s.
 
 use std::sync::Arc;
 
 /// A moment on the front's clock, or a span of time, in microseconds.
 pub type Micros = u64;
 
-/// One try of a viewer to have a title played; a returning viewer has a new one.
+/// A session: one request of a viewer to play a title. A viewer that returns has a new session.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionId(pub Arc<str>);
 
-/// A media server; a restarted process keeps its id, a replacement machine has a new one.
+/// A media server. A restarted process keeps the id; a replacement machine has a new one.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
-/// A viewer, the same when the viewer comes again.
+/// A viewer; stays the same when the viewer returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ViewerId(pub u64);
 
-/// What is watched.
+/// A title that can be played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TitleId(pub u64);
 
 /// How often a set-up of a class may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be set up again without harm.
+    /// Idempotent: may be set up again without harm.
     Safe,
-    /// May be set up again within a group of servers and for a limited time only.
+    /// May be set up again only within a group of servers and for a limited time.
     Deduplicated,
-    /// Paid for at set-up: again only when no earlier attempt can have run.
+    /// At most once, as it is paid for at set-up: may be set up again only if no earlier attempt can have run.
     Once,
 }
 
-/// Servers among which a deduplicated set-up is recognised.
+/// Scope in which servers recognise a repeated set-up of a deduplicated class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// Any server.
@@ -48,217 +48,217 @@
 /// A class of session.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// Wanted playing within.
+    /// Target time from the request until the session plays.
     pub aim: Micros,
     /// How often a set-up may take effect.
     pub effect: Effect,
-    /// Where a deduplicated set-up is recognised.
+    /// Servers that recognise a repeated set-up.
     pub group: Group,
-    /// For how long it is recognised.
+    /// Time for which they recognise it.
     pub window: Micros,
-    /// Worth of a second at a rung of worth 1.
+    /// Worth of one second of play at a rung of worth 1.
     pub gain: f64,
     /// Lowest rung that may be set.
     pub floor: usize,
     /// Highest rung of the class.
     pub top: usize,
-    /// Its rates over the ladder's.
+    /// Factor on the rates of the ladder.
     pub rate_factor: f64,
-    /// Sessions of one title that a front may hold; 0 is no cap.
+    /// Maximum number of sessions of one title on a front; 0 means no limit.
     pub seats: usize,
     /// Whether its titles are live, so that viewers share a stream.
     pub live: bool,
 }
 
-/// One rate of the ladder.
+/// One step of the ladder of rates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rung {
-    /// Rate, kB a second.
+    /// Rate in kB/s.
     pub kb: f64,
-    /// Part of the full worth that it earns.
+    /// Share of the full worth that a session earns at this rung.
     pub worth: f64,
 }
 
-/// A ration of attempts beyond each session's first.
+/// A limit on retries: attempts beyond each session's first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Length of the window.
+    /// Length of the sliding window.
     pub window: Micros,
-    /// Further attempts that any window may hold.
+    /// Retries that any window may hold.
     pub free: f64,
-    /// Further attempts for each session taken in the window.
+    /// Additional retries per session requested in the window.
     pub share: f64,
 }
 
-/// What a load report may hold.
+/// The meaning of a field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Streams that the server runs or sets up.
+    /// Number of streams that the server runs or sets up.
     Streams,
-    /// Share of the link that is asked, capped at 1.
+    /// Demand on the link as a share of its capacity, capped at 1.
     LinkCapped,
-    /// What is asked of the link over what it gives.
+    /// Demand on the link as a share of its capacity; may exceed 1.
     Link,
-    /// The same of the rack's uplink.
+    /// The same for the uplink of the rack.
     Uplink,
-    /// A figure that is of no use here.
+    /// A field that the controller does not use.
     Other,
 }
 
-/// All that a front is told at its start.
+/// The settings that a front gets at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of fronts.
     pub fronts: u32,
     /// Zone of this front.
     pub zone: u32,
-    /// The classes.
+    /// The classes of session; a request names its class by position.
     pub classes: Vec<Class>,
-    /// The ladder, lowest rate first.
+    /// The ladder of rates, lowest first.
     pub ladder: Vec<Rung>,
-    /// Number of cells.
+    /// Number of cells in the ring.
     pub cells: u32,
-    /// Number of racks; a server's rack is its cell modulo this. 0 when there are none.
+    /// Number of racks; a server's rack is its cell modulo this. 0 if servers are not grouped in racks.
     pub racks: u32,
-    /// Link of a server for each unit of its weight, roughly.
+    /// Approximate link capacity of a server per unit of its weight, in kB/s.
     pub link_kb_per_unit: f64,
-    /// All links together at the start.
+    /// Total link capacity of all servers at the start, in kB/s.
     pub links_kb: f64,
-    /// Mean uplink of a rack.
+    /// Mean uplink capacity of a rack, in kB/s; 0 if uplinks are not limited.
     pub uplink_kb: f64,
-    /// Streams at most, for each kind of server.
+    /// Maximum number of streams, by kind of server.
     pub kind_streams: Vec<u32>,
-    /// A server turns set-ups away from this share of its link asked; 0 is never.
+    /// Link load from which a server turns set-ups away; 0 means never.
     pub refuses_from: f64,
-    /// Time between link notes on a playing session; 0 is none.
+    /// Time between link notes on a playing session; 0 means that there are none.
     pub note_interval: Micros,
-    /// Age of a note when it arrives.
+    /// Age of a note on arrival.
     pub note_age: Micros,
-    /// What a further viewer of a live title adds to a stream; 1 is the whole rate.
+    /// Share of the rate that a further viewer of a live title adds to the load; 1 is the full rate.
     pub shared_adds: f64,
-    /// A change of rung costs so many seconds of worth.
+    /// Price of a change of rung, in seconds of worth.
     pub change_cost_s: f64,
-    /// Fields of a load report, in order; empty when there are none.
+    /// Fields of a load report, in order; empty if servers send none.
     pub reports: Vec<ReportField>,
-    /// Attempts for one session at most.
+    /// Maximum number of attempts per session.
     pub max_attempts: u32,
-    /// A server may be probed.
+    /// Whether servers may be probed.
     pub probes: bool,
-    /// Price of a probe, as a part of a session's worth.
+    /// Price of a probe, as a share of a session's worth.
     pub probe_price: f64,
-    /// Longest hold-off that a client follows; 0 when clients are given none.
+    /// Longest hold-off that clients respect; 0 if they are given none.
     pub max_hold_off: Micros,
-    /// Time after the word of a drain in which sends must stop.
+    /// Time after the notice of a drain within which set-ups must stop.
     pub drain_grace: Micros,
-    /// A server is warm no later than this after its start.
+    /// Longest time from a server's start until it is warm.
     pub warm_up: Micros,
-    /// Share of its pace that a server has right after its start.
+    /// Share of its normal pace of set-ups that a server takes right after its start.
     pub cold_from: f64,
-    /// Multiple of the pace at which a cold server falls over.
+    /// Multiple of its pace at which a cold server fails.
     pub fall_multiple: f64,
-    /// Time for which that must last.
+    /// Time for which that pace must last for the server to fail.
     pub fall_window: Micros,
-    /// The list must be asked for.
+    /// Whether the front must ask for the server list.
     pub list_on_demand: bool,
-    /// A front that must ask for its list is held to have known what it could have asked for this long ago.
+    /// A front that must ask for the list is expected to know each change this long after it could have asked.
     pub ask_within: Micros,
-    /// Ration of further attempts, if any.
+    /// Limit on retries, if any.
     pub budget: Option<Budget>,
-    /// Price of a moved session, as a part of a session's worth.
+    /// Price of a move, as a share of a session's worth.
     pub move_price: f64,
-    /// Price of a session that crosses zones, likewise.
+    /// Price of serving a session from another zone, as a share of its worth.
     pub cross_price: f64,
 }
 
 /// State of a listed server.
 #[derive(Default, Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes sessions.
+    /// Accepts new sessions.
     #[default]
     Ready,
-    /// Completes its sessions and takes no new one.
+    /// Completes its sessions and accepts no new ones.
     Draining,
-    /// Removed.
+    /// No longer in the fleet.
     Removed,
 }
 
-/// A line of the server list.
+/// An entry of the server list.
 #[derive(Default, Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// Which server.
+    /// The server.
     pub server: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u32,
-    /// Its kind.
+    /// Kind of the server, as an index into [`Settings::kind_streams`].
     pub kind: u32,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u32,
-    /// Its state.
+    /// State of the server.
     pub state: ServerState,
-    /// Its weight.
+    /// Weight of the server; its link has [`Settings::link_kb_per_unit`] per unit.
     pub units: f64,
-    /// Its latest start, if that is not long ago.
+    /// Latest start of its process, if recent.
     pub started: Option<Micros>,
 }
 
-/// What a list event holds.
+/// What an event with a server list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed lines only.
+    /// Only the entries that changed.
     Changes,
-    /// The whole list.
+    /// All entries.
     Complete,
-    /// The whole list as this front had it before a restart; it may be old.
+    /// All entries as this front had them before a restart; they may be out of date.
     Cached,
-    /// An ask for the list failed.
+    /// A request for the list failed.
     FetchFailed,
 }
 
-/// A session to be set up, or one that plays already when the front starts.
+/// A session to be set up, or one that already plays when the front starts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Id of the session.
     pub session: SessionId,
-    /// Place of its class in the settings.
+    /// Index of its class in [`Settings::classes`].
     pub class: usize,
-    /// Who watches.
+    /// The viewer.
     pub viewer: ViewerId,
-    /// What is watched.
+    /// The title.
     pub title: TitleId,
-    /// Time before the client stops waiting.
+    /// Time after which the client stops waiting.
     pub patience: Micros,
-    /// A guess of how long it is watched.
+    /// Estimate of how long the title will be watched.
     pub length_hint: Option<Micros>,
     /// First cell that holds the title.
     pub first_cell: u32,
-    /// Number of cells in a row that hold it.
+    /// Number of consecutive cells that hold the title.
     pub cell_count: u32,
-    /// Highest rung that the viewer can use.
+    /// Highest rung that the viewer's player supports.
     pub top_rung: usize,
-    /// It was moved by this front.
+    /// Whether this front moved the viewer's previous session.
     pub moved: bool,
-    /// It is not the viewer's first try.
+    /// Whether the viewer has asked before.
     pub returning: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served to its end.
+    /// The session was served to its end.
     Ok,
-    /// The server gave an error; it may have run.
+    /// The server answered with an error; the attempt may have run.
     Failed,
-    /// Sent back unseen: full, or draining.
+    /// The server turned it away unprocessed, as it is full or draining.
     Full,
-    /// No answer in time; it may have run.
+    /// No answer in time; the attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be made; the attempt never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Broken,
-    /// Withdrawn; it may have run.
+    /// The front withdrew the attempt; it may have run.
     Withdrawn,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
@@ -269,132 +269,132 @@
     }
 }
 
-/// What a note on a playing session tells.
+/// The content of a server's note on a playing session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Note {
-    /// Share of their rates that sessions at the server got a little while ago.
+    /// Share of their rates that sessions at the server got recently.
     Delivered(f64),
-    /// The rung in force.
+    /// The rung in effect.
     Rung(usize),
-    /// What is asked of the link over what it gives.
+    /// Demand on the server's link as a share of its capacity.
     Link(f64),
-    /// The same of the rack's uplink.
+    /// Demand on the uplink of its rack as a share of the uplink's capacity.
     Uplink(f64),
 }
 
-/// What a front hears.
+/// An event that a front reports to its controller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// News of the server list.
+    /// The server list, or changes of it.
     Servers(ListKind, Vec<ServerEntry>),
-    /// A session to be set up.
+    /// A request for a session.
     Request(Request),
-    /// A session that was under way when the front started; its attempt 0 plays at this server.
+    /// A session that was already playing when the front started; its attempt 0 plays at this server.
     Resumed(Request, ServerId),
-    /// A session plays.
+    /// A session has started to play.
     Started {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Where.
+        /// The server.
         server: ServerId,
-        /// Time since it was sent.
+        /// Time since the set-up was sent.
         took: Micros,
     },
-    /// An attempt ended; each has one end.
+    /// An attempt ended; each attempt has exactly one such event.
     Ended {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Place of the attempt in the session's row of set-ups, from 0.
+        /// Number of the attempt among the session's set-ups, from 0.
         attempt: u32,
-        /// Where.
+        /// The server.
         server: ServerId,
-        /// How.
+        /// The outcome.
         outcome: Outcome,
-        /// Whether the session is over; if not, a final answer is still owed.
+        /// Whether the session is over; if not, the client still needs a final answer.
         last: bool,
-        /// The server's load report, in the order of [`Settings::reports`].
+        /// The load report of the server, in the order of [`Settings::reports`].
         report: Vec<f64>,
     },
-    /// An attempt that may have run was given up, and its server has not shown that it is over: no further attempt of the
-    /// session may go there. Comes ahead of the attempt's end.
+    /// An attempt that may have run was given up, and its server has not confirmed its end: no further attempt of the
+    /// session may go there. Comes before the attempt's end.
     InDoubt {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Where.
+        /// The server.
         server: ServerId,
     },
-    /// The server has shown that the attempt which was in doubt there is over.
+    /// The server has confirmed the end of the attempt that was in doubt there.
     Resolved {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Where.
+        /// The server.
         server: ServerId,
     },
-    /// The client has left; no answer is owed any more.
+    /// The client has left and needs no answer any more.
     ClientLeft(SessionId),
-    /// News on a playing session.
+    /// A server's note on a playing session.
     Note {
-        /// Which session.
+        /// The session.
         session: SessionId,
-        /// Where it plays.
+        /// The server where the session plays.
         server: ServerId,
-        /// The news.
+        /// The content.
         note: Note,
     },
     /// A probe ended.
     Probed {
-        /// Which server.
+        /// The server.
         server: ServerId,
-        /// How.
+        /// The outcome.
         outcome: Outcome,
-        /// Its load report.
+        /// The load report of the server, in the order of [`Settings::reports`].
         report: Vec<f64>,
     },
     /// A message from another front.
     Peer(Vec<u8>),
-    /// A wake-up that was asked for.
+    /// A wake-up that was requested by [`Action::WakeAt`], with its tag.
     Wake(u64),
 }
 
-/// What a front is to do.
+/// An action that the front has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Set the session up at a server; attempts count from 0 in this order.
+    /// Set the session up at a server, with this time-out. The attempts of a session count from 0.
     SetUp(SessionId, ServerId, Micros),
-    /// Set the rung, before a set-up or while it plays.
+    /// Set the rung of a session, before a set-up or while the session plays.
     SetRung(SessionId, usize),
-    /// Take a playing session off its server; the viewer comes back to this front.
+    /// Take a playing session off its server; the viewer returns to this front.
     Move(SessionId),
-    /// Final answer: refused, ask again after this long.
+    /// Final answer: refused, with the time after which the client may ask again.
     Refuse(SessionId, Micros),
     /// Final answer: failed.
     Fail(SessionId),
     /// Probe a server.
     Probe(ServerId),
-    /// Ask for the list and its changes from now on.
+    /// Ask for the server list and its changes from now on.
     FollowList,
-    /// Wake the module with this tag at this time.
+    /// Wake the controller with this tag at this time.
     WakeAt(u64, Micros),
-    /// A line for the operators' log.
+    /// Write a line to the operators' log.
     Log(String),
 }
 
 impl ServerEntry {
-    /// The rack of this server, where there are racks.
+    /// The rack of this server, if there are racks.
     pub fn rack(&self, racks: u32) -> Option<usize> {
         self.cell.checked_rem(racks).map(|rack| rack as usize)
     }
 }
 
 impl Request {
-    /// Whether a cell, of so many in the ring, holds the title.
+    /// Whether `cell`, of `cells` in the ring, holds the title.
     pub fn held_in(&self, cell: u32, cells: u32) -> bool {
         is_held_in(self.first_cell, self.cell_count, cell, cells)
     }
 }
 
-/// Whether a title that begins at `first_cell` of a ring of so many cells, and lies in `cell_count` of them, is held in
-/// this one.
+/// Whether `cell`, of `cells` in the ring, holds a title that is stored in `cell_count` consecutive cells from
+/// `first_cell`.
 pub fn is_held_in(first_cell: u32, cell_count: u32, cell: u32, cells: u32) -> bool {
     let cells = cells.max(1);
     (cell % cells + cells - first_cell % cells) % cells < cell_count
--- a/src/platform_settings.rs
+++ b/src/platform_settings.rs
@@ -1,91 +1,91 @@
-//! The platform's settings object, read into the module's [`Settings`]: one parser for the bench's wire and for a
-//! real front, which get the same object.
+//! Parser of the platform's settings object into the controller's [`Settings`], used by front nodes and by the
+//! simulator's adapter, which get the same object.
 
 use serde::Deserialize;
 use thiserror::Error;
 
 use crate::interface::*;
 
-/// Why a settings object cannot be used.
+/// The reason why a settings object cannot be used.
 #[derive(Debug, Error)]
 pub enum PlatformSettingsError {
-    /// Not JSON, or a field of a wrong kind; the text names the place.
+    /// It is not JSON, or a field has the wrong type; the text names the position.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A word that means nothing here.
+    /// A class has an unknown `effect`.
     #[error("unknown effect {0}")]
     Effect(String),
 }
 
-/// Longer times than this mean "for ever"; sums of a few stay within a [`Micros`].
+/// Longer times mean no limit; the sum of a few times of this length still fits into [`Micros`].
 const LONGEST_MS: f64 = 1e12;
 
-/// Whole microseconds of a time in milliseconds; what is negative or no number is 0.
+/// Converts milliseconds to whole microseconds; negative values and NaN become 0.
 pub fn micros_from_ms(ms: f64) -> Micros {
     (ms.clamp(0.0, LONGEST_MS) * 1000.0).round() as Micros
 }
 
-/// The settings, with the names and limits that the sockets need and no decision uses.
+/// The settings of a front node: those of the controller, and names and limits that no decision uses.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// What the module is told.
+    /// The controller's settings.
     pub settings: Settings,
-    /// Names of the classes, in their places.
+    /// Names of the classes, by index.
     pub class_names: Vec<String>,
-    /// Names of the zones, in their places.
+    /// Names of the zones, by index.
     pub zone_names: Vec<String>,
-    /// Names of the kinds of box, in their places.
+    /// Names of the kinds of server, by index.
     pub kind_names: Vec<String>,
     /// Names of the fields of a load report, in order.
     pub report_field_names: Vec<String>,
-    /// A connection that is not made within this time is not made.
+    /// Time-out for making a connection.
     pub connect_timeout: Micros,
-    /// A connection that carries nothing for this long is closed by the box.
+    /// A server closes a connection that was idle for this long.
     pub idle_timeout: Micros,
-    /// Set-ups that one connection carries at a time.
+    /// Maximum number of concurrent set-ups on one connection.
     pub streams_per_connection: usize,
-    /// An answer counts so long after the viewer's patience.
+    /// Time after the viewer's patience in which an answer still counts.
     pub answer_slack: Micros,
-    /// The longest that a viewer of any class waits.
+    /// Longest patience of any class.
     pub longest_patience: Micros,
 }
 
 impl PlatformSettings {
-    /// Reads the object from its text.
+    /// Parses the object from its JSON text.
     ///
     /// # Errors
-    /// It is not JSON, or a field of it cannot be read.
+    /// The text is not JSON, or a field is invalid.
     pub fn parse(text: &str) -> Result<PlatformSettings, PlatformSettingsError> {
-        read(serde_json::from_str(text)?)
+        convert(serde_json::from_str(text)?)
     }
 
-    /// Reads the object where it is part of another one.
+    /// Parses the object as part of a larger JSON document.
     ///
     /// # Errors
-    /// A field of it cannot be read.
+    /// A field is invalid.
     pub fn from_value(value: serde_json::Value) -> Result<PlatformSettings, PlatformSettingsError> {
-        read(serde_json::from_value(value)?)
+        convert(serde_json::from_value(value)?)
     }
 }
 
 #[derive(Deserialize)]
 #[serde(default)]
-struct Told {
+struct RawSettings {
     balancers: u32,
     zone: u32,
-    classes: Vec<ClassFacts>,
+    classes: Vec<RawClass>,
     domain: Domain,
     discovery: String,
     localities: Vec<String>,
     host_types: Vec<String>,
     load_report: LoadReport,
-    policy_limits: Limits,
+    policy_limits: PolicyLimits,
     prices: Prices,
     safety: Safety,
 }
 
 #[derive(Deserialize)]
-struct ClassFacts {
+struct RawClass {
     #[serde(default)]
     name: String,
     #[serde(default)]
@@ -131,7 +131,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct Limits {
+struct PolicyLimits {
     conn_idle_ms: Option<f64>,
     connect_timeout_ms: Option<f64>,
     max_streams: Option<f64>,
@@ -164,9 +164,9 @@
     warm_up_ms: f64,
 }
 
-impl Default for Told {
+impl Default for RawSettings {
     fn default() -> Self {
-        Told {
+        RawSettings {
             balancers: 1,
             zone: 0,
             classes: Vec::new(),
@@ -175,21 +175,21 @@
             localities: Vec::new(),
             host_types: Vec::new(),
             load_report: LoadReport::default(),
-            policy_limits: Limits::default(),
+            policy_limits: PolicyLimits::default(),
             prices: Prices::default(),
             safety: Safety::default(),
         }
     }
 }
 
-/// Times that the object may leave out, ms.
-const CONNECT_MS: f64 = 250.0;
-const IDLE_MS: f64 = 15_000.0;
+/// Defaults of times that the object may leave out.
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
+const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
 
-fn read(facts: Told) -> Result<PlatformSettings, PlatformSettingsError> {
-    let domain = facts.domain;
+fn convert(raw: RawSettings) -> Result<PlatformSettings, PlatformSettingsError> {
+    let domain = raw.domain;
     let top_of_ladder = domain.rung_kb.len().saturating_sub(1);
-    let classes = facts.classes.iter().enumerate().map(|(at, class)| {
+    let classes = raw.classes.iter().enumerate().map(|(index, class)| {
         Ok(Class {
             aim: micros_from_ms(class.aim_ms),
             effect: match class.effect.as_str() {
@@ -205,31 +205,32 @@
             },
             window: micros_from_ms(class.window_ms),
             gain: class.gain,
-            floor: domain.lowest_rung.get(at).copied().unwrap_or(0),
-            top: domain.top_by_class.get(at).copied().unwrap_or(top_of_ladder),
-            rate_factor: domain.rate_factor.get(at).copied().unwrap_or(1.0),
-            seats: domain.seats.get(at).map_or(0, |seats| *seats as usize),
-            live: domain.is_live.get(at).copied().unwrap_or(false),
+            floor: domain.lowest_rung.get(index).copied().unwrap_or(0),
+            top: domain.top_by_class.get(index).copied().unwrap_or(top_of_ladder),
+            rate_factor: domain.rate_factor.get(index).copied().unwrap_or(1.0),
+            seats: domain.seats.get(index).map_or(0, |seats| *seats as usize),
+            live: domain.is_live.get(index).copied().unwrap_or(false),
         })
     });
-    let rung = |(at, kb): (usize, &f64)| Rung {
+    let rung = |(index, kb): (usize, &f64)| Rung {
         kb: *kb,
-        worth: domain.worth_by_rung.get(at).copied().unwrap_or(1.0),
+        worth: domain.worth_by_rung.get(index).copied().unwrap_or(1.0),
     };
-    let safety = facts.safety;
-    let field = |name: &String| match name.as_str() {
+    let safety = raw.safety;
+    let report_field = |name: &String| match name.as_str() {
         "active" => ReportField::Streams,
         "cpu" => ReportField::LinkCapped,
         "x0" => ReportField::Link,
         "x1" => ReportField::Uplink,
         _ => ReportField::Other,
     };
-    let reported = facts.load_report.source != "none";
-    let limits = facts.policy_limits;
-    let longest = facts.classes.iter().map(|class| micros_from_ms(class.deadline_ms)).max().unwrap_or(0);
+    let has_reports = raw.load_report.source != "none";
+    let limits = raw.policy_limits;
+    let longest_patience =
+        raw.classes.iter().map(|class| micros_from_ms(class.deadline_ms)).max().unwrap_or(0);
     let settings = Settings {
-        fronts: facts.balancers,
-        zone: facts.zone,
+        fronts: raw.balancers,
+        zone: raw.zone,
         classes: classes.collect::<Result<_, _>>()?,
         ladder: domain.rung_kb.iter().enumerate().map(rung).collect(),
         cells: domain.positions,
@@ -243,7 +244,11 @@
         note_age: micros_from_ms(domain.seen_after_ms),
         shared_adds: domain.shared_adds.unwrap_or(1.0),
         change_cost_s: domain.change_costs_s,
-        reports: if reported { facts.load_report.names.iter().map(field).collect() } else { Vec::new() },
+        reports: if has_reports {
+            raw.load_report.names.iter().map(report_field).collect()
+        } else {
+            Vec::new()
+        },
         max_attempts: limits.max_attempts.unwrap_or(u32::MAX),
         probes: limits.probes,
         max_hold_off: if limits.retry_after { micros_from_ms(limits.max_retry_after_ms) } else { 0 },
@@ -252,27 +257,27 @@
         cold_from: safety.cold_from.unwrap_or(1.0),
         fall_multiple: safety.fall_multiple,
         fall_window: micros_from_ms(safety.fall_ms),
-        list_on_demand: facts.discovery == "ask",
+        list_on_demand: raw.discovery == "ask",
         ask_within: micros_from_ms(safety.ask_within_ms),
         budget: safety.look_back_ms.map(|window| Budget {
             window: micros_from_ms(window),
             free: safety.budget_free,
             share: safety.resend_ratio,
         }),
-        probe_price: facts.prices.probe,
-        move_price: facts.prices.moves,
-        cross_price: facts.prices.cross_zone,
+        probe_price: raw.prices.probe,
+        move_price: raw.prices.moves,
+        cross_price: raw.prices.cross_zone,
     };
     Ok(PlatformSettings {
         settings,
-        class_names: facts.classes.into_iter().map(|class| class.name).collect(),
-        zone_names: facts.localities,
-        kind_names: facts.host_types,
-        report_field_names: facts.load_report.names,
-        connect_timeout: micros_from_ms(limits.connect_timeout_ms.unwrap_or(CONNECT_MS)),
-        idle_timeout: micros_from_ms(limits.conn_idle_ms.unwrap_or(IDLE_MS)),
-        streams_per_connection: limits.max_streams.map_or(usize::MAX, |most| most.max(1.0) as usize),
+        class_names: raw.classes.into_iter().map(|class| class.name).collect(),
+        zone_names: raw.localities,
+        kind_names: raw.host_types,
+        report_field_names: raw.load_report.names,
+        connect_timeout: micros_from_ms(limits.connect_timeout_ms.unwrap_or(DEFAULT_CONNECT_TIMEOUT_MS)),
+        idle_timeout: micros_from_ms(limits.conn_idle_ms.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS)),
+        streams_per_connection: limits.max_streams.map_or(usize::MAX, |streams| streams.max(1.0) as usize),
         answer_slack: micros_from_ms(safety.answer_slack_ms),
-        longest_patience: longest,
+        longest_patience,
     })
 }
