--- a/src/bin/salttally-drill/wire.rs
+++ b/src/bin/salttally-drill/wire.rs
@@ -1,4 +1,4 @@
-//! The bench's words, read into and written from the module's own.
+//! Translation between the simulator's line protocol and the controller's interface.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,7 +8,7 @@
 use salttally::platform_settings::{micros_from_ms, PlatformSettings};
 use thiserror::Error;
 
-/// What is wrong with the input, and where.
+/// An error in the input, with its position.
 #[derive(Debug, Error)]
 #[error("line {line}, {field}: {what}")]
 pub struct WireError {
@@ -18,23 +18,23 @@
 }
 
 impl WireError {
-    /// An error in this field of this line.
+    /// An error in a field of a line.
     pub fn new(line: u64, field: &str, what: &str) -> Self {
         WireError { line, field: field.to_owned(), what: what.to_owned() }
     }
 }
 
-/// A message: its name and its fields.
+/// A message of the protocol: its name and its fields.
 pub struct Line<'a> {
     /// Name of the message.
     pub name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
-    at: u64,
+    number: u64,
 }
 
 impl<'a> Line<'a> {
-    /// Splits a line into its parts; a field of free text takes the rest of the line.
-    pub fn parse(text: &'a str, at: u64) -> Result<Self, WireError> {
+    /// Splits a line into its fields; a field of free text takes the rest of the line.
+    pub fn parse(text: &'a str, number: u64) -> Result<Self, WireError> {
         let (name, mut rest) = text.split_once(' ').unwrap_or((text, ""));
         let mut fields = Vec::new();
         while !rest.is_empty() {
@@ -44,29 +44,30 @@
                 break;
             }
             let (part, tail) = rest.split_once(' ').unwrap_or((rest, ""));
-            let pair =
-                part.split_once('=').ok_or_else(|| WireError::new(at, part, "not of the form name=value"))?;
+            let pair = part
+                .split_once('=')
+                .ok_or_else(|| WireError::new(number, part, "not of the form name=value"))?;
             fields.push(pair);
             rest = tail;
         }
-        Ok(Line { name, fields, at })
+        Ok(Line { name, fields, number })
     }
 
     /// An error in a field of this line.
     pub fn bad(&self, field: &str, what: &str) -> WireError {
-        WireError::new(self.at, field, what)
+        WireError::new(self.number, field, what)
     }
 
     fn find(&self, field: &str) -> Option<&'a str> {
         self.fields.iter().find(|(key, _)| *key == field).map(|(_, value)| *value)
     }
 
-    /// A field that must be there, as it stands.
+    /// The text of a required field.
     pub fn text(&self, field: &str) -> Result<&'a str, WireError> {
         self.find(field).ok_or_else(|| self.bad(field, &format!("missing in {}", self.name)))
     }
 
-    /// A number that must be there.
+    /// A required number.
     pub fn number<T: FromStr>(&self, field: &str) -> Result<T, WireError> {
         self.text(field)?.parse().map_err(|_| self.bad(field, "not a number of the right kind"))
     }
@@ -75,6 +76,7 @@
         self.find(field).map(|_| self.number(field)).transpose()
     }
 
+    /// A required finite number.
     fn real(&self, field: &str) -> Result<f64, WireError> {
         let value: f64 = self.number(field)?;
         if value.is_finite() {
@@ -84,12 +86,12 @@
         }
     }
 
-    /// A time in milliseconds that must be there.
+    /// A required time, given in milliseconds.
     pub fn time(&self, field: &str) -> Result<Micros, WireError> {
         self.real(field).map(micros_from_ms)
     }
 
-    /// A whole number that may be written with a fraction, as some of the wire's are.
+    /// A required whole number that may be written with a fraction, as some are on the wire.
     fn whole(&self, field: &str) -> Result<u32, WireError> {
         self.real(field).map(|value| value.max(0.0) as u32)
     }
@@ -111,11 +113,11 @@
     }
 
     fn report(&self) -> Result<Vec<f64>, WireError> {
-        let Some(row) = self.find("pressure") else {
+        let Some(values) = self.find("pressure") else {
             return Ok(Vec::new());
         };
         let parse = |value: &str| value.parse().map_err(|_| self.bad("pressure", "not a row of numbers"));
-        row.split(',').filter(|value| !value.is_empty()).map(parse).collect()
+        values.split(',').filter(|value| !value.is_empty()).map(parse).collect()
     }
 
     fn outcome(&self) -> Result<Outcome, WireError> {
@@ -149,11 +151,11 @@
     }
 }
 
-fn ms(time: Micros) -> f64 {
+fn ms_from_micros(time: Micros) -> f64 {
     time as f64 / 1000.0
 }
 
-/// Reads a line of a server list.
+/// Reads an entry of a server list.
 pub fn entry(line: &Line<'_>) -> Result<ServerEntry, WireError> {
     if line.name != "server" {
         return Err(line.bad(line.name, "a server line was due"));
@@ -177,7 +179,7 @@
     })
 }
 
-/// Reads an event of an instance that is up.
+/// Reads an event of a running instance.
 pub fn event(line: &Line<'_>, lists: &BTreeMap<u64, Vec<ServerEntry>>) -> Result<Event, WireError> {
     Ok(match line.name {
         "targets" => {
@@ -231,37 +233,39 @@
     })
 }
 
-/// Writes an action of a front.
-pub fn write_action(out: &mut String, front: &str, action: &Action) {
+/// Writes an action of an instance.
+pub fn write_action(out: &mut String, instance: &str, action: &Action) {
     let written = match action {
         Action::SetUp(session, server, time_out) => {
             writeln!(
                 out,
-                "pass_on i={front} corr={} server={} patience_ms={}",
+                "pass_on i={instance} corr={} server={} patience_ms={}",
                 session.0,
                 server.0,
-                ms(*time_out)
+                ms_from_micros(*time_out)
             )
         }
         Action::SetRung(session, rung) => {
-            writeln!(out, "step_to i={front} corr={} level={rung}", session.0)
+            writeln!(out, "step_to i={instance} corr={} level={rung}", session.0)
         }
-        Action::Move(session) => writeln!(out, "go_away i={front} corr={}", session.0),
+        Action::Move(session) => writeln!(out, "go_away i={instance} corr={}", session.0),
         Action::Refuse(session, wait) => {
-            writeln!(out, "bounce i={front} corr={} hold_off_ms={}", session.0, ms(*wait))
+            writeln!(out, "bounce i={instance} corr={} hold_off_ms={}", session.0, ms_from_micros(*wait))
         }
-        Action::Fail(session) => writeln!(out, "abort i={front} corr={}", session.0),
-        Action::Probe(server) => writeln!(out, "poll i={front} server={}", server.0),
-        Action::FollowList => writeln!(out, "track i={front} on=1"),
-        Action::WakeAt(tag, at) => writeln!(out, "wake_at i={front} tag={tag} time_ms={}", ms(*at)),
-        Action::Log(text) => writeln!(out, "record i={front} reason_text={}", text.replace('\n', " ")),
+        Action::Fail(session) => writeln!(out, "abort i={instance} corr={}", session.0),
+        Action::Probe(server) => writeln!(out, "poll i={instance} server={}", server.0),
+        Action::FollowList => writeln!(out, "track i={instance} on=1"),
+        Action::WakeAt(tag, at) => {
+            writeln!(out, "wake_at i={instance} tag={tag} time_ms={}", ms_from_micros(*at))
+        }
+        Action::Log(text) => writeln!(out, "record i={instance} reason_text={}", text.replace('\n', " ")),
     };
     debug_assert!(written.is_ok(), "writing to a string does not fail");
 }
 
-/// Reads the settings that come with the start of an instance.
+/// Reads the settings from the message that starts an instance.
 pub fn settings(line: &Line<'_>) -> Result<Settings, WireError> {
-    let facts =
+    let settings =
         PlatformSettings::parse(line.text("facts")?).map_err(|e| line.bad("facts", &e.to_string()))?;
-    Ok(facts.settings)
+    Ok(settings.settings)
 }
