--- a/crates/front/src/record/lines.rs
+++ b/crates/front/src/record/lines.rs
@@ -1,65 +1,72 @@
-//! Lines of a record, and the module's events and actions as they stand in them. Times are the front's clock,
-//! microseconds.
+//! Lines of a record: the events and actions of the decision module in their recorded form. Times are in
+//! microseconds of the front's clock.
 
 use std::sync::Arc;
 
 use salttally::interface::*;
 use serde::{Deserialize, Serialize};
 
-/// A line.
+/// A line of a record.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
-    /// A front starts.
-    Born(Born),
-    /// An event and what the module answered.
+    /// The start of a front.
+    #[serde(rename = "born")]
+    Start(FrontStart),
+    /// An event, with the actions that the decision module answered.
     Step(Step),
 }
 
-/// A start.
+/// The start of a front.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Born {
-    /// When.
+pub struct FrontStart {
+    /// Time of the start.
     pub at: Micros,
-    /// Which front.
+    /// Name of the front.
     pub front: String,
-    /// Which of its starts.
+    /// Number that tells this start from earlier ones.
     pub boot: u32,
-    /// Seed of the module's draws.
+    /// Seed of the decision module's random numbers.
     pub seed: u64,
 }
 
-/// An event and what the module answered.
+/// An event, with the actions that the decision module answered.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Step {
-    /// When.
+    /// Time of the event.
     pub at: Micros,
     /// The event.
-    pub told: Told,
-    /// The actions.
-    pub did: Vec<Done>,
+    #[serde(rename = "told")]
+    pub event: RecordedEvent,
+    /// The actions, in order.
+    #[serde(rename = "did")]
+    pub actions: Vec<RecordedAction>,
 }
 
 impl Step {
-    /// A step as it is recorded.
+    /// Builds the recorded form of a step.
     pub fn new(at: Micros, event: &Event, actions: &[Action]) -> Step {
-        Step { at, told: Told::from(event), did: actions.iter().map(Done::from).collect() }
+        Step {
+            at,
+            event: RecordedEvent::from(event),
+            actions: actions.iter().map(RecordedAction::from).collect(),
+        }
     }
 
-    /// The event as the module takes it.
-    pub fn event(&self) -> Event {
-        self.told.event()
+    /// The event in the form that the decision module takes.
+    pub fn to_event(&self) -> Event {
+        self.event.to_event()
     }
 }
 
-/// [`Event`] as recorded.
+/// Recorded form of [`Event`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Told {
-    List { kind: String, boxes: Vec<Entry> },
-    Request(Asked),
-    Resumed { request: Asked, server: u32 },
+pub enum RecordedEvent {
+    List { kind: String, boxes: Vec<RecordedServer> },
+    Request(RecordedRequest),
+    Resumed { request: RecordedRequest, server: u32 },
     Started { session: String, server: u32, took: Micros },
     Ended { session: String, attempt: u32, server: u32, outcome: String, last: bool, report: Vec<f64> },
     InDoubt { session: String, server: u32 },
@@ -71,10 +78,10 @@
     Wake { tag: u64 },
 }
 
-/// [`ServerEntry`] as recorded.
+/// Recorded form of [`ServerEntry`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[allow(missing_docs)]
-pub struct Entry {
+pub struct RecordedServer {
     server: u32,
     zone: u32,
     kind: u32,
@@ -84,10 +91,10 @@
     started: Option<Micros>,
 }
 
-/// [`Request`] as recorded.
+/// Recorded form of [`Request`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[allow(missing_docs)]
-pub struct Asked {
+pub struct RecordedRequest {
     pub session: String,
     pub class: usize,
     pub viewer: u64,
@@ -101,11 +108,11 @@
     pub again: bool,
 }
 
-/// [`Action`] as recorded.
+/// Recorded form of [`Action`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 #[allow(missing_docs)]
-pub enum Done {
+pub enum RecordedAction {
     SetUp { session: String, server: u32, time_out: Micros },
     SetRung { session: String, rung: usize },
     Move { session: String },
@@ -117,8 +124,9 @@
     Log { text: String },
 }
 
-/// Names of a plain enum, there and back; the last stands for a name that is not known.
-macro_rules! named {
+/// Defines the functions from an enum to its names and back. The value after the semicolon stands for unknown
+/// names.
+macro_rules! enum_names {
     ($kind:ty, $to:ident, $from:ident, $($name:literal => $value:path),+; $other:path) => {
         fn $to(value: $kind) -> String {
             match value { $($value => $name,)+ }.to_owned()
@@ -128,27 +136,27 @@
         }
     };
 }
-named!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Complete,
+enum_names!(ListKind, list_name, list_kind, "changes" => ListKind::Changes, "whole" => ListKind::Complete,
     "remembered" => ListKind::Cached, "lost" => ListKind::FetchFailed; ListKind::FetchFailed);
-named!(ServerState, state_name, state, "ready" => ServerState::Ready, "draining" => ServerState::Draining,
+enum_names!(ServerState, state_name, state, "ready" => ServerState::Ready, "draining" => ServerState::Draining,
     "gone" => ServerState::Removed; ServerState::Removed);
-named!(Outcome, outcome_name, outcome, "ok" => Outcome::Ok, "failed" => Outcome::Failed,
+enum_names!(Outcome, outcome_name, outcome, "ok" => Outcome::Ok, "failed" => Outcome::Failed,
     "full" => Outcome::Full, "timed_out" => Outcome::TimedOut, "no_connection" => Outcome::NoConnection,
     "broken" => Outcome::Broken, "withdrawn" => Outcome::Withdrawn, "not_sent" => Outcome::NotSent;
     Outcome::Failed);
 
-fn name(id: &SessionId) -> String {
+fn session_name(id: &SessionId) -> String {
     id.0.to_string()
 }
 
-fn id(name: &str) -> SessionId {
+fn session_id(name: &str) -> SessionId {
     SessionId(Arc::from(name))
 }
 
-impl From<&Request> for Asked {
-    fn from(request: &Request) -> Asked {
-        Asked {
-            session: name(&request.session),
+impl From<&Request> for RecordedRequest {
+    fn from(request: &Request) -> RecordedRequest {
+        RecordedRequest {
+            session: session_name(&request.session),
             class: request.class,
             viewer: request.viewer.0,
             title: request.title.0,
@@ -163,10 +171,10 @@
     }
 }
 
-impl Asked {
-    fn request(&self) -> Request {
+impl RecordedRequest {
+    fn to_request(&self) -> Request {
         Request {
-            session: id(&self.session),
+            session: session_id(&self.session),
             class: self.class,
             viewer: ViewerId(self.viewer),
             title: TitleId(self.title),
@@ -181,11 +189,11 @@
     }
 }
 
-impl From<&Event> for Told {
-    fn from(event: &Event) -> Told {
+impl From<&Event> for RecordedEvent {
+    fn from(event: &Event) -> RecordedEvent {
         match event {
             Event::Servers(kind, entries) => {
-                let entry = |entry: &ServerEntry| Entry {
+                let entry = |entry: &ServerEntry| RecordedServer {
                     server: entry.server.0,
                     zone: entry.zone,
                     kind: entry.kind,
@@ -194,26 +202,30 @@
                     units: entry.units,
                     started: entry.started,
                 };
-                Told::List { kind: list_name(*kind), boxes: entries.iter().map(entry).collect() }
+                RecordedEvent::List { kind: list_name(*kind), boxes: entries.iter().map(entry).collect() }
+            }
+            Event::Request(request) => RecordedEvent::Request(request.into()),
+            Event::Resumed(request, server) => {
+                RecordedEvent::Resumed { request: request.into(), server: server.0 }
             }
-            Event::Request(request) => Told::Request(request.into()),
-            Event::Resumed(request, server) => Told::Resumed { request: request.into(), server: server.0 },
             Event::Started { session, server, took } => {
-                Told::Started { session: name(session), server: server.0, took: *took }
+                RecordedEvent::Started { session: session_name(session), server: server.0, took: *took }
             }
-            Event::Ended { session, attempt, server, outcome, last, report } => Told::Ended {
-                session: name(session),
+            Event::Ended { session, attempt, server, outcome, last, report } => RecordedEvent::Ended {
+                session: session_name(session),
                 attempt: *attempt,
                 server: server.0,
                 outcome: outcome_name(*outcome),
                 last: *last,
                 report: report.clone(),
             },
-            Event::InDoubt { session, server } => Told::InDoubt { session: name(session), server: server.0 },
+            Event::InDoubt { session, server } => {
+                RecordedEvent::InDoubt { session: session_name(session), server: server.0 }
+            }
             Event::Resolved { session, server } => {
-                Told::Resolved { session: name(session), server: server.0 }
+                RecordedEvent::Resolved { session: session_name(session), server: server.0 }
             }
-            Event::ClientLeft(session) => Told::Left { session: name(session) },
+            Event::ClientLeft(session) => RecordedEvent::Left { session: session_name(session) },
             Event::Note { session, server, note } => {
                 let (kind, value) = match note {
                     Note::Delivered(share) => ("delivered", *share),
@@ -221,23 +233,30 @@
                     Note::Link(asked) => ("link", *asked),
                     Note::Uplink(asked) => ("uplink", *asked),
                 };
-                Told::Note { session: name(session), server: server.0, kind: kind.to_owned(), value }
+                RecordedEvent::Note {
+                    session: session_name(session),
+                    server: server.0,
+                    kind: kind.to_owned(),
+                    value,
+                }
             }
-            Event::Probed { server, outcome, report } => {
-                Told::Probed { server: server.0, outcome: outcome_name(*outcome), report: report.clone() }
-            }
-            Event::Peer(bytes) => Told::Peer { bytes: bytes.clone() },
-            Event::Wake(tag) => Told::Wake { tag: *tag },
+            Event::Probed { server, outcome, report } => RecordedEvent::Probed {
+                server: server.0,
+                outcome: outcome_name(*outcome),
+                report: report.clone(),
+            },
+            Event::Peer(bytes) => RecordedEvent::Peer { bytes: bytes.clone() },
+            Event::Wake(tag) => RecordedEvent::Wake { tag: *tag },
         }
     }
 }
 
-impl Told {
-    /// The event as the module takes it.
-    pub fn event(&self) -> Event {
+impl RecordedEvent {
+    /// The event in the form that the decision module takes.
+    pub fn to_event(&self) -> Event {
         match self {
-            Told::List { kind, boxes } => {
-                let entry = |entry: &Entry| ServerEntry {
+            RecordedEvent::List { kind, boxes } => {
+                let entry = |entry: &RecordedServer| ServerEntry {
                     server: ServerId(entry.server),
                     zone: entry.zone,
                     kind: entry.kind,
@@ -248,64 +267,72 @@
                 };
                 Event::Servers(list_kind(kind), boxes.iter().map(entry).collect())
             }
-            Told::Request(asked) => Event::Request(asked.request()),
-            Told::Resumed { request, server } => Event::Resumed(request.request(), ServerId(*server)),
-            Told::Started { session, server, took } => {
-                Event::Started { session: id(session), server: ServerId(*server), took: *took }
+            RecordedEvent::Request(request) => Event::Request(request.to_request()),
+            RecordedEvent::Resumed { request, server } => {
+                Event::Resumed(request.to_request(), ServerId(*server))
+            }
+            RecordedEvent::Started { session, server, took } => {
+                Event::Started { session: session_id(session), server: ServerId(*server), took: *took }
             }
-            Told::Ended { session, attempt, server, outcome: how, last, report } => Event::Ended {
-                session: id(session),
+            RecordedEvent::Ended { session, attempt, server, outcome: name, last, report } => Event::Ended {
+                session: session_id(session),
                 attempt: *attempt,
                 server: ServerId(*server),
-                outcome: outcome(how),
+                outcome: outcome(name),
                 last: *last,
                 report: report.clone(),
             },
-            Told::InDoubt { session, server } => {
-                Event::InDoubt { session: id(session), server: ServerId(*server) }
+            RecordedEvent::InDoubt { session, server } => {
+                Event::InDoubt { session: session_id(session), server: ServerId(*server) }
             }
-            Told::Resolved { session, server } => {
-                Event::Resolved { session: id(session), server: ServerId(*server) }
+            RecordedEvent::Resolved { session, server } => {
+                Event::Resolved { session: session_id(session), server: ServerId(*server) }
             }
-            Told::Left { session } => Event::ClientLeft(id(session)),
-            Told::Note { session, server, kind, value } => {
+            RecordedEvent::Left { session } => Event::ClientLeft(session_id(session)),
+            RecordedEvent::Note { session, server, kind, value } => {
                 let note = match kind.as_str() {
                     "delivered" => Note::Delivered(*value),
                     "rung" => Note::Rung(*value as usize),
                     "uplink" => Note::Uplink(*value),
                     _ => Note::Link(*value),
                 };
-                Event::Note { session: id(session), server: ServerId(*server), note }
+                Event::Note { session: session_id(session), server: ServerId(*server), note }
             }
-            Told::Probed { server, outcome: how, report } => {
-                Event::Probed { server: ServerId(*server), outcome: outcome(how), report: report.clone() }
+            RecordedEvent::Probed { server, outcome: name, report } => {
+                Event::Probed { server: ServerId(*server), outcome: outcome(name), report: report.clone() }
             }
-            Told::Peer { bytes } => Event::Peer(bytes.clone()),
-            Told::Wake { tag } => Event::Wake(*tag),
+            RecordedEvent::Peer { bytes } => Event::Peer(bytes.clone()),
+            RecordedEvent::Wake { tag } => Event::Wake(*tag),
         }
     }
 }
 
-impl From<&Action> for Done {
-    fn from(action: &Action) -> Done {
+impl From<&Action> for RecordedAction {
+    fn from(action: &Action) -> RecordedAction {
         match action {
-            Action::SetUp(session, server, time_out) => {
-                Done::SetUp { session: name(session), server: server.0, time_out: *time_out }
+            Action::SetUp(session, server, time_out) => RecordedAction::SetUp {
+                session: session_name(session),
+                server: server.0,
+                time_out: *time_out,
+            },
+            Action::SetRung(session, rung) => {
+                RecordedAction::SetRung { session: session_name(session), rung: *rung }
+            }
+            Action::Move(session) => RecordedAction::Move { session: session_name(session) },
+            Action::Refuse(session, wait) => {
+                RecordedAction::Refuse { session: session_name(session), hold_off: *wait }
             }
-            Action::SetRung(session, rung) => Done::SetRung { session: name(session), rung: *rung },
-            Action::Move(session) => Done::Move { session: name(session) },
-            Action::Refuse(session, wait) => Done::Refuse { session: name(session), hold_off: *wait },
-            Action::Fail(session) => Done::Fail { session: name(session) },
-            Action::Probe(server) => Done::Probe { server: server.0 },
-            Action::FollowList => Done::FollowList,
-            Action::WakeAt(tag, at) => Done::WakeAt { tag: *tag, at: *at },
-            Action::Log(text) => Done::Log { text: text.clone() },
+            Action::Fail(session) => RecordedAction::Fail { session: session_name(session) },
+            Action::Probe(server) => RecordedAction::Probe { server: server.0 },
+            Action::FollowList => RecordedAction::FollowList,
+            Action::WakeAt(tag, at) => RecordedAction::WakeAt { tag: *tag, at: *at },
+            Action::Log(text) => RecordedAction::Log { text: text.clone() },
         }
     }
 }
 
-/// Writes a line, without its end.
-pub fn write(line: &Line) -> String {
-    // Plain data of our own: writing it does not fail.
+/// Writes a line, without a line end.
+pub fn write_line(line: &Line) -> String {
+    // Serializing plain data does not fail.
     serde_json::to_string(line).unwrap_or_default()
 }
