--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{line, settings, SECOND, START};
+use common::{entry, settings, SECOND, START};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use salttally::controller::Controller;
@@ -38,8 +38,8 @@
     let mut draw = move || f64::from(dice.next_u32()) / 4_294_967_296.0;
     let begins = START + 13 * SECOND;
     let cells = set.cells;
-    let entries: Vec<ServerEntry> = (0..cells).map(|id| ServerEntry { cell: id, ..line(id) }).collect();
-    let cold = ServerEntry { started: Some(begins), ..line(0) };
+    let entries: Vec<ServerEntry> = (0..cells).map(|id| ServerEntry { cell: id, ..entry(id) }).collect();
+    let cold = ServerEntry { started: Some(begins), ..entry(0) };
     let weights: Vec<f64> =
         (0..fleet.alive).map(|at| if at % 10 == 0 { fleet.uneven } else { 1.0 }).collect();
     let all: f64 = weights.iter().sum();
@@ -200,16 +200,16 @@
 // Caught the own rate as a mean over 10 s, also in the first of them, and a spacing by the pace of all: 20 and 30
 // processes together sent a cold server up to 2.5 times what the rule leaves to them.
 #[test]
-fn twenty_processes_together_do_not_push_a_cold_server_over() {
+fn twenty_fronts_together_do_not_overload_a_cold_server() {
     fleet_of(20);
 }
 
 #[test]
-fn thirty_processes_together_do_not_push_a_cold_server_over() {
+fn thirty_fronts_together_do_not_overload_a_cold_server() {
     fleet_of(30);
 }
 
 #[test]
-fn three_hundred_processes_together_do_not_push_a_cold_server_over() {
+fn three_hundred_fronts_together_do_not_overload_a_cold_server() {
     fleet_of(300);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -58,7 +58,7 @@
     }
 }
 
-pub fn line(id: u32) -> ServerEntry {
+pub fn entry(id: u32) -> ServerEntry {
     ServerEntry { server: ServerId(id), cell: id % 6, units: 1.0, ..ServerEntry::default() }
 }
 
@@ -84,39 +84,39 @@
 }
 
 /// A module under test and its clock.
-pub struct Bench {
+pub struct Harness {
     pub controller: Controller,
     pub now: Micros,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
         Self::seeded(settings, 1)
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let mut bench = Bench { controller: Controller::new(settings, seed), now: START };
-        bench.tell(Event::Servers(ListKind::Complete, (0..6).map(line).collect()));
-        bench
+        let mut harness = Harness { controller: Controller::new(settings, seed), now: START };
+        harness.send(Event::Servers(ListKind::Complete, (0..6).map(entry).collect()));
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn send(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.controller.handle(self.now, &event, &mut out);
         out
     }
 
-    pub fn after(&mut self, time: Micros) -> &mut Self {
+    pub fn advance(&mut self, time: Micros) -> &mut Self {
         self.now += time;
         self
     }
 
-    pub fn ask(&mut self, request: Request) -> Vec<Action> {
-        self.tell(Event::Request(request))
+    pub fn request(&mut self, request: Request) -> Vec<Action> {
+        self.send(Event::Request(request))
     }
 
-    pub fn begin(&mut self, name: &str, server: u32) {
-        self.tell(Event::Started { session: id(name), server: ServerId(server), took: 0 });
+    pub fn start(&mut self, name: &str, server: u32) {
+        self.send(Event::Started { session: id(name), server: ServerId(server), took: 0 });
     }
 
     pub fn end(
@@ -128,41 +128,41 @@
         last: bool,
     ) -> Vec<Action> {
         let (session, server) = (id(name), ServerId(server));
-        self.tell(Event::Ended { session, attempt, server, outcome, last, report: vec![] })
+        self.send(Event::Ended { session, attempt, server, outcome, last, report: vec![] })
     }
 
     pub fn note(&mut self, name: &str, server: u32, note: Note) -> Vec<Action> {
-        self.tell(Event::Note { session: id(name), server: ServerId(server), note })
+        self.send(Event::Note { session: id(name), server: ServerId(server), note })
     }
 
     /// A session that already plays at a server.
-    pub fn playing(&mut self, name: &str, server: u32, rung: usize) {
-        self.tell(Event::Resumed(request(name, 0, 0, 6), ServerId(server)));
+    pub fn add_playing(&mut self, name: &str, server: u32, rung: usize) {
+        self.send(Event::Resumed(request(name, 0, 0, 6), ServerId(server)));
         self.note(name, server, Note::Rung(rung));
     }
 
     /// A session `p<server>` at each of these servers, each with a note just heard.
-    pub fn playing_each(&mut self, servers: &[u32], rung: usize, note: Note) {
+    pub fn add_playing_each(&mut self, servers: &[u32], rung: usize, note: Note) {
         for server in servers {
             let name = format!("p{server}");
-            self.playing(&name, *server, rung);
+            self.add_playing(&name, *server, rung);
             self.note(&name, *server, note);
         }
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<u32> {
+pub fn set_up_server(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::SetUp(_, server, _) => Some(server.0),
         _ => None,
     })
 }
 
-pub fn moved(actions: &[Action]) -> bool {
+pub fn has_move(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Move(_)))
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn has_refusal(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Refuse(..)))
 }
 
--- a/tests/fleet_cost.rs
+++ b/tests/fleet_cost.rs
@@ -26,12 +26,12 @@
 const CHANGES: u32 = 50;
 const NOTES: usize = 35;
 
-fn entry(id: u32) -> ServerEntry {
-    ServerEntry { cell: id, ..line(id) }
+fn ring_entry(id: u32) -> ServerEntry {
+    ServerEntry { cell: id, ..entry(id) }
 }
 
 /// A front with sessions, among so many servers in racks.
-fn front(servers: u32) -> (Bench, Vec<(String, u32)>) {
+fn front(servers: u32) -> (Harness, Vec<(String, u32)>) {
     let set = Settings {
         fronts: 900,
         cells: servers,
@@ -40,42 +40,42 @@
         uplink_kb: 30_000.0,
         ..settings()
     };
-    let mut bench = Bench { controller: Controller::new(set, 1), now: START };
-    bench.tell(Event::Servers(ListKind::Complete, (0..servers).map(entry).collect()));
+    let mut harness = Harness { controller: Controller::new(set, 1), now: START };
+    harness.send(Event::Servers(ListKind::Complete, (0..servers).map(ring_entry).collect()));
     let mut held = Vec::new();
     for number in 0..SESSIONS {
         let name = format!("held{number}");
-        let actions = bench.after(SECOND / 10).ask(request(&name, 0, number * 31 % servers, 3));
-        if let Some(server) = sent(&actions) {
-            bench.begin(&name, server);
+        let actions = harness.advance(SECOND / 10).request(request(&name, 0, number * 31 % servers, 3));
+        if let Some(server) = set_up_server(&actions) {
+            harness.start(&name, server);
             held.push((name, server));
         }
     }
-    (bench, held)
+    (harness, held)
 }
 
 /// Processor seconds of one second's events.
 fn second_of_work(servers: u32) -> f64 {
-    let (mut bench, held) = front(servers);
-    bench.note(&held[0].0, held[0].1, Note::Uplink(0.6));
+    let (mut harness, held) = front(servers);
+    harness.note(&held[0].0, held[0].1, Note::Uplink(0.6));
     let begin = Instant::now();
     for at in 0..CHANGES {
-        bench.tell(Event::Servers(ListKind::Changes, vec![entry(at)]));
+        harness.send(Event::Servers(ListKind::Changes, vec![ring_entry(at)]));
     }
     for (name, server) in held.iter().take(NOTES) {
-        bench.after(1_000).note(name, *server, Note::Link(0.6));
+        harness.advance(1_000).note(name, *server, Note::Link(0.6));
     }
     for at in 0..REQUESTS {
-        bench.ask(request(&format!("new{at}"), 0, at * 17 % servers, 3));
+        harness.request(request(&format!("new{at}"), 0, at * 17 % servers, 3));
     }
     for _ in 0..LOOKS {
-        bench.after(SECOND / 10).tell(Event::Wake(0));
+        harness.advance(SECOND / 10).send(Event::Wake(0));
     }
     begin.elapsed().as_secs_f64()
 }
 
 #[test]
-fn a_second_of_work_costs_no_more_than_the_page_allows_with_sixteen_times_the_servers() {
+fn one_second_of_events_stays_within_the_cost_limit_with_sixteen_times_the_servers() {
     let least = |servers| (0..ROUNDS).map(|_| second_of_work(servers)).min_by(f64::total_cmp).unwrap();
     let (usual, most) = (least(USUAL), least(MOST));
     let per_day = CPU_SECONDS + CPU_SECONDS_PER_THOUSAND * f64::from(MOST) / 1_000.0;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,7 +1,7 @@
 //! The limits that the module keeps so that it can be read; the users have set them at 1,000 lines of 110.
 
 #[test]
-fn the_module_stays_readable() {
+fn the_controller_stays_within_its_size_limits() {
     let text = include_str!("../src/controller.rs");
     assert!(text.lines().filter(|line| !line.trim().is_empty()).count() <= 1_000);
     assert!(text.lines().all(|line| line.chars().count() <= 110));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use common::{class, line, settings, SECOND, START};
+use common::{class, entry, settings, SECOND, START};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use rand_core::{RngCore, SeedableRng};
@@ -236,7 +236,7 @@
                 let state =
                     [ServerState::Ready, ServerState::Draining, ServerState::Removed][self.roll(3) as usize];
                 let started = (self.roll(2) == 0).then_some(self.now);
-                let entry = ServerEntry { state, started, ..line(server.0) };
+                let entry = ServerEntry { state, started, ..entry(server.0) };
                 match state {
                     ServerState::Ready => {
                         self.stopped.remove(&server);
@@ -310,7 +310,7 @@
         max_hold_off: if kinds & 32 > 0 { 0 } else { SECOND },
         ..settings()
     };
-    let entries: Vec<_> = (0..6).map(line).collect();
+    let entries: Vec<_> = (0..6).map(entry).collect();
     let mut world = World {
         controller: Controller::new(set.clone(), seed),
         set,
@@ -352,14 +352,14 @@
 }
 
 #[test]
-fn many_fronts_together_do_not_push_a_cold_server_over() {
+fn many_fronts_together_do_not_overload_a_cold_server() {
     for (fronts, waves) in [(3u32, 60), (90, 6), (280, 6)] {
         let set = Settings { fronts, racks: 0, ..settings() };
-        let entries: Vec<_> = (0..24).map(line).collect();
+        let entries: Vec<_> = (0..24).map(entry).collect();
         let mut controllers: Vec<Controller> =
             (0..fronts).map(|place| Controller::new(set.clone(), u64::from(place) * 77 + 1)).collect();
         let begins = START + 13 * SECOND;
-        let cold = ServerEntry { started: Some(begins), ..line(0) };
+        let cold = ServerEntry { started: Some(begins), ..entry(0) };
         let (mut sends, mut number) = (Vec::new(), 0);
         for controller in &mut controllers {
             controller.handle(START, &Event::Servers(ListKind::Complete, entries.clone()), &mut Vec::new());
@@ -392,7 +392,7 @@
 }
 
 #[test]
-fn viewers_that_return_in_a_wave_do_not_push_a_cold_server_over() {
+fn a_wave_of_returning_viewers_does_not_overload_a_cold_server() {
     // A calm fleet of 80 fronts loses a zone; the viewers of one title come back all at once, and of its holders
     // only one has just started.
     let set = Settings { fronts: 80, racks: 0, cells: 48, ..settings() };
@@ -401,9 +401,9 @@
     for place in 0..80u32 {
         let mut controller = Controller::new(set.clone(), u64::from(place) * 31 + 5);
         let mut out = Vec::new();
-        let entries = (3..48).map(|id| ServerEntry { cell: id, ..line(id) }).collect();
+        let entries = (3..48).map(|id| ServerEntry { cell: id, ..entry(id) }).collect();
         controller.handle(START, &Event::Servers(ListKind::Complete, entries), &mut out);
-        let cold = ServerEntry { started: Some(begins), ..line(0) };
+        let cold = ServerEntry { started: Some(begins), ..entry(0) };
         controller.handle(begins, &Event::Servers(ListKind::Changes, vec![cold]), &mut out);
         for n in 0..3u32 {
             let now = begins + SECOND * u64::from(n) + u64::from(place) * 10_000;
