--- a/benches/weigh/src/main.rs
+++ b/benches/weigh/src/main.rs
@@ -1,6 +1,7 @@
-//! Two consensus crates beside each other under one-sided and partial cuts: five voters, a tick of 50 ms, elections after
-//! ten ticks, links of 1 ms that keep order. Every 50 ms each voter that leads is given an entry. Printed: how long nothing
-//! was decided from the cut on, and whether anything was decided at its end. `docs/design/accord.md` tells what follows.
+//! Compares two consensus crates under asymmetric and partial network cuts: five voters, a tick of 50 ms, elections after
+//! ten ticks, ordered links with a delay of 1 ms. Every 50 ms each voter that is a leader proposes an entry. Prints the
+//! longest time without a decision after the cut, and whether entries are decided at the end. `docs/design/accord.md`
+//! describes the consequences.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,18 +15,18 @@
 
 const VOTERS: u64 = 5;
 const TICK_MS: u64 = 50;
-const ELECTION: usize = 10;
+const ELECTION_TICKS: usize = 10;
 
-/// What the harness asks of a voter.
+/// The interface of a voter to the harness.
 trait Voter {
     type Message;
     fn tick(&mut self);
     fn step(&mut self, message: Self::Message);
     fn propose(&mut self);
-    fn leads(&self) -> bool;
+    fn is_leader(&self) -> bool;
     fn decided(&self) -> u64;
-    /// What it has to say, by receiver.
-    fn say(&mut self) -> Vec<(u64, Self::Message)>;
+    /// Outgoing messages, with their receivers.
+    fn take_messages(&mut self) -> Vec<(u64, Self::Message)>;
 }
 
 #[derive(Clone, Debug, Deserialize, Serialize)]
@@ -141,13 +142,13 @@
     fn propose(&mut self) {
         let _ = self.paxos.append(Entry);
     }
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.paxos.get_current_leader() == Some((self.number, true))
     }
     fn decided(&self) -> u64 {
         self.paxos.get_decided_idx() as u64
     }
-    fn say(&mut self) -> Vec<(u64, Self::Message)> {
+    fn take_messages(&mut self) -> Vec<(u64, Self::Message)> {
         let mut out = Vec::new();
         self.paxos.take_outgoing_messages(&mut out);
         out.into_iter().map(|message| (message.get_receiver(), message)).collect()
@@ -159,8 +160,8 @@
         cluster_config: ClusterConfig { configuration_id: 1, nodes: (1..=VOTERS).collect(), flexible_quorum: None },
         server_config: ServerConfig {
             pid: number,
-            election_tick_timeout: ELECTION as u64,
-            resend_message_tick_timeout: ELECTION as u64,
+            election_tick_timeout: ELECTION_TICKS as u64,
+            resend_message_tick_timeout: ELECTION_TICKS as u64,
             ..ServerConfig::default()
         },
     };
@@ -208,13 +209,13 @@
         let _ = self.node.propose(Vec::new(), vec![1]);
         self.ready();
     }
-    fn leads(&self) -> bool {
+    fn is_leader(&self) -> bool {
         self.node.raft.state == StateRole::Leader
     }
     fn decided(&self) -> u64 {
         self.decided
     }
-    fn say(&mut self) -> Vec<(u64, Self::Message)> {
+    fn take_messages(&mut self) -> Vec<(u64, Self::Message)> {
         std::mem::take(&mut self.out).into_iter().map(|message| (message.to, message)).collect()
     }
 }
@@ -223,7 +224,7 @@
     let store = MemStorage::new_with_conf_state(((1..=VOTERS).collect::<Vec<_>>(), vec![]));
     let config = Config {
         id: number,
-        election_tick: ELECTION,
+        election_tick: ELECTION_TICKS,
         heartbeat_tick: 2,
         check_quorum: true,
         pre_vote: true,
@@ -234,84 +235,87 @@
     Raft { node, store, out: Vec::new(), decided: 0 }
 }
 
-/// Which links are cut, told who leads: from, to.
+/// Whether the link is cut; arguments: leader, sender, receiver.
 type Cut = fn(u64, u64, u64) -> bool;
 
-fn round(leader: u64, voter: u64) -> u64 {
+/// Position of a voter in the ring, counted from the leader.
+fn ring_position(leader: u64, voter: u64) -> u64 {
     (voter + VOTERS - leader) % VOTERS
 }
 
 const CUTS: [(&str, Cut); 6] = [
     ("the leader hears all and is heard by none", |leader, from, _| from == leader),
-    ("the leader hears all and is heard by one", |leader, from, to| from == leader && round(leader, to) != 1),
+    ("the leader hears all and is heard by one", |leader, from, to| from == leader && ring_position(leader, to) != 1),
     ("the leader is heard by all and hears none", |leader, _, to| to == leader),
     ("all reach one voter alone, which is not the leader", |leader, from, to| {
-        round(leader, from) != 1 && round(leader, to) != 1
+        ring_position(leader, from) != 1 && ring_position(leader, to) != 1
+    }),
+    ("a chain, the leader at its end", |leader, from, to| {
+        ring_position(leader, from).abs_diff(ring_position(leader, to)) != 1
     }),
-    ("a chain, the leader at its end", |leader, from, to| round(leader, from).abs_diff(round(leader, to)) != 1),
     ("the leader reaches two others, which reach all", |leader, from, to| {
-        let far = |voter| [3, 4].contains(&round(leader, voter));
+        let far = |voter| [3, 4].contains(&ring_position(leader, voter));
         (from == leader && far(to)) || (to == leader && far(from))
     }),
 ];
 
-/// From the cut on, in ms: the longest time in which nothing was decided, and whether the last five seconds decided.
-fn play<V: Voter>(make: fn(u64) -> V, cut: Cut) -> (u64, bool) {
+/// The longest time without a decision after the cut, in ms, and whether anything was decided in the last five seconds.
+fn run_cut<V: Voter>(make: fn(u64) -> V, cut: Cut) -> (u64, bool) {
     let mut voters: BTreeMap<u64, V> = (1..=VOTERS).map(|number| (number, make(number))).collect();
-    let mut mail: VecDeque<(u64, u64, u64, V::Message)> = VecDeque::new();
+    let mut in_flight: VecDeque<(u64, u64, u64, V::Message)> = VecDeque::new();
     let (mut leader, mut last, mut longest, mut most) = (0, 0, 0, 0);
-    const BEGINS: u64 = 10_000;
-    const ENDS: u64 = 70_000;
-    for now in 0..ENDS {
-        if now == BEGINS {
-            leader = voters.iter().find(|(_, voter)| voter.leads()).map_or(0, |(number, _)| *number);
-            assert!(leader != 0, "nobody leads after ten seconds");
+    const CUT_AT_MS: u64 = 10_000;
+    const END_MS: u64 = 70_000;
+    for now in 0..END_MS {
+        if now == CUT_AT_MS {
+            leader = voters.iter().find(|(_, voter)| voter.is_leader()).map_or(0, |(number, _)| *number);
+            assert!(leader != 0, "no leader after ten seconds");
             last = now;
         }
         if now % TICK_MS == 0 {
             for voter in voters.values_mut() {
                 voter.tick();
-                if voter.leads() {
+                if voter.is_leader() {
                     voter.propose();
                 }
             }
         }
-        while mail.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, _, to, message)) = mail.pop_front() else { break };
+        while in_flight.front().is_some_and(|(at, ..)| *at <= now) {
+            let Some((_, _, to, message)) = in_flight.pop_front() else { break };
             if let Some(voter) = voters.get_mut(&to) {
                 voter.step(message);
             }
         }
         for (number, voter) in &mut voters {
-            for (to, message) in voter.say() {
-                if now < BEGINS || !cut(leader, *number, to) {
-                    mail.push_back((now + 1, *number, to, message));
+            for (to, message) in voter.take_messages() {
+                if now < CUT_AT_MS || !cut(leader, *number, to) {
+                    in_flight.push_back((now + 1, *number, to, message));
                 }
             }
         }
         let decided = voters.values().map(Voter::decided).max().unwrap_or(0);
         if decided > most {
             most = decided;
-            if now > BEGINS {
+            if now > CUT_AT_MS {
                 longest = longest.max(now - last);
             }
             last = now;
         }
     }
-    (longest.max(ENDS - last), ENDS - last < 5_000)
+    (longest.max(END_MS - last), END_MS - last < 5_000)
 }
 
 fn main() {
-    println!("{:<52} {:>24} {:>24}", "nothing decided for, ms (median, most of 9)", "omnipaxos", "raft");
+    println!("{:<52} {:>24} {:>24}", "no decision for, ms (median, maximum of 9)", "omnipaxos", "raft");
     for (name, cut) in CUTS {
-        let tell = |all: Vec<(u64, bool)>| {
+        let summary = |all: Vec<(u64, bool)>| {
             let mut spans: Vec<u64> = all.iter().map(|(span, _)| *span).collect();
             spans.sort_unstable();
             let live = all.iter().filter(|(_, live)| *live).count();
             format!("{} {} ({live}/9)", spans[4], spans[8])
         };
-        let one = tell((0..9).map(|_| play(paxos, cut)).collect());
-        let two = tell((0..9).map(|_| play(raft, cut)).collect());
+        let one = summary((0..9).map(|_| run_cut(paxos, cut)).collect());
+        let two = summary((0..9).map(|_| run_cut(raft, cut)).collect());
         println!("{name:<52} {one:>24} {two:>24}");
     }
 }
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,4 +1,5 @@
-//! A cold server under the sum of all processes: many modules in virtual time against one server that has just started.
+//! The load on a cold server from all fronts together: many controllers in virtual time and one server that has just
+//! started.
 
 mod common;
 
@@ -8,34 +9,34 @@
 use salttally::controller::Controller;
 use salttally::interface::*;
 
-/// One way in which a fleet meets a server that has just started.
+/// A scenario of a fleet with a server that has just started.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
-    /// Processes that the settings name, and that live.
-    told: u32,
+    /// Number of fronts in the settings, and number of running fronts.
+    configured: u32,
     alive: u32,
-    /// Requests a second of all together that only this server could serve, before and after it has started.
+    /// Requests per second, of all fronts together, that only this server can serve: before and after its start.
     wanted: (f64, f64),
-    /// Of all requests, those that only this server could serve.
-    part: f64,
-    /// Nodes that have started just before the server, of ten.
-    born: u64,
-    /// Requests of viewers who come again, of ten.
-    again: u64,
-    /// Traffic of one node in ten, over that of the others.
+    /// Share of all requests that only this server can serve.
+    share: f64,
+    /// Fronts in ten that start just before the server.
+    restarted: u64,
+    /// Requests in ten that come from returning viewers.
+    returning: u64,
+    /// Traffic of one front in ten, as a multiple of that of the others.
     uneven: f64,
 }
 
-/// What the settings allow the server by then in one window of theirs.
+/// Number of set-ups in one window that the server can take at an age.
 fn allowed(set: &Settings, age: Micros) -> f64 {
     let warmth = set.cold_from + (1.0 - set.cold_from) * (age as f64 / set.warm_up as f64).min(1.0);
     f64::from(set.kind_streams[0]) / set.warm_up as f64 * set.fall_window as f64 * set.fall_multiple * warmth
 }
 
-/// Sends to the cold server over its warm-up.
+/// Times of the set-ups at the cold server during its warm-up, since its start.
 fn sends(set: &Settings, fleet: Fleet, seed: u64) -> Vec<Micros> {
-    let mut dice = Pcg32::seed_from_u64(seed);
-    let mut draw = move || f64::from(dice.next_u32()) / 4_294_967_296.0;
+    let mut rng = Pcg32::seed_from_u64(seed);
+    let mut draw = move || f64::from(rng.next_u32()) / 4_294_967_296.0;
     let begins = START + 13 * SECOND;
     let cells = set.cells;
     let entries: Vec<ServerEntry> = (0..cells).map(|id| ServerEntry { cell: id, ..entry(id) }).collect();
@@ -45,7 +46,10 @@
     let all: f64 = weights.iter().sum();
     let mut controllers: Vec<(Controller, bool)> = (0..fleet.alive)
         .map(|at| {
-            (Controller::new(set.clone(), seed * 1_000 + u64::from(at)), u64::from(at) % 10 >= fleet.born)
+            (
+                Controller::new(set.clone(), seed * 1_000 + u64::from(at)),
+                u64::from(at) % 10 >= fleet.restarted,
+            )
         })
         .collect();
     let (mut sends, mut number, mut out) = (Vec::new(), 0u32, Vec::new());
@@ -76,15 +80,15 @@
             }
             let wanted = if now < begins { fleet.wanted.0 } else { fleet.wanted.1 };
             let rate = wanted * weights[at] / all * STEP as f64 / SECOND as f64;
-            // Requests for this server, and the others that tell the module what part of all they are.
-            for (mean, here) in [(rate, true), (rate * (1.0 / fleet.part - 1.0), false)] {
+            // Requests for this server, and other requests, which show the controller the share of the former.
+            for (mean, here) in [(rate, true), (rate * (1.0 / fleet.share - 1.0), false)] {
                 let many = mean.floor() as u32 + u32::from(draw() < mean.fract());
                 for _ in 0..many {
                     number += 1;
                     let cell = if here { 0 } else { 1 + number % (cells - 1) };
                     let mut ask = common::request(&format!("s{number}"), 0, cell, 1);
                     ask.title = TitleId(u64::from(cell) * 8 + u64::from(number % 8));
-                    ask.returning = here && now >= begins && (draw() * 10.0) < fleet.again as f64;
+                    ask.returning = here && now >= begins && (draw() * 10.0) < fleet.returning as f64;
                     controller.handle(now, &Event::Request(ask), &mut out);
                 }
             }
@@ -92,7 +96,7 @@
             if now >= begins {
                 sends.extend(out.iter().filter(here).map(|_| now - begins));
             }
-            // All that is sent plays for a while.
+            // Every session that is set up ends at once, so that it frees its place.
             let played: Vec<(SessionId, ServerId)> = out
                 .iter()
                 .filter_map(|a| match a {
@@ -116,8 +120,9 @@
     sends
 }
 
-/// The fullest window, over what the rule leaves to it with chance; and all sends over what was wanted and allowed.
-fn judged(set: &Settings, fleet: Fleet, seed: u64) -> (f64, f64) {
+/// The fullest window as a share of its limit with slack for chance, and all set-ups as a share of those requested and
+/// allowed.
+fn evaluate(set: &Settings, fleet: Fleet, seed: u64) -> (f64, f64) {
     let sends = sends(set, fleet, seed);
     let fullest = sends
         .iter()
@@ -133,7 +138,13 @@
     (fullest, sends.len() as f64 / (seconds * fleet.wanted.1.min(pace)))
 }
 
-fn mass(streams: u32, warm_up: Micros, cold_from: f64, fall_multiple: f64, window: Micros) -> Settings {
+fn cold_settings(
+    streams: u32,
+    warm_up: Micros,
+    cold_from: f64,
+    fall_multiple: f64,
+    window: Micros,
+) -> Settings {
     Settings {
         kind_streams: vec![streams],
         warm_up,
@@ -149,67 +160,70 @@
     }
 }
 
-/// All ways of meeting a cold server, with so many processes; the shares are printed with `--nocapture`.
-fn fleet_of(alive: u32) {
+/// Runs all scenarios with `alive` fronts; the results are printed with `--nocapture`.
+fn run_scenarios(alive: u32) {
     let places = [
-        ("few places", mass(20, 12 * SECOND, 0.4, 2.0, SECOND), 1),
-        ("many places", mass(289, 7 * SECOND, 0.53, 2.5, SECOND), 2),
-        ("long window", mass(100, 10 * SECOND, 0.2, 3.0, 3 * SECOND / 2), 1),
+        ("few places", cold_settings(20, 12 * SECOND, 0.4, 2.0, SECOND), 1),
+        ("many places", cold_settings(289, 7 * SECOND, 0.53, 2.5, SECOND), 2),
+        ("long window", cold_settings(100, 10 * SECOND, 0.2, 3.0, 3 * SECOND / 2), 1),
     ];
     for (name, set, seeds) in places {
         let pace = allowed(&set, 0) * SECOND as f64 / set.fall_window as f64;
         let usual = pace / 6.0;
         let base = Fleet {
-            told: alive,
+            configured: alive,
             alive,
             wanted: (usual, usual),
-            part: 1.0 / 60.0,
-            born: 0,
-            again: 0,
+            share: 1.0 / 60.0,
+            restarted: 0,
+            returning: 0,
             uneven: 1.0,
         };
-        let wave = Fleet { wanted: (usual, pace * 3.0), part: 0.2, ..base };
-        let scarce = Fleet { wanted: (pace * 2.0, pace * 2.0), part: 0.2, ..base };
-        let ways = [
+        let wave = Fleet { wanted: (usual, pace * 3.0), share: 0.2, ..base };
+        let scarce = Fleet { wanted: (pace * 2.0, pace * 2.0), share: 0.2, ..base };
+        let scenarios = [
             ("steady", base),
             ("scarce titles", scarce),
-            ("most just restarted", Fleet { born: 7, wanted: (pace, pace), ..base }),
-            ("all just restarted, scarce titles", Fleet { born: 10, ..scarce }),
+            ("most just restarted", Fleet { restarted: 7, wanted: (pace, pace), ..base }),
+            ("all just restarted, scarce titles", Fleet { restarted: 10, ..scarce }),
             ("a wave", wave),
-            ("a wave that returns", Fleet { again: 9, ..wave }),
-            ("a wave that returns, most just restarted", Fleet { again: 9, born: 7, ..wave }),
+            ("a returning wave", Fleet { returning: 9, ..wave }),
+            ("a returning wave, most just restarted", Fleet { returning: 9, restarted: 7, ..wave }),
             ("uneven", Fleet { wanted: (pace, pace), uneven: 8.0, ..base }),
             ("uneven, a wave", Fleet { wanted: (usual, pace * 2.0), uneven: 8.0, ..base }),
-            ("more alive than told", Fleet { told: alive * 4 / 5, wanted: (pace, pace), ..base }),
-            ("fewer alive than told", Fleet { alive: alive * 3 / 10, wanted: (pace, pace), ..base }),
+            (
+                "more fronts than configured",
+                Fleet { configured: alive * 4 / 5, wanted: (pace, pace), ..base },
+            ),
+            ("fewer fronts than configured", Fleet { alive: alive * 3 / 10, wanted: (pace, pace), ..base }),
         ];
-        for (way, fleet) in ways {
-            let set = Settings { fronts: fleet.told, ..set.clone() };
+        for (scenario, fleet) in scenarios {
+            let set = Settings { fronts: fleet.configured, ..set.clone() };
             for seed in 1..=seeds {
-                let (fullest, used) = judged(&set, fleet, seed);
-                println!("{name}, {alive}, {way}, seed {seed}: fullest {fullest:.2}, used {used:.2}");
-                assert!(fullest <= 1.0, "{name}, {alive} processes, {way}, seed {seed}: {fullest}");
-                // Nor may it be so shy that a warm-up is waited for, where there is no need at all.
-                let shy = way == "steady" && name == "many places" && used < 0.3;
-                assert!(!shy, "{alive} processes, seed {seed}: {used}");
+                let (fullest, used) = evaluate(&set, fleet, seed);
+                println!("{name}, {alive}, {scenario}, seed {seed}: fullest {fullest:.2}, used {used:.2}");
+                assert!(fullest <= 1.0, "{name}, {alive} fronts, {scenario}, seed {seed}: {fullest}");
+                // The guard must not keep a server with ample capacity idle during its warm-up.
+                let too_low = scenario == "steady" && name == "many places" && used < 0.3;
+                assert!(!too_low, "{alive} fronts, seed {seed}: {used}");
             }
         }
     }
 }
 
-// Caught the own rate as a mean over 10 s, also in the first of them, and a spacing by the pace of all: 20 and 30
-// processes together sent a cold server up to 2.5 times what the rule leaves to them.
+// Guards against two errors: the own rate taken as a mean over 10 s even in the first 10 s of a front, and a spacing by
+// the pace of all fronts. With them, 20 and 30 fronts together sent a cold server up to 2.5 times the allowed set-ups.
 #[test]
 fn twenty_fronts_together_do_not_overload_a_cold_server() {
-    fleet_of(20);
+    run_scenarios(20);
 }
 
 #[test]
 fn thirty_fronts_together_do_not_overload_a_cold_server() {
-    fleet_of(30);
+    run_scenarios(30);
 }
 
 #[test]
 fn three_hundred_fronts_together_do_not_overload_a_cold_server() {
-    fleet_of(300);
+    run_scenarios(300);
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet to test the module with.
+//! A harness for tests of the controller with a small fleet.
 #![allow(dead_code)]
 
 use salttally::controller::Controller;
@@ -83,7 +83,7 @@
     }
 }
 
-/// A module under test and its clock.
+/// A controller under test and its clock.
 pub struct Harness {
     pub controller: Controller,
     pub now: Micros,
@@ -135,13 +135,13 @@
         self.send(Event::Note { session: id(name), server: ServerId(server), note })
     }
 
-    /// A session that already plays at a server.
+    /// Adds a session that already plays at a server.
     pub fn add_playing(&mut self, name: &str, server: u32, rung: usize) {
         self.send(Event::Resumed(request(name, 0, 0, 6), ServerId(server)));
         self.note(name, server, Note::Rung(rung));
     }
 
-    /// A session `p<server>` at each of these servers, each with a note just heard.
+    /// Adds a playing session `p<server>` at each of these servers, and a note on each.
     pub fn add_playing_each(&mut self, servers: &[u32], rung: usize, note: Note) {
         for server in servers {
             let name = format!("p{server}");
@@ -151,6 +151,7 @@
     }
 }
 
+/// The server of the set-up among the actions, if any.
 pub fn set_up_server(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::SetUp(_, server, _) => Some(server.0),
@@ -166,6 +167,7 @@
     actions.iter().any(|action| matches!(action, Action::Refuse(..)))
 }
 
+/// The latest rung set for a session.
 pub fn rung_of(actions: &[Action], name: &str) -> Option<usize> {
     actions.iter().rev().find_map(|action| match action {
         Action::SetRung(session, rung) if *session == id(name) => Some(*rung),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions one by one, through the public interface.
+//! Single decisions of the controller, through its public interface.
 
 mod common;
 use common::*;
@@ -7,11 +7,11 @@
 #[test]
 fn move_probability_rises_linearly_from_min_th_and_is_one_from_max_th() {
     let controller = Harness::new(settings()).controller;
-    let p = |load| controller.move_probability(load);
-    assert_eq!((p(0.0), p(0.79), p(0.80)), (0.0, 0.0, 0.0));
-    assert!((p(0.90) - p(0.999_999) / 2.0).abs() < 1e-4, "linear between the thresholds");
-    assert!(p(0.85) > 0.0 && p(0.999) < 1.0);
-    assert_eq!((p(1.0), p(3.0)), (1.0, 1.0));
+    let probability = |load| controller.move_probability(load);
+    assert_eq!((probability(0.0), probability(0.79), probability(0.80)), (0.0, 0.0, 0.0));
+    assert!((probability(0.90) - probability(0.999_999) / 2.0).abs() < 1e-4, "linear between the thresholds");
+    assert!(probability(0.85) > 0.0 && probability(0.999) < 1.0);
+    assert_eq!((probability(1.0), probability(3.0)), (1.0, 1.0));
 }
 
 #[test]
@@ -40,7 +40,7 @@
     let actions = harness.advance(SECOND).request(request("new", 0, 0, 1));
     assert!(has_move(&actions), "{actions:?}");
     assert_eq!(set_up_server(&actions), Some(0));
-    // The moved viewer comes back and goes to the planned holder; nobody else is moved for it.
+    // The moved viewer returns and is sent to the planned holder; no other session moves for it.
     harness.end("old", 0, 0, Outcome::Withdrawn, true);
     let mut back = request("back", 0, 0, 6);
     back.viewer = request("old", 0, 0, 6).viewer;
@@ -72,7 +72,7 @@
 fn a_full_server_with_no_move_possible_refuses_at_once_with_a_hold_off() {
     let mut harness = Harness::new(settings());
     harness.request(request("first", 0, 0, 1));
-    // Turned away although its link is not full: its places are, and there is no other holder.
+    // Turned away, as the server's places are full although its link is not; there is no other holder.
     let actions = harness.end("first", 0, 0, Outcome::Full, false);
     assert!(actions.contains(&Action::Refuse(id("first"), SECOND)), "{actions:?}");
 }
@@ -87,7 +87,7 @@
         assert_ne!(
             set_up_server(&harness.request(request(&format!("s{n}"), 0, 0, 3))),
             Some(first),
-            "out for now"
+            "in backoff"
         );
     }
 }
@@ -134,7 +134,7 @@
 
 #[test]
 fn one_short_server_does_not_starve_its_rack() {
-    // Reports stay out; server 0 delivers short, its rack mates 2 and 4 in full.
+    // No further load reports arrive; server 0 delivers short, the others of its rack (2 and 4) in full.
     let mut harness = Harness::new(settings());
     harness.add_playing_each(&[0, 2, 4], 2, Note::Link(0.4));
     let mut actions = Vec::new();
@@ -192,7 +192,7 @@
                 .is_some(),
         );
     }
-    // 20 places over 12 s at a warmth of 0.4 and up to twice that pace, in 11 s, shared by two fronts.
+    // 20 places in 12 s, a cold share of 0.4 and up to twice that pace, over 11 s, shared by two fronts.
     assert!(count >= 1 && f64::from(count) <= 20.0 / 12.0 * 0.4 * 2.0 * 11.0 / 2.0, "{count}");
 }
 
@@ -241,7 +241,7 @@
 
 #[test]
 fn a_full_rack_refuses_a_session_rather_than_stall_all() {
-    // The only holder has room on its link, but its rack's uplink is full at the lowest rungs.
+    // The only holder has free capacity on its link, but the uplink of its rack is full at the lowest rungs.
     let mut harness = Harness::new(settings());
     harness.add_playing_each(&[0, 2, 4], 0, Note::Uplink(1.3));
     harness.add_playing_each(&[1, 3, 5], 0, Note::Uplink(1.3));
@@ -269,7 +269,7 @@
     }
     for n in 0..5 {
         let actions = harness.advance(SECOND / 10).request(request(&format!("n{n}"), 0, 0, 1));
-        assert!(!has_move(&actions), "no holder lies below the lower threshold: {actions:?}");
+        assert!(!has_move(&actions), "no holder is below Min.th: {actions:?}");
         if n == 0 {
             assert_eq!(set_up_server(&actions), Some(0));
         }
@@ -294,8 +294,8 @@
 
 #[test]
 fn a_broken_connection_does_not_empty_a_server_whose_sessions_play_on() {
-    // All but 0 are busy; an attempt at 0 breaks while an older session plays there.
-    let broken = |told: bool, old: bool| {
+    // All servers but 0 are loaded; an attempt at 0 breaks while an older session plays there.
+    let next_server = |noted: bool, old: bool| {
         let mut harness = Harness::new(Settings { racks: 0, ..settings() });
         if old {
             harness.add_playing("old", 0, 0);
@@ -309,22 +309,26 @@
             harness.add_playing("young", 0, 0);
         }
         harness.advance(3 * SECOND);
-        if told {
+        if noted {
             harness.note(if old { "old" } else { "young" }, 0, Note::Link(0.1));
         }
         harness.add_playing_each(&[1, 2, 3, 4, 5], 0, Note::Link(0.7));
         set_up_server(&harness.request(request("next", 0, 0, 6)))
     };
-    assert_eq!(broken(true, true), Some(0));
-    assert_ne!(broken(false, true), Some(0), "nothing was heard since");
-    assert_ne!(broken(true, false), Some(0), "what began since does not tell of the process before");
+    assert_eq!(next_server(true, true), Some(0));
+    assert_ne!(next_server(false, true), Some(0), "no note since");
+    assert_ne!(
+        next_server(true, false),
+        Some(0),
+        "a newer session does not prove that the process kept running"
+    );
 }
 
 #[test]
 fn requests_that_fail_at_every_server_do_not_put_the_servers_out_of_use() {
     let mut harness = Harness::new(Settings { racks: 0, ..settings() });
     harness.add_playing_each(&[0, 1, 2, 3, 4, 5], 0, Note::Link(0.5));
-    // A useless request is tried at three servers; no good one avoids them after it.
+    // An invalid request fails at three servers; valid requests must still use all three.
     let mut at = set_up_server(&harness.request(request("bad", 0, 0, 3))).expect("sent");
     let mut tried = vec![at];
     for attempt in 0..2 {
@@ -349,7 +353,7 @@
 
 #[test]
 fn one_error_among_good_answers_blames_the_request_and_many_errors_the_server() {
-    let after = |good: usize, errors: usize| {
+    let next_server = |good: usize, errors: usize| {
         let mut harness = Harness::new(Settings { racks: 0, ..settings() });
         harness.add_playing_each(&[0], 0, Note::Link(0.1));
         harness.add_playing_each(&[1, 2, 3, 4, 5], 0, Note::Link(0.6));
@@ -368,9 +372,9 @@
         }
         set_up_server(&harness.request(request("next", 0, 0, 3)))
     };
-    assert_eq!(after(8, 1), Some(0));
-    assert_ne!(after(0, 1), Some(0), "nothing speaks for it");
-    assert_ne!(after(8, 4), Some(0));
+    assert_eq!(next_server(8, 1), Some(0));
+    assert_ne!(next_server(0, 1), Some(0), "no good answers");
+    assert_ne!(next_server(8, 4), Some(0));
 }
 
 #[test]
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,4 +1,4 @@
-//! The limits that the module keeps so that it can be read; the users have set them at 1,000 lines of 110.
+//! Size limits that keep the controller readable: 1,000 non-blank lines of 110 characters.
 
 #[test]
 fn the_controller_stays_within_its_size_limits() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,8 +1,8 @@
-//! Random legal orders of events against an independent checker of the six rules.
+//! Random legal sequences of events against an independent checker of the six rules.
 //!
-//! Broken on purpose, one at a time, each of these guards makes it fail: drains, seats, the budget, the pace of cold
-//! servers, the window of deduplicated classes, no second set-up, no refusal of what may have run. The guard on two
-//! attempts at once stands behind callers that never ask for it, so breaking it alone shows nothing here.
+//! The test fails if one of these guards is removed: drains, seats, the retry budget, the pace of cold servers, the
+//! window of deduplicated classes, no second set-up, no refusal of a session that may have run. Removing the guard
+//! against two concurrent attempts alone is not detected, as its callers never request a second attempt.
 
 mod common;
 
@@ -16,8 +16,8 @@
 use salttally::controller::Controller;
 use salttally::interface::*;
 
-/// A session as the checker sees it.
-struct Seen {
+/// The checker's record of a session.
+struct CheckedSession {
     request: Request,
     deadline: Micros,
     out: Option<(ServerId, Micros)>,
@@ -28,13 +28,13 @@
     rung: usize,
 }
 
-/// Set-ups in a microsecond that make a server fall that has just started.
+/// Set-ups per microsecond at which a server fails that has just started.
 fn fall_pace(set: &Settings) -> f64 {
     f64::from(set.kind_streams[0]) / set.warm_up as f64 * set.cold_from * set.fall_multiple
 }
 
-/// The sends of all fronts to a cold server, with the slack that chance is given.
-fn every_window_is_kept(set: &Settings, sends: &[Micros]) {
+/// Checks the set-ups of all fronts at a cold server against the limit of each window, with slack for chance.
+fn check_windows(set: &Settings, sends: &[Micros]) {
     for first in sends {
         let inside = sends.iter().filter(|at| *first <= **at && **at < first + set.fall_window).count();
         let most = fall_pace(set) * set.fall_window as f64 + 3.0;
@@ -45,24 +45,24 @@
 struct World {
     set: Settings,
     controller: Controller,
-    dice: Pcg32,
+    rng: Pcg32,
     now: Micros,
-    seen: BTreeMap<SessionId, Seen>,
+    seen: BTreeMap<SessionId, CheckedSession>,
     wakes: BTreeSet<(Micros, u64)>,
     ends: BTreeSet<(Micros, SessionId, u32, ServerId)>,
-    stopped: BTreeMap<ServerId, Micros>,
-    lines: BTreeMap<ServerId, ServerEntry>,
+    stopped_at: BTreeMap<ServerId, Micros>,
+    entries: BTreeMap<ServerId, ServerEntry>,
     cold_sends: BTreeMap<ServerId, Vec<Micros>>,
-    taken: Vec<Micros>,
-    further: Vec<Micros>,
+    requests: Vec<Micros>,
+    retries: Vec<Micros>,
 }
 
 impl World {
     fn roll(&mut self, sides: u64) -> u64 {
-        u64::from(self.dice.next_u32()) % sides
+        u64::from(self.rng.next_u32()) % sides
     }
 
-    fn tell(&mut self, event: Event) {
+    fn send(&mut self, event: Event) {
         let mut out = Vec::new();
         self.controller.handle(self.now, &event, &mut out);
         for action in out {
@@ -111,8 +111,8 @@
 
     fn check_set_up(&mut self, id: SessionId, server: ServerId, time_out: Micros) {
         let now = self.now;
-        let entry = self.lines.get(&server).expect("a listed server").clone();
-        let held = |title: TitleId, class: usize, all: &BTreeMap<SessionId, Seen>| {
+        let entry = self.entries.get(&server).expect("a listed server").clone();
+        let held = |title: TitleId, class: usize, all: &BTreeMap<SessionId, CheckedSession>| {
             all.values()
                 .filter(|s| s.request.title == title && s.request.class == class && s.out.is_some())
                 .count()
@@ -120,7 +120,7 @@
         let (title, place) = (self.seen[&id].request.title, self.seen[&id].request.class);
         let seats = self.set.classes[place].seats;
         assert!(seats == 0 || held(title, place, &self.seen) < seats, "rule 5: seats");
-        if let Some(at) = self.stopped.get(&server) {
+        if let Some(at) = self.stopped_at.get(&server) {
             assert!(now <= at + self.set.drain_grace, "rule 3: drained");
         }
         let seen = self.seen.get_mut(&id).expect("a known session");
@@ -130,7 +130,7 @@
         assert!(seen.request.held_in(entry.cell, self.set.cells), "no holder");
         assert!(seen.attempts < self.set.max_attempts, "too many attempts");
         if let Some((ran, at)) = seen.may_have_run {
-            let before = &self.lines[&ran];
+            let before = &self.entries[&ran];
             match class.effect {
                 Effect::Safe => {}
                 Effect::Once => panic!("rule 2: set up twice"),
@@ -142,12 +142,12 @@
             }
         }
         if seen.attempts > 0 {
-            self.further.push(now);
+            self.retries.push(now);
             if let Some(budget) = self.set.budget {
                 let inside =
                     |row: &[Micros]| row.iter().filter(|at| **at + budget.window > now).count() as f64;
-                let most = budget.free + budget.share * inside(&self.taken);
-                assert!(inside(&self.further) <= most, "rule 6: over budget");
+                let most = budget.free + budget.share * inside(&self.requests);
+                assert!(inside(&self.retries) <= most, "rule 6: over budget");
             }
         }
         seen.attempts += 1;
@@ -160,7 +160,7 @@
             let sends = self.cold_sends.entry(server).or_default();
             sends.push(now);
             let pace = fall_pace(&self.set);
-            // One front alone stays under half of it, whatever its draws; the sum is judged below.
+            // One front alone stays under half of the pace, whatever its random numbers; the sum is checked below.
             let most = pace * (now - start) as f64 / 2.0 + 1.0;
             assert!(sends.iter().filter(|at| **at >= start).count() as f64 <= most, "rule 4: cold server");
         }
@@ -168,20 +168,20 @@
 
     fn end(&mut self, id: SessionId, attempt: u32, server: ServerId) {
         let timed_out = self.roll(4) == 0;
-        let dice = self.roll(10);
+        let roll = self.roll(10);
         let seen = self.seen.get_mut(&id).expect("a known session");
         if seen.out.is_none() || seen.attempts != attempt + 1 {
             return;
         }
-        if !seen.playing && dice < 5 && !seen.answered {
+        if !seen.playing && roll < 5 && !seen.answered {
             seen.playing = true;
             seen.answered = true;
             let next = self.now + 1 + SECOND * self.roll(30);
             self.ends.insert((next, id.clone(), attempt, server));
-            return self.tell(Event::Started { session: id, server, took: 1000 });
+            return self.send(Event::Started { session: id, server, took: 1000 });
         }
-        let outcome = match dice {
-            _ if seen.playing => [Outcome::Ok, Outcome::Broken, Outcome::Withdrawn][dice as usize % 3],
+        let outcome = match roll {
+            _ if seen.playing => [Outcome::Ok, Outcome::Broken, Outcome::Withdrawn][roll as usize % 3],
             _ if timed_out => Outcome::TimedOut,
             0..=5 => Outcome::Failed,
             6 => Outcome::Full,
@@ -196,7 +196,7 @@
         let last = seen.answered;
         seen.playing = false;
         let report = vec![self.roll(150) as f64 / 100.0];
-        self.tell(Event::Ended { session: id, attempt, server, outcome, last, report });
+        self.send(Event::Ended { session: id, attempt, server, outcome, last, report });
     }
 
     fn random_event(&mut self, number: u32) {
@@ -217,7 +217,7 @@
                     returning: false,
                 };
                 let deadline = self.now + request.patience;
-                let seen = Seen {
+                let seen = CheckedSession {
                     request: request.clone(),
                     deadline,
                     out: None,
@@ -228,8 +228,8 @@
                     rung: 0,
                 };
                 self.seen.insert(session, seen);
-                self.taken.push(self.now);
-                self.tell(Event::Request(request));
+                self.requests.push(self.now);
+                self.send(Event::Request(request));
             }
             4 => {
                 let server = ServerId(self.roll(8) as u32);
@@ -239,15 +239,15 @@
                 let entry = ServerEntry { state, started, ..entry(server.0) };
                 match state {
                     ServerState::Ready => {
-                        self.stopped.remove(&server);
+                        self.stopped_at.remove(&server);
                     }
                     _ => {
-                        self.stopped.entry(server).or_insert(self.now);
+                        self.stopped_at.entry(server).or_insert(self.now);
                     }
                 }
                 self.cold_sends.remove(&server);
-                self.lines.insert(server, entry.clone());
-                self.tell(Event::Servers(ListKind::Changes, vec![entry]));
+                self.entries.insert(server, entry.clone());
+                self.send(Event::Servers(ListKind::Changes, vec![entry]));
             }
             _ => {
                 let playing: Vec<_> =
@@ -260,13 +260,13 @@
                 let value = self.roll(140) as f64 / 100.0;
                 let note = [Note::Delivered(value), Note::Link(value), Note::Uplink(value)];
                 let note = note[self.roll(3) as usize];
-                self.tell(Event::Note { session, server, note });
+                self.send(Event::Note { session, server, note });
             }
         }
     }
 
-    /// Lets time pass; all that falls due comes in order.
-    fn pass(&mut self, until: Micros) {
+    /// Advances the clock; wake-ups and ends of attempts that fall due are delivered in order.
+    fn advance_to(&mut self, until: Micros) {
         loop {
             let wake = self.wakes.first().cloned().filter(|wake| wake.0 <= until);
             let end = self.ends.first().cloned().filter(|end| end.0 <= until);
@@ -274,7 +274,7 @@
                 (Some(wake), end) if end.as_ref().is_none_or(|end| wake.0 <= end.0) => {
                     self.wakes.remove(&wake);
                     self.now = self.now.max(wake.0);
-                    self.tell(Event::Wake(wake.1));
+                    self.send(Event::Wake(wake.1));
                 }
                 (_, Some(end)) => {
                     self.ends.remove(&end);
@@ -314,19 +314,19 @@
     let mut world = World {
         controller: Controller::new(set.clone(), seed),
         set,
-        dice: Pcg32::seed_from_u64(seed),
+        rng: Pcg32::seed_from_u64(seed),
         now: START,
         seen: BTreeMap::new(),
         wakes: BTreeSet::new(),
         ends: BTreeSet::new(),
-        stopped: BTreeMap::new(),
-        lines: entries.iter().map(|entry| (entry.server, entry.clone())).collect(),
+        stopped_at: BTreeMap::new(),
+        entries: entries.iter().map(|entry| (entry.server, entry.clone())).collect(),
         cold_sends: BTreeMap::new(),
-        taken: Vec::new(),
-        further: Vec::new(),
+        requests: Vec::new(),
+        retries: Vec::new(),
     };
-    world.tell(Event::Servers(ListKind::Cached, entries.clone()));
-    world.tell(Event::Servers(ListKind::Complete, entries));
+    world.send(Event::Servers(ListKind::Cached, entries.clone()));
+    world.send(Event::Servers(ListKind::Complete, entries));
     world
 }
 
@@ -341,9 +341,9 @@
         for number in 0..400 {
             world.random_event(number);
             let step = world.roll(200_000);
-            world.pass(world.now + step);
+            world.advance_to(world.now + step);
         }
-        world.pass(world.now + 60 * SECOND);
+        world.advance_to(world.now + 60 * SECOND);
         Ok(())
     });
     if let Err(error) = result {
@@ -364,7 +364,7 @@
         for controller in &mut controllers {
             controller.handle(START, &Event::Servers(ListKind::Complete, entries.clone()), &mut Vec::new());
         }
-        // Every front is asked for the cold server's titles, evenly before its start and over its warm-up.
+        // Every front gets requests for the cold server's titles, evenly before its start and over its warm-up.
         for step in 0..240u64 {
             let now = START + SECOND + step * SECOND / 10;
             for (place, controller) in controllers.iter_mut().enumerate() {
@@ -387,14 +387,14 @@
         let pace = fall_pace(&set);
         let whole = sends.len() as f64;
         assert!(whole > 0.0 && whole <= pace * (12 * SECOND) as f64, "{fronts} fronts: {whole}");
-        every_window_is_kept(&set, &sends);
+        check_windows(&set, &sends);
     }
 }
 
 #[test]
 fn a_wave_of_returning_viewers_does_not_overload_a_cold_server() {
-    // A calm fleet of 80 fronts loses a zone; the viewers of one title come back all at once, and of its holders
-    // only one has just started.
+    // A fleet of 80 fronts loses a zone; the viewers of one title all return at once, and the only holder left has
+    // just started.
     let set = Settings { fronts: 80, racks: 0, cells: 48, ..settings() };
     let mut sends: Vec<Micros> = Vec::new();
     let begins = START + 10 * SECOND;
@@ -414,5 +414,5 @@
                 .extend(out.drain(..).filter(|a| matches!(a, Action::SetUp(_, ServerId(0), _))).map(|_| now));
         }
     }
-    every_window_is_kept(&set, &sends);
+    check_windows(&set, &sends);
 }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -1,11 +1,11 @@
-//! Dangers of size: a front that knows few servers first-hand, and many fronts that hear the same.
+//! Failures of large fleets: a front has measurements of few servers only, and many fronts get the same ones.
 
 mod common;
 use common::*;
 use salttally::controller::Controller;
 use salttally::interface::*;
 
-fn many(fronts: u32) -> Settings {
+fn large_fleet(fronts: u32) -> Settings {
     Settings { fronts, links_kb: 24_000.0 * f64::from(fronts), racks: 0, ..settings() }
 }
 
@@ -15,19 +15,19 @@
 
 #[test]
 fn an_unmeasured_server_is_assumed_to_have_the_usual_load() {
-    let mut harness = Harness::new(many(90));
+    let mut harness = Harness::new(large_fleet(90));
     harness.add_playing_each(&[2, 3, 4, 5], 0, Note::Link(0.8));
     harness.add_playing_each(&[1], 0, Note::Link(0.4));
     assert_eq!(
         set_up_server(&harness.request(request("new", 0, 0, 2))),
         Some(1),
-        "0 was not heard of, 1 is known to be free"
+        "0 has no measurement, 1 is known to have free capacity"
     );
 }
 
 #[test]
 fn an_unmeasured_server_is_used_though_the_fleet_is_full() {
-    let mut harness = Harness::new(many(90));
+    let mut harness = Harness::new(large_fleet(90));
     harness.add_playing_each(&[1, 2, 3, 4, 5], 0, Note::Link(1.3));
     assert_eq!(set_up_server(&harness.request(request("new", 0, 0, 1))), Some(0));
 }
@@ -36,7 +36,7 @@
 fn fronts_without_measurements_do_not_choose_the_same_server() {
     let mut chosen = [0u32; 6];
     for seed in 0..60 {
-        let mut harness = Harness::seeded(many(60), seed);
+        let mut harness = Harness::seeded(large_fleet(60), seed);
         let server = set_up_server(&harness.request(request("new", 0, 0, 6))).expect("sent");
         chosen[server as usize] += 1;
     }
@@ -47,7 +47,7 @@
 fn fronts_with_the_same_measurement_together_free_the_excess_and_no_more() {
     let (mut freed, asked) = (0.0, 60.0 * 800.0);
     for seed in 0..60 {
-        let mut harness = Harness::seeded(many(60), seed);
+        let mut harness = Harness::seeded(large_fleet(60), seed);
         harness.add_playing("a", 0, 2);
         let actions = harness.advance(4 * SECOND).note("a", 0, Note::Link(1.2));
         let rung = rung_of(&actions, "a").unwrap_or(2);
@@ -91,7 +91,7 @@
     assert!(probes(probing(), false));
     assert!(!probes(settings(), false), "forbidden");
     assert!(!probes(Settings { probe_price: 0.1, ..probing() }, false), "dear");
-    assert!(!probes(probing(), true), "just heard of");
+    assert!(!probes(probing(), true), "measured recently");
 }
 
 #[test]
@@ -104,14 +104,14 @@
         let at = set_up_server(&actions).expect("another holder");
         actions = harness.end("s", attempt, at, Outcome::NoConnection, false);
     }
-    // Server 3 was never tried and 4 is fuller, but 3 stands where all others were down.
+    // Server 3 was never tried and 4 is fuller, but 3 is in the zone where all others were down.
     harness.add_playing_each(&[4], 0, Note::Link(0.7));
     assert_eq!(set_up_server(&harness.request(request("t", 0, 3, 2))), Some(4));
 }
 
 #[test]
 fn a_server_that_grows_slower_is_left_before_it_dies() {
-    let mut harness = Harness::new(many(90));
+    let mut harness = Harness::new(large_fleet(90));
     harness.add_playing("old", 0, 2);
     harness.add_playing_each(&[1, 2], 0, Note::Link(0.5));
     let mut actions = Vec::new();
@@ -119,16 +119,19 @@
         actions.extend(harness.advance(3 * SECOND).note("old", 0, Note::Link(load)));
     }
     assert_eq!(rung_of(&actions, "old"), Some(0));
-    assert!(has_move(&actions), "the ladder is used up: {actions:?}");
+    assert!(has_move(&actions), "all rungs are down: {actions:?}");
     assert_ne!(set_up_server(&harness.request(request("new", 0, 0, 2))), Some(0));
 }
 
 #[test]
 fn during_a_rolling_replacement_every_session_is_answered_at_once() {
-    let mut harness = Harness::new(many(90));
-    let drain = |id| ServerEntry { state: ServerState::Draining, ..entry(id) };
-    let fresh = |id: u32| ServerEntry { server: ServerId(id + 10), started: Some(START), ..entry(id) };
-    harness.send(Event::Servers(ListKind::Changes, (0..5).map(drain).chain((0..5).map(fresh)).collect()));
+    let mut harness = Harness::new(large_fleet(90));
+    let draining = |id| ServerEntry { state: ServerState::Draining, ..entry(id) };
+    let replacement = |id: u32| ServerEntry { server: ServerId(id + 10), started: Some(START), ..entry(id) };
+    harness.send(Event::Servers(
+        ListKind::Changes,
+        (0..5).map(draining).chain((0..5).map(replacement)).collect(),
+    ));
     for n in 0..40 {
         let actions = harness.advance(SECOND / 5).request(request(&format!("s{n}"), 0, 0, 6));
         let server = set_up_server(&actions);
@@ -139,7 +142,7 @@
 
 #[test]
 fn a_short_uplink_is_recognised_by_the_only_link_in_use_behind_it() {
-    // The link's own figure is low and fresh, delivery is short: the rack's uplink it must be.
+    // The link has a low, recent load and delivery is short: so the uplink of the rack must be short.
     let mut harness = Harness::new(Settings { fronts: 90, uplink_kb: 6000.0, ..settings() });
     harness.add_playing("a", 0, 2);
     harness.note("a", 0, Note::Link(0.4));
@@ -148,7 +151,7 @@
         steps +=
             usize::from(rung_of(&harness.advance(SECOND).note("a", 0, Note::Delivered(0.6)), "a").is_some());
     }
-    assert!(steps > 0, "own part of a short uplink is taken off");
+    assert!(steps > 0, "own share of the excess on the uplink is freed");
     harness.add_playing("b", 1, 0);
     harness.note("b", 1, Note::Link(0.2));
     assert_eq!(
@@ -161,7 +164,7 @@
 #[test]
 fn messages_of_other_fronts_change_nothing() {
     let answer = |noise: bool| {
-        let mut harness = Harness::new(many(90));
+        let mut harness = Harness::new(large_fleet(90));
         for byte in (0..200u8).filter(|_| noise) {
             assert!(harness
                 .send(Event::Peer(vec![byte; byte as usize]))
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the bench starts it: transcripts in, replies out, and plain words for bad input.
+//! The adapter as the simulator starts it: transcripts in, replies out, and a clear message for bad input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,7 +13,7 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("a pipe");
-    // The adapter may end before it has read all.
+    // The adapter may exit before it has read all input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
@@ -88,9 +88,9 @@
     ];
     for (input, what) in cases {
         let output = run(&input);
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(2), "{what}: {said}");
-        assert!(said.contains(what) && said.lines().count() == 1, "{what}: {said}");
+        let message = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(2), "{what}: {message}");
+        assert!(message.contains(what) && message.lines().count() == 1, "{what}: {message}");
         assert!(String::from_utf8_lossy(&output.stdout)
             .lines()
             .all(|line| line.contains("i=front-") || line.starts_with("next ")));
