--- a/src/bin/salttally-drill/wire.rs
+++ b/src/bin/salttally-drill/wire.rs
@@ -92,7 +92,7 @@
     }
 
     /// A required whole number that may be written with a fraction, as some are on the wire.
-    fn whole(&self, field: &str) -> Result<u32, WireError> {
+    fn whole_number(&self, field: &str) -> Result<u32, WireError> {
         self.real(field).map(|value| value.max(0.0) as u32)
     }
 
@@ -142,9 +142,9 @@
             title: TitleId(self.optional("programme")?.unwrap_or(0)),
             patience: self.time("patience_left_ms")?,
             length_hint: self.find("cost_ms").map(|_| self.time("cost_ms")).transpose()?,
-            first_cell: self.whole("start_cell")?,
-            cell_count: self.whole("spread")?,
-            top_rung: self.whole("top_rung")? as usize,
+            first_cell: self.whole_number("start_cell")?,
+            cell_count: self.whole_number("spread")?,
+            top_rung: self.whole_number("top_rung")? as usize,
             moved: self.flag("back_from_move")?,
             returning: self.flag("returned")?,
         })
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,7 +1,7 @@
 //! All decisions of salttally. The settings, events and actions used here are defined in `src/interface.rs`.
 //!
 //! From the top: random early migration (REM), guarded set-ups and answers, load measurement, rungs, health,
-//! the pace of cold servers, and events. A front's `Controller` knows only what its own events have told it.
+//! the pace of cold servers, and events. A front's `Controller` knows only what its own events report.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -70,7 +70,7 @@
 const PERMANENT: Micros = Micros::MAX; // end of a block that does not expire
 
 // Cold servers.
-const COLD_PACE_SHARE: f64 = 0.4; // of the pace at which a cold server falls over, for all fronts together
+const COLD_PACE_SHARE: f64 = 0.4; // of the pace at which a cold server fails, for all fronts together
 const REQUESTS_PER_RETURNING_VIEWER: usize = 5; // a returning viewer asks every 2 s until it plays
 const REQUEST_RATE_WINDOW: Micros = 10 * SECOND; // over which the front's own request rate is measured
 
@@ -553,8 +553,7 @@
         let short = |s: &Server| s.short_delivery.is_some_and(|(_, last)| last + SHORT_NOTE_TTL > now);
         let short = self.servers.in_rack(rack).filter(|(_, s)| short(s)).count();
         let in_use = self.servers.in_rack(rack).filter(|(_, s)| s.own_kb > 0.0).count();
-        // With own sessions on only one server of the rack, its link's load tells a short link from the
-        // uplink.
+        // If no other server of the rack has own sessions, the link's load shows if link or uplink is short.
         let fresh = |measured: &(f64, Micros)| measured.1 + self.settings.note_interval > at;
         let fresh = self.servers.get(id).is_some_and(|s| s.measured_load.as_ref().is_some_and(fresh));
         let uplink_is_short = in_use == 1 && fresh && self.link_load(id) < LONE_LINK_MAX_SHARE * overload;
@@ -838,7 +837,7 @@
             return next_turn;
         }
         // The rate at which this front would send there: all recent requests for titles on the server, as the
-        // least loaded holder attracts them all. A returning viewer shows that others ask in vain. The rate
+        // least loaded holder attracts them all. A returning viewer shows that others were refused. The rate
         // in one window shows a crowd first, and a front that has just started has no long history.
         let requests_in = |span: Micros| {
             let held = |first, count| is_held_in(first, count, server.entry.cell, self.settings.cells);
--- a/src/state.rs
+++ b/src/state.rs
@@ -59,7 +59,7 @@
     pub measured_load: Measurement,
     /// Estimated capacity of the uplink, as a multiple of the configured mean.
     pub scale: f64,
-    /// When the uplink last delivered less than was asked for.
+    /// When the uplink last delivered less than the demand.
     pub short_at: Micros,
     /// When own sessions in the rack were last stepped down.
     pub stepped_down_at: Micros,
@@ -88,7 +88,7 @@
     pub sent_at: Micros,
     /// Servers at which an attempt was given up and is not known to be over.
     pub in_doubt: Vec<ServerId>,
-    /// Until when a word on those servers is waited for.
+    /// Until when a confirmation from those servers is awaited.
     pub in_doubt_until: Option<Micros>,
     pub answered: bool,
     /// The session is waiting to be placed until then.
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -16,7 +16,7 @@
     configured: u32,
     alive: u32,
     /// Requests per second, of all fronts together, that only this server can serve: before and after its start.
-    wanted: (f64, f64),
+    request_rates: (f64, f64),
     /// Share of all requests that only this server can serve.
     share: f64,
     /// Fronts in ten that start just before the server.
@@ -78,18 +78,18 @@
             if step % 5 == 0 {
                 controller.handle(now, &Event::Wake(0), &mut out);
             }
-            let wanted = if now < begins { fleet.wanted.0 } else { fleet.wanted.1 };
-            let rate = wanted * weights[at] / all * STEP as f64 / SECOND as f64;
+            let request_rate = if now < begins { fleet.request_rates.0 } else { fleet.request_rates.1 };
+            let rate = request_rate * weights[at] / all * STEP as f64 / SECOND as f64;
             // Requests for this server, and other requests, which show the controller the share of the former.
             for (mean, here) in [(rate, true), (rate * (1.0 / fleet.share - 1.0), false)] {
-                let many = mean.floor() as u32 + u32::from(draw() < mean.fract());
-                for _ in 0..many {
+                let count = mean.floor() as u32 + u32::from(draw() < mean.fract());
+                for _ in 0..count {
                     number += 1;
                     let cell = if here { 0 } else { 1 + number % (cells - 1) };
-                    let mut ask = common::request(&format!("s{number}"), 0, cell, 1);
-                    ask.title = TitleId(u64::from(cell) * 8 + u64::from(number % 8));
-                    ask.returning = here && now >= begins && (draw() * 10.0) < fleet.returning as f64;
-                    controller.handle(now, &Event::Request(ask), &mut out);
+                    let mut request = common::request(&format!("s{number}"), 0, cell, 1);
+                    request.title = TitleId(u64::from(cell) * 8 + u64::from(number % 8));
+                    request.returning = here && now >= begins && (draw() * 10.0) < fleet.returning as f64;
+                    controller.handle(now, &Event::Request(request), &mut out);
                 }
             }
             let here = |action: &&Action| matches!(action, Action::SetUp(_, ServerId(0), _));
@@ -135,7 +135,7 @@
         .fold(0.0, f64::max);
     let seconds = set.warm_up as f64 / SECOND as f64;
     let pace = allowed(set, set.warm_up / 2) * SECOND as f64 / set.fall_window as f64;
-    (fullest, sends.len() as f64 / (seconds * fleet.wanted.1.min(pace)))
+    (fullest, sends.len() as f64 / (seconds * fleet.request_rates.1.min(pace)))
 }
 
 fn cold_settings(
@@ -173,29 +173,32 @@
         let base = Fleet {
             configured: alive,
             alive,
-            wanted: (usual, usual),
+            request_rates: (usual, usual),
             share: 1.0 / 60.0,
             restarted: 0,
             returning: 0,
             uneven: 1.0,
         };
-        let wave = Fleet { wanted: (usual, pace * 3.0), share: 0.2, ..base };
-        let scarce = Fleet { wanted: (pace * 2.0, pace * 2.0), share: 0.2, ..base };
+        let wave = Fleet { request_rates: (usual, pace * 3.0), share: 0.2, ..base };
+        let scarce = Fleet { request_rates: (pace * 2.0, pace * 2.0), share: 0.2, ..base };
         let scenarios = [
             ("steady", base),
             ("scarce titles", scarce),
-            ("most just restarted", Fleet { restarted: 7, wanted: (pace, pace), ..base }),
+            ("most just restarted", Fleet { restarted: 7, request_rates: (pace, pace), ..base }),
             ("all just restarted, scarce titles", Fleet { restarted: 10, ..scarce }),
             ("a wave", wave),
             ("a returning wave", Fleet { returning: 9, ..wave }),
             ("a returning wave, most just restarted", Fleet { returning: 9, restarted: 7, ..wave }),
-            ("uneven", Fleet { wanted: (pace, pace), uneven: 8.0, ..base }),
-            ("uneven, a wave", Fleet { wanted: (usual, pace * 2.0), uneven: 8.0, ..base }),
+            ("uneven", Fleet { request_rates: (pace, pace), uneven: 8.0, ..base }),
+            ("uneven, a wave", Fleet { request_rates: (usual, pace * 2.0), uneven: 8.0, ..base }),
             (
                 "more fronts than configured",
-                Fleet { configured: alive * 4 / 5, wanted: (pace, pace), ..base },
+                Fleet { configured: alive * 4 / 5, request_rates: (pace, pace), ..base },
+            ),
+            (
+                "fewer fronts than configured",
+                Fleet { alive: alive * 3 / 10, request_rates: (pace, pace), ..base },
             ),
-            ("fewer fronts than configured", Fleet { alive: alive * 3 / 10, wanted: (pace, pace), ..base }),
         ];
         for (scenario, fleet) in scenarios {
             let set = Settings { fronts: fleet.configured, ..set.clone() };
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -16,10 +16,10 @@
 
 #[test]
 fn a_high_move_price_lowers_the_move_probability_below_max_th_only() {
-    let dear = Harness::new(Settings { move_price: 0.2, ..settings() }).controller;
+    let expensive = Harness::new(Settings { move_price: 0.2, ..settings() }).controller;
     let cheap = Harness::new(Settings { move_price: 0.0, ..settings() }).controller;
-    assert!(dear.move_probability(0.9) < cheap.move_probability(0.9));
-    assert_eq!(dear.move_probability(1.0), 1.0);
+    assert!(expensive.move_probability(0.9) < cheap.move_probability(0.9));
+    assert_eq!(expensive.move_probability(1.0), 1.0);
 }
 
 #[test]
@@ -170,9 +170,9 @@
 #[test]
 fn no_new_session_goes_to_a_draining_or_removed_server() {
     let mut harness = Harness::new(settings());
-    let drain = ServerEntry { state: ServerState::Draining, ..entry(0) };
-    let gone = ServerEntry { state: ServerState::Removed, ..entry(1) };
-    harness.send(Event::Servers(ListKind::Changes, vec![drain, gone]));
+    let draining = ServerEntry { state: ServerState::Draining, ..entry(0) };
+    let removed = ServerEntry { state: ServerState::Removed, ..entry(1) };
+    harness.send(Event::Servers(ListKind::Changes, vec![draining, removed]));
     for n in 0..3 {
         let name = format!("s{n}");
         assert_eq!(set_up_server(&harness.request(request(&name, 0, 0, 3))), Some(2));
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -37,8 +37,8 @@
 fn check_windows(set: &Settings, sends: &[Micros]) {
     for first in sends {
         let inside = sends.iter().filter(|at| *first <= **at && **at < first + set.fall_window).count();
-        let most = fall_pace(set) * set.fall_window as f64 + 3.0;
-        assert!(inside as f64 <= most, "{} fronts: {inside} in a window", set.fronts);
+        let limit = fall_pace(set) * set.fall_window as f64 + 3.0;
+        assert!(inside as f64 <= limit, "{} fronts: {inside} in a window", set.fronts);
     }
 }
 
@@ -146,23 +146,23 @@
             if let Some(budget) = self.set.budget {
                 let inside =
                     |row: &[Micros]| row.iter().filter(|at| **at + budget.window > now).count() as f64;
-                let most = budget.free + budget.share * inside(&self.requests);
-                assert!(inside(&self.retries) <= most, "rule 6: over budget");
+                let limit = budget.free + budget.share * inside(&self.requests);
+                assert!(inside(&self.retries) <= limit, "rule 6: over budget");
             }
         }
         seen.attempts += 1;
         seen.out = Some((server, now));
         let time_out = if time_out == 0 { seen.deadline - now } else { time_out.min(seen.deadline - now) };
         let attempt = seen.attempts - 1;
-        let part = 1 + self.roll(10);
-        self.ends.insert((now + time_out * part / 10, id, attempt, server));
+        let tenths = 1 + self.roll(10);
+        self.ends.insert((now + time_out * tenths / 10, id, attempt, server));
         if let Some(start) = entry.started.filter(|start| now < start + self.set.warm_up) {
             let sends = self.cold_sends.entry(server).or_default();
             sends.push(now);
             let pace = fall_pace(&self.set);
             // One front alone stays under half of the pace, whatever its random numbers; the sum is checked below.
-            let most = pace * (now - start) as f64 / 2.0 + 1.0;
-            assert!(sends.iter().filter(|at| **at >= start).count() as f64 <= most, "rule 4: cold server");
+            let limit = pace * (now - start) as f64 / 2.0 + 1.0;
+            assert!(sends.iter().filter(|at| **at >= start).count() as f64 <= limit, "rule 4: cold server");
         }
     }
 
@@ -375,8 +375,8 @@
                 controller.handle(now, &Event::Wake(0), &mut out);
                 if (step + place as u64 * 7) % (120 / waves) == 0 {
                     number += 1;
-                    let ask = common::request(&format!("s{number}"), 0, 0, 3);
-                    controller.handle(now, &Event::Request(ask), &mut out);
+                    let request = common::request(&format!("s{number}"), 0, 0, 3);
+                    controller.handle(now, &Event::Request(request), &mut out);
                 }
                 sends.extend(out.iter().filter_map(|action| match action {
                     Action::SetUp(_, ServerId(0), _) if now >= begins => Some(now),
@@ -385,8 +385,8 @@
             }
         }
         let pace = fall_pace(&set);
-        let whole = sends.len() as f64;
-        assert!(whole > 0.0 && whole <= pace * (12 * SECOND) as f64, "{fronts} fronts: {whole}");
+        let total = sends.len() as f64;
+        assert!(total > 0.0 && total <= pace * (12 * SECOND) as f64, "{fronts} fronts: {total}");
         check_windows(&set, &sends);
     }
 }
@@ -407,9 +407,9 @@
         controller.handle(begins, &Event::Servers(ListKind::Changes, vec![cold]), &mut out);
         for n in 0..3u32 {
             let now = begins + SECOND * u64::from(n) + u64::from(place) * 10_000;
-            let mut ask = common::request(&format!("s{place}-{n}"), 0, 0, 3);
-            ask.returning = true;
-            controller.handle(now, &Event::Request(ask), &mut out);
+            let mut request = common::request(&format!("s{place}-{n}"), 0, 0, 3);
+            request.returning = true;
+            controller.handle(now, &Event::Request(request), &mut out);
             sends
                 .extend(out.drain(..).filter(|a| matches!(a, Action::SetUp(_, ServerId(0), _))).map(|_| now));
         }
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -45,7 +45,7 @@
 
 #[test]
 fn fronts_with_the_same_measurement_together_free_the_excess_and_no_more() {
-    let (mut freed, asked) = (0.0, 60.0 * 800.0);
+    let (mut freed, demand) = (0.0, 60.0 * 800.0);
     for seed in 0..60 {
         let mut harness = Harness::seeded(large_fleet(60), seed);
         harness.add_playing("a", 0, 2);
@@ -53,7 +53,7 @@
         let rung = rung_of(&actions, "a").unwrap_or(2);
         freed += 800.0 - settings().ladder[rung].kb;
     }
-    let excess = asked * (1.0 - 1.0 / 1.2);
+    let excess = demand * (1.0 - 1.0 / 1.2);
     assert!(freed > 0.6 * excess && freed < 2.0 * excess, "{freed} of {excess}");
 }
 
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn no_probe_is_sent_where_it_is_forbidden_dear_or_of_no_use() {
+fn no_probe_is_sent_where_it_is_forbidden_expensive_or_useless() {
     let probes = |set: Settings, noted: bool| {
         let mut harness = Harness::new(set);
         if noted {
@@ -90,7 +90,7 @@
     };
     assert!(probes(probing(), false));
     assert!(!probes(settings(), false), "forbidden");
-    assert!(!probes(Settings { probe_price: 0.1, ..probing() }, false), "dear");
+    assert!(!probes(Settings { probe_price: 0.1, ..probing() }, false), "expensive");
     assert!(!probes(probing(), true), "measured recently");
 }
 
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -19,7 +19,7 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn born() -> String {
+fn start_messages() -> String {
     format!(
         "clock at_time_ms=5000.0 round=1\nborn i=front-0 seed=3 facts={FACTS}\n\
          directory sheet=0 entries=1\nserver server=7 region_part=0 sku=0 position=0 state=in_service units=1\n\
@@ -41,7 +41,7 @@
          clock at_time_ms=9000.0 round=4\n\
          attempt_end i=front-0 corr=c:x attempt=0 server=7 disposition=Ok cost_time_ms=1 last=1 pressure=0.1\nend\n\
          clock at_time_ms=9010.0 round=5\nkilled i=front-0\nend\n",
-        born()
+        start_messages()
     );
     let output = run(&input);
     let text = String::from_utf8(output.stdout).expect("text");
@@ -56,7 +56,7 @@
 
 #[test]
 fn the_same_input_gives_the_same_reply() {
-    let input = format!("{}clock at_time_ms=5100.0 round=2\n{ORDER}end\n", born());
+    let input = format!("{}clock at_time_ms=5100.0 round=2\n{ORDER}end\n", start_messages());
     assert_eq!(run(&input).stdout, run(&input).stdout);
 }
 
@@ -69,7 +69,7 @@
 
 #[test]
 fn bad_input_ends_with_a_plain_line_that_names_line_and_field() {
-    let batch = |line: &str| format!("{}clock at_time_ms=5100.0 round=2\n{line}\nend\n", born());
+    let batch = |line: &str| format!("{}clock at_time_ms=5100.0 round=2\n{line}\nend\n", start_messages());
     let cases = [
         (batch("dance i=front-0"), "line 9, dance"),
         (batch("order i=front-0 class=0"), "line 9, corr"),
