--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as the bench starts it: transcripts in, replies out, and plain words for bad input.
+//! The adapter as the simulator starts it: transcripts in, replies out, and a clear message for bad input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -13,13 +13,13 @@
         .spawn()
         .expect("the adapter starts");
     let mut stdin = child.stdin.take().expect("a pipe");
-    // The adapter may end before it has read all.
+    // The adapter may exit before it has read all input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn born() -> String {
+fn start_messages() -> String {
     format!(
         "clock at_time_ms=5000.0 round=1\nborn i=front-0 seed=3 facts={FACTS}\n\
          directory sheet=0 entries=1\nserver server=7 region_part=0 sku=0 position=0 state=in_service units=1\n\
@@ -41,7 +41,7 @@
          clock at_time_ms=9000.0 round=4\n\
          attempt_end i=front-0 corr=c:x attempt=0 server=7 disposition=Ok cost_time_ms=1 last=1 pressure=0.1\nend\n\
          clock at_time_ms=9010.0 round=5\nkilled i=front-0\nend\n",
-        born()
+        start_messages()
     );
     let output = run(&input);
     let text = String::from_utf8(output.stdout).expect("text");
@@ -56,7 +56,7 @@
 
 #[test]
 fn the_same_input_gives_the_same_reply() {
-    let input = format!("{}clock at_time_ms=5100.0 round=2\n{ORDER}end\n", born());
+    let input = format!("{}clock at_time_ms=5100.0 round=2\n{ORDER}end\n", start_messages());
     assert_eq!(run(&input).stdout, run(&input).stdout);
 }
 
@@ -69,7 +69,7 @@
 
 #[test]
 fn bad_input_ends_with_a_plain_line_that_names_line_and_field() {
-    let batch = |line: &str| format!("{}clock at_time_ms=5100.0 round=2\n{line}\nend\n", born());
+    let batch = |line: &str| format!("{}clock at_time_ms=5100.0 round=2\n{line}\nend\n", start_messages());
     let cases = [
         (batch("dance i=front-0"), "line 9, dance"),
         (batch("order i=front-0 class=0"), "line 9, corr"),
@@ -88,9 +88,9 @@
     ];
     for (input, what) in cases {
         let output = run(&input);
-        let said = String::from_utf8(output.stderr).expect("text");
-        assert_eq!(output.status.code(), Some(2), "{what}: {said}");
-        assert!(said.contains(what) && said.lines().count() == 1, "{what}: {said}");
+        let message = String::from_utf8(output.stderr).expect("text");
+        assert_eq!(output.status.code(), Some(2), "{what}: {message}");
+        assert!(message.contains(what) && message.lines().count() == 1, "{what}: {message}");
         assert!(String::from_utf8_lossy(&output.stdout)
             .lines()
             .all(|line| line.contains("i=front-") || line.starts_with("next ")));
