--- a/crates/front/src/core/tests.rs
+++ b/crates/front/src/core/tests.rs
@@ -85,7 +85,7 @@
 #[derive(Default)]
 struct SessionTrace {
     answers: usize,
-    out: BTreeSet<ConnId>,
+    in_progress: BTreeSet<ConnId>,
     /// An attempt ended without proof that it was not executed.
     may_have_run: bool,
     class: usize,
@@ -161,7 +161,7 @@
                 let trace = self.traces.entry(session.clone()).or_default();
                 trace.answers += 1;
                 if matches!(answer, Answer::Refused(..)) {
-                    let may_run = trace.may_have_run || !trace.out.is_empty();
+                    let may_run = trace.may_have_run || !trace.in_progress.is_empty();
                     assert!(
                         trace.class != PAID || !may_run,
                         "a paid session was refused although a set-up may have been executed"
@@ -176,13 +176,13 @@
                 if let BoxRequest::SetUp { session, open_request, rung, .. } = request {
                     let trace = self.traces.entry(session.clone()).or_default();
                     trace.class = open_request.class;
-                    assert!(trace.out.is_empty(), "two concurrent attempts for {session:?}");
+                    assert!(trace.in_progress.is_empty(), "two concurrent attempts for {session:?}");
                     assert!(
                         trace.class != PAID || !trace.may_have_run,
                         "a paid set-up was repeated although one may have been executed"
                     );
                     assert!(trace.class != PAID || *rung >= 1, "rung below the floor");
-                    trace.out.insert(*conn);
+                    trace.in_progress.insert(*conn);
                 }
                 assert!(
                     self.exchanges.insert(*conn, request.clone()).is_none(),
@@ -194,7 +194,7 @@
                 if let Some(BoxRequest::SetUp { session, .. }) = self.exchanges.remove(conn) {
                     let trace = self.traces.entry(session).or_default();
                     // Cancelled by the front: the request may have been executed.
-                    trace.may_have_run |= trace.out.remove(conn);
+                    trace.may_have_run |= trace.in_progress.remove(conn);
                 }
             }
             Output::OpenStream(server, number, _) => {
@@ -350,7 +350,7 @@
         match &request {
             BoxRequest::SetUp { session, attempt, rung, .. } => {
                 let trace = self.traces.entry(session.clone()).or_default();
-                trace.out.remove(&conn);
+                trace.in_progress.remove(&conn);
                 trace.may_have_run |= !matches!(draw, 0 | 1 | 4);
                 // A session that begins plays at its box, whatever happens to the response.
                 if matches!(draw, 2 | 3) || draw >= 7 {
@@ -546,7 +546,10 @@
     assert_eq!(out[0], Output::CloseConn(conn), "its connection is closed first: {out:?}");
     assert!(matches!(out[1], Output::Dial(..)), "the release goes on a new one: {out:?}");
     assert_eq!(bench.outcomes(), [Outcome::TimedOut]);
-    assert!(bench.world.ledger.session_counts().0 == 1, "{id:?} is held: its answer is still owed");
+    assert!(
+        bench.world.ledger.session_counts().0 == 1,
+        "{id:?} is still in the ledger: its answer is pending"
+    );
 }
 
 #[test]
@@ -558,7 +561,7 @@
     bench.world.open(VIEWER, PAID);
     bench.world.now += 300 * MS;
     bench.world.handle_input(Input::Tick);
-    assert_eq!(bench.outcomes(), [Outcome::NoConnection], "not a byte was written");
+    assert_eq!(bench.outcomes(), [Outcome::NoConnection], "no byte was written");
 }
 
 #[test]
@@ -568,10 +571,10 @@
     let (second, reused_conn) = bench.set_up(PAID);
     assert_eq!(conn, reused_conn, "the idle connection is used again");
     bench.world.exchanges.remove(&conn);
-    bench.world.traces.get_mut(&second).unwrap().out.clear();
+    bench.world.traces.get_mut(&second).unwrap().in_progress.clear();
     let out = bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Stale));
     assert!(matches!(out[..], [Output::CloseConn(_), Output::Dial(..)]), "{out:?}");
-    assert!(bench.outcomes().is_empty(), "no attempt has ended: {first:?} plays, {second:?} is tried");
+    assert!(bench.outcomes().is_empty(), "no attempt has ended: {first:?} plays, {second:?} is in progress");
 }
 
 #[test]
@@ -594,7 +597,7 @@
     let mut bench = TestBench::new();
     let (id, conn) = bench.set_up(CLIP);
     bench.world.exchanges.remove(&conn);
-    bench.world.traces.get_mut(&id).unwrap().out.clear();
+    bench.world.traces.get_mut(&id).unwrap().in_progress.clear();
     *bench.actions.borrow_mut() = vec![Action::Fail(id.clone())];
     bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Broken));
     for conn in std::mem::take(&mut bench.world.dials) {
@@ -609,7 +612,7 @@
     let mut bench = TestBench::new();
     let (id, conn) = bench.set_up(PAID);
     bench.world.exchanges.remove(&conn);
-    bench.world.traces.get_mut(&id).unwrap().out.clear();
+    bench.world.traces.get_mut(&id).unwrap().in_progress.clear();
     *bench.actions.borrow_mut() =
         vec![Action::SetUp(id.clone(), ServerId(1), 0), Action::Refuse(id.clone(), 1)];
     bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Broken));
@@ -628,10 +631,13 @@
     assert_eq!(
         bench.world.ledger.session_counts().1,
         1,
-        "set up after the stream was asked for: its list may be older"
+        "set up after the stream was requested: its list may be older"
     );
     let out = bench.world.handle_input(Input::Stream(server, number, StreamEvent::Broken));
-    assert!(matches!(out[..], [Output::OpenStream(..)]), "one try at once tells which it is: {out:?}");
+    assert!(
+        matches!(out[..], [Output::OpenStream(..)]),
+        "one immediate reconnect tells which it is: {out:?}"
+    );
     let number = bench.world.streams[&server];
     let out = bench.world.handle_input(Input::Stream(
         server,
@@ -770,7 +776,7 @@
         for conn in std::mem::take(&mut bench.world.dials) {
             bench.world.handle_input(Input::Dialed(conn, Ok(())));
         }
-        let conn = *bench.world.exchanges.first_key_value().expect("the change is under way").0;
+        let conn = *bench.world.exchanges.first_key_value().expect("the change is in progress").0;
         bench.world.end_exchange(conn, 5);
     }
     let note = Event::Note { session: id, server: ServerId(0), note: Note::Rung(1) };
@@ -790,7 +796,7 @@
     for conn in std::mem::take(&mut bench.world.dials) {
         bench.world.handle_input(Input::Dialed(conn, Ok(())));
     }
-    let (_, request) = bench.world.exchanges.first_key_value().expect("it goes out again");
+    let (_, request) = bench.world.exchanges.first_key_value().expect("it is sent again");
     assert_eq!(*request, BoxRequest::Release { session: id, attempt: 0 });
 }
 
@@ -847,7 +853,7 @@
     bench.world.end_exchange(second, 8);
     let (_, conn) = bench.set_up(CLIP);
     bench.world.exchanges.remove(&conn);
-    bench.world.traces.values_mut().for_each(|trace| trace.out.clear());
+    bench.world.traces.values_mut().for_each(|trace| trace.in_progress.clear());
     let out = bench.world.handle_input(Input::Exchanged(conn, ExchangeEnd::Stale));
     let other = if conn == first { second } else { first };
     assert!(out.contains(&Output::CloseConn(other)), "as old as the closed one: {out:?}");
--- a/crates/front/src/core/tests/takeover.rs
+++ b/crates/front/src/core/tests/takeover.rs
@@ -104,7 +104,7 @@
         let conn = connection(&bench);
         let request = bench.world.exchanges.remove(&conn);
         assert!(request.is_some());
-        bench.world.traces.get_mut(&id).unwrap().out.clear();
+        bench.world.traces.get_mut(&id).unwrap().in_progress.clear();
         let done =
             ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![1.0, 0.1], keep_alive: true };
         let out = bench.world.handle_input(Input::Exchanged(conn, done));
@@ -146,7 +146,7 @@
         if class == CLIP {
             bench.complete_dials();
             let conn = connection(&bench);
-            bench.world.traces.get_mut(&id).unwrap().out.clear();
+            bench.world.traces.get_mut(&id).unwrap().in_progress.clear();
             bench.world.exchanges.remove(&conn);
             let done =
                 ExchangeEnd::Answered { answer: BoxAnswer::Done, report: vec![1.0, 0.1], keep_alive: true };
