--- a/crates/accord/src/edge.rs
+++ b/crates/accord/src/edge.rs
@@ -16,7 +16,7 @@
 use crossbeam_channel::{Receiver, Sender, TryRecvError};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use salttally_members::edge::Known;
+use salttally_members::edge::KnownFront;
 use salttally_members::wire::KeyRing;
 use serde_json::json;
 use thiserror::Error;
@@ -95,7 +95,7 @@
 enum Word {
     Pass(Name, Vec<u8>),
     Succeed(Vec<Succession>),
-    Known(Vec<Known>),
+    Known(Vec<KnownFront>),
     Keys(KeyRing),
     End,
 }
@@ -114,7 +114,7 @@
     }
 
     /// Who is known, as membership tells.
-    pub fn known(&self, known: Vec<Known>) {
+    pub fn known(&self, known: Vec<KnownFront>) {
         self.tell(Word::Known(known));
     }
 
@@ -370,9 +370,9 @@
         }
     }
 
-    fn view(&mut self, known: Vec<Known>) {
+    fn view(&mut self, known: Vec<KnownFront>) {
         let here: BTreeSet<Name> =
-            known.iter().filter(|one| one.here).map(|one| Name::clone(&one.name)).collect();
+            known.iter().filter(|one| one.in_view).map(|one| Name::clone(&one.name)).collect();
         for one in known {
             let moved =
                 self.known.insert(Name::clone(&one.name), one.address).is_some_and(|old| old != one.address);
@@ -708,5 +708,5 @@
 
 /// An address as it stands ahead of what goes by a trial's relay.
 fn ahead(address: SocketAddrV4) -> Vec<u8> {
-    salttally_members::wire::via::join(address, &[])
+    salttally_members::wire::relay_header::prepend(address, &[])
 }
--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -62,7 +62,7 @@
         let Some(node) = root.one("accord")? else { return Ok(None) };
         let Some(members) = members else {
             return Err(
-                node.bad("`accord` wants `members`: fronts that do not know each other agree on nothing")
+                node.error("`accord` wants `members`: fronts that do not know each other agree on nothing")
             );
         };
         let block = node.children();
@@ -84,7 +84,7 @@
         Some(node) => match node.argument::<String>()?.as_str() {
             "refuse" => true,
             "go-on" => false,
-            other => return Err(node.bad(format!("`{other}` is unknown here; known: refuse, go-on"))),
+            other => return Err(node.error(format!("`{other}` is unknown here; known: refuse, go-on"))),
         },
     };
     let times = Times {
@@ -100,7 +100,7 @@
         Some(node) => {
             let relay = node.maybe::<String>("relay")?;
             let relay =
-                relay.map(|text| text.parse().map_err(|_| node.bad("`relay` is an address and port")));
+                relay.map(|text| text.parse().map_err(|_| node.error("`relay` is an address and port")));
             let acts = node.maybe::<u64>("acts-ms")?.map(|every| every.max(1) * 1000);
             let viewers = node.or("viewers", 1)?;
             node.done()?;
@@ -124,28 +124,28 @@
 fn check(node: &Node<'_>, block: &Block<'_>, settings: &Settings) -> Read<()> {
     let voters = block.need("voters")?;
     if ![3, 5, 7].contains(&settings.voters.len()) {
-        return Err(voters.bad(format!("{} voters: there are 3, 5 or 7", settings.voters.len())));
+        return Err(voters.error(format!("{} voters: there are 3, 5 or 7", settings.voters.len())));
     }
     let mut names = settings.voters.clone();
     names.sort();
     if let Some(pair) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-        return Err(voters.bad(format!("voter `{}` stands twice", pair[0])));
+        return Err(voters.error(format!("voter `{}` stands twice", pair[0])));
     }
     let at = |name: &str| block.one(name);
     let times = &settings.times;
     if times.lease < 500_000 || times.lease > 3_600_000_000 {
-        return Err(at("lease-ms")?.as_ref().unwrap_or(node).bad("`lease-ms` lies from 500 to 3600000"));
+        return Err(at("lease-ms")?.as_ref().unwrap_or(node).error("`lease-ms` lies from 500 to 3600000"));
     }
     if times.renew < 20_000 || times.renew * 3 > times.lease {
         let reason =
             "`renew-ms` lies from 20 to a third of `lease-ms`: one lost question must not cost the lease";
-        return Err(at("renew-ms")?.as_ref().unwrap_or(node).bad(reason));
+        return Err(at("renew-ms")?.as_ref().unwrap_or(node).error(reason));
     }
     if times.alone > 3_600_000_000 {
-        return Err(at("alone-ms")?.as_ref().unwrap_or(node).bad("`alone-ms` lies from 0 to 3600000"));
+        return Err(at("alone-ms")?.as_ref().unwrap_or(node).error("`alone-ms` lies from 0 to 3600000"));
     }
     if times.drift_ppm > 100_000 {
-        return Err(at("drift-ppm")?.as_ref().unwrap_or(node).bad("`drift-ppm` lies from 0 to 100000"));
+        return Err(at("drift-ppm")?.as_ref().unwrap_or(node).error("`drift-ppm` lies from 0 to 100000"));
     }
     Ok(())
 }
--- a/crates/accord/src/text.rs
+++ b/crates/accord/src/text.rs
@@ -13,7 +13,7 @@
 pub fn read(document: &Document) -> Read<Rules> {
     let root = document.root();
     let mut rules = Rules::default();
-    let twice = |node: &Node<'_>, what: &str| node.bad(format!("{what} stands twice"));
+    let twice = |node: &Node<'_>, what: &str| node.error(format!("{what} stands twice"));
     for node in root.all("class") {
         let name: String = node.argument()?;
         let usual = Terms::default();
@@ -24,7 +24,7 @@
             ends: node.or("ends", usual.ends)?,
         };
         if terms.ends && terms.open {
-            return Err(node.bad("sessions end only where the class is not open: `ends` wants open=#false"));
+            return Err(node.error("sessions end only where the class is not open: `ends` wants open=#false"));
         }
         node.done()?;
         if rules.classes.insert(name.clone(), terms).is_some() {
@@ -40,7 +40,7 @@
         let known = [Limit::SessionsPerFront, Limit::SessionsPerViewer];
         let Some(limit) = known.into_iter().find(|limit| limit.name() == name) else {
             let names = known.map(Limit::name).join(", ");
-            return Err(node.bad(format!("`{name}` is no limit; known: {names}")));
+            return Err(node.error(format!("`{name}` is no limit; known: {names}")));
         };
         let most = node.need("most")?;
         node.done()?;
@@ -64,7 +64,7 @@
         let who = match (node.maybe::<String>("firm")?, node.maybe::<String>("viewer")?) {
             (Some(firm), None) => Who::Firm(firm),
             (None, Some(viewer)) => Who::Viewer(viewer),
-            _ => return Err(node.bad("`refuse` wants a firm or a viewer, as refuse firm=\"acme\"")),
+            _ => return Err(node.error("`refuse` wants a firm or a viewer, as refuse firm=\"acme\"")),
         };
         node.done()?;
         if !rules.refused.insert(who.clone()) {
@@ -76,7 +76,7 @@
         let order = match node.argument::<String>()?.as_str() {
             "hold" => Order::Hold,
             "drain" => Order::Drain,
-            other => return Err(node.bad(format!("`{other}` is no order; known: hold, drain"))),
+            other => return Err(node.error(format!("`{other}` is no order; known: hold, drain"))),
         };
         node.done()?;
         if rules.boxes.insert(name.clone(), order).is_some() {
--- a/crates/accord/src/wire.rs
+++ b/crates/accord/src/wire.rs
@@ -2,7 +2,7 @@
 //! postcard's encoding, and what authenticates all of it but the length, under the key ring of membership. Nothing that a
 //! key does not vouch for is decoded.
 
-use salttally_members::wire::{KeyRing, TAG};
+use salttally_members::wire::{KeyRing, TAG_BYTES};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -95,15 +95,15 @@
 pub fn decode(bytes: &[u8], ring: &KeyRing, longest: usize) -> Result<Option<(Frame, usize)>, BadFrame> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
-    if !(1 + TAG..=longest).contains(&length) {
+    if !(1 + TAG_BYTES..=longest).contains(&length) {
         return Err(BadFrame::Length(length));
     }
     if rest.first().is_some_and(|version| *version != VERSION) {
         return Err(BadFrame::Version(rest[0]));
     }
     let Some(whole) = rest.get(..length) else { return Ok(None) };
-    let (said, tag) = whole.split_at(length - TAG);
-    if !ring.vouches(said, tag) {
+    let (said, tag) = whole.split_at(length - TAG_BYTES);
+    if !ring.verifies(said, tag) {
         return Err(BadFrame::Foreign);
     }
     let (frame, left) = postcard::take_from_bytes::<Frame>(&said[1..]).map_err(|_| BadFrame::Unreadable)?;
--- a/crates/cli/src/pairs.rs
+++ b/crates/cli/src/pairs.rs
@@ -87,7 +87,7 @@
                         Ok(day) => {
                             sum.0 += usize::from(!day.kept());
                             sum.1.iter_mut().zip(day.verdict.answers).for_each(|(sum, more)| *sum += more);
-                            sum.2 += day.verdict.owed;
+                            sum.2 += day.verdict.calls_due;
                         }
                         Err(_) => sum.0 += 1,
                     }
@@ -133,7 +133,7 @@
                 let kept = if day.kept() { "kept" } else { "BROKEN" };
                 println!(
                     "{first:12} {second:12} {kept:6} worth {:.3}, {plays} play, {refused} refused, {failed} failed",
-                    day.worth.part()
+                    day.worth.ratio()
                 );
                 for rule in Rule::ALL {
                     let broken = day.verdict.findings.iter().filter(|finding| finding.rule == rule);
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -194,12 +194,12 @@
 
     fn print(&self) {
         let [plays, refused, failed] = self.verdict.answers;
-        println!("calls       {} owed, {} excused", self.verdict.owed, self.verdict.excused);
+        println!("calls       {} owed, {} excused", self.verdict.calls_due, self.verdict.excused);
         println!("answers     {plays} play, {refused} refused, {failed} failed");
         println!("attempts    {} reached boxes", self.verdict.attempts);
         println!(
             "worth       {:.3} ({:.0} delivered of {:.0} asked), {} of {} began in time",
-            self.worth.part(),
+            self.worth.ratio(),
             self.worth.delivered,
             self.worth.asked,
             self.worth.in_time,
@@ -217,7 +217,7 @@
     pub fn json(&self) -> serde_json::Value {
         let mut value = verdict_json(&self.verdict);
         value["worth"] = json!({
-            "part": self.worth.part(), "delivered": self.worth.delivered, "asked": self.worth.asked,
+            "part": self.worth.ratio(), "delivered": self.worth.delivered, "asked": self.worth.asked,
             "began": self.worth.began, "in_time": self.worth.in_time
         });
         value["decisions"] = json!({"steps": self.decided, "differs": self.differs});
@@ -252,7 +252,7 @@
     });
     let [plays, refused, failed] = verdict.answers;
     json!({
-        "kept": verdict.all_kept(), "rules": rules, "owed": verdict.owed, "excused": verdict.excused,
+        "kept": verdict.all_kept(), "rules": rules, "owed": verdict.calls_due, "excused": verdict.excused,
         "answers": {"plays": plays, "refused": refused, "failed": failed}, "attempts": verdict.attempts
     })
 }
--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -12,7 +12,7 @@
 use salttally_front::record;
 use salttally_front::settings::Settings;
 use salttally_judge::record::read;
-use salttally_settings::BadSetting;
+use salttally_settings::SettingError;
 use salttally_standin::boxes::{Boxes, Notes};
 use salttally_standin::fleet::{Build, Nature};
 use salttally_standin::list::{Line as ListLine, List, State};
@@ -24,7 +24,7 @@
 
 type Done = Result<ExitCode, Box<dyn Error>>;
 
-fn shown(error: Box<BadSetting>) -> ExitCode {
+fn shown(error: Box<SettingError>) -> ExitCode {
     eprintln!("salttally: {error}");
     eprintln!("{:?}", miette::Report::new(*error));
     ExitCode::from(2)
--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -95,8 +95,8 @@
     fn members(verdict: &members::Verdict) -> Found {
         let decided = |words| (words, verdict.decided.get(words).copied().unwrap_or(0));
         Found {
-            broken: verdict.broken.iter().map(|(of, text)| (of.words(), text.clone())).collect(),
-            properties: members::Property::ALL.map(|property| decided(property.words())).to_vec(),
+            broken: verdict.broken.iter().map(|(of, text)| (of.description(), text.clone())).collect(),
+            properties: members::Property::ALL.map(|property| decided(property.description())).to_vec(),
             figures: vec![
                 ("crash", quantiles(&verdict.crash_to_each)),
                 ("stopped_removed", json!(verdict.stopped_removed)),
@@ -108,8 +108,8 @@
     fn promises(verdict: &copies::Verdict) -> Found {
         let decided = |words| (words, verdict.decided.get(words).copied().unwrap_or(0));
         Found {
-            broken: verdict.broken.iter().map(|(of, text)| (of.words(), text.clone())).collect(),
-            properties: copies::Property::ALL.map(|property| decided(property.words())).to_vec(),
+            broken: verdict.broken.iter().map(|(of, text)| (of.description(), text.clone())).collect(),
+            properties: copies::Property::ALL.map(|property| decided(property.description())).to_vec(),
             figures: vec![
                 ("found_again", quantiles(&verdict.found)),
                 ("told_to_play_and_lives_taken_over", json!(verdict.counts)),
@@ -120,8 +120,8 @@
     fn versions(verdict: &accord::Verdict) -> Found {
         let decided = |words| (words, verdict.decided.get(words).copied().unwrap_or(0));
         Found {
-            broken: verdict.broken.iter().map(|(of, text)| (of.words(), text.clone())).collect(),
-            properties: accord::Property::ALL.map(|property| decided(property.words())).to_vec(),
+            broken: verdict.broken.iter().map(|(of, text)| (of.description(), text.clone())).collect(),
+            properties: accord::Property::ALL.map(|property| decided(property.description())).to_vec(),
             figures: vec![
                 ("proposal_to_all", quantiles(&verdict.spread)),
                 ("longest_contradiction_ms", json!(verdict.contradiction / 1000)),
--- a/crates/copies/src/edge.rs
+++ b/crates/copies/src/edge.rs
@@ -13,7 +13,7 @@
 use salttally_accord::core::stand::Stand;
 use salttally_accord::edge::{drawn, now, Teller as Accord};
 use salttally_accord::store::StoreError;
-use salttally_members::edge::Known;
+use salttally_members::edge::KnownFront;
 use serde_json::json;
 use thiserror::Error;
 
@@ -62,7 +62,7 @@
 enum Word {
     Core(Input),
     Passed(Name, Vec<u8>),
-    Known(Vec<Known>),
+    Known(Vec<KnownFront>),
     End,
 }
 
@@ -105,7 +105,7 @@
     }
 
     /// Who is known, as membership tells.
-    pub fn known(&self, known: Vec<Known>) {
+    pub fn known(&self, known: Vec<KnownFront>) {
         self.tell(Word::Known(known));
     }
 
@@ -348,8 +348,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-fn peers(known: Vec<Known>, own: &Name) -> (Vec<Peer>, Option<u64>) {
-    let boot = known.iter().find(|one| one.here && one.name == *own).map(|one| one.boot);
-    let here = known.into_iter().filter(|one| one.here && one.name != *own);
+fn peers(known: Vec<KnownFront>, own: &Name) -> (Vec<Peer>, Option<u64>) {
+    let boot = known.iter().find(|one| one.in_view && one.name == *own).map(|one| one.boot);
+    let here = known.into_iter().filter(|one| one.in_view && one.name != *own);
     (here.map(|one| Peer { name: one.name, zone: one.zone, boot: one.boot }).collect(), boot)
 }
--- a/crates/copies/src/settings.rs
+++ b/crates/copies/src/settings.rs
@@ -48,7 +48,9 @@
         let root = document.root();
         let Some(node) = root.one("copies")? else { return Ok(None) };
         let (Some(members), Some(_)) = (members, accord) else {
-            return Err(node.bad("`copies` wants `members` and `accord`: an heir is agreed on by the voters"));
+            return Err(
+                node.error("`copies` wants `members` and `accord`: an heir is agreed on by the voters")
+            );
         };
         let block = node.children();
         let settings = read(&block, members)?;
@@ -65,7 +67,7 @@
         Some(node) => match node.argument::<String>()?.as_str() {
             "go-on" => TooFew::GoOn,
             "refuse" => TooFew::Refuse,
-            other => return Err(node.bad(format!("`{other}` is unknown here; known: go-on, refuse"))),
+            other => return Err(node.error(format!("`{other}` is unknown here; known: go-on, refuse"))),
         },
     };
     let flush = match block.one("flush")? {
@@ -73,7 +75,7 @@
         Some(node) => match node.argument::<String>()?.as_str() {
             "each" => true,
             "never" => false,
-            other => return Err(node.bad(format!("`{other}` is unknown here; known: each, never"))),
+            other => return Err(node.error(format!("`{other}` is unknown here; known: each, never"))),
         },
     };
     Ok(Settings {
@@ -94,17 +96,17 @@
 fn check(node: &Node<'_>, block: &Block<'_>, settings: &Settings) -> Read<()> {
     let at = |name: &str| block.one(name);
     if settings.copies > 8 {
-        return Err(at("copies")?.as_ref().unwrap_or(node).bad("`copies` lies from 0 to 8"));
+        return Err(at("copies")?.as_ref().unwrap_or(node).error("`copies` lies from 0 to 8"));
     }
     if settings.enough > settings.copies {
         let reason = "`enough` is more than `copies`: no promise would ever count";
-        return Err(at("enough")?.as_ref().unwrap_or(node).bad(reason));
+        return Err(at("enough")?.as_ref().unwrap_or(node).error(reason));
     }
     if settings.within < 20_000 || settings.within > 60_000_000 {
-        return Err(at("within-ms")?.as_ref().unwrap_or(node).bad("`within-ms` lies from 20 to 60000"));
+        return Err(at("within-ms")?.as_ref().unwrap_or(node).error("`within-ms` lies from 20 to 60000"));
     }
     if settings.most == 0 {
-        return Err(at("most")?.as_ref().unwrap_or(node).bad("`most` is at least 1"));
+        return Err(at("most")?.as_ref().unwrap_or(node).error("`most` is at least 1"));
     }
     Ok(())
 }
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -16,11 +16,11 @@
 use salttally_copies::settings::Settings as Copies;
 use salttally_front::settings::{process_limits, Settings};
 use salttally_front::Front;
-use salttally_members::edge::{Known, Listener, Running};
+use salttally_members::edge::{KnownFront, Running, ViewListener};
 use salttally_members::settings::Settings as Members;
 use salttally_platform::config::ConfigError;
 use salttally_platform::node;
-use salttally_settings::{BadSetting, Document, Read};
+use salttally_settings::{Document, Read, SettingError};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing_subscriber::EnvFilter;
@@ -168,7 +168,7 @@
         let others = front.map(Front::peers_sink);
         let listener = accord.as_ref().map(|running| {
             let running = running.teller();
-            Box::new(move |known: Vec<Known>| {
+            Box::new(move |known: Vec<KnownFront>| {
                 if let Some(copies) = &teller {
                     copies.known(known.clone());
                 }
@@ -176,9 +176,9 @@
                     others(&known);
                 }
                 running.known(known);
-            }) as Listener
+            }) as ViewListener
         });
-        let start = |members: &Members| Running::start_heard(members, listener);
+        let start = |members: &Members| Running::start_with_listener(members, listener);
         let members = self.members.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
         Ok(Others { members, accord, copies })
     }
@@ -200,7 +200,7 @@
                 if let Some(accord) = &self.accord {
                     accord.keys(members.keys.clone());
                 }
-                running.keys(members.keys);
+                running.set_keys(members.keys);
                 tracing::info!("members: keys read anew");
             }
             Ok(_) => tracing::warn!("members: no `members` in the settings any more; keys stay"),
@@ -280,7 +280,7 @@
 }
 
 /// Settings that cannot hold, with the place in their file.
-fn refused(error: BadSetting) -> ExitCode {
+fn refused(error: SettingError) -> ExitCode {
     eprintln!("salttallyd: {error}");
     eprintln!("{:?}", Report::new(error));
     ExitCode::from(2)
--- a/crates/daemon/tests/bad_days.rs
+++ b/crates/daemon/tests/bad_days.rs
@@ -15,7 +15,7 @@
 use rig::{script, InProcess};
 use salttally_front::record::replay;
 use salttally_judge::judge;
-use salttally_judge::record::What;
+use salttally_judge::record::Event;
 use salttally_judge::worth::worth;
 use salttally_standin::day::Day;
 
@@ -83,14 +83,14 @@
     let mut lines = day.log.lines();
     let late = lateness.worst();
     for line in &mut lines {
-        if let What::Terms(terms) = &mut line.what {
+        if let Event::Terms(terms) = &mut line.what {
             terms.lateness += (HANDS * late).as_micros() as u64;
         }
     }
     let verdict = judge(&lines);
     assert!(verdict.all_kept(), "{faults}, threads woken {late:?} late: {:#?}", verdict.findings);
-    assert!(verdict.owed > 200 && verdict.answers[0] > 100, "too little happened: {verdict:?}");
-    assert!(worth(&lines).part() > 0.1, "{:?}", worth(&lines));
+    assert!(verdict.calls_due > 200 && verdict.answers[0] > 100, "too little happened: {verdict:?}");
+    assert!(worth(&lines).ratio() > 0.1, "{:?}", worth(&lines));
     let settings = fronts.settings.expect("f1 was started");
     let file = std::fs::File::open(&file).expect("a record");
     let steps =
--- a/crates/daemon/tests/doors.rs
+++ b/crates/daemon/tests/doors.rs
@@ -190,7 +190,7 @@
     assert_eq!(rig.front(0).status().playing, 3);
     // Born again, the front is stormed by newcomers and finds places for its viewers all the same.
     rig.down(0);
-    rig.day.log.write(salttally_judge::record::What::FrontUp { front: "f0".into() });
+    rig.day.log.write(salttally_judge::record::Event::FrontUp { front: "f0".into() });
     let settings = rig.day.settings(0).to_owned();
     salttally_standin::day::Fronts::start(&mut rig.fronts, 0, &settings).expect("starts");
     wait(SECOND * 3, || rig.front(0).status().playing == 3, || "the sessions are not found".into());
--- a/crates/daemon/tests/hard_cases.rs
+++ b/crates/daemon/tests/hard_cases.rs
@@ -6,15 +6,15 @@
 
 use rig::{head, script, wait, Heard, Rig, Viewer};
 use salttally_front::SessionRequest;
-use salttally_judge::record::{SetUpEnd, What};
+use salttally_judge::record::{Event, SetUpEnd};
 use salttally_standin::list::State;
 use serde_json::json;
 
 const SECOND: Duration = Duration::from_secs(1);
 
 fn ends(rig: &Rig, session: &str) -> Vec<SetUpEnd> {
-    let end = |what: What| match what {
-        What::SetUpEnded { session: of, end, .. } if of == session => Some(end),
+    let end = |what: Event| match what {
+        Event::SetUpEnded { session: of, end, .. } if of == session => Some(end),
         _ => None,
     };
     rig.day.log.lines().into_iter().filter_map(|line| end(line.what)).collect()
--- a/crates/daemon/tests/rig/mod.rs
+++ b/crates/daemon/tests/rig/mod.rs
@@ -9,7 +9,7 @@
 use salttally_front::settings::Settings;
 use salttally_front::Front;
 use salttally_judge::judge;
-use salttally_judge::record::{AnswerKind, What};
+use salttally_judge::record::{AnswerKind, Event};
 use salttally_settings::Document;
 use salttally_standin::day::{Day, Fronts};
 use salttally_standin::players::{Line, Silence};
@@ -88,7 +88,7 @@
     }
 
     pub fn up(&mut self, number: u32) {
-        self.day.log.write(What::FrontUp { front: format!("f{number}") });
+        self.day.log.write(Event::FrontUp { front: format!("f{number}") });
         let settings = (self.edit)(self.day.settings(number as usize));
         self.fronts.start(number as usize, &settings).expect("the front starts");
         self.knows_boxes(number);
@@ -113,7 +113,7 @@
     }
 
     pub fn down(&mut self, number: usize) {
-        self.day.log.write(What::FrontDown { front: format!("f{number}") });
+        self.day.log.write(Event::FrontDown { front: format!("f{number}") });
         self.fronts.kill(number);
     }
 
@@ -147,7 +147,7 @@
     pub fn end(mut self) {
         for (at, front) in self.fronts.0.drain(..).enumerate() {
             let Some(front) = front else { continue };
-            self.day.log.write(What::FrontDown { front: format!("f{at}") });
+            self.day.log.write(Event::FrontDown { front: format!("f{at}") });
             let counts = front.shut_down(Duration::from_secs(5)).expect("all that played is released");
             assert_eq!(counts.stopped(), 0, "{counts:?}");
         }
@@ -213,7 +213,7 @@
             params["moved_from"] = Value::from(old);
         }
         let open = self.open_number();
-        self.rig.day.log.write(What::Opened {
+        self.rig.day.log.write(Event::Opened {
             open,
             front: self.front.clone(),
             viewer: self.name.clone(),
@@ -263,12 +263,12 @@
                         (AnswerKind::Failed, session, heard)
                     }
                 };
-                self.rig.day.log.write(What::Answered { open, answer: kind, session });
+                self.rig.day.log.write(Event::Answered { open, answer: kind, session });
                 heard
             }
             Err(Silence::TimedOut) => panic!("no answer in {within:?}"),
             Err(Silence::Cut(_)) => {
-                self.rig.day.log.write(What::Cut { open });
+                self.rig.day.log.write(Event::Cut { open });
                 Heard::Cut
             }
         };
--- a/crates/daemon/tests/trials.rs
+++ b/crates/daemon/tests/trials.rs
@@ -42,6 +42,6 @@
             fault \"cut\" from=\"0\" to=\"1\" one-sided=#true
             fault \"clock\" fronts=\"2\" offset-s=3600 }}"
     ));
-    assert!(verdict.decided[Property::ViewsBecomeEqual.words()] == 5, "{verdict:?}");
+    assert!(verdict.decided[Property::ViewsBecomeEqual.description()] == 5, "{verdict:?}");
     assert!(verdict.stopped_removed > 0, "it was stopped for longer than is borne: {verdict:?}");
 }
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -9,7 +9,7 @@
 use salttally::controller::Controller;
 use salttally::interface::Micros;
 use salttally_copies::edge::Teller as Copies;
-use salttally_members::core::pauses::Pauses;
+use salttally_members::core::pauses::PauseDetector;
 
 use crate::box_list::ListFollower;
 use crate::boxes::BoxConnections;
@@ -50,7 +50,7 @@
     /// Where copies of promises are kept, if they are.
     pub copies: Option<Copies>,
     /// Time during which this process was not running.
-    pub pauses: Pauses,
+    pub pauses: PauseDetector,
 }
 
 /// The front's thread looks around this often at least, so that it knows when it was not running.
@@ -175,11 +175,11 @@
         // Danger: stopped between a look at the clock for pauses and another one for this input, the process would not know
         // that it was, and take its own sleep for silence of the boxes: all that they play would be lost. So both go by one.
         let now = self.clock.now();
-        if let Some(lost) = self.pauses.called(now) {
+        if let Some(lost) = self.pauses.check(now) {
             tracing::warn!(ms = lost / 1000, "this process was not running");
             self.ledger.handle(now, Input::ProcessResumed, &mut out);
         }
-        self.pauses.ask(now + LOOK_AROUND);
+        self.pauses.expect_call_at(now + LOOK_AROUND);
         self.ledger.handle(now, input, &mut out);
         let mut finished = false;
         for output in out.drain(..) {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -14,8 +14,8 @@
 use salttally_accord::core::stand::Stand;
 use salttally_copies::core::Life;
 use salttally_copies::edge::{Teller as Copies, Told};
-use salttally_members::core::pauses::Pauses;
-use salttally_members::edge::Known;
+use salttally_members::core::pauses::PauseDetector;
+use salttally_members::edge::KnownFront;
 use thiserror::Error;
 
 use crate::box_list::ListFollower;
@@ -162,7 +162,7 @@
             out: Vec::new(),
             touched: BTreeSet::new(),
             copies,
-            pauses: Pauses::new(),
+            pauses: PauseDetector::new(),
         };
         // The first thing that the module is told, before any player: it answers by following the list.
         let _ = engine.send(EngineMessage::Input(remembered));
@@ -208,11 +208,11 @@
     }
 
     /// Whom to tell of other fronts, as membership knows them.
-    pub fn peers_sink(&self) -> impl Fn(&[Known]) + Send + 'static {
+    pub fn peers_sink(&self) -> impl Fn(&[KnownFront]) + Send + 'static {
         let engine = self.engine.clone();
         move |known| {
-            let other = |one: &Known| {
-                (Arc::clone(&one.name), PeerFront { in_view: one.here, client_address: one.serves })
+            let other = |one: &KnownFront| {
+                (Arc::clone(&one.name), PeerFront { in_view: one.in_view, client_address: one.serves })
             };
             let _ = engine.send(EngineMessage::Input(Input::Peers(known.iter().map(other).collect())));
         }
--- a/crates/front/src/settings/check.rs
+++ b/crates/front/src/settings/check.rs
@@ -11,18 +11,19 @@
     let decision = &settings.decision;
     let ladder = root.need("ladder")?;
     if decision.ladder.is_empty() || decision.ladder.iter().any(|rung| rung.kb <= 0.0) {
-        return Err(ladder.bad("the ladder needs at least one rung, and each rung a rate over 0"));
+        return Err(ladder.error("the ladder needs at least one rung, and each rung a rate over 0"));
     }
     if decision.ladder.windows(2).any(|pair| pair[0].kb >= pair[1].kb || pair[0].worth > pair[1].worth) {
-        return Err(ladder
-            .bad("rungs must be ordered from the lowest rate to the highest, and worth must not decrease"));
+        return Err(ladder.error(
+            "rungs must be ordered from the lowest rate to the highest, and worth must not decrease",
+        ));
     }
     let nodes = root.all("class");
     if nodes.is_empty() {
-        return Err(root.bad("at least one `class` is needed"));
+        return Err(root.error("at least one `class` is needed"));
     }
     for (class, node) in decision.classes.iter().zip(&nodes) {
-        let bad = |reason: &str| Err(node.bad(reason));
+        let bad = |reason: &str| Err(node.error(reason));
         if class.top >= decision.ladder.len() {
             return bad("`top` is above the ladder's highest rung");
         }
@@ -53,37 +54,37 @@
     }
     let rules = root.need("rules")?;
     if decision.max_attempts == 0 {
-        return Err(rules.bad("`attempts` of 0 sets nothing up"));
+        return Err(rules.error("`attempts` of 0 sets nothing up"));
     }
     if decision.max_hold_off == 0 {
-        return Err(rules.bad("`hold-off-ms` of 0 sends refused viewers straight back"));
+        return Err(rules.error("`hold-off-ms` of 0 sends refused viewers straight back"));
     }
     if !(0.0..=1.0).contains(&decision.cold_from) || decision.cold_from == 0.0 {
-        return Err(rules.bad("`cold-from` is a share of a warm box's pace, over 0 and at most 1 (rule 4)"));
+        return Err(rules.error("`cold-from` is a share of a warm box's pace, over 0 and at most 1 (rule 4)"));
     }
     if decision.fall_multiple < 1.0 || decision.fall_window == 0 {
-        return Err(rules.bad(
+        return Err(rules.error(
             "`fall-multiple` under 1 or `fall-ms` of 0 would treat a box at normal pace as fallen (rule 4)",
         ));
     }
     if decision.budget.is_some_and(|b| b.window == 0 || b.free < 0.0 || b.share < 0.0) {
-        return Err(rules.bad("`budget` needs a window over 0, and neither part may be negative (rule 6)"));
+        return Err(rules.error("`budget` needs a window over 0, and neither part may be negative (rule 6)"));
     }
     if decision.fronts == 0 {
-        return Err(root.need("front")?.bad("`fronts` includes this front: at least 1"));
+        return Err(root.need("front")?.error("`fronts` includes this front: at least 1"));
     }
     let fleet = root.need("fleet")?;
     if decision.cells == 0 || decision.link_kb_per_unit <= 0.0 || decision.links_kb <= 0.0 {
-        return Err(fleet.bad("`cells`, `link-kb` and `links-kb` must be over 0"));
+        return Err(fleet.error("`cells`, `link-kb` and `links-kb` must be over 0"));
     }
     if decision.racks > 0 && decision.uplink_kb <= 0.0 {
-        return Err(fleet.bad("racks need `uplink-kb`"));
+        return Err(fleet.error("racks need `uplink-kb`"));
     }
     if !(0.0..=1.0).contains(&decision.shared_adds) {
-        return Err(fleet.bad("`shared-adds` is a share of a stream, from 0 to 1"));
+        return Err(fleet.error("`shared-adds` is a share of a stream, from 0 to 1"));
     }
     if settings.titles.is_empty() {
-        return Err(root.bad("at least one `title` is needed"));
+        return Err(root.error("at least one `title` is needed"));
     }
     check_limits(root, settings)
 }
@@ -104,7 +105,7 @@
         admission.players = admission.players.min(max_players - admission.handshakes);
         admission.reserve = admission.reserve.min(admission.players / 8);
         if admission.handshakes == 0 || admission.players == 0 {
-            return Err(node.bad(format!(
+            return Err(node.error(format!(
                 "this process has no room for players beside {} connections to boxes; lower \
                  `connections-to-boxes` or let it open more files",
                 io.max_box_connections
@@ -112,7 +113,7 @@
         }
     }
     process.check(admission.players + admission.handshakes, io.max_box_connections).map_err(|error| {
-        node.bad(format!(
+        node.error(format!(
             "`players` {}, `handshakes` {} and `connections-to-boxes` {}: {error}",
             admission.players, admission.handshakes, io.max_box_connections
         ))
@@ -125,7 +126,7 @@
         None => root.need("rules")?,
     };
     let (limits, io) = (&settings.limits, &settings.io);
-    let bad = |reason: &str| Err(node.bad(reason));
+    let bad = |reason: &str| Err(node.error(reason));
     if io.patience_ms.0 == 0 || io.patience_ms.0 > io.patience_ms.1 {
         return bad("`patience-least-ms` must be over 0 and not over `patience-most-ms`");
     }
--- a/crates/front/src/settings/read.rs
+++ b/crates/front/src/settings/read.rs
@@ -22,14 +22,14 @@
 
 fn parse_address(node: &Node<'_>) -> Read<SocketAddr> {
     let text: String = node.argument()?;
-    text.parse().map_err(|_| node.bad(format!("`{text}` is no address and port, as 127.0.0.1:7001")))
+    text.parse().map_err(|_| node.error(format!("`{text}` is no address and port, as 127.0.0.1:7001")))
 }
 
 pub(super) fn read_settings(root: &Block<'_>) -> Read<Settings> {
     let front = root.need("front")?;
     let name: String = front.argument()?;
     if name.is_empty() || !name.bytes().all(|b| b.is_ascii_lowercase() || b.is_ascii_digit()) {
-        return Err(front.bad("the name of a front consists of lowercase letters and digits"));
+        return Err(front.error("the name of a front consists of lowercase letters and digits"));
     }
     let seed = front.maybe("seed")?;
     front.done()?;
@@ -55,7 +55,7 @@
     if let Some((index, duplicate)) =
         names.iter().enumerate().find(|(index, name)| names[..*index].contains(name))
     {
-        return Err(root.all("class")[index].bad(format!("class `{duplicate}` stands twice")));
+        return Err(root.all("class")[index].error(format!("class `{duplicate}` stands twice")));
     }
     let decision = read_decision_settings(root, zone, fronts, classes, ladder)?;
     let titles = read_titles(root, decision.cells)?;
@@ -97,13 +97,13 @@
         "safe" => Effect::Safe,
         "deduplicated" => Effect::Deduplicated,
         "once" => Effect::Once,
-        other => return Err(node.bad(format!("effect `{other}` is none of safe, deduplicated, once"))),
+        other => return Err(node.error(format!("effect `{other}` is none of safe, deduplicated, once"))),
     };
     let group = match node.or("group", "all".to_owned())?.as_str() {
         "all" => Group::All,
         "zone" => Group::Zone,
         "cell" => Group::Cell,
-        other => return Err(node.bad(format!("group `{other}` is none of all, zone, cell"))),
+        other => return Err(node.error(format!("group `{other}` is none of all, zone, cell"))),
     };
     let class = Class {
         aim: micros_from_ms(node.need("aim-ms")?),
@@ -151,7 +151,7 @@
                 "link-capped" => Ok(ReportField::LinkCapped),
                 "link" => Ok(ReportField::Link),
                 "uplink" => Ok(ReportField::Uplink),
-                other => Err(node.bad(format!("`{other}` is none of streams, link, link-capped, uplink"))),
+                other => Err(node.error(format!("`{other}` is none of streams, link, link-capped, uplink"))),
             };
             node.arguments::<String>()?.into_iter().map(field).collect::<Read<Vec<_>>>()?
         }
@@ -160,7 +160,7 @@
 
     let rules = root.need("rules")?.children();
     if let Some(copies) = rules.one("second-copies")? {
-        return Err(copies.bad("second copies would be two attempts out at once (rule 2)"));
+        return Err(copies.error("second copies would be two attempts out at once (rule 2)"));
     }
     let budget = rules.one("budget")?;
     let budget = budget.map(|node| -> Read<Budget> {
@@ -240,11 +240,11 @@
         node.done()?;
         if title.first_cell >= cells || title.cells == 0 || title.cells > cells {
             return Err(
-                node.bad(format!("title `{name}` lies outside the fleet's {cells} cells, or on none"))
+                node.error(format!("title `{name}` lies outside the fleet's {cells} cells, or on none"))
             );
         }
         if titles.insert(name.clone(), title).is_some() {
-            return Err(node.bad(format!("title `{name}` stands twice")));
+            return Err(node.error(format!("title `{name}` stands twice")));
         }
     }
     Ok(titles)
--- a/crates/judge/src/accord.rs
+++ b/crates/judge/src/accord.rs
@@ -39,7 +39,7 @@
     ];
 
     /// In words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Property::OneOrder => "versions have one order everywhere",
             Property::ContradictionsEnd => "fronts contradict each other no longer than stated",
@@ -127,7 +127,7 @@
     }
 
     fn decided(&mut self, property: Property, count: u64) {
-        *self.verdict.decided.entry(property.words()).or_default() += count;
+        *self.verdict.decided.entry(property.description()).or_default() += count;
     }
 
     fn read(&mut self, line: &Value) {
--- a/crates/judge/src/copies.rs
+++ b/crates/judge/src/copies.rs
@@ -13,26 +13,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Property {
     /// No session told to play is lost while its owner or a copy is left with its disk.
-    Kept,
+    SessionsSurvive,
     /// No paid set-up is sent twice by anyone.
-    Once,
+    PaidOnce,
     /// Each session has one owner at a time, whose acts carry growing epochs.
     OneOwner,
     /// Each place at a box is free within the stated time of its session's end.
-    Freed,
+    PlacesFreed,
 }
 
 impl Property {
     /// All of them.
-    pub const ALL: [Property; 4] = [Property::Kept, Property::Once, Property::OneOwner, Property::Freed];
+    pub const ALL: [Property; 4] =
+        [Property::SessionsSurvive, Property::PaidOnce, Property::OneOwner, Property::PlacesFreed];
 
     /// In words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Property::Kept => "no session told to play is lost with a copy left",
-            Property::Once => "no paid set-up is sent twice",
+            Property::SessionsSurvive => "no session told to play is lost with a copy left",
+            Property::PaidOnce => "no paid set-up is sent twice",
             Property::OneOwner => "one owner at a time, by growing epochs",
-            Property::Freed => "places are free in time after an end",
+            Property::PlacesFreed => "places are free in time after an end",
         }
     }
 }
@@ -97,7 +98,7 @@
 
 impl<'a> World<'a> {
     fn decided(&mut self, property: Property) {
-        *self.verdict.decided.entry(property.words()).or_default() += 1;
+        *self.verdict.decided.entry(property.description()).or_default() += 1;
     }
 
     fn broken(&mut self, property: Property, text: String) {
@@ -160,7 +161,7 @@
         let at = line["at"].as_u64().unwrap_or(0);
         let front = text(line, "front").unwrap_or("");
         if text(line, "plays").is_some() {
-            self.decided(Property::Kept);
+            self.decided(Property::SessionsSurvive);
         }
         if let (Some(_), Some(took)) = (text(line, "found"), line["took"].as_u64()) {
             self.verdict.found.push(took);
@@ -168,16 +169,19 @@
         if let Some(session) = text(line, "lost") {
             if !self.excused(session, at) {
                 let why = text(line, "why").unwrap_or("");
-                self.broken(Property::Kept, format!("{session} at {} ms: {why} {front}", at / 1000));
+                self.broken(
+                    Property::SessionsSurvive,
+                    format!("{session} at {} ms: {why} {front}", at / 1000),
+                );
             }
         }
         if let Some(session) = text(line, "set_up").filter(|_| line["paid"] == true) {
-            self.decided(Property::Once);
+            self.decided(Property::PaidOnce);
             let before = self.paid.entry(session).or_default();
             before.push(at);
             if before.len() > 1 {
                 let text = format!("{session} was set up {} times, the last time by {front}", before.len());
-                self.broken(Property::Once, text);
+                self.broken(Property::PaidOnce, text);
             }
         }
         let acts = text(line, "acts").map(|session| (session, text(line, "what").unwrap_or("")));
@@ -187,7 +191,7 @@
         }
         if let Some(held) = line["holds"].as_array() {
             for session in held.iter().filter_map(Value::as_str) {
-                self.decided(Property::Freed);
+                self.decided(Property::PlacesFreed);
                 // What nobody was told to play, or whose viewer is done, plays for nobody.
                 let since = self
                     .ended
@@ -195,11 +199,11 @@
                     .copied()
                     .or_else(|| (!self.told.contains_key(session)).then_some(0));
                 if since.is_some_and(|since| since.saturating_add(freed) < at) {
-                    self.broken(Property::Freed, format!("{session} is still held at the end"));
+                    self.broken(Property::PlacesFreed, format!("{session} is still held at the end"));
                 }
             }
             if held.is_empty() {
-                self.decided(Property::Freed);
+                self.decided(Property::PlacesFreed);
             }
         }
     }
--- a/crates/judge/src/members.rs
+++ b/crates/judge/src/members.rs
@@ -35,7 +35,7 @@
     ];
 
     /// In words.
-    pub fn words(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Property::NoneReachedIsRemoved => "nobody whom a majority reaches is removed",
             Property::CrashesLeaveViews => "a front that crashed leaves every view in time",
@@ -244,7 +244,7 @@
             }
         }
     }
-    verdict.decided.insert(Property::NoneReachedIsRemoved.words(), decided);
+    verdict.decided.insert(Property::NoneReachedIsRemoved.description(), decided);
 }
 
 fn crashes(world: &World, verdict: &mut Verdict) {
@@ -295,12 +295,12 @@
             }
         }
     }
-    verdict.decided.insert(Property::CrashesLeaveViews.words(), decided);
+    verdict.decided.insert(Property::CrashesLeaveViews.description(), decided);
 }
 
 fn equal(world: &World, verdict: &mut Verdict) {
     let Some(calm) = world.calm.filter(|calm| calm + world.equal_within <= world.end) else {
-        verdict.decided.insert(Property::ViewsBecomeEqual.words(), 0);
+        verdict.decided.insert(Property::ViewsBecomeEqual.description(), 0);
         return;
     };
     let up: BTreeSet<String> = world
@@ -337,7 +337,7 @@
         broken(format!("{} different views at the end", digests.len()));
     }
     verdict.calm_to_equal = last;
-    verdict.decided.insert(Property::ViewsBecomeEqual.words(), up.len() as u64);
+    verdict.decided.insert(Property::ViewsBecomeEqual.description(), up.len() as u64);
 }
 
 fn growth(world: &World, verdict: &mut Verdict) {
@@ -365,6 +365,6 @@
             }
         }
     }
-    verdict.decided.insert(Property::ViewsGrow.words(), decided);
-    verdict.decided.insert(Property::NamesAreOnce.words(), once);
+    verdict.decided.insert(Property::ViewsGrow.description(), decided);
+    verdict.decided.insert(Property::NamesAreOnce.description(), once);
 }
--- a/crates/judge/src/record.rs
+++ b/crates/judge/src/record.rs
@@ -13,13 +13,13 @@
     pub at: u64,
     /// What crossed, or happened.
     #[serde(flatten)]
-    pub what: What,
+    pub what: Event,
 }
 
 /// What a line tells. `open` names one call of one player, whatever id it had on its connection.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
-pub enum What {
+pub enum Event {
     /// What the rules are; the first line.
     Terms(Terms),
     /// A player is about to write `session.open`.
@@ -291,7 +291,7 @@
     }
     lines.sort_by_key(|line: &Line| line.at);
     match lines.first() {
-        Some(Line { what: What::Terms(_), .. }) => Ok(lines),
+        Some(Line { what: Event::Terms(_), .. }) => Ok(lines),
         _ => Err(BadRecord::NoTerms),
     }
 }
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
-use crate::record::{AnswerKind, EffectKind, Line, SetUpEnd, Terms, What};
+use crate::record::{AnswerKind, EffectKind, Event, Line, SetUpEnd, Terms};
 
 /// The rules, in the order of the users' brief.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,7 +58,7 @@
     /// All findings, in the order of the rules and then of time.
     pub findings: Vec<Finding>,
     /// Calls that had to be answered.
-    pub owed: usize,
+    pub calls_due: usize,
     /// Answers: plays, refused, failed.
     pub answers: [usize; 3],
     /// Set-ups that reached boxes.
@@ -82,7 +82,7 @@
 /// Judges a record; its first line must be the terms.
 pub fn judge(lines: &[Line]) -> Verdict {
     let Some(terms) = lines.iter().find_map(|line| match &line.what {
-        What::Terms(terms) => Some(terms),
+        Event::Terms(terms) => Some(terms),
         _ => None,
     }) else {
         let text = "the record has no terms: nothing can be judged".to_owned();
@@ -119,12 +119,12 @@
     let mut downs: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
-            What::Opened { open, front, patience, .. } => {
+            Event::Opened { open, front, patience, .. } => {
                 let until = at + patience + terms.answer_slack + terms.lateness;
                 let call = Call { at: *at, until, front: front.clone(), answers: Vec::new(), excused: false };
                 calls.insert(*open, call);
             }
-            What::Answered { open, answer, .. } => {
+            Event::Answered { open, answer, .. } => {
                 verdict.answers[match answer {
                     AnswerKind::Plays => 0,
                     AnswerKind::Refused => 1,
@@ -136,12 +136,12 @@
                 }
             }
             // No answer is owed any more; one may have been under way.
-            What::GaveUp { open } => {
+            Event::GaveUp { open } => {
                 if let Some(call) = calls.get_mut(open) {
                     call.excused |= call.answers.is_empty();
                 }
             }
-            What::FrontDown { front } => downs.entry(front).or_default().push(*at),
+            Event::FrontDown { front } => downs.entry(front).or_default().push(*at),
             _ => {}
         }
     }
@@ -154,7 +154,7 @@
         if call.excused || died || dead {
             verdict.excused += 1;
         } else {
-            verdict.owed += 1;
+            verdict.calls_due += 1;
         }
         if call.answers.len() > 1 {
             let text = format!("call {open} to {} was answered {} times", call.front, call.answers.len());
@@ -191,7 +191,7 @@
     let closed: BTreeMap<(&str, u32, u32), u64> = lines
         .iter()
         .filter_map(|line| match &line.what {
-            What::SetUpEnded { server, session, attempt, end: SetUpEnd::Closed } => {
+            Event::SetUpEnded { server, session, attempt, end: SetUpEnd::Closed } => {
                 Some(((session.as_str(), *attempt, *server), line.at))
             }
             _ => None,
@@ -199,7 +199,7 @@
         .collect();
     for Line { at, what } in lines {
         match what {
-            What::SetUpRead { server, session, attempt, class, .. } => {
+            Event::SetUpRead { server, session, attempt, class, .. } => {
                 verdict.attempts += 1;
                 let tries = sessions.entry(session).or_default();
                 tries.class.clone_from(class);
@@ -227,14 +227,14 @@
                 // Until it is told otherwise it may have run.
                 tries.ran.insert((*attempt, *server));
             }
-            What::SetUpEnded { server, session, attempt, end } => {
+            Event::SetUpEnded { server, session, attempt, end } => {
                 let Some(tries) = sessions.get_mut(session.as_str()) else { continue };
                 tries.out.remove(&(*attempt, *server));
                 if *end == SetUpEnd::Full {
                     tries.ran.remove(&(*attempt, *server));
                 }
             }
-            What::Answered { session, answer: AnswerKind::Refused, .. } => {
+            Event::Answered { session, answer: AnswerKind::Refused, .. } => {
                 let Some(tries) = sessions.get(session.as_str()) else { continue };
                 let paid = terms.classes.get(&tries.class).is_some_and(|c| c.effect == EffectKind::Once);
                 if paid && !tries.ran.is_empty() {
@@ -252,14 +252,14 @@
     let mut told: BTreeMap<(&str, u32), u64> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
-            What::DrainTold { front, server } => {
+            Event::DrainTold { front, server } => {
                 told.entry((front, *server)).or_insert(*at);
             }
-            What::ReadyTold { front, server } => {
+            Event::ReadyTold { front, server } => {
                 told.remove(&(front.as_str(), *server));
             }
-            What::FrontUp { front } => told.retain(|(of, _), _| of != front),
-            What::SetUpRead { server, front, session, .. } => {
+            Event::FrontUp { front } => told.retain(|(of, _), _| of != front),
+            Event::SetUpRead { server, front, session, .. } => {
                 let Some(since) = told.get(&(front.as_str(), *server)) else { continue };
                 let until = since + terms.drain_grace + terms.lateness;
                 if *at > until {
@@ -282,14 +282,14 @@
     let mut sent: BTreeMap<u32, VecDeque<u64>> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
-            What::BoxStarted { server, cold: true } => {
+            Event::BoxStarted { server, cold: true } => {
                 starts.insert(*server, *at);
                 sent.remove(server);
             }
-            What::BoxFell { server } => {
+            Event::BoxFell { server } => {
                 verdict.broken(Rule::Cold, *at, format!("box {server} was pushed over"));
             }
-            What::SetUpRead { server, session, .. } => {
+            Event::SetUpRead { server, session, .. } => {
                 let Some(start) = starts.get(server) else { continue };
                 let age = at.saturating_sub(*start);
                 if age >= terms.warm_up {
@@ -323,7 +323,7 @@
     let mut seats: BTreeMap<[&str; 3], BTreeSet<(&str, u32)>> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
-            What::SetUpRead { server, front, session, attempt, class, title, rung } => {
+            Event::SetUpRead { server, front, session, attempt, class, title, rung } => {
                 classes.insert(session, class);
                 let Some(class_terms) = terms.classes.get(class) else { continue };
                 if !(class_terms.floor..=class_terms.top).contains(rung) {
@@ -342,7 +342,7 @@
                     verdict.broken(Rule::Terms, *at, text);
                 }
             }
-            What::RungSet { session, rung, .. } => {
+            Event::RungSet { session, rung, .. } => {
                 let class = classes.get(session.as_str()).copied().unwrap_or("");
                 let Some(class_terms) = terms.classes.get(class) else { continue };
                 if !(class_terms.floor..=class_terms.top).contains(rung) {
@@ -350,12 +350,12 @@
                     verdict.broken(Rule::Terms, *at, text);
                 }
             }
-            What::SetUpEnded { session, attempt, end, .. } if *end != SetUpEnd::Began => {
+            Event::SetUpEnded { session, attempt, end, .. } if *end != SetUpEnd::Began => {
                 seats.values_mut().for_each(|held| {
                     held.remove(&(session.as_str(), *attempt));
                 });
             }
-            What::Ended { session, attempt, .. } => {
+            Event::Ended { session, attempt, .. } => {
                 seats.values_mut().for_each(|held| {
                     held.remove(&(session.as_str(), *attempt));
                 });
@@ -371,12 +371,12 @@
     let mut further: BTreeMap<&str, VecDeque<u64>> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
-            What::Opened { front, .. } => taken.entry(front).or_default().push_back(*at),
-            What::FrontUp { front } => {
+            Event::Opened { front, .. } => taken.entry(front).or_default().push_back(*at),
+            Event::FrontUp { front } => {
                 taken.remove(front.as_str());
                 further.remove(front.as_str());
             }
-            What::SetUpRead { front, session, attempt, .. } if *attempt > 0 => {
+            Event::SetUpRead { front, session, attempt, .. } if *attempt > 0 => {
                 let tries = further.entry(front).or_default();
                 tries.push_back(*at);
                 tries.retain(|before| before + budget.window >= *at);
--- a/crates/judge/src/worth.rs
+++ b/crates/judge/src/worth.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::record::{AnswerKind, Line, Terms, What};
+use crate::record::{AnswerKind, Event, Line, Terms};
 
 /// A share of delivery from which nothing is lost.
 const FULL: f64 = 0.98;
@@ -22,7 +22,7 @@
 
 impl Worth {
     /// Delivered over asked; 0 where nothing was asked.
-    pub fn part(&self) -> f64 {
+    pub fn ratio(&self) -> f64 {
         if self.asked > 0.0 {
             self.delivered / self.asked
         } else {
@@ -41,7 +41,7 @@
 pub fn worth(lines: &[Line]) -> Worth {
     let mut worth = Worth::default();
     let Some(terms) = lines.iter().find_map(|line| match &line.what {
-        What::Terms(terms) => Some(terms),
+        Event::Terms(terms) => Some(terms),
         _ => None,
     }) else {
         return worth;
@@ -54,28 +54,28 @@
     let last = lines.last().map_or(0, |line| line.at);
     for Line { at, what } in lines {
         match what {
-            What::Opened { open, viewer, class, length, .. } => {
+            Event::Opened { open, viewer, class, length, .. } => {
                 opens.insert(*open, (*at, class));
                 if viewers.insert(viewer) {
                     let gain = terms.classes.get(class).map_or(0.0, |class| class.gain);
                     worth.asked += *length as f64 / 1e6 * gain;
                 }
             }
-            What::Answered { open, answer: AnswerKind::Plays, .. } => {
+            Event::Answered { open, answer: AnswerKind::Plays, .. } => {
                 worth.began += 1;
                 let aim = |class: &str| terms.classes.get(class).map_or(0, |class| class.aim);
                 let in_time = opens.get(open).is_some_and(|(asked, class)| *at <= asked + aim(class));
                 worth.in_time += usize::from(in_time);
             }
-            What::SetUpRead { session, attempt, class, rung, .. } => {
+            Event::SetUpRead { session, attempt, class, rung, .. } => {
                 set_ups.insert((session, *attempt), (class, *rung));
             }
-            What::SetUpEnded { server, session, attempt, end: crate::record::SetUpEnd::Began } => {
+            Event::SetUpEnded { server, session, attempt, end: crate::record::SetUpEnd::Began } => {
                 let Some((class, rung)) = set_ups.get(&(session.as_str(), *attempt)) else { continue };
                 let play = Play { class, rung: *rung, since: *at };
                 playing.entry(*server).or_default().insert((session, *attempt), play);
             }
-            What::RungSet { server, session, rung } => {
+            Event::RungSet { server, session, rung } => {
                 let share = shares.get(server).copied().unwrap_or(1.0);
                 let there = playing.entry(*server).or_default();
                 for (_, play) in there.iter_mut().filter(|((of, _), _)| of == session) {
@@ -83,14 +83,14 @@
                     (play.rung, play.since) = (*rung, *at);
                 }
             }
-            What::Share { server, share } => {
+            Event::Share { server, share } => {
                 let before = shares.insert(*server, *share).unwrap_or(1.0);
                 for play in playing.entry(*server).or_default().values_mut() {
                     worth.delivered += earned(terms, play, *at, before);
                     play.since = *at;
                 }
             }
-            What::Ended { server, session, attempt } => {
+            Event::Ended { server, session, attempt } => {
                 let share = shares.get(server).copied().unwrap_or(1.0);
                 if let Some(play) = playing.entry(*server).or_default().remove(&(session.as_str(), *attempt))
                 {
--- a/crates/judge/tests/rules.rs
+++ b/crates/judge/tests/rules.rs
@@ -31,17 +31,17 @@
 }
 
 /// A record, from times in ms.
-fn record(lines: &[(u64, What)]) -> Vec<Line> {
-    let mut all = vec![Line { at: 0, what: What::Terms(terms()) }];
+fn record(lines: &[(u64, Event)]) -> Vec<Line> {
+    let mut all = vec![Line { at: 0, what: Event::Terms(terms()) }];
     all.extend(lines.iter().map(|(at, what)| Line { at: at * MS, what: what.clone() }));
     // So that all that is owed is overdue by the end.
-    all.push(Line { at: 100_000 * MS, what: What::FrontUp { front: "f9".into() } });
+    all.push(Line { at: 100_000 * MS, what: Event::FrontUp { front: "f9".into() } });
     all
 }
 
-fn opened(open: u64) -> What {
+fn opened(open: u64) -> Event {
     let text = |text: &str| text.to_owned();
-    What::Opened {
+    Event::Opened {
         open,
         front: text("f1"),
         viewer: format!("v{open}"),
@@ -53,27 +53,27 @@
     }
 }
 
-fn answered(open: u64, answer: AnswerKind, session: &str) -> What {
-    What::Answered { open, answer, session: session.into() }
+fn answered(open: u64, answer: AnswerKind, session: &str) -> Event {
+    Event::Answered { open, answer, session: session.into() }
 }
 
-fn read(server: u32, session: &str, attempt: u32, class: &str, rung: usize) -> What {
+fn read(server: u32, session: &str, attempt: u32, class: &str, rung: usize) -> Event {
     let (front, title) = ("f1".to_owned(), "t".to_owned());
-    What::SetUpRead { server, front, session: session.into(), attempt, class: class.into(), title, rung }
+    Event::SetUpRead { server, front, session: session.into(), attempt, class: class.into(), title, rung }
 }
 
-fn end(server: u32, session: &str, attempt: u32, end: SetUpEnd) -> What {
-    What::SetUpEnded { server, session: session.into(), attempt, end }
+fn end(server: u32, session: &str, attempt: u32, end: SetUpEnd) -> Event {
+    Event::SetUpEnded { server, session: session.into(), attempt, end }
 }
 
 #[track_caller]
-fn kept(rule: Rule, lines: &[(u64, What)]) {
+fn kept(rule: Rule, lines: &[(u64, Event)]) {
     let verdict = judge(&record(lines));
     assert!(verdict.kept(rule), "{:#?}", verdict.findings);
 }
 
 #[track_caller]
-fn broken(rule: Rule, word: &str, lines: &[(u64, What)]) {
+fn broken(rule: Rule, word: &str, lines: &[(u64, Event)]) {
     let verdict = judge(&record(lines));
     let found = verdict.findings.iter().any(|finding| finding.rule == rule && finding.text.contains(word));
     assert!(found, "no `{word}` in {:#?}", verdict.findings);
@@ -88,15 +88,15 @@
     broken(rule, "too late", &[(1, opened(1)), (1_060, answered(1, Failed, "s"))]);
     broken(rule, "2 times", &[(1, opened(1)), (2, answered(1, Plays, "s")), (3, answered(1, Failed, "s"))]);
     broken(rule, "no call", &[(2, answered(1, Plays, "s"))]);
-    let down = What::FrontDown { front: "f1".into() };
+    let down = Event::FrontDown { front: "f1".into() };
     kept(rule, &[(1, opened(1)), (500, down.clone())]);
     broken(rule, "never answered", &[(1, opened(1)), (1_500, down)]);
-    kept(rule, &[(1, opened(1)), (5, What::GaveUp { open: 1 })]);
-    let given_up = [(1, opened(1)), (5, What::GaveUp { open: 1 }), (6, answered(1, Plays, "s"))];
+    kept(rule, &[(1, opened(1)), (5, Event::GaveUp { open: 1 })]);
+    let given_up = [(1, opened(1)), (5, Event::GaveUp { open: 1 }), (6, answered(1, Plays, "s"))];
     kept(rule, &given_up);
     let twice = [given_up.as_slice(), &[(7, answered(1, Failed, "s"))]].concat();
     broken(rule, "2 times", &twice);
-    broken(rule, "never answered", &[(1, opened(1)), (5, What::Cut { open: 1 })]);
+    broken(rule, "never answered", &[(1, opened(1)), (5, Event::Cut { open: 1 })]);
 }
 
 #[test]
@@ -138,16 +138,16 @@
 
 #[test]
 fn nothing_new_after_a_drain_and_its_grace() {
-    let told = || What::DrainTold { front: "f1".into(), server: 1 };
+    let told = || Event::DrainTold { front: "f1".into(), server: 1 };
     let rule = Rule::Drains;
     kept(rule, &[(100, told()), (360, read(1, "s", 0, "clip", 0))]);
     broken(rule, "draining box 1", &[(100, told()), (361, read(1, "s", 0, "clip", 0))]);
     broken(rule, "draining box 1", &[(100, told()), (300, told()), (400, read(1, "s", 0, "clip", 0))]);
-    let ready = What::ReadyTold { front: "f1".into(), server: 1 };
+    let ready = Event::ReadyTold { front: "f1".into(), server: 1 };
     kept(rule, &[(100, told()), (300, ready), (400, read(1, "s", 0, "clip", 0))]);
     kept(
         rule,
-        &[(100, told()), (300, What::FrontUp { front: "f1".into() }), (400, read(1, "s", 0, "clip", 0))],
+        &[(100, told()), (300, Event::FrontUp { front: "f1".into() }), (400, read(1, "s", 0, "clip", 0))],
     );
     kept(rule, &[(100, told()), (400, read(2, "s", 0, "clip", 0))]);
 }
@@ -156,7 +156,7 @@
 fn no_cold_box_is_pushed_over() {
     // 4 places over 2 s, half of that at the start, twice that in 1 s: 2, and 2 more for chance.
     let sent = |cold, count: u64| {
-        let mut lines = vec![(10, What::BoxStarted { server: 1, cold })];
+        let mut lines = vec![(10, Event::BoxStarted { server: 1, cold })];
         lines.extend((0..count).map(|n| (11 + n, read(1, &format!("s{n}"), 0, "clip", 0))));
         lines
     };
@@ -166,7 +166,7 @@
     let late: Vec<_> =
         sent(true, 50).into_iter().map(|(at, what)| (if at > 10 { at + 2_000 } else { at }, what)).collect();
     kept(Rule::Cold, &late);
-    broken(Rule::Cold, "pushed over", &[(1, What::BoxFell { server: 1 })]);
+    broken(Rule::Cold, "pushed over", &[(1, Event::BoxFell { server: 1 })]);
 }
 
 #[test]
@@ -174,12 +174,12 @@
     let rule = Rule::Terms;
     kept(rule, &[(1, read(1, "s", 0, "paid", 1))]);
     broken(rule, "rung 0", &[(1, read(1, "s", 0, "paid", 0))]);
-    let set = |rung| What::RungSet { server: 1, session: "s".into(), rung };
+    let set = |rung| Event::RungSet { server: 1, session: "s".into(), rung };
     kept(rule, &[(1, read(1, "s", 0, "paid", 1)), (2, set(2))]);
     broken(rule, "put on rung 0", &[(1, read(1, "s", 0, "paid", 1)), (2, set(0))]);
     let two =
-        |ended: What| vec![(1, read(1, "a", 0, "seated", 0)), (2, ended), (3, read(1, "b", 0, "seated", 0))];
-    kept(rule, &two(What::Ended { server: 1, session: "a".into(), attempt: 0 }));
+        |ended: Event| vec![(1, read(1, "a", 0, "seated", 0)), (2, ended), (3, read(1, "b", 0, "seated", 0))];
+    kept(rule, &two(Event::Ended { server: 1, session: "a".into(), attempt: 0 }));
     kept(rule, &two(end(1, "a", 0, SetUpEnd::Full)));
     broken(rule, "1 seats", &two(end(1, "a", 0, SetUpEnd::Began)));
 }
@@ -208,7 +208,7 @@
 
 #[test]
 fn records_are_read_as_they_are_written_in_the_order_of_their_times() {
-    let lines = record(&[(7, opened(1)), (3, What::Cut { open: 1 }), (9, end(1, "s", 2, SetUpEnd::Reset))]);
+    let lines = record(&[(7, opened(1)), (3, Event::Cut { open: 1 }), (9, end(1, "s", 2, SetUpEnd::Reset))]);
     let text: String = lines.iter().map(|line| write(line) + "\n").collect();
     let mut sorted = lines;
     sorted.sort_by_key(|line| line.at);
@@ -217,21 +217,21 @@
 
 #[test]
 fn worth_is_time_by_rung_and_class_less_the_stalls() {
-    let ended = || What::Ended { server: 1, session: "s".into(), attempt: 0 };
+    let ended = || Event::Ended { server: 1, session: "s".into(), attempt: 0 };
     let play = vec![
         (0, opened(1)),
         (1, read(1, "s", 0, "clip", 1)),
         (1_000, end(1, "s", 0, SetUpEnd::Began)),
         (1_000, answered(1, AnswerKind::Plays, "s")),
     ];
-    let of = |more: &[(u64, What)]| worth(&record(&[play.clone(), more.to_vec()].concat()));
+    let of = |more: &[(u64, Event)]| worth(&record(&[play.clone(), more.to_vec()].concat()));
     // 4 s at rung 1 (0.5) with a gain of 2, of 10 s asked at rung 2.
     let plain = of(&[(5_000, ended())]);
     assert!((plain.delivered - 4.0).abs() < 1e-9 && (plain.asked - 20.0).abs() < 1e-9, "{plain:?}");
     assert_eq!((plain.began, plain.in_time), (1, 0), "it began after its aim");
-    let raised = of(&[(3_000, What::RungSet { server: 1, session: "s".into(), rung: 2 }), (5_000, ended())]);
+    let raised = of(&[(3_000, Event::RungSet { server: 1, session: "s".into(), rung: 2 }), (5_000, ended())]);
     assert!((raised.delivered - 6.0).abs() < 1e-9, "{raised:?}");
     // A tenth under the 98 in 100 costs five tenths.
-    let stalled = of(&[(3_000, What::Share { server: 1, share: 0.88 }), (5_000, ended())]);
+    let stalled = of(&[(3_000, Event::Share { server: 1, share: 0.88 }), (5_000, ended())]);
     assert!((stalled.delivered - 3.0).abs() < 1e-9, "{stalled:?}");
 }
--- a/crates/members/src/ask.rs
+++ b/crates/members/src/ask.rs
@@ -12,7 +12,7 @@
 
 use crate::core::{Body, Envelope};
 use crate::settings::Settings;
-use crate::wire::{self, LONGEST};
+use crate::wire::{self, MAX_DATAGRAM_BYTES};
 
 /// Each page is asked for so often.
 const TRIES: u32 = 10;
@@ -76,7 +76,7 @@
 
 fn heard(socket: &UdpSocket, settings: &Settings, page: u32) -> Option<(u32, String)> {
     let until = Instant::now() + WITHIN;
-    let mut bytes = [0; LONGEST + 1];
+    let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
         let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
         socket.set_read_timeout(Some(left)).ok()?;
--- a/crates/members/src/core/mod.rs
+++ b/crates/members/src/core/mod.rs
@@ -27,7 +27,7 @@
 use detector::Detector;
 use gossip::{Gossip, News, ROOM};
 use observe::{Cut, Heard, Observations, Patience, Row};
-use pauses::Pauses;
+use pauses::PauseDetector;
 use replay::Replay;
 use view::{Fact, Name, View, BUCKETS};
 
@@ -73,7 +73,7 @@
 
 /// What a front is told of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct LocalConfig {
     /// Its name, the same at each start.
     pub name: Name,
     /// Where other fronts reach it.
@@ -154,7 +154,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
     /// A message, and whence.
-    Heard(SocketAddr, Box<Envelope>),
+    Received(SocketAddr, Box<Envelope>),
     /// Something may be due.
     Tick,
     /// The process ends in order.
@@ -229,7 +229,7 @@
 /// Membership at one front.
 #[derive(Clone, Debug)]
 pub struct Members {
-    own: Own,
+    own: LocalConfig,
     rng: Pcg32,
     now: Micros,
     view: View,
@@ -239,7 +239,7 @@
     observations: Observations,
     cut: Cut,
     gossip: Gossip,
-    pauses: Pauses,
+    pauses: PauseDetector,
     replay: Replay,
     ignored: Ignored,
     sequence: u64,
@@ -265,7 +265,7 @@
 
 impl Members {
     /// A front that knows nobody yet.
-    pub fn new(own: Own, now: Micros) -> Members {
+    pub fn new(own: LocalConfig, now: Micros) -> Members {
         let rng = Pcg32::seed_from_u64(own.boot);
         Members {
             rng,
@@ -277,7 +277,7 @@
             observations: Observations::default(),
             cut: Cut::default(),
             gossip: Gossip::default(),
-            pauses: Pauses::new(),
+            pauses: PauseDetector::new(),
             replay: Replay::default(),
             ignored: Ignored::default(),
             sequence: 0,
@@ -328,7 +328,7 @@
     /// Takes in one input; what follows is added to `out`, in order.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        if let Some(lost) = self.pauses.called(self.now) {
+        if let Some(lost) = self.pauses.check(self.now) {
             self.detector.woke(self.now);
             self.observations.woke();
             self.cut.woke();
@@ -336,7 +336,7 @@
             out.push(Output::Lost(lost));
         }
         match input {
-            Input::Heard(from, envelope) => self.heard(from, *envelope, out),
+            Input::Received(from, envelope) => self.heard(from, *envelope, out),
             Input::Tick => {}
             Input::Leave => self.leave(out),
         }
@@ -346,7 +346,7 @@
                 Stage::Joining | Stage::In => self.tick(out),
             }
         }
-        self.pauses.ask(self.next_tick);
+        self.pauses.expect_call_at(self.next_tick);
         self.tell(out);
     }
 
@@ -640,7 +640,7 @@
             }
         };
         let name = Name::clone(&self.own.name);
-        let Own { address, zone, serves, boot, .. } = self.own;
+        let LocalConfig { address, zone, serves, boot, .. } = self.own;
         let fact = Fact { name, address, zone, serves, boot, count };
         self.learn_fact(&fact);
         self.sample.1.clear();
--- a/crates/members/src/core/observe.rs
+++ b/crates/members/src/core/observe.rs
@@ -132,7 +132,7 @@
 
 /// All others together, where they are no more than a bare majority, so many times. Danger: of three, one that is cut
 /// off doubts the second by itself, and the third's doubt, taken back since, is the last that it heard; found by the
-/// hunt. Own doubt (1 s of silence) and this are longer than rows live.
+/// hunt. LocalConfig doubt (1 s of silence) and this are longer than rows live.
 pub const ALL: Micros = 8;
 
 /// Times of a cut.
--- a/crates/members/src/core/pauses.rs
+++ b/crates/members/src/core/pauses.rs
@@ -11,20 +11,20 @@
 
 /// Measures the time that a process was not running.
 #[derive(Clone, Debug, Default)]
-pub struct Pauses {
+pub struct PauseDetector {
     asked: Option<Micros>,
     total: Micros,
     count: u64,
 }
 
-impl Pauses {
+impl PauseDetector {
     /// None so far.
-    pub fn new() -> Pauses {
-        Pauses::default()
+    pub fn new() -> PauseDetector {
+        PauseDetector::default()
     }
 
     /// The core was called; tells how long the process had not been running, if that is worth heeding.
-    pub fn called(&mut self, now: Micros) -> Option<Micros> {
+    pub fn check(&mut self, now: Micros) -> Option<Micros> {
         let lost = now.saturating_sub(self.asked.take()?);
         if lost < LATE {
             return None;
@@ -35,7 +35,7 @@
     }
 
     /// The core wants to be called then.
-    pub fn ask(&mut self, at: Micros) {
+    pub fn expect_call_at(&mut self, at: Micros) {
         self.asked = Some(at);
     }
 
--- a/crates/members/src/core/tests.rs
+++ b/crates/members/src/core/tests.rs
@@ -4,7 +4,7 @@
 
 use super::observe::{marks, Heard};
 use super::*;
-use crate::wire::{decode, encode, BadDatagram, KeyRing, LONGEST};
+use crate::wire::{decode, encode, BadDatagram, KeyRing, MAX_DATAGRAM_BYTES};
 
 const SECOND: Micros = 1_000_000;
 
@@ -114,7 +114,7 @@
         let body = Body::Pong(u64::MAX, news);
         let envelope =
             Envelope { name, boot: u64::MAX, sequence: u64::MAX, view: u64::MAX, digest: u64::MAX, body };
-        assert!(encode(&envelope, &ring).unwrap().len() <= LONGEST);
+        assert!(encode(&envelope, &ring).unwrap().len() <= MAX_DATAGRAM_BYTES);
         messages += 1;
     }
     assert!(messages > 20);
@@ -167,8 +167,8 @@
     assert!(observations.tally(&view).is_empty());
 }
 
-fn own(name: &str, at: u8, seeds: &[u8]) -> Own {
-    Own {
+fn own(name: &str, at: u8, seeds: &[u8]) -> LocalConfig {
+    LocalConfig {
         name: Name::from(name),
         address: address(at),
         zone: 0,
@@ -225,7 +225,7 @@
     let mut out = Vec::new();
     let say = |sequence, body| {
         let name = Name::from("s");
-        Input::Heard(address(1), Box::new(Envelope { name, boot: 1, sequence, view: 2, digest: 0, body }))
+        Input::Received(address(1), Box::new(Envelope { name, boot: 1, sequence, view: 2, digest: 0, body }))
     };
     second.handle(0, say(1, Body::Facts(vec![elsewhere, seed])), &mut out);
     let (mut now, mut sequence) = (0, 1);
@@ -258,7 +258,7 @@
     let mut say = |body| {
         sequence += 1;
         let name = Name::from("s");
-        Input::Heard(address(1), Box::new(Envelope { name, boot: 2, sequence, view: 2, digest: 0, body }))
+        Input::Received(address(1), Box::new(Envelope { name, boot: 2, sequence, view: 2, digest: 0, body }))
     };
     joins.handle(0, say(Body::Facts(vec![before])), &mut Vec::new());
     let mut now = 0;
--- a/crates/members/src/core/view.rs
+++ b/crates/members/src/core/view.rs
@@ -20,9 +20,9 @@
 pub type Name = Arc<str>;
 
 /// Names ever known at most. Danger: names that are made up by whoever has the key fill the memory of all.
-pub const MOST_NAMES: usize = 4_096;
+pub const MAX_NAMES: usize = 4_096;
 /// Longest name, bytes.
-pub const LONGEST_NAME: usize = 32;
+pub const MAX_NAME_BYTES: usize = 32;
 /// Parts by which two views are compared.
 pub const BUCKETS: usize = 16;
 
@@ -132,9 +132,9 @@
 
     /// Takes in a fact; returns whether it changed anything.
     pub fn merge(&mut self, fact: &Fact) -> bool {
-        let sound = !fact.name.is_empty() && fact.name.len() <= LONGEST_NAME && fact.count > 0;
+        let sound = !fact.name.is_empty() && fact.name.len() <= MAX_NAME_BYTES && fact.count > 0;
         let known = self.facts.get(&fact.name);
-        let room = known.is_some() || self.facts.len() < MOST_NAMES;
+        let room = known.is_some() || self.facts.len() < MAX_NAMES;
         if !sound || !room || known.is_some_and(|known| !fact.beats(known)) {
             return false;
         }
--- a/crates/members/src/edge.rs
+++ b/crates/members/src/edge.rs
@@ -11,10 +11,10 @@
 use thiserror::Error;
 
 use crate::core::view::{Fact, Name};
-use crate::core::{Body, Input, Members, Micros, Output, Own};
+use crate::core::{Body, Input, LocalConfig, Members, Micros, Output};
 use crate::history::{self, History};
 use crate::settings::Settings;
-use crate::wire::{self, via, KeyRing, LONGEST};
+use crate::wire::{self, relay_header, KeyRing, MAX_DATAGRAM_BYTES};
 
 /// Stack of the thread.
 const STACK: usize = 256 * 1024;
@@ -42,13 +42,13 @@
 
 /// Who is known, and where: told anew at each change of the view.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Known {
+pub struct KnownFront {
     /// Its name.
     pub name: Name,
     /// Where it listens, or did.
     pub address: SocketAddr,
     /// It is in the view.
-    pub here: bool,
+    pub in_view: bool,
     /// Its zone.
     pub zone: u32,
     /// Where players reach it, if it takes any.
@@ -58,7 +58,7 @@
 }
 
 /// What wants to hear of views.
-pub type Listener = Box<dyn Fn(Vec<Known>) + Send>;
+pub type ViewListener = Box<dyn Fn(Vec<KnownFront>) + Send>;
 
 /// Running membership. Dropped, it ends with no word to others.
 pub struct Running {
@@ -72,14 +72,17 @@
     /// # Errors
     /// The address cannot be bound, the history cannot be written, or there is no thread to be had.
     pub fn start(settings: &Settings) -> Result<Running, StartError> {
-        Running::start_heard(settings, None)
+        Running::start_with_listener(settings, None)
     }
 
     /// Starts it, and tells of each view.
     ///
     /// # Errors
     /// As [`Running::start`].
-    pub fn start_heard(settings: &Settings, listener: Option<Listener>) -> Result<Running, StartError> {
+    pub fn start_with_listener(
+        settings: &Settings,
+        listener: Option<ViewListener>,
+    ) -> Result<Running, StartError> {
         let socket = UdpSocket::bind(settings.bind).map_err(|e| StartError::Bind(settings.bind, e))?;
         let mut history = History::open(settings.history.as_deref()).map_err(StartError::History)?;
         let clock = Clock::start();
@@ -87,7 +90,7 @@
         let boot =
             clock.unix().saturating_add_signed(settings.clock_offset) ^ u64::from(std::process::id()) << 44;
         history.starts(clock.unix(), &settings.name, boot);
-        let own = Own {
+        let own = LocalConfig {
             name: Name::clone(&settings.name),
             address: settings.advertise,
             zone: settings.zone,
@@ -115,7 +118,7 @@
     }
 
     /// Other keys from now on.
-    pub fn keys(&self, keys: KeyRing) {
+    pub fn set_keys(&self, keys: KeyRing) {
         let _ = self.words.send(Word::Keys(keys));
     }
 
@@ -156,13 +159,13 @@
     keys: KeyRing,
     relay: Option<SocketAddr>,
     history: History,
-    listener: Option<Listener>,
+    listener: Option<ViewListener>,
     ignored: u64,
 }
 
 impl Work {
     fn run(mut self, words: &Receiver<Word>) {
-        let mut bytes = [0; LONGEST + via::BYTES + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + relay_header::LENGTH_BYTES + 1];
         loop {
             match words.try_recv() {
                 Ok(Word::Keys(keys)) => self.keys = keys,
@@ -191,10 +194,10 @@
 
     fn datagram(&mut self, bytes: &[u8], from: SocketAddr) {
         // An operator's question comes without the relay.
-        let via = self.relay.filter(|relay| *relay == from).and_then(|_| via::split(bytes));
+        let via = self.relay.filter(|relay| *relay == from).and_then(|_| relay_header::split(bytes));
         let (from, bytes) = via.map_or((from, bytes), |(peer, rest)| (peer.into(), rest));
         match wire::decode(bytes, &self.keys) {
-            Ok(envelope) => self.hand(Input::Heard(from, Box::new(envelope))),
+            Ok(envelope) => self.hand(Input::Received(from, Box::new(envelope))),
             Err(error) => {
                 self.ignored += 1;
                 if self.ignored.is_power_of_two() {
@@ -233,12 +236,12 @@
         }
     }
 
-    fn known(&self) -> Vec<Known> {
+    fn known(&self) -> Vec<KnownFront> {
         let view = self.members.view();
-        let known = |here| {
+        let known = |in_view| {
             move |fact: &Fact| {
                 let Fact { address, zone, serves, boot, .. } = *fact;
-                Known { name: Name::clone(&fact.name), address, here, zone, serves, boot }
+                KnownFront { name: Name::clone(&fact.name), address, in_view, zone, serves, boot }
             }
         };
         view.members().map(known(true)).chain(view.out().map(known(false))).collect()
@@ -247,7 +250,7 @@
     fn send(&self, to: SocketAddr, bytes: &[u8], to_operator: bool) {
         let sent = match (self.relay, to) {
             (Some(relay), SocketAddr::V4(v4)) if !to_operator => {
-                self.socket.send_to(&via::join(v4, bytes), relay)
+                self.socket.send_to(&relay_header::prepend(v4, bytes), relay)
             }
             _ => self.socket.send_to(bytes, to),
         };
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -6,7 +6,7 @@
 
 use salttally_settings::{Block, Document, Node, Read};
 
-use crate::core::view::LONGEST_NAME;
+use crate::core::view::MAX_NAME_BYTES;
 use crate::core::{Micros, Times};
 use crate::wire::KeyRing;
 
@@ -43,13 +43,13 @@
 }
 
 fn address(node: &Node<'_>, text: &str) -> Read<SocketAddr> {
-    text.parse().map_err(|_| node.bad(format!("`{text}` is no address and port, as 127.0.0.1:7301")))
+    text.parse().map_err(|_| node.error(format!("`{text}` is no address and port, as 127.0.0.1:7301")))
 }
 
 fn key(node: &Node<'_>, text: &str) -> Read<[u8; KEY]> {
     let digit = |at: usize| text.get(at..at + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
     if text.len() < KEY * 2 {
-        return Err(node.bad(format!(
+        return Err(node.error(format!(
             "a key of {} bytes: {KEY} are needed, as {} hex digits",
             text.len() / 2,
             KEY * 2
@@ -57,7 +57,7 @@
     }
     let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(digit).collect();
     let key = bytes.and_then(|bytes| bytes.try_into().ok());
-    key.ok_or_else(|| node.bad(format!("a key is {} hex digits", KEY * 2)))
+    key.ok_or_else(|| node.error(format!("a key is {} hex digits", KEY * 2)))
 }
 
 impl Settings {
@@ -70,8 +70,8 @@
         let Some(node) = root.one("members")? else { return Ok(None) };
         let front = root.need("front")?;
         let name: String = front.argument()?;
-        if name.is_empty() || name.len() > LONGEST_NAME {
-            return Err(front.bad(format!("a member's name has 1 to {LONGEST_NAME} bytes")));
+        if name.is_empty() || name.len() > MAX_NAME_BYTES {
+            return Err(front.error(format!("a member's name has 1 to {MAX_NAME_BYTES} bytes")));
         }
         let block = node.children();
         let about = front.children();
@@ -93,14 +93,14 @@
         node.done()?;
         Ok(Some(at))
     };
-    let bind = socket("bind")?.ok_or_else(|| block.bad("`bind` is missing"))?;
+    let bind = socket("bind")?.ok_or_else(|| block.error("`bind` is missing"))?;
     let advertise = socket("advertise")?.unwrap_or(bind);
     let mut seeds = Vec::new();
     for node in block.all("seeds") {
         for text in node.arguments::<String>()? {
             let seed = address(&node, &text)?;
             if seeds.contains(&seed) {
-                return Err(node.bad(format!("seed {seed} stands twice")));
+                return Err(node.error(format!("seed {seed} stands twice")));
             }
             seeds.push(seed);
         }
@@ -111,7 +111,7 @@
         keys.push(key(&node, &node.argument::<String>()?)?);
         node.done()?;
     }
-    let keys = KeyRing::new(keys).ok_or_else(|| block.bad("`key` is missing: at least one"))?;
+    let keys = KeyRing::new(keys).ok_or_else(|| block.error("`key` is missing: at least one"))?;
     let usual = Times::default();
     let ms = |name: &str, usual: Micros| -> Read<Micros> {
         Ok(block.or(name, usual / 1000)?.saturating_mul(1000))
@@ -154,30 +154,34 @@
     let at = |name: &str| block.one(name);
     let times = &settings.times;
     if let Some(wrong) = at("advertise")?.filter(|_| settings.advertise.ip().is_unspecified()) {
-        return Err(wrong.bad("others cannot reach an address of all zeros"));
+        return Err(wrong.error("others cannot reach an address of all zeros"));
     }
     if settings.advertise.ip().is_unspecified() {
-        return Err(node.bad("`bind` is an address of all zeros: `advertise` must tell others where to come"));
+        return Err(
+            node.error("`bind` is an address of all zeros: `advertise` must tell others where to come")
+        );
     }
     if let Some(seeds) = block.all("seeds").first() {
         // Another front's port on this front's own address is another front's name for this one.
         let own = settings.seeds.iter().any(|seed| *seed != settings.advertise && *seed == settings.bind);
         if own {
-            return Err(seeds.bad("a seed is this front's own `bind`, which others know by another address"));
+            return Err(
+                seeds.error("a seed is this front's own `bind`, which others know by another address")
+            );
         }
     }
     if times.period < 10_000 || times.period > 60_000_000 {
-        return Err(at("period-ms")?.as_ref().unwrap_or(node).bad("`period-ms` lies from 10 to 60000"));
+        return Err(at("period-ms")?.as_ref().unwrap_or(node).error("`period-ms` lies from 10 to 60000"));
     }
     if times.hurry == 0 || times.hurry > times.period {
-        return Err(at("hurry-ms")?.as_ref().unwrap_or(node).bad("`hurry-ms` lies from 1 to `period-ms`"));
+        return Err(at("hurry-ms")?.as_ref().unwrap_or(node).error("`hurry-ms` lies from 1 to `period-ms`"));
     }
     if times.bear < 2 * times.period {
         let reason = "`bear-ms` under twice `period-ms`: a front would be accused between two pings";
-        return Err(at("bear-ms")?.as_ref().unwrap_or(node).bad(reason));
+        return Err(at("bear-ms")?.as_ref().unwrap_or(node).error(reason));
     }
     if !(1..=64).contains(&settings.observers) {
-        return Err(at("observers")?.as_ref().unwrap_or(node).bad("`observers` lies from 1 to 64"));
+        return Err(at("observers")?.as_ref().unwrap_or(node).error("`observers` lies from 1 to 64"));
     }
     Ok(())
 }
--- a/crates/members/src/wire.rs
+++ b/crates/members/src/wire.rs
@@ -5,15 +5,15 @@
 
 use thiserror::Error;
 
-use crate::core::view::LONGEST_NAME;
+use crate::core::view::MAX_NAME_BYTES;
 use crate::core::Envelope;
 
 /// Longest datagram, bytes: under the least MTU of IPv6 with its headers (RFC 8200, section 5).
-pub const LONGEST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Version of the encoding, the first byte.
 pub const VERSION: u8 = 1;
 /// Bytes that authenticate.
-pub const TAG: usize = 16;
+pub const TAG_BYTES: usize = 16;
 
 /// Why a datagram is not used.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -49,20 +49,20 @@
     }
 
     /// What authenticates these bytes: the first ones of their hash under the first key.
-    pub fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::keyed_hash(&self.0[0], bytes).as_bytes()[..TAG]);
+    pub fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&blake3::keyed_hash(&self.0[0], bytes).as_bytes()[..TAG_BYTES]);
         tag
     }
 
     /// Whether any key vouches for these bytes by this tag.
-    pub fn vouches(&self, bytes: &[u8], tag: &[u8]) -> bool {
+    pub fn verifies(&self, bytes: &[u8], tag: &[u8]) -> bool {
         // Compared without telling by the time it takes where they differ.
         let by = |key: &[u8; 32]| {
             let wanted = blake3::keyed_hash(key, bytes);
-            wanted.as_bytes()[..TAG].iter().zip(tag).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0
+            wanted.as_bytes()[..TAG_BYTES].iter().zip(tag).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0
         };
-        tag.len() == TAG && self.0.iter().any(by)
+        tag.len() == TAG_BYTES && self.0.iter().any(by)
     }
 }
 
@@ -75,7 +75,7 @@
     bytes = postcard::to_extend(envelope, bytes).map_err(|_| BadDatagram::Unreadable)?;
     let tag = ring.tag(&bytes);
     bytes.extend(tag);
-    if bytes.len() > LONGEST {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(BadDatagram::Length(bytes.len()));
     }
     Ok(bytes)
@@ -86,33 +86,33 @@
 /// # Errors
 /// It is none that a key of the ring vouches for.
 pub fn decode(bytes: &[u8], ring: &KeyRing) -> Result<Envelope, BadDatagram> {
-    if bytes.len() <= TAG || bytes.len() > LONGEST {
+    if bytes.len() <= TAG_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(BadDatagram::Length(bytes.len()));
     }
     if bytes[0] != VERSION {
         return Err(BadDatagram::Version(bytes[0]));
     }
-    let (said, tag) = bytes.split_at(bytes.len() - TAG);
-    if !ring.vouches(said, tag) {
+    let (said, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
+    if !ring.verifies(said, tag) {
         return Err(BadDatagram::Foreign);
     }
     let (envelope, rest) =
         postcard::take_from_bytes::<Envelope>(&said[1..]).map_err(|_| BadDatagram::Unreadable)?;
-    if !rest.is_empty() || envelope.name.is_empty() || envelope.name.len() > LONGEST_NAME {
+    if !rest.is_empty() || envelope.name.is_empty() || envelope.name.len() > MAX_NAME_BYTES {
         return Err(BadDatagram::Unreadable);
     }
     Ok(envelope)
 }
 
 /// Datagrams that go by the relay of a trial: ahead of each stands the peer's IPv4 address and port.
-pub mod via {
+pub mod relay_header {
     use std::net::{Ipv4Addr, SocketAddrV4};
 
     /// Bytes ahead of the datagram.
-    pub const BYTES: usize = 6;
+    pub const LENGTH_BYTES: usize = 6;
 
     /// A datagram with its peer ahead of it.
-    pub fn join(peer: SocketAddrV4, datagram: &[u8]) -> Vec<u8> {
+    pub fn prepend(peer: SocketAddrV4, datagram: &[u8]) -> Vec<u8> {
         let mut bytes = peer.ip().octets().to_vec();
         bytes.extend(peer.port().to_be_bytes());
         bytes.extend(datagram);
@@ -121,7 +121,7 @@
 
     /// The peer and the datagram; nothing where it is too short.
     pub fn split(bytes: &[u8]) -> Option<(SocketAddrV4, &[u8])> {
-        let (via, datagram) = bytes.split_at_checked(BYTES)?;
+        let (via, datagram) = bytes.split_at_checked(LENGTH_BYTES)?;
         let port = u16::from_be_bytes([via[4], via[5]]);
         Some((SocketAddrV4::new(Ipv4Addr::new(via[0], via[1], via[2], via[3]), port), datagram))
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
 /// What is wrong with a document, and where. `Display` begins with file, line and column.
 #[derive(Debug, Error, Diagnostic)]
 #[error("{place}: {reason}")]
-pub struct BadSetting {
+pub struct SettingError {
     /// File, line and column, each from 1.
     pub place: String,
     /// What is wrong, in a sentence.
@@ -36,11 +36,11 @@
 }
 
 impl Origin {
-    fn bad(&self, span: SourceSpan, reason: impl Into<String>) -> Box<BadSetting> {
+    fn error(&self, span: SourceSpan, reason: impl Into<String>) -> Box<SettingError> {
         let before = self.text.get(..span.offset()).unwrap_or(&self.text);
         let line = before.matches('\n').count() + 1;
         let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-        Box::new(BadSetting {
+        Box::new(SettingError {
             place: format!("{}:{line}:{column}", self.name),
             reason: reason.into(),
             source_code: NamedSource::new(&self.name, Arc::clone(&self.text)),
@@ -57,7 +57,7 @@
 }
 
 /// Result of reading.
-pub type Read<T> = Result<T, Box<BadSetting>>;
+pub type Read<T> = Result<T, Box<SettingError>>;
 
 impl Document {
     /// Parses a text; `name` stands in its errors.
@@ -69,7 +69,7 @@
                 let first = error.diagnostics.first();
                 let span = first.map_or(SourceSpan::from((0, 0)), |d| d.span);
                 let reason = first.and_then(|d| d.message.clone()).unwrap_or_else(|| "not KDL".to_owned());
-                Err(origin.bad(span, reason))
+                Err(origin.error(span, reason))
             }
         }
     }
@@ -79,7 +79,7 @@
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| {
             let origin = Origin { name: name.clone(), text: Arc::default() };
-            origin.bad((0, 0).into(), format!("cannot be read: {error}"))
+            origin.error((0, 0).into(), format!("cannot be read: {error}"))
         })?;
         Document::parse(&name, &text)
     }
@@ -171,13 +171,13 @@
         let mut all = self.all(name);
         match all.len() {
             0 | 1 => Ok(all.pop()),
-            _ => Err(all[1].bad(format!("`{name}` stands twice"))),
+            _ => Err(all[1].error(format!("`{name}` stands twice"))),
         }
     }
 
     /// The node of this name, which must be there.
     pub fn need(&self, name: &str) -> Read<Node<'a>> {
-        self.one(name)?.ok_or_else(|| self.bad(format!("`{name}` is missing")))
+        self.one(name)?.ok_or_else(|| self.error(format!("`{name}` is missing")))
     }
 
     /// First argument of the node of this name, or a default.
@@ -201,8 +201,8 @@
     }
 
     /// An error at this block.
-    pub fn bad(&self, reason: impl Into<String>) -> Box<BadSetting> {
-        self.origin.bad(self.span, reason)
+    pub fn error(&self, reason: impl Into<String>) -> Box<SettingError> {
+        self.origin.error(self.span, reason)
     }
 
     /// Its nodes as they stand, to be put into another document.
@@ -219,7 +219,7 @@
                 let known: Vec<&str> = asked.iter().map(String::as_str).collect();
                 let reason =
                     format!("`{}` is no setting here; known: {}", node.name().value(), known.join(", "));
-                Err(self.origin.bad(node.span(), reason))
+                Err(self.origin.error(node.span(), reason))
             }
         }
     }
@@ -236,7 +236,7 @@
         self.arguments()?
             .into_iter()
             .next()
-            .ok_or_else(|| self.bad(format!("`{}` needs a value", self.name())))
+            .ok_or_else(|| self.error(format!("`{}` needs a value", self.name())))
     }
 
     /// All its arguments.
@@ -245,7 +245,7 @@
         let plain = self.node.entries().iter().filter(|entry| entry.name().is_none());
         let read = plain.map(|entry| {
             let wrong = || format!("`{}` takes {}, not {}", self.name(), T::WANTED, entry.value());
-            T::take(entry.value()).ok_or_else(|| self.origin.bad(entry.span(), wrong()))
+            T::take(entry.value()).ok_or_else(|| self.origin.error(entry.span(), wrong()))
         });
         read.collect()
     }
@@ -256,7 +256,7 @@
         let named = |entry: &&kdl::KdlEntry| entry.name().is_some_and(|name| name.value() == key);
         let Some(entry) = self.node.entries().iter().find(named) else { return Ok(None) };
         let wrong = || format!("`{key}` takes {}, not {}", T::WANTED, entry.value());
-        T::take(entry.value()).map(Some).ok_or_else(|| self.origin.bad(entry.span(), wrong()))
+        T::take(entry.value()).map(Some).ok_or_else(|| self.origin.error(entry.span(), wrong()))
     }
 
     /// A property, or a default.
@@ -266,7 +266,7 @@
 
     /// A property that must be there.
     pub fn need<T: Value>(&self, key: &str) -> Read<T> {
-        self.maybe(key)?.ok_or_else(|| self.bad(format!("`{}` needs `{key}=`", self.name())))
+        self.maybe(key)?.ok_or_else(|| self.error(format!("`{}` needs `{key}=`", self.name())))
     }
 
     /// Its children.
@@ -276,8 +276,8 @@
     }
 
     /// An error at this node.
-    pub fn bad(&self, reason: impl Into<String>) -> Box<BadSetting> {
-        self.origin.bad(self.node.span(), reason)
+    pub fn error(&self, reason: impl Into<String>) -> Box<SettingError> {
+        self.origin.error(self.node.span(), reason)
     }
 
     /// Complains of the first property or argument that nobody asked for.
@@ -288,7 +288,7 @@
             None => Ok(()),
             Some(entry) => {
                 let what = format!("`{}` takes no `{}`", self.name(), entry.to_string().trim());
-                Err(self.origin.bad(entry.span(), what))
+                Err(self.origin.error(entry.span(), what))
             }
         }
     }
--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use salttally_judge::record::{SetUpEnd, What};
+use salttally_judge::record::{Event, SetUpEnd};
 use serde_json::{json, Value};
 
 use crate::fleet::{BoxState, Build, Fleet, Life, Nature, Play, Taken};
@@ -100,7 +100,7 @@
         let (id, now) = (build.id, self.0.log.now());
         hold(&self.0.fleet).boxes.insert(id, BoxState::new(build, cold.then_some(now)));
         self.open(id, address)?;
-        self.0.log.write(What::BoxStarted { server: id, cold });
+        self.0.log.write(Event::BoxStarted { server: id, cold });
         Ok(())
     }
 
@@ -172,10 +172,10 @@
         if let Some(state) = fleet.boxes.get_mut(&id) {
             state.life = life;
         }
-        self.0.log.write(What::BoxDied { server: id });
+        self.0.log.write(Event::BoxDied { server: id });
         for ((session, attempt), play) in lost {
             if play.begun {
-                self.0.log.write(What::Ended { server: id, session, attempt });
+                self.0.log.write(Event::Ended { server: id, session, attempt });
             }
         }
         if life == Life::Dead {
@@ -186,7 +186,7 @@
                 pending.remove(&(id, key.clone()));
                 let (session, attempt) = key;
                 let end = SetUpEnd::Reset;
-                self.0.log.write(What::SetUpEnded { server: id, session, attempt, end });
+                self.0.log.write(Event::SetUpEnded { server: id, session, attempt, end });
             }
         }
     }
@@ -204,7 +204,7 @@
             }
             thread::sleep(Duration::from_millis(5));
         }
-        self.0.log.write(What::BoxStarted { server: id, cold: true });
+        self.0.log.write(Event::BoxStarted { server: id, cold: true });
         Ok(())
     }
 
@@ -297,7 +297,7 @@
                 let rate_kb = body["rate_kb"].as_f64().unwrap_or(0.0);
                 let found = hold(&self.0.fleet).set_rung(id, &key, rung, rate_kb);
                 if found {
-                    self.0.log.write(What::RungSet { server: id, session: key.0, rung });
+                    self.0.log.write(Event::RungSet { server: id, session: key.0, rung });
                 }
                 (if found { 200 } else { 404 }, json!({}))
             }
@@ -306,7 +306,7 @@
                 let now = self.0.log.now();
                 let play = hold(&self.0.fleet).release(id, &key, now);
                 if play.as_ref().is_some_and(|play| play.begun) {
-                    self.0.log.write(What::Ended { server: id, session: key.0, attempt: key.1 });
+                    self.0.log.write(Event::Ended { server: id, session: key.0, attempt: key.1 });
                 }
                 (if play.is_some() { 200 } else { 404 }, json!({}))
             }
@@ -327,7 +327,7 @@
         let key = (text("session"), body["attempt"].as_u64().unwrap_or(0) as u32);
         let rung = body["rung"].as_u64().unwrap_or(0) as usize;
         hold(&self.0.pending).insert((id, key.clone()), ());
-        self.0.log.write(What::SetUpRead {
+        self.0.log.write(Event::SetUpRead {
             server: id,
             front: request.front.clone(),
             session: key.0.clone(),
@@ -368,7 +368,7 @@
             Taken::Barred => (503, "released", SetUpEnd::Full),
             Taken::Fails => (500, "failed", SetUpEnd::Error),
             Taken::Fell => {
-                self.0.log.write(What::BoxFell { server: id });
+                self.0.log.write(Event::BoxFell { server: id });
                 self.kill(id);
                 return false;
             }
@@ -418,7 +418,7 @@
     fn ended(&self, id: u32, key: &Key, end: SetUpEnd) {
         if hold(&self.0.pending).remove(&(id, key.clone())).is_some() {
             let (session, attempt) = key.clone();
-            self.0.log.write(What::SetUpEnded { server: id, session, attempt, end });
+            self.0.log.write(Event::SetUpEnded { server: id, session, attempt, end });
         }
     }
 
@@ -476,7 +476,7 @@
                 thread::sleep(Duration::from_micros(TICK));
                 let now = boxes.0.log.now();
                 for (server, share) in hold(&boxes.0.fleet).changed_shares(now) {
-                    boxes.0.log.write(What::Share { server, share });
+                    boxes.0.log.write(Event::Share { server, share });
                 }
                 let notes = boxes.0.notes;
                 if now >= short_at + 1_000_000 {
@@ -524,7 +524,7 @@
                     if luck < self.0.notes.leaves {
                         if let Some(play) = fleet.release(id, &key, now) {
                             let (session, attempt) = key.clone();
-                            self.0.log.write(What::Ended { server: id, session, attempt });
+                            self.0.log.write(Event::Ended { server: id, session, attempt });
                             left.push((id, key, play.front));
                         }
                     }
--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/day.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use salttally_judge::record::{EffectKind, What};
+use salttally_judge::record::{EffectKind, Event};
 
 use crate::boxes::Boxes;
 use crate::deal::{self, Arrival};
@@ -109,7 +109,7 @@
 
     fn start_on(script: Script, block: Arc<Block>) -> io::Result<Day> {
         let log = Log::default();
-        log.write(What::Terms(script.terms.clone()));
+        log.write(Event::Terms(script.terms.clone()));
         let (builds, uplinks) = deal::fleet(&script);
         let zones = (0..script.fronts).map(|at| (front(at), at % script.zones)).collect();
         let boxes = Boxes::new(log.clone(), script.nature, uplinks.clone(), zones, script.notes, script.seed);
@@ -177,7 +177,7 @@
     pub fn play(&self, fronts: &mut dyn Fronts, mut shown: impl FnMut(Progress)) -> io::Result<()> {
         let script = &self.script;
         for at in 0..script.fronts {
-            self.log.write(What::FrontUp { front: front(at) });
+            self.log.write(Event::FrontUp { front: front(at) });
             fronts.start(at as usize, self.settings(at as usize))?;
         }
         // The day's own clock begins when the fronts stand.
@@ -447,14 +447,14 @@
 
     fn fronts_down(&self, fronts: &mut dyn Fronts, of: impl Fn(u32) -> bool) {
         for at in (0..self.script.fronts).filter(|at| of(*at)) {
-            self.log.write(What::FrontDown { front: front(at) });
+            self.log.write(Event::FrontDown { front: front(at) });
             fronts.kill(at as usize);
         }
     }
 
     fn fronts_up(&self, fronts: &mut dyn Fronts, of: impl Fn(u32) -> bool) -> io::Result<()> {
         for at in (0..self.script.fronts).filter(|at| of(*at)) {
-            self.log.write(What::FrontUp { front: front(at) });
+            self.log.write(Event::FrontUp { front: front(at) });
             fronts.start(at as usize, self.settings(at as usize))?;
         }
         Ok(())
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use salttally_judge::record::What;
+use salttally_judge::record::Event;
 use serde_json::{json, Value};
 
 use crate::http;
@@ -161,8 +161,8 @@
                 for line in latest.values() {
                     let (front, server) = (front.clone(), line.id);
                     self.0.log.write(match line.state {
-                        State::Ready => What::ReadyTold { front, server },
-                        State::Draining | State::Gone => What::DrainTold { front, server },
+                        State::Ready => Event::ReadyTold { front, server },
+                        State::Draining | State::Gone => Event::DrainTold { front, server },
                     });
                 }
                 let boxes: Vec<Value> = latest.values().map(|line| self.json(line)).collect();
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use salttally_judge::record::{self, Line, What};
+use salttally_judge::record::{self, Event, Line};
 
 /// Where every stand-in writes what crosses its sockets. The time is that of the call, so a line of something
 /// that is about to be written is no later than its reading at the other side.
@@ -33,7 +33,7 @@
     }
 
     /// Writes a line.
-    pub fn write(&self, what: What) {
+    pub fn write(&self, what: Event) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         // Under the lock, so that the record is in the order of its times.
         lines.push(Line { at: self.now(), what });
--- a/crates/standin/src/players.rs
+++ b/crates/standin/src/players.rs
@@ -10,7 +10,7 @@
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use salttally_judge::record::{AnswerKind, What};
+use salttally_judge::record::{AnswerKind, Event};
 use serde_json::{json, Value};
 use tungstenite::client::{client_with_config, ClientRequestBuilder};
 use tungstenite::protocol::WebSocketConfig;
@@ -213,7 +213,7 @@
             params["moved_from"] = Value::from(old.clone());
         }
         let asked = stage.log.now();
-        stage.log.write(What::Opened {
+        stage.log.write(Event::Opened {
             open,
             front: front.clone(),
             viewer: arrival.viewer.clone(),
@@ -224,7 +224,7 @@
             returned: self.returned,
         });
         let Ok(id) = line.call("session.open", &params) else {
-            stage.log.write(What::Cut { open });
+            stage.log.write(Event::Cut { open });
             return Next::Again(after);
         };
         let hasty = draw(&mut self.rng) < stage.habits.hasty;
@@ -234,7 +234,7 @@
         let mut aside = Vec::new();
         let heard = match line.response(id, stage.log.moment(asked + waits), &mut aside) {
             Err(Silence::TimedOut) => {
-                stage.log.write(What::GaveUp { open });
+                stage.log.write(Event::GaveUp { open });
                 if line.call("session.cancel", &json!({"open": id})).is_err() {
                     return Next::Done;
                 }
@@ -245,7 +245,7 @@
         let answer = match heard {
             Ok(answer) => answer,
             Err(_) => {
-                stage.log.write(What::Cut { open });
+                stage.log.write(Event::Cut { open });
                 return Next::Again(after);
             }
         };
@@ -268,7 +268,7 @@
             Some(-32001) => (AnswerKind::Refused, text(&error["data"]["session"])),
             Some(_) => (AnswerKind::Failed, text(&error["data"]["session"])),
         };
-        stage.log.write(What::Answered { open, answer: kind, session: session.clone() });
+        stage.log.write(Event::Answered { open, answer: kind, session: session.clone() });
         match kind {
             AnswerKind::Refused => {
                 let hold_off = error["data"]["hold_off_ms"].as_u64().unwrap_or(0) * 1000;
@@ -301,12 +301,12 @@
                     let of = news["params"]["session"].as_str() == Some(session);
                     match news["method"].as_str() {
                         Some("session.move") if of => {
-                            stage.log.write(What::Moved { session: session.to_owned() });
+                            stage.log.write(Event::Moved { session: session.to_owned() });
                             self.left = self.left.saturating_sub(played);
                             return Next::Moved(session.to_owned());
                         }
                         Some("session.ended") if of => {
-                            stage.log.write(What::EndTold { session: session.to_owned() });
+                            stage.log.write(Event::EndTold { session: session.to_owned() });
                             self.left = self.left.saturating_sub(played);
                             return Next::Again(stage.habits.after);
                         }
@@ -314,7 +314,7 @@
                     }
                 }
                 Err(Silence::TimedOut) => {
-                    stage.log.write(What::Closed { session: session.to_owned() });
+                    stage.log.write(Event::Closed { session: session.to_owned() });
                     if let Ok(id) = line.call("session.close", &json!({"session": session})) {
                         let until = Instant::now() + Duration::from_secs(1);
                         let _ = line.response(id, until, &mut Vec::new());
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -164,19 +164,19 @@
         let count: u32 = boxes.argument()?;
         boxes.done()?;
         if fronts == 0 || count == 0 || zones == 0 || zones > fronts {
-            return Err(boxes.bad("fronts, boxes and zones are 1 at least, and no zone is without a front"));
+            return Err(boxes.error("fronts, boxes and zones are 1 at least, and no zone is without a front"));
         }
         let titles = root.need("titles")?;
         let titles_of = (titles.argument()?, titles.need("holders")?, titles.or("zipf", 0.8)?);
         titles.done()?;
         if titles_of.0 == 0 || titles_of.1 == 0 || titles_of.1 > count {
             return Err(
-                titles.bad("at least one title, on at least one cell and no more than there are boxes")
+                titles.error("at least one title, on at least one cell and no more than there are boxes")
             );
         }
         let viewers = root.all("viewers").iter().map(viewers).collect::<Read<Vec<_>>>()?;
         if viewers.is_empty() {
-            return Err(root.bad("at least one `viewers` is needed"));
+            return Err(root.error("at least one `viewers` is needed"));
         }
         let habits = habits(&root)?;
         let leaves = root.one("habits")?.map_or(Ok(0.0), |node| node.or("leaves", 0.0))?;
@@ -184,7 +184,9 @@
         let terms = terms(&terms_block, places as u32)?;
         for of in &viewers {
             if !terms.classes.contains_key(&of.class) {
-                return Err(root.bad(format!("viewers of class `{}`, which the terms do not have", of.class)));
+                return Err(
+                    root.error(format!("viewers of class `{}`, which the terms do not have", of.class))
+                );
             }
         }
         let faults = root.all("fault").iter().map(fault).collect::<Read<Vec<_>>>()?;
@@ -317,7 +319,7 @@
         "siege" => {
             let one = |key: &str, default: &str| {
                 let name: String = node.or(key, default.to_owned())?;
-                siege::Kind::named(&name).ok_or_else(|| node.bad(format!("no siege `{name}`")))
+                siege::Kind::named(&name).ok_or_else(|| node.error(format!("no siege `{name}`")))
             };
             let first = one("first", "slow-handshake")?;
             let second = one("second", first.name())?;
@@ -326,7 +328,7 @@
         other => {
             let known = "crash, vanish, preempt, errors, reports-late, crowd, zone-loss, zone-cut, deploy, \
                          list-stale, list-drop, front-crash, slow, ageing, siege";
-            return Err(node.bad(format!("`{other}` is no fault; known: {known}")));
+            return Err(node.error(format!("`{other}` is no fault; known: {known}")));
         }
     };
     let fault = Fault { at: seconds(node.need("at-s")?), length: seconds(node.or("for-s", 5.0)?), kind };
--- a/crates/trial/src/describe.rs
+++ b/crates/trial/src/describe.rs
@@ -119,7 +119,7 @@
         [("loss", quality.loss), ("duplicate", quality.duplicate), ("reorder", quality.reorder)]
     {
         if !(0.0..=1.0).contains(&share) {
-            return Err(node.bad(format!("`{name}` of {share} is no share: 0 to 1")));
+            return Err(node.error(format!("`{name}` of {share} is no share: 0 to 1")));
         }
     }
     Ok(quality)
@@ -143,10 +143,10 @@
         let fronts = match (range, text.parse::<usize>()) {
             (Some((Ok(first), Ok(last))), _) if first <= last => (first..=last).collect(),
             (None, Ok(one)) => vec![one],
-            _ => return Err(node.bad(format!("`{text}` is no group, no front and no range as 3..5"))),
+            _ => return Err(node.error(format!("`{text}` is no group, no front and no range as 3..5"))),
         };
         match fronts.iter().find(|front| **front >= self.fronts) {
-            Some(front) => Err(node.bad(format!("front {front} of {}", self.fronts))),
+            Some(front) => Err(node.error(format!("front {front} of {}", self.fronts))),
             None => Ok(fronts),
         }
     }
@@ -176,7 +176,7 @@
 fn read(node: &Node<'_>, block: &Block<'_>) -> Read<Trial> {
     let fronts: usize = block.value("fronts")?;
     if !(1..=1_000).contains(&fronts) {
-        return Err(block.need("fronts")?.bad("`fronts` lies from 1 to 1000"));
+        return Err(block.need("fronts")?.error("`fronts` lies from 1 to 1000"));
     }
     let mut groups = Groups { named: BTreeMap::new(), fronts };
     for group in block.all("group") {
@@ -213,7 +213,7 @@
         let fault = fault(&node, &groups, link, lasts)?;
         node.done()?;
         if fault.from > fault.to || fault.to > lasts {
-            return Err(node.bad("a fault ends after it begins, and not after `lasts-ms`"));
+            return Err(node.error("a fault ends after it begins, and not after `lasts-ms`"));
         }
         faults.push(fault);
     }
@@ -244,13 +244,13 @@
     };
     node.done()?;
     if ![3, 5, 7].contains(&promises.voters) || promises.voters > fronts {
-        return Err(node.bad("`voters` is 3, 5 or 7, and not more than there are fronts"));
+        return Err(node.error("`voters` is 3, 5 or 7, and not more than there are fronts"));
     }
     if promises.boxes == 0 || promises.watch.0 == 0 || promises.watch.1 < promises.watch.0 {
-        return Err(node.bad("there is a box at least, and `watch-to-ms` is not under `watch-from-ms`"));
+        return Err(node.error("there is a box at least, and `watch-to-ms` is not under `watch-from-ms`"));
     }
     if promises.copies.1 > promises.copies.0 {
-        return Err(node.bad("`enough` is more than `copies`"));
+        return Err(node.error("`enough` is more than `copies`"));
     }
     Ok(promises)
 }
@@ -272,10 +272,10 @@
     };
     node.done()?;
     if ![3, 5, 7].contains(&versions.voters) || versions.voters > fronts {
-        return Err(node.bad("`voters` is 3, 5 or 7, and not more than there are fronts"));
+        return Err(node.error("`voters` is 3, 5 or 7, and not more than there are fronts"));
     }
     if versions.every == 0 || versions.acts == 0 {
-        return Err(node.bad("`every-ms` and `acts-ms` are at least 1"));
+        return Err(node.error("`every-ms` and `acts-ms` are at least 1"));
     }
     Ok(versions)
 }
@@ -299,7 +299,7 @@
         "clock" => Kind::Clock(groups.need(node, "fronts")?, (node.need::<f64>("offset-s")? * 1e6) as i64),
         other => {
             let known = "kill, lose, stop, stops, crashes, rolling, cut, link, clock";
-            return Err(node.bad(format!("`{other}` is no fault; known: {known}")));
+            return Err(node.error(format!("`{other}` is no fault; known: {known}")));
         }
     };
     Ok(Fault { kind, from, to: until.unwrap_or(lasts) })
--- a/crates/trial/src/hunt.rs
+++ b/crates/trial/src/hunt.rs
@@ -32,11 +32,15 @@
         return vec![("no core panics", "a core panicked".to_owned())];
     };
     if trial.promises.is_some() {
-        return copies::judge(&lines).broken.into_iter().map(|(of, text)| (of.words(), text)).collect();
+        return copies::judge(&lines).broken.into_iter().map(|(of, text)| (of.description(), text)).collect();
     }
     match &trial.versions {
-        Some(_) => accord::judge(&lines).broken.into_iter().map(|(of, text)| (of.words(), text)).collect(),
-        None => members::judge(&lines).broken.into_iter().map(|(of, text)| (of.words(), text)).collect(),
+        Some(_) => {
+            accord::judge(&lines).broken.into_iter().map(|(of, text)| (of.description(), text)).collect()
+        }
+        None => {
+            members::judge(&lines).broken.into_iter().map(|(of, text)| (of.description(), text)).collect()
+        }
     }
 }
 
--- a/crates/trial/src/relay.rs
+++ b/crates/trial/src/relay.rs
@@ -16,7 +16,7 @@
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use salttally_members::wire::via;
+use salttally_members::wire::relay_header;
 
 use crate::net::{Net, AGAIN};
 use crate::processes::Clock;
@@ -159,12 +159,12 @@
     }
 
     fn take(&mut self, from: SocketAddrV4, bytes: &[u8]) {
-        let Some((to, said)) = via::split(bytes) else { return };
+        let Some((to, said)) = relay_header::split(bytes) else { return };
         self.passed.came.fetch_add(1, Ordering::Relaxed);
         self.passed.bytes.fetch_add(said.len() as u64, Ordering::Relaxed);
         let (Some(a), Some(b)) = (self.places.get(&from), self.places.get(&to)) else { return };
         let now = self.clock.now();
-        let datagram = via::join(from, said);
+        let datagram = relay_header::prepend(from, said);
         for delay in hold(&self.net).fate(now, *a, *b, &mut self.rng) {
             self.next += 1;
             self.waiting.insert((now + delay, self.next), (to, datagram.clone()));
@@ -216,9 +216,10 @@
         let serve = move || -> io::Result<()> {
             let mut from = from;
             from.set_read_timeout(Some(Duration::from_secs(5)))?;
-            let mut ahead = [0; 2 * via::BYTES];
+            let mut ahead = [0; 2 * relay_header::LENGTH_BYTES];
             from.read_exact(&mut ahead)?;
-            let ends = via::split(&ahead).and_then(|(own, rest)| Some((own, via::split(rest)?.0)));
+            let ends =
+                relay_header::split(&ahead).and_then(|(own, rest)| Some((own, relay_header::split(rest)?.0)));
             let Some((own, peer)) = ends else { return Ok(()) };
             let (Some(a), Some(b)) = (places.get(&own).copied(), places.get(&peer).copied()) else {
                 return Ok(());
--- a/crates/trial/src/versions.rs
+++ b/crates/trial/src/versions.rs
@@ -111,7 +111,7 @@
             let begun = lines.iter().filter_map(|line| line["begun"].as_u64()).max().unwrap_or(0);
             *placed.begun.entry(begun).or_default() += 1;
             if let Some((of, text)) = salttally_judge::accord::judge(&lines).broken.into_iter().next() {
-                placed.broken = Some((struck, format!("{}: {text}", of.words())));
+                placed.broken = Some((struck, format!("{}: {text}", of.description())));
                 return placed;
             }
         }
--- a/crates/trial/src/virt.rs
+++ b/crates/trial/src/virt.rs
@@ -6,7 +6,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use salttally_members::core::view::Name;
-use salttally_members::core::{Envelope, Input, Members, Output, Own, Times};
+use salttally_members::core::{Envelope, Input, LocalConfig, Members, Output, Times};
 use salttally_members::history;
 use salttally_members::wire::{self, KeyRing};
 use serde_json::{json, Value};
@@ -134,7 +134,7 @@
                     }
                     return;
                 }
-                self.hand(front, Input::Heard(from, envelope), false);
+                self.hand(front, Input::Received(from, envelope), false);
             }
         }
     }
@@ -150,7 +150,7 @@
                 there.starts += 1;
                 there.waiting.clear();
                 let boot = u64::from(self.rng.next_u32()) << 20 | there.starts;
-                let own = Own {
+                let own = LocalConfig {
                     name: Name::from(plan::name(front)),
                     address: address(front),
                     zone: 0,
@@ -188,7 +188,7 @@
                 self.out.lines.extend(told);
                 // What waited in its socket comes first, as it does to a process that wakes.
                 while let Some((from, envelope)) = self.fronts[front].waiting.pop_front() {
-                    self.hand(front, Input::Heard(from, envelope), false);
+                    self.hand(front, Input::Received(from, envelope), false);
                 }
                 self.hand(front, Input::Tick, true);
                 return;
--- a/crates/trial/src/whole.rs
+++ b/crates/trial/src/whole.rs
@@ -221,7 +221,7 @@
             placed.schedules[0] += 1;
             placed.schedules[1] += u64::from(verdict.counts[1] > 0);
             if let Some((of, text)) = verdict.broken.into_iter().next() {
-                placed.broken = Some((struck, format!("{}: {text}", of.words())));
+                placed.broken = Some((struck, format!("{}: {text}", of.description())));
                 return placed;
             }
         }
@@ -475,7 +475,7 @@
         let boot = drawn >> 20 << 8 | node.starts & 0xff;
         let (zone, serves) = (front as u32 % self.promises.zones, Some(address(front)));
         let members = members::Members::new(
-            members::Own {
+            members::LocalConfig {
                 name: Name::clone(&name),
                 address: address(front),
                 zone,
@@ -533,7 +533,7 @@
 
     fn comes(&mut self, front: usize, what: In) {
         match what {
-            In::Datagram(from, envelope) => self.members(front, members::Input::Heard(from, envelope)),
+            In::Datagram(from, envelope) => self.members(front, members::Input::Received(from, envelope)),
             In::Accord(envelope) => self.accord(front, accord::Input::Heard(envelope)),
             In::Passed(from, body) => {
                 self.copies(front, copies::Input::Heard(from, body));
--- a/crates/trial/tests/promises.rs
+++ b/crates/trial/tests/promises.rs
@@ -109,12 +109,15 @@
     };
     let lost = r#"{"at":9,"viewer":1,"lost":"f0-1-1","why":"unknown","front":"f1"}"#;
     let disk = |front: &str| format!("{{\"at\":8,\"truth\":\"disk_lost\",\"front\":\"{front}\"}}");
-    assert_eq!(broken(lost), [Property::Kept]);
-    assert_eq!(broken(&format!("{}\n{lost}", disk("f0"))), [Property::Kept], "a copy was left");
+    assert_eq!(broken(lost), [Property::SessionsSurvive]);
+    assert_eq!(broken(&format!("{}\n{lost}", disk("f0"))), [Property::SessionsSurvive], "a copy was left");
     assert_eq!(broken(&format!("{}\n{}\n{lost}", disk("f0"), disk("f1"))), []);
     let set_up = r#"{"at":2,"box":0,"set_up":"f0-1-1","attempt":0,"paid":true,"front":"f0"}"#;
     assert_eq!(broken(set_up), []);
-    assert_eq!(broken(&format!("{set_up}\n{}", set_up.replace("\"at\":2", "\"at\":3"))), [Property::Once]);
+    assert_eq!(
+        broken(&format!("{set_up}\n{}", set_up.replace("\"at\":2", "\"at\":3"))),
+        [Property::PaidOnce]
+    );
     let adopts = r#"{"at":6,"front":"f1","adopts":"f0-1","epoch":1}"#;
     let act = |at: u64, front: &str, epoch: u64| {
         format!("{{\"at\":{at},\"front\":\"{front}\",\"acts\":\"f0-1-1\",\"epoch\":{epoch},\"what\":\"release\"}}")
@@ -124,7 +127,10 @@
     assert_eq!(broken(&act(7, "f1", 1)), [Property::OneOwner]);
     let held = r#"{"at":9000,"box":0,"holds":["f0-1-1"]}"#;
     assert_eq!(broken(held), [], "it plays");
-    assert_eq!(broken(&format!("{}\n{held}", r#"{"at":7,"viewer":1,"closed":"f0-1-1"}"#)), [Property::Freed]);
+    assert_eq!(
+        broken(&format!("{}\n{held}", r#"{"at":7,"viewer":1,"closed":"f0-1-1"}"#)),
+        [Property::PlacesFreed]
+    );
 }
 
 #[test]
--- a/crates/trial/tests/versions.rs
+++ b/crates/trial/tests/versions.rs
@@ -21,7 +21,7 @@
     assert_eq!(verdict.broken, [], "{text} by seed {seed}");
     for property in Property::ALL {
         assert!(
-            verdict.decided.get(property.words()).is_some_and(|count| *count > 0),
+            verdict.decided.get(property.description()).is_some_and(|count| *count > 0),
             "{property:?}: {text}"
         );
     }
--- a/crates/trial/tests/virtual_time.rs
+++ b/crates/trial/tests/virtual_time.rs
@@ -50,7 +50,11 @@
 fn halves_that_are_cut_apart_remove_nobody_and_become_one_again() {
     let text = "trial \"halves\" { fronts 30; lasts-ms 60000; fault \"cut\" from=\"0..14\" to=\"15..29\" }";
     let verdict = played(text, 1);
-    assert_eq!(verdict.decided[Property::NoneReachedIsRemoved.words()], 0, "neither half is a majority");
+    assert_eq!(
+        verdict.decided[Property::NoneReachedIsRemoved.description()],
+        0,
+        "neither half is a majority"
+    );
     assert_eq!(verdict.calm_to_equal, 0);
 }
 
@@ -109,7 +113,7 @@
         fault \"link\" from=\"all\" to=\"all\" duplicate=1.0 reorder=0.5 jitter-ms=30 delay-ms=40
         fault \"clock\" fronts=\"2..4\" offset-s=3600; fault \"clock\" fronts=\"5\" offset-s=-3600 }";
     let verdict = played(text, 3);
-    assert_eq!(verdict.decided[Property::NoneReachedIsRemoved.words()], 0);
+    assert_eq!(verdict.decided[Property::NoneReachedIsRemoved.description()], 0);
 }
 
 #[test]
