--- a/crates/judge/src/copies.rs
+++ b/crates/judge/src/copies.rs
@@ -1,33 +1,36 @@
-//! Promises and their copies, judged from the histories of viewers, boxes and fronts, and from what the trial did.
+//! Judges replication of session records and takeovers, from the histories of viewers, boxes and fronts, and the faults
+//! of the trial.
 //!
-//! Lines are JSON with `at`, us. Of viewers: `plays` (told so, with `front`), `found`, `closed`, `moved`, `lost` (with
-//! `why`). Of boxes: `set_up` (with `attempt`, `paid`, `took`), `begins`, `ends`, and at the end `holds`. Of fronts: `acts`
-//! (a request written for a session, with `epoch` and `what`), `answers` (told to play), `adopts` (a life, with `epoch`),
-//! `over` (nothing is left of a life), `copies_at`. Of the trial: `disk_lost`, `calm`. A session's id begins with the life of the front that opened it.
+//! Lines are JSON objects with `at` in microseconds. Viewers write `plays` (the session was answered as playing, with
+//! `front`), `found`, `closed`, `moved` and `lost` (with `why`). Boxes write `set_up` (with `attempt`, `paid`, `took`),
+//! `begins`, `ends`, and at the end `holds`. Fronts write `acts` (a request sent for a session, with `epoch` and `what`),
+//! `answers` (an answer that the session plays), `adopts` (takeover of an incarnation, with `epoch`), `over` (an
+//! incarnation has no sessions left) and `copies_at` (the replicas). The trial writes `disk_lost` and `calm`. A session's
+//! id begins with the incarnation of the front that opened it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde_json::Value;
 
-/// What must hold.
+/// Properties that must hold in every trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Property {
-    /// No session told to play is lost while its owner or a copy is left with its disk.
+    /// No session that was answered as playing is lost while its owner or a replica still has its disk.
     SessionsSurvive,
-    /// No paid set-up is sent twice by anyone.
+    /// No paid set-up is sent twice, by whichever front.
     PaidOnce,
-    /// Each session has one owner at a time, whose acts carry growing epochs.
+    /// Each session has one owner at a time, and the epochs of its requests increase.
     OneOwner,
-    /// Each place at a box is free within the stated time of its session's end.
+    /// Each place at a box is free within the stated time after the end of its session.
     PlacesFreed,
 }
 
 impl Property {
-    /// All of them.
+    /// All properties.
     pub const ALL: [Property; 4] =
         [Property::SessionsSurvive, Property::PaidOnce, Property::OneOwner, Property::PlacesFreed];
 
-    /// In words.
+    /// A short description, also the key in [`Verdict::decided`].
     pub fn description(self) -> &'static str {
         match self {
             Property::SessionsSurvive => "no session told to play is lost with a copy left",
@@ -38,16 +41,16 @@
     }
 }
 
-/// What was found.
+/// Result of judging a trial.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// What broke a property, in words.
+    /// Violations: the property and a description.
     pub broken: Vec<(Property, String)>,
-    /// How often each property had something to decide.
+    /// Number of checks of each property, by description.
     pub decided: BTreeMap<&'static str, u64>,
-    /// From when a viewer began to look for its session until it had it again, us.
+    /// Times that viewers needed to find their sessions again, in microseconds.
     pub found: Vec<u64>,
-    /// Sessions told to play; lives taken over.
+    /// Number of sessions answered as playing, and of incarnations taken over.
     pub counts: [u64; 2],
 }
 
@@ -55,113 +58,117 @@
     line[key].as_str()
 }
 
-fn life(session: &str) -> &str {
-    session.rsplit_once('-').map_or(session, |(life, _)| life)
+/// The incarnation of the front that opened a session.
+fn incarnation(session: &str) -> &str {
+    session.rsplit_once('-').map_or(session, |(incarnation, _)| incarnation)
 }
 
+/// The name of the front that opened a session.
 fn owner(session: &str) -> &str {
     session.split('-').next().unwrap_or(session)
 }
 
 #[derive(Default)]
-struct World<'a> {
-    /// Sessions told to play, and when.
-    told: BTreeMap<&'a str, u64>,
-    /// When a viewer was done with a session.
-    ended: BTreeMap<&'a str, u64>,
-    /// Whoever held copies of a front's promises, from when on.
-    groups: BTreeMap<&'a str, Vec<(u64, BTreeSet<&'a str>)>>,
-    /// Disks lost.
-    disks: Vec<(u64, &'a str)>,
-    /// By life: from when on which epoch is whose.
-    owners: BTreeMap<&'a str, Vec<(u64, u64, &'a str)>>,
-    /// Lives of which nothing is left, and since when.
-    over: BTreeMap<&'a str, u64>,
-    paid: BTreeMap<&'a str, Vec<u64>>,
+struct TrialHistory<'a> {
+    /// When each session was answered as playing.
+    played_at: BTreeMap<&'a str, u64>,
+    /// When each session ended for its viewer.
+    ended_at: BTreeMap<&'a str, u64>,
+    /// For each front: the groups that held replicas of its session records, and since when.
+    replica_groups: BTreeMap<&'a str, Vec<(u64, BTreeSet<&'a str>)>>,
+    /// Fronts that lost their disks, and when.
+    lost_disks: Vec<(u64, &'a str)>,
+    /// Takeovers of each incarnation: time, epoch and successor.
+    takeovers: BTreeMap<&'a str, Vec<(u64, u64, &'a str)>>,
+    /// Incarnations that have no sessions left, and since when.
+    finished_at: BTreeMap<&'a str, u64>,
+    /// Times of the paid set-ups of each session.
+    paid_set_ups: BTreeMap<&'a str, Vec<u64>>,
     verdict: Verdict,
 }
 
-/// Decides a trial.
+/// Judges the lines of all histories and of the trial, in any order but for the first line, which has `freed_us`.
 pub fn judge(lines: &[Value]) -> Verdict {
     let mut sorted: Vec<&Value> = lines.iter().collect();
     sorted.sort_by_key(|line| line["at"].as_u64());
-    let mut world = World::default();
-    let freed = lines.first().and_then(|line| line["freed_us"].as_u64()).unwrap_or(u64::MAX);
+    let mut trial = TrialHistory::default();
+    let freed_within = lines.first().and_then(|line| line["freed_us"].as_u64()).unwrap_or(u64::MAX);
     for line in &sorted {
-        world.read(line);
+        trial.read_line(line);
     }
     for line in &sorted {
-        world.decide(line, freed);
+        trial.check_line(line, freed_within);
     }
-    world.verdict
+    trial.verdict
 }
 
-impl<'a> World<'a> {
-    fn decided(&mut self, property: Property) {
+impl<'a> TrialHistory<'a> {
+    fn count_decided(&mut self, property: Property) {
         *self.verdict.decided.entry(property.description()).or_default() += 1;
     }
 
-    fn broken(&mut self, property: Property, text: String) {
+    fn add_broken(&mut self, property: Property, text: String) {
         self.verdict.broken.push((property, text));
     }
 
-    /// Takes down what was so at which time.
-    fn read(&mut self, line: &'a Value) {
+    /// Records the state that a line describes.
+    fn read_line(&mut self, line: &'a Value) {
         let at = line["at"].as_u64().unwrap_or(0);
         let front = text(line, "front").unwrap_or("");
         if let Some(session) = text(line, "plays") {
-            self.told.insert(session, at);
+            self.played_at.insert(session, at);
             self.verdict.counts[0] += 1;
         }
         for key in ["closed", "moved", "lost"] {
             if let Some(session) = text(line, key) {
-                self.ended.insert(session, at);
+                self.ended_at.insert(session, at);
             }
         }
         if let Some(names) = line["copies_at"].as_array() {
             let names = names.iter().filter_map(Value::as_str).collect();
-            self.groups.entry(front).or_default().push((at, names));
+            self.replica_groups.entry(front).or_default().push((at, names));
         }
-        if let Some(life) = text(line, "over") {
-            self.over.entry(life).or_insert(at);
+        if let Some(incarnation) = text(line, "over") {
+            self.finished_at.entry(incarnation).or_insert(at);
         }
         if line["truth"] == "disk_lost" {
-            self.disks.push((at, front));
+            self.lost_disks.push((at, front));
         }
-        if let (Some(life), Some(epoch)) = (text(line, "adopts"), line["epoch"].as_u64()) {
-            self.owners.entry(life).or_default().push((at, epoch, front));
+        if let (Some(incarnation), Some(epoch)) = (text(line, "adopts"), line["epoch"].as_u64()) {
+            self.takeovers.entry(incarnation).or_default().push((at, epoch, front));
             self.verdict.counts[1] += 1;
         }
     }
 
-    /// Whether its owner, and whoever held a copy since it was told, have all lost their disks since.
+    /// Whether the owner of the session and all holders of replicas since it was answered have lost their disks since.
     fn excused(&self, session: &str, at: u64) -> bool {
-        let Some(told) = self.told.get(session) else { return true };
+        let Some(answered_at) = self.played_at.get(session) else { return true };
         let mut holders: BTreeSet<&str> = [owner(session)].into();
-        // Heirs and their holders count as well.
-        let heirs = self.owners.get(life(session)).into_iter().flatten();
-        let mut owners: BTreeSet<&str> = heirs.map(|(_, _, front)| *front).collect();
+        // Successors and the holders of their replicas count as well.
+        let takeovers = self.takeovers.get(incarnation(session)).into_iter().flatten();
+        let mut owners: BTreeSet<&str> = takeovers.map(|(_, _, front)| *front).collect();
         owners.insert(owner(session));
         for front in &owners {
-            let groups = self.groups.get(front).map_or(&[][..], Vec::as_slice);
+            let groups = self.replica_groups.get(front).map_or(&[][..], Vec::as_slice);
             for (place, (since, names)) in groups.iter().enumerate() {
                 let until = groups.get(place + 1).map_or(u64::MAX, |(next, _)| *next);
-                if *since <= at && until >= *told {
+                if *since <= at && until >= *answered_at {
                     holders.extend(names);
                 }
             }
         }
         holders.extend(owners);
-        let lost =
-            |front: &&str| self.disks.iter().any(|(when, of)| of == front && (*told..=at).contains(when));
-        holders.iter().all(lost)
+        let has_lost_disk = |front: &&str| {
+            self.lost_disks.iter().any(|(when, of)| of == front && (*answered_at..=at).contains(when))
+        };
+        holders.iter().all(has_lost_disk)
     }
 
-    fn decide(&mut self, line: &'a Value, freed: u64) {
+    fn check_line(&mut self, line: &'a Value, freed_within: u64) {
         let at = line["at"].as_u64().unwrap_or(0);
         let front = text(line, "front").unwrap_or("");
         if text(line, "plays").is_some() {
-            self.decided(Property::SessionsSurvive);
+            self.count_decided(Property::SessionsSurvive);
         }
         if let (Some(_), Some(took)) = (text(line, "found"), line["took"].as_u64()) {
             self.verdict.found.push(took);
@@ -169,72 +176,74 @@
         if let Some(session) = text(line, "lost") {
             if !self.excused(session, at) {
                 let why = text(line, "why").unwrap_or("");
-                self.broken(
+                self.add_broken(
                     Property::SessionsSurvive,
                     format!("{session} at {} ms: {why} {front}", at / 1000),
                 );
             }
         }
         if let Some(session) = text(line, "set_up").filter(|_| line["paid"] == true) {
-            self.decided(Property::PaidOnce);
-            let before = self.paid.entry(session).or_default();
+            self.count_decided(Property::PaidOnce);
+            let before = self.paid_set_ups.entry(session).or_default();
             before.push(at);
             if before.len() > 1 {
                 let text = format!("{session} was set up {} times, the last time by {front}", before.len());
-                self.broken(Property::PaidOnce, text);
+                self.add_broken(Property::PaidOnce, text);
             }
         }
-        let acts = text(line, "acts").map(|session| (session, text(line, "what").unwrap_or("")));
-        let answers = text(line, "answers").map(|session| (session, "answer"));
-        if let Some((session, what)) = acts.or(answers) {
-            self.one_owner(at, front, session, what, line["epoch"].as_u64());
+        let action = text(line, "acts").map(|session| (session, text(line, "what").unwrap_or("")));
+        let answer = text(line, "answers").map(|session| (session, "answer"));
+        if let Some((session, what)) = action.or(answer) {
+            self.check_owner(at, front, session, what, line["epoch"].as_u64());
         }
         if let Some(held) = line["holds"].as_array() {
             for session in held.iter().filter_map(Value::as_str) {
-                self.decided(Property::PlacesFreed);
-                // What nobody was told to play, or whose viewer is done, plays for nobody.
+                self.count_decided(Property::PlacesFreed);
+                // Sessions never answered as playing, or ended for their viewers, must be released.
                 let since = self
-                    .ended
+                    .ended_at
                     .get(session)
                     .copied()
-                    .or_else(|| (!self.told.contains_key(session)).then_some(0));
-                if since.is_some_and(|since| since.saturating_add(freed) < at) {
-                    self.broken(Property::PlacesFreed, format!("{session} is still held at the end"));
+                    .or_else(|| (!self.played_at.contains_key(session)).then_some(0));
+                if since.is_some_and(|since| since.saturating_add(freed_within) < at) {
+                    self.add_broken(Property::PlacesFreed, format!("{session} is still held at the end"));
                 }
             }
             if held.is_empty() {
-                self.decided(Property::PlacesFreed);
+                self.count_decided(Property::PlacesFreed);
             }
         }
     }
 
-    /// An act, held against who had taken the life over by then.
-    fn one_owner(&mut self, at: u64, front: &str, session: &str, what: &str, epoch: Option<u64>) {
-        self.decided(Property::OneOwner);
-        let taken = || self.owners.get(life(session)).into_iter().flatten();
-        // What is done as it is handed over is done by the heir.
-        if taken()
-            .any(|(since, of, heir)| *since == at && *heir == front && epoch.is_none_or(|epoch| epoch >= *of))
-        {
+    /// Checks that a request or answer comes from the owner of the incarnation at that time.
+    fn check_owner(&mut self, at: u64, front: &str, session: &str, what: &str, epoch: Option<u64>) {
+        self.count_decided(Property::OneOwner);
+        let takeovers = || self.takeovers.get(incarnation(session)).into_iter().flatten();
+        // At the moment of the takeover itself, the successor is the owner.
+        if takeovers().any(|(since, taken_epoch, successor)| {
+            *since == at && *successor == front && epoch.is_none_or(|epoch| epoch >= *taken_epoch)
+        }) {
             return;
         }
-        // What boxes still hold of a life that is over is released by the front that lived it.
-        if self.over.get(life(session)).is_some_and(|since| *since <= at) && owner(session) == front {
+        // Places still held for a finished incarnation are released by the front whose incarnation it was.
+        if self.finished_at.get(incarnation(session)).is_some_and(|since| *since <= at)
+            && owner(session) == front
+        {
             return;
         }
-        let latest = taken().filter(|(since, ..)| *since < at).max_by_key(|(_, epoch, _)| *epoch);
-        let wrong = match latest {
+        let latest = takeovers().filter(|(since, ..)| *since < at).max_by_key(|(_, epoch, _)| *epoch);
+        let violation = match latest {
             None => (owner(session) != front).then(|| "nobody had taken it over".to_owned()),
-            Some((_, latest, heir)) => {
-                let other = *heir != front;
-                let lower = epoch.is_some_and(|epoch| epoch < *latest);
-                (other || lower).then(|| format!("{heir} had it by epoch {latest}"))
+            Some((_, latest, successor)) => {
+                let is_other_front = *successor != front;
+                let has_old_epoch = epoch.is_some_and(|epoch| epoch < *latest);
+                (is_other_front || has_old_epoch).then(|| format!("{successor} had it by epoch {latest}"))
             }
         };
-        if let Some(why) = wrong {
+        if let Some(why) = violation {
             let text =
                 format!("{front}: {what} of {session} by epoch {epoch:?} at {} ms, though {why}", at / 1000);
-            self.broken(Property::OneOwner, text);
+            self.add_broken(Property::OneOwner, text);
         }
     }
 }
--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -1,7 +1,7 @@
-//! The six rules, decided from what crossed the sockets at the players', the boxes' and the list's side.
+//! Checks the six rules from a record of the traffic at the players', the boxes' and the list's sockets.
 //!
-//! The judge shares no code with the front or the module: it reads a [`record`] written by the stand-ins and says
-//! of each rule whether it was kept, and if not, by which lines. [`worth`] tells what the day was worth.
+//! The judge shares no code with the front or the decision module: it reads a [`record`] written by the stand-ins and
+//! reports for each rule whether it was kept, and which lines break it. [`worth`] measures the worth delivered.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/judge/src/record.rs
+++ b/crates/judge/src/record.rs
@@ -1,4 +1,4 @@
-//! Lines of a record of crossings: one JSON object a line, times in microseconds of one clock.
+//! The record of a day: one event per line as a JSON object, times in microseconds of one clock.
 
 use std::collections::BTreeMap;
 use std::io::BufRead;
@@ -6,84 +6,84 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One line.
+/// One line of a record.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Line {
-    /// When, microseconds.
+    /// Time of the event, in microseconds.
     pub at: u64,
-    /// What crossed, or happened.
+    /// The event.
     #[serde(flatten)]
     pub what: Event,
 }
 
-/// What a line tells. `open` names one call of one player, whatever id it had on its connection.
+/// An event. `open` identifies one call of one player, whatever id it had on its connection.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum Event {
-    /// What the rules are; the first line.
+    /// The terms by which the record is judged; the first line.
     Terms(Terms),
     /// A player is about to write `session.open`.
     Opened {
-        /// Which call.
+        /// Identifier of the call.
         open: u64,
-        /// To which front.
+        /// Front that the call is sent to.
         front: String,
-        /// Who.
+        /// Viewer.
         viewer: String,
-        /// What.
+        /// Title.
         title: String,
         /// Class.
         class: String,
-        /// Time before the player gives up, us.
+        /// Time before the player gives up, in microseconds.
         patience: u64,
-        /// How long the viewer would watch, us.
+        /// How long the viewer wants to watch, in microseconds.
         length: u64,
-        /// Not its first try.
+        /// Whether the viewer has called before.
         returned: bool,
     },
     /// A player has read the answer.
     Answered {
-        /// Which call.
+        /// Identifier of the call.
         open: u64,
-        /// Its kind.
+        /// Kind of the answer.
         answer: AnswerKind,
-        /// Session, as the answer names it.
+        /// Session id from the answer.
         session: String,
     },
     /// A player is about to write `session.cancel`.
     GaveUp {
-        /// Which call.
+        /// Identifier of the call.
         open: u64,
     },
     /// The connection ended before the answer came.
     Cut {
-        /// Which call.
+        /// Identifier of the call.
         open: u64,
     },
-    /// A player was told to come again for a session that moved.
+    /// A player was told that its session moved and must be opened again.
     Moved {
-        /// Which session.
+        /// Session id.
         session: String,
     },
-    /// A player was told that its session is over.
+    /// A player was told that its session has ended.
     EndTold {
-        /// Which session.
+        /// Session id.
         session: String,
     },
     /// A player is about to write `session.close`.
     Closed {
-        /// Which session.
+        /// Session id.
         session: String,
     },
-    /// A box has read a set-up whole.
+    /// A box has read a complete set-up.
     SetUpRead {
-        /// Which box.
+        /// Box id.
         server: u32,
-        /// By which front.
+        /// Front that sent it.
         front: String,
-        /// Session.
+        /// Session id.
         session: String,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
         /// Class.
         class: String,
@@ -94,79 +94,79 @@
     },
     /// A set-up has ended: a box is about to write its answer, or it saw the connection end, or it died.
     SetUpEnded {
-        /// Which box.
+        /// Box id.
         server: u32,
-        /// Session.
+        /// Session id.
         session: String,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
-        /// How.
+        /// How it ended.
         end: SetUpEnd,
     },
     /// A box is about to confirm a change of rung.
     RungSet {
-        /// Which box.
+        /// Box id.
         server: u32,
-        /// Session.
+        /// Session id.
         session: String,
         /// New rung.
         rung: usize,
     },
-    /// A session that played at a box is over.
+    /// A session that played at a box has ended.
     Ended {
-        /// Which box.
+        /// Box id.
         server: u32,
-        /// Session.
+        /// Session id.
         session: String,
-        /// Number of the attempt.
+        /// Number of the attempt, from 0.
         attempt: u32,
     },
-    /// From now on sessions at this box get this share of their rates.
+    /// From now on, sessions at this box receive this share of their rates.
     Share {
-        /// Which box.
+        /// Box id.
         server: u32,
         /// The share, from 0 to 1.
         share: f64,
     },
-    /// A box has started; `cold` is false for those that ran before the day.
+    /// A box has started; `cold` is false for boxes that were running before the day.
     BoxStarted {
-        /// Which box.
+        /// Box id.
         server: u32,
         /// Whether it must warm up.
         cold: bool,
     },
-    /// A box has died or gone silent.
+    /// A box has crashed or stopped responding.
     BoxDied {
-        /// Which box.
+        /// Box id.
         server: u32,
     },
-    /// A cold box was pushed over.
+    /// A cold box was overloaded and crashed.
     BoxFell {
-        /// Which box.
+        /// Box id.
         server: u32,
     },
     /// The list is about to tell a front that a box drains or is gone.
     DrainTold {
-        /// Which front.
+        /// Front id.
         front: String,
-        /// Which box.
+        /// Box id.
         server: u32,
     },
-    /// The list is about to tell a front that a box is ready, whatever it was before.
+    /// The list is about to tell a front that a box is ready, whichever state it had before.
     ReadyTold {
-        /// Which front.
+        /// Front id.
         front: String,
-        /// Which box.
+        /// Box id.
         server: u32,
     },
-    /// A front has started; one that starts again has forgotten what it was told.
+    /// A front has started; a restarted front has lost what the list told it.
     FrontUp {
-        /// Which front.
+        /// Front id.
         front: String,
     },
-    /// A front was killed, or is being ended.
+    /// A front was killed or is shutting down.
     FrontDown {
-        /// Which front.
+        /// Front id.
         front: String,
     },
 }
@@ -175,11 +175,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AnswerKind {
-    /// It plays.
+    /// The session plays.
     Plays,
-    /// Refused.
+    /// The session was refused.
     Refused,
-    /// Failed.
+    /// The session failed.
     Failed,
 }
 
@@ -189,13 +189,13 @@
 pub enum SetUpEnd {
     /// The session plays.
     Began,
-    /// Sent back unseen.
+    /// The box was full and rejected it without executing it.
     Full,
-    /// An error; it may have run.
+    /// An error; the set-up may have been executed.
     Error,
     /// The front closed the connection first.
     Closed,
-    /// The box died or the connection was reset by it.
+    /// The box crashed or reset the connection.
     Reset,
 }
 
@@ -203,13 +203,13 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectKind {
-    /// May be set up again without harm.
+    /// May be set up repeatedly without harm.
     Safe,
-    /// Paid for at set-up.
+    /// Paid for at set-up: must take effect only once.
     Once,
 }
 
-/// A class as the rules and the worth need it.
+/// Terms of a class, as needed by the rules and the worth.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassTerms {
     /// How often a set-up may take effect.
@@ -218,86 +218,89 @@
     pub floor: usize,
     /// Highest rung.
     pub top: usize,
-    /// Sessions of one title that a front may hold; 0 is no cap.
+    /// Maximum number of sessions of one title that a front may hold; 0 is unlimited.
     pub seats: usize,
-    /// Wanted playing within, us.
+    /// Time within which the session should play, in microseconds.
     pub aim: u64,
-    /// Worth of a second at a rung of worth 1.
+    /// Worth of a second played at a rung of worth 1.
     pub gain: f64,
 }
 
-/// A ration of further attempts.
+/// Budget of further attempts.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct BudgetTerms {
-    /// Window, us.
+    /// Length of the sliding window, in microseconds.
     pub window: u64,
-    /// Free in any window.
+    /// Further attempts allowed in any window.
     pub free: f64,
-    /// For each session taken in it.
+    /// Additional further attempts for each session accepted in the window.
     pub share: f64,
 }
 
-/// What the rules are.
+/// The terms by which a record is judged.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Terms {
     /// Classes by name.
     pub classes: BTreeMap<String, ClassTerms>,
     /// Worth of each rung.
     pub rungs: Vec<f64>,
-    /// Points of worth lost for each point of the rate missing under 98 in 100.
+    /// Percentage points of worth lost for each percentage point of the delivered rate below 98 %.
     pub stall_cost: f64,
-    /// An answer may come so long after the patience, us.
+    /// Time after the patience within which an answer is still in time, in microseconds.
     pub answer_slack: u64,
-    /// Sends must stop so long after the word of a drain, us.
+    /// Time after the notice of a drain within which set-ups may still be sent, in microseconds.
     pub drain_grace: u64,
-    /// Time to warm up, us.
+    /// Time that a cold box takes to warm up, in microseconds.
     pub warm_up: u64,
-    /// Part of its pace that a box has at its start.
+    /// Share of its full pace that a cold box has at its start.
     pub cold_from: f64,
-    /// Multiple of its pace at which it falls.
+    /// Multiple of its pace at which a cold box fails.
     pub fall_multiple: f64,
-    /// Window of that, us.
+    /// Window in which that multiple is measured, in microseconds.
     pub fall_window: u64,
-    /// Places of a box.
+    /// Number of places of a box.
     pub places: u32,
-    /// Attempts for a session at most.
+    /// Maximum number of attempts for a session.
     pub attempts: u32,
-    /// Ration of further attempts.
+    /// Budget of further attempts, if limited.
     pub budget: Option<BudgetTerms>,
-    /// A thread that has something to write down may be so late, us: the sides share a clock, not a thread.
+    /// How late a thread may write an event down, in microseconds: the sides share a clock but not a thread.
     pub lateness: u64,
 }
 
-/// What is wrong with a record.
+/// Errors of reading a record.
 #[derive(Debug, Error)]
-pub enum BadRecord {
+pub enum RecordError {
     /// It cannot be read.
     #[error("line {0}: {1}")]
     Read(usize, std::io::Error),
-    /// Not a line of a record.
+    /// A line is not a valid event.
     #[error("line {0}: {1}")]
     Line(usize, serde_json::Error),
-    /// It does not say what the rules are.
+    /// The record doesn't begin with the terms.
     #[error("line 1: a record begins with the terms")]
     NoTerms,
 }
 
-/// Reads a record; lines come out in the order of their times.
-pub fn read(record: impl BufRead) -> Result<Vec<Line>, BadRecord> {
+/// Reads a record and sorts its lines by time.
+///
+/// # Errors
+/// The record cannot be read, has an invalid line, or doesn't begin with the terms.
+pub fn read(record: impl BufRead) -> Result<Vec<Line>, RecordError> {
     let mut lines = Vec::new();
     for (at, text) in record.lines().enumerate() {
-        let text = text.map_err(|error| BadRecord::Read(at + 1, error))?;
-        lines.push(serde_json::from_str(&text).map_err(|error| BadRecord::Line(at + 1, error))?);
+        let text = text.map_err(|error| RecordError::Read(at + 1, error))?;
+        lines.push(serde_json::from_str(&text).map_err(|error| RecordError::Line(at + 1, error))?);
     }
     lines.sort_by_key(|line: &Line| line.at);
     match lines.first() {
         Some(Line { what: Event::Terms(_), .. }) => Ok(lines),
-        _ => Err(BadRecord::NoTerms),
+        _ => Err(RecordError::NoTerms),
     }
 }
 
-/// Writes a line, without its end.
+/// Serializes a line, without the line break.
 pub fn write(line: &Line) -> String {
-    // Plain data: writing it does not fail.
+    // Serializing plain data doesn't fail.
     serde_json::to_string(line).unwrap_or_default()
 }
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -1,29 +1,29 @@
-//! The rules one by one. Each looks at the whole record by itself.
+//! Checks each rule by a pass of its own over the whole record.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
 
 use crate::record::{AnswerKind, EffectKind, Event, Line, SetUpEnd, Terms};
 
-/// The rules, in the order of the users' brief.
+/// The rules, in the order of the users' specification.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One answer for each accepted request, in time.
+    /// Each accepted request gets exactly one answer, in time.
     OneAnswer,
-    /// No paid set-up twice, and never two attempts out.
+    /// No paid set-up is sent twice, and a session never has two attempts in flight.
     OneEffect,
-    /// Nothing new to a box past the grace after its drain was told.
+    /// No new set-up goes to a box after the grace period that follows the notice of its drain.
     Drains,
-    /// No cold box pushed over.
+    /// No cold box is overloaded.
     Cold,
-    /// Floors and seats.
+    /// Floors and seats of the classes are kept.
     Terms,
-    /// Further attempts within budget.
+    /// Further attempts stay within the budget.
     Budget,
 }
 
 impl Rule {
-    /// All of them.
+    /// All rules.
     pub const ALL: [Rule; 6] =
         [Rule::OneAnswer, Rule::OneEffect, Rule::Drains, Rule::Cold, Rule::Terms, Rule::Budget];
 }
@@ -41,45 +41,45 @@
     }
 }
 
-/// A line by which a rule is broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
-    /// When, us.
+    /// Time of the line that breaks it, in microseconds.
     pub at: u64,
-    /// What happened, in a sentence.
+    /// Description, a sentence.
     pub text: String,
 }
 
-/// What the judge says.
+/// Result of judging a record.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Verdict {
-    /// All findings, in the order of the rules and then of time.
+    /// All findings, ordered by rule and then by time.
     pub findings: Vec<Finding>,
-    /// Calls that had to be answered.
+    /// Number of calls that had to be answered.
     pub calls_due: usize,
-    /// Answers: plays, refused, failed.
+    /// Numbers of answers: plays, refused, failed.
     pub answers: [usize; 3],
-    /// Set-ups that reached boxes.
+    /// Number of set-ups that reached boxes.
     pub attempts: usize,
-    /// Calls that nobody had to answer: given up, or their front was down.
+    /// Number of calls that didn't have to be answered: given up, or their front was down.
     pub excused: usize,
 }
 
 impl Verdict {
-    /// Whether a rule was kept.
+    /// Whether a rule was kept throughout the record.
     pub fn kept(&self, rule: Rule) -> bool {
         !self.findings.iter().any(|finding| finding.rule == rule)
     }
 
-    /// Whether all were.
+    /// Whether all rules were kept.
     pub fn all_kept(&self) -> bool {
         self.findings.is_empty()
     }
 }
 
-/// Judges a record; its first line must be the terms.
+/// Judges a record, whose first line must be the terms.
 pub fn judge(lines: &[Line]) -> Verdict {
     let Some(terms) = lines.iter().find_map(|line| match &line.what {
         Event::Terms(terms) => Some(terms),
@@ -90,38 +90,39 @@
         return Verdict { findings, ..Verdict::default() };
     };
     let mut verdict = Verdict::default();
-    one_answer(lines, terms, &mut verdict);
-    one_effect(lines, terms, &mut verdict);
-    drains(lines, terms, &mut verdict);
-    cold(lines, terms, &mut verdict);
-    keep_terms(lines, terms, &mut verdict);
-    budget(lines, terms, &mut verdict);
+    check_one_answer(lines, terms, &mut verdict);
+    check_one_effect(lines, terms, &mut verdict);
+    check_drains(lines, terms, &mut verdict);
+    check_cold_boxes(lines, terms, &mut verdict);
+    check_terms(lines, terms, &mut verdict);
+    check_budget(lines, terms, &mut verdict);
     verdict
 }
 
 impl Verdict {
-    fn broken(&mut self, rule: Rule, at: u64, text: String) {
+    fn add_finding(&mut self, rule: Rule, at: u64, text: String) {
         self.findings.push(Finding { rule, at, text });
     }
 }
 
 struct Call {
     at: u64,
-    until: u64,
+    deadline: u64,
     front: String,
     answers: Vec<u64>,
     excused: bool,
 }
 
-fn one_answer(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
+fn check_one_answer(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
     let mut calls: BTreeMap<u64, Call> = BTreeMap::new();
     let last = lines.last().map_or(0, |line| line.at);
     let mut downs: BTreeMap<&str, Vec<u64>> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
             Event::Opened { open, front, patience, .. } => {
-                let until = at + patience + terms.answer_slack + terms.lateness;
-                let call = Call { at: *at, until, front: front.clone(), answers: Vec::new(), excused: false };
+                let deadline = at + patience + terms.answer_slack + terms.lateness;
+                let call =
+                    Call { at: *at, deadline, front: front.clone(), answers: Vec::new(), excused: false };
                 calls.insert(*open, call);
             }
             Event::Answered { open, answer, .. } => {
@@ -132,10 +133,12 @@
                 }] += 1;
                 match calls.get_mut(open) {
                     Some(call) => call.answers.push(*at),
-                    None => verdict.broken(Rule::OneAnswer, *at, format!("an answer to no call ({open})")),
+                    None => {
+                        verdict.add_finding(Rule::OneAnswer, *at, format!("an answer to no call ({open})"))
+                    }
                 }
             }
-            // No answer is owed any more; one may have been under way.
+            // After giving up no answer is required, but one may already have been on its way.
             Event::GaveUp { open } => {
                 if let Some(call) = calls.get_mut(open) {
                     call.excused |= call.answers.is_empty();
@@ -146,30 +149,31 @@
         }
     }
     for (open, call) in &calls {
-        let down = downs.get(call.front.as_str());
-        let died = down.is_some_and(|downs| downs.iter().any(|at| (call.at..=call.until).contains(at)));
-        // A call written to a front that was just killed was never taken by a running front.
-        let before = |at: &u64| *at <= call.at && call.at < at + terms.lateness;
-        let dead = down.is_some_and(|downs| downs.iter().any(before));
-        if call.excused || died || dead {
+        let front_downs = downs.get(call.front.as_str());
+        let front_died =
+            front_downs.is_some_and(|downs| downs.iter().any(|at| (call.at..=call.deadline).contains(at)));
+        // A call sent to a front that had just been killed was never accepted.
+        let just_killed = |at: &u64| *at <= call.at && call.at < at + terms.lateness;
+        let front_was_down = front_downs.is_some_and(|downs| downs.iter().any(just_killed));
+        if call.excused || front_died || front_was_down {
             verdict.excused += 1;
         } else {
             verdict.calls_due += 1;
         }
         if call.answers.len() > 1 {
             let text = format!("call {open} to {} was answered {} times", call.front, call.answers.len());
-            verdict.broken(Rule::OneAnswer, call.answers[1], text);
+            verdict.add_finding(Rule::OneAnswer, call.answers[1], text);
         }
-        let owed = !(call.excused || died || dead) && call.until <= last;
+        let answer_due = !(call.excused || front_died || front_was_down) && call.deadline <= last;
         match call.answers.first() {
-            None if owed => {
+            None if answer_due => {
                 let text = format!("call {open} to {} was never answered", call.front);
-                verdict.broken(Rule::OneAnswer, call.at, text);
+                verdict.add_finding(Rule::OneAnswer, call.at, text);
             }
-            Some(at) if *at > call.until && !call.excused => {
-                let late = (at - call.until) / 1000;
+            Some(at) if *at > call.deadline && !call.excused => {
+                let late = (at - call.deadline) / 1000;
                 let text = format!("call {open} to {} was answered {late} ms too late", call.front);
-                verdict.broken(Rule::OneAnswer, *at, text);
+                verdict.add_finding(Rule::OneAnswer, *at, text);
             }
             _ => {}
         }
@@ -177,17 +181,17 @@
 }
 
 #[derive(Default)]
-struct Tries {
-    /// The attempt that is out: its number and box.
-    out: BTreeMap<(u32, u32), u64>,
-    /// Attempts that may have run, and the latest of them by number.
-    ran: BTreeSet<(u32, u32)>,
+struct SessionAttempts {
+    /// Attempts in flight: number and box, with the time of the set-up.
+    outstanding: BTreeMap<(u32, u32), u64>,
+    /// Attempts that may have been executed: number and box.
+    possibly_executed: BTreeSet<(u32, u32)>,
     class: String,
 }
 
-fn one_effect(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
-    let mut sessions: BTreeMap<&str, Tries> = BTreeMap::new();
-    // Ends that a front made by closing are seen by the box a little later than the front went on.
+fn check_one_effect(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
+    let mut sessions: BTreeMap<&str, SessionAttempts> = BTreeMap::new();
+    // When a front closes a connection, the box notices it a little later than the front continues.
     let closed: BTreeMap<(&str, u32, u32), u64> = lines
         .iter()
         .filter_map(|line| match &line.what {
@@ -201,9 +205,9 @@
         match what {
             Event::SetUpRead { server, session, attempt, class, .. } => {
                 verdict.attempts += 1;
-                let tries = sessions.entry(session).or_default();
-                tries.class.clone_from(class);
-                for (number, other) in tries.out.keys() {
+                let attempts = sessions.entry(session).or_default();
+                attempts.class.clone_from(class);
+                for (number, other) in attempts.outstanding.keys() {
                     let ended = closed.get(&(session.as_str(), *number, *other));
                     if ended.is_none_or(|ended| *ended > at + terms.lateness) {
                         let text = format!(
@@ -214,7 +218,7 @@
                     }
                 }
                 let paid = terms.classes.get(class).is_some_and(|c| c.effect == EffectKind::Once);
-                if paid && !tries.ran.is_empty() {
+                if paid && !attempts.possibly_executed.is_empty() {
                     let text =
                         format!("session {session} of paid class {class} was set up again at box {server}");
                     verdict.findings.push(Finding { rule: Rule::OneEffect, at: *at, text });
@@ -223,21 +227,21 @@
                     let text = format!("session {session}: attempt {attempt} of {} at most", terms.attempts);
                     verdict.findings.push(Finding { rule: Rule::OneEffect, at: *at, text });
                 }
-                tries.out.insert((*attempt, *server), *at);
-                // Until it is told otherwise it may have run.
-                tries.ran.insert((*attempt, *server));
+                attempts.outstanding.insert((*attempt, *server), *at);
+                // It may have been executed until the box says otherwise.
+                attempts.possibly_executed.insert((*attempt, *server));
             }
             Event::SetUpEnded { server, session, attempt, end } => {
-                let Some(tries) = sessions.get_mut(session.as_str()) else { continue };
-                tries.out.remove(&(*attempt, *server));
+                let Some(attempts) = sessions.get_mut(session.as_str()) else { continue };
+                attempts.outstanding.remove(&(*attempt, *server));
                 if *end == SetUpEnd::Full {
-                    tries.ran.remove(&(*attempt, *server));
+                    attempts.possibly_executed.remove(&(*attempt, *server));
                 }
             }
             Event::Answered { session, answer: AnswerKind::Refused, .. } => {
-                let Some(tries) = sessions.get(session.as_str()) else { continue };
-                let paid = terms.classes.get(&tries.class).is_some_and(|c| c.effect == EffectKind::Once);
-                if paid && !tries.ran.is_empty() {
+                let Some(attempts) = sessions.get(session.as_str()) else { continue };
+                let paid = terms.classes.get(&attempts.class).is_some_and(|c| c.effect == EffectKind::Once);
+                if paid && !attempts.possibly_executed.is_empty() {
                     let text =
                         format!("session {session} of a paid class was refused though it may have run");
                     verdict.findings.push(Finding { rule: Rule::OneEffect, at: *at, text });
@@ -248,25 +252,25 @@
     }
 }
 
-fn drains(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
-    let mut told: BTreeMap<(&str, u32), u64> = BTreeMap::new();
+fn check_drains(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
+    let mut draining: BTreeMap<(&str, u32), u64> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
             Event::DrainTold { front, server } => {
-                told.entry((front, *server)).or_insert(*at);
+                draining.entry((front, *server)).or_insert(*at);
             }
             Event::ReadyTold { front, server } => {
-                told.remove(&(front.as_str(), *server));
+                draining.remove(&(front.as_str(), *server));
             }
-            Event::FrontUp { front } => told.retain(|(of, _), _| of != front),
+            Event::FrontUp { front } => draining.retain(|(of, _), _| of != front),
             Event::SetUpRead { server, front, session, .. } => {
-                let Some(since) = told.get(&(front.as_str(), *server)) else { continue };
+                let Some(since) = draining.get(&(front.as_str(), *server)) else { continue };
                 let until = since + terms.drain_grace + terms.lateness;
                 if *at > until {
                     let late = (at - until) / 1000;
                     let text =
                         format!("{front} sent session {session} to draining box {server}, {late} ms late");
-                    verdict.broken(Rule::Drains, *at, text);
+                    verdict.add_finding(Rule::Drains, *at, text);
                 }
             }
             _ => {}
@@ -274,10 +278,10 @@
     }
 }
 
-/// Set-ups beyond the sum that a window may hold before it counts: chance, as the users' rule allows.
-const COLD_SLACK: f64 = 2.0;
+/// Set-ups above the limit of a window that don't count as a violation: the users' rule allows for chance.
+const COLD_SLACK_SET_UPS: f64 = 2.0;
 
-fn cold(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
+fn check_cold_boxes(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
     let mut starts: BTreeMap<u32, u64> = BTreeMap::new();
     let mut sent: BTreeMap<u32, VecDeque<u64>> = BTreeMap::new();
     for Line { at, what } in lines {
@@ -287,7 +291,7 @@
                 sent.remove(server);
             }
             Event::BoxFell { server } => {
-                verdict.broken(Rule::Cold, *at, format!("box {server} was pushed over"));
+                verdict.add_finding(Rule::Cold, *at, format!("box {server} was pushed over"));
             }
             Event::SetUpRead { server, session, .. } => {
                 let Some(start) = starts.get(server) else { continue };
@@ -298,18 +302,18 @@
                 let window = sent.entry(*server).or_default();
                 window.push_back(*at);
                 window.retain(|before| before + terms.fall_window > *at);
-                let warmed = age as f64 / terms.warm_up.max(1) as f64;
-                let warmth = terms.cold_from + (1.0 - terms.cold_from) * warmed;
-                let pace = f64::from(terms.places) / terms.warm_up.max(1) as f64 * warmth;
-                let most = terms.fall_multiple * pace * terms.fall_window as f64 + COLD_SLACK;
-                if window.len() as f64 > most {
+                let warmed_part = age as f64 / terms.warm_up.max(1) as f64;
+                let pace_factor = terms.cold_from + (1.0 - terms.cold_from) * warmed_part;
+                let pace = f64::from(terms.places) / terms.warm_up.max(1) as f64 * pace_factor;
+                let limit = terms.fall_multiple * pace * terms.fall_window as f64 + COLD_SLACK_SET_UPS;
+                if window.len() as f64 > limit {
                     let text = format!(
-                        "box {server}, {} ms after its start, was sent {} set-ups in a window that holds {most:.1} \
+                        "box {server}, {} ms after its start, was sent {} set-ups in a window that holds {limit:.1} \
                          (the last was session {session})",
                         age / 1000,
                         window.len()
                     );
-                    verdict.broken(Rule::Cold, *at, text);
+                    verdict.add_finding(Rule::Cold, *at, text);
                 }
             }
             _ => {}
@@ -317,9 +321,9 @@
     }
 }
 
-fn keep_terms(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
+fn check_terms(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
     let mut classes: BTreeMap<&str, &str> = BTreeMap::new();
-    // By front, class and title: the sessions held, with their attempts.
+    // Sessions held, with their attempts, by front, class and title.
     let mut seats: BTreeMap<[&str; 3], BTreeSet<(&str, u32)>> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
@@ -329,7 +333,7 @@
                 if !(class_terms.floor..=class_terms.top).contains(rung) {
                     let text =
                         format!("session {session} of {class} was set up at rung {rung} at box {server}");
-                    verdict.broken(Rule::Terms, *at, text);
+                    verdict.add_finding(Rule::Terms, *at, text);
                 }
                 let held = seats.entry([front, class, title]).or_default();
                 held.insert((session, *attempt));
@@ -339,7 +343,7 @@
                         held.len(),
                         class_terms.seats
                     );
-                    verdict.broken(Rule::Terms, *at, text);
+                    verdict.add_finding(Rule::Terms, *at, text);
                 }
             }
             Event::RungSet { session, rung, .. } => {
@@ -347,7 +351,7 @@
                 let Some(class_terms) = terms.classes.get(class) else { continue };
                 if !(class_terms.floor..=class_terms.top).contains(rung) {
                     let text = format!("session {session} of {class} was put on rung {rung}");
-                    verdict.broken(Rule::Terms, *at, text);
+                    verdict.add_finding(Rule::Terms, *at, text);
                 }
             }
             Event::SetUpEnded { session, attempt, end, .. } if *end != SetUpEnd::Began => {
@@ -365,31 +369,31 @@
     }
 }
 
-fn budget(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
+fn check_budget(lines: &[Line], terms: &Terms, verdict: &mut Verdict) {
     let Some(budget) = terms.budget else { return };
-    let mut taken: BTreeMap<&str, VecDeque<u64>> = BTreeMap::new();
-    let mut further: BTreeMap<&str, VecDeque<u64>> = BTreeMap::new();
+    let mut accepted: BTreeMap<&str, VecDeque<u64>> = BTreeMap::new();
+    let mut further_attempts: BTreeMap<&str, VecDeque<u64>> = BTreeMap::new();
     for Line { at, what } in lines {
         match what {
-            Event::Opened { front, .. } => taken.entry(front).or_default().push_back(*at),
+            Event::Opened { front, .. } => accepted.entry(front).or_default().push_back(*at),
             Event::FrontUp { front } => {
-                taken.remove(front.as_str());
-                further.remove(front.as_str());
+                accepted.remove(front.as_str());
+                further_attempts.remove(front.as_str());
             }
             Event::SetUpRead { front, session, attempt, .. } if *attempt > 0 => {
-                let tries = further.entry(front).or_default();
-                tries.push_back(*at);
-                tries.retain(|before| before + budget.window >= *at);
-                let calls = taken.entry(front).or_default();
-                // Calls are written a moment before they are taken, and the window's edge lies between.
+                let attempts = further_attempts.entry(front).or_default();
+                attempts.push_back(*at);
+                attempts.retain(|before| before + budget.window >= *at);
+                let calls = accepted.entry(front).or_default();
+                // Calls are recorded just before they are accepted, and the edge of the window may lie between the two.
                 calls.retain(|before| before + budget.window + terms.lateness >= *at);
-                let most = budget.free + budget.share * calls.len() as f64;
-                if tries.len() as f64 > most {
+                let limit = budget.free + budget.share * calls.len() as f64;
+                if attempts.len() as f64 > limit {
                     let text = format!(
-                        "{front}: {} further attempts in a window that holds {most:.1} (the last for {session})",
-                        tries.len()
+                        "{front}: {} further attempts in a window that holds {limit:.1} (the last for {session})",
+                        attempts.len()
                     );
-                    verdict.broken(Rule::Budget, *at, text);
+                    verdict.add_finding(Rule::Budget, *at, text);
                 }
             }
             _ => {}
--- a/crates/judge/tests/accord.rs
+++ b/crates/judge/tests/accord.rs
@@ -1,12 +1,13 @@
-//! Each property of versions falls where a history breaks it, and only then.
+//! Each property of agreed versions is broken by a history that violates it, and by no other.
 
 use salttally_judge::accord::{judge, Property, Verdict};
 use serde_json::{json, Value};
 
 const SECOND: u64 = 1_000_000;
 
-/// Two fronts that take versions 1 and 2, the first of which refuses `v0`; then `more`.
-fn told(more: Vec<Value>) -> Verdict {
+/// Judges a trial of two fronts: both take version 1, which refuses `v0`, the front `a` also takes version 2, which
+/// refuses `v1`; then the lines of `more` follow.
+fn judge_trial(more: Vec<Value>) -> Verdict {
     let mut lines = vec![json!({"at": 0, "truth": "trial", "stated_us": 4 * SECOND, "equal_us": 3 * SECOND})];
     for front in ["a", "b"] {
         lines.push(json!({"at": 1, "truth": "up", "front": front}));
@@ -20,8 +21,9 @@
     judge(&lines)
 }
 
-fn broken(more: Vec<Value>) -> Vec<Property> {
-    let mut broken: Vec<Property> = told(more).broken.into_iter().map(|(property, _)| property).collect();
+fn violations(more: Vec<Value>) -> Vec<Property> {
+    let mut broken: Vec<Property> =
+        judge_trial(more).broken.into_iter().map(|(property, _)| property).collect();
     broken.dedup();
     broken
 }
@@ -35,8 +37,8 @@
 }
 
 #[test]
-fn a_history_in_which_all_holds_breaks_nothing() {
-    let verdict = told(vec![
+fn a_correct_history_breaks_no_property() {
+    let verdict = judge_trial(vec![
         act(2 * SECOND, "a", "v0", false, "lease", 1, 1),
         act(4 * SECOND, "b", "v1", true, "lease", 1, 1),
         took(5 * SECOND, "b", 2, "two", 2),
@@ -51,61 +53,74 @@
 }
 
 #[test]
-fn two_orders_two_contents_and_a_parted_history_break_the_order() {
-    assert_eq!(broken(vec![took(5 * SECOND, "b", 2, "other", 2)]), [Property::OneOrder]);
+fn different_steps_contents_or_a_diverged_history_break_the_order() {
+    assert_eq!(violations(vec![took(5 * SECOND, "b", 2, "other", 2)]), [Property::OneOrder]);
     let other = json!({"at": 4 * SECOND, "front": "b", "version": 2, "refuses": []});
-    assert_eq!(broken(vec![other]), [Property::OneOrder]);
-    assert_eq!(broken(vec![json!({"at": 4 * SECOND, "front": "b", "parted": "a"})]), [Property::OneOrder]);
+    assert_eq!(violations(vec![other]), [Property::OneOrder]);
+    assert_eq!(
+        violations(vec![json!({"at": 4 * SECOND, "front": "b", "parted": "a"})]),
+        [Property::OneOrder]
+    );
 }
 
 #[test]
-fn who_acts_on_what_others_left_longer_ago_than_stated_contradicts_them() {
-    assert_eq!(broken(vec![act(8 * SECOND, "b", "v1", true, "lease", 1, 1)]), [Property::ContradictionsEnd]);
-    assert_eq!(broken(vec![act(8 * SECOND, "b", "v1", true, "meet", 1, 1)]), [Property::ContradictionsEnd]);
-    assert_eq!(broken(vec![act(8 * SECOND, "b", "v2", true, "lease", 1, 1)]), [], "no version refuses it");
-    // The other way: somebody still refuses, by a lease, what a version that has begun allows.
+fn acting_on_a_version_replaced_longer_ago_than_stated_is_a_contradiction() {
+    assert_eq!(
+        violations(vec![act(8 * SECOND, "b", "v1", true, "lease", 1, 1)]),
+        [Property::ContradictionsEnd]
+    );
+    assert_eq!(
+        violations(vec![act(8 * SECOND, "b", "v1", true, "meet", 1, 1)]),
+        [Property::ContradictionsEnd]
+    );
+    assert_eq!(
+        violations(vec![act(8 * SECOND, "b", "v2", true, "lease", 1, 1)]),
+        [],
+        "no version refuses it"
+    );
+    // The reverse: a front still refuses, by a lease, what a version that has begun allows.
     let loosened = |by| {
         vec![act(4 * SECOND, "a", "v0", true, "lease", 2, 2), act(9 * SECOND, "b", "v0", false, by, 1, 1)]
     };
-    assert_eq!(broken(loosened("lease")), [Property::ContradictionsEnd, Property::BeginsAfterLeases]);
-    assert_eq!(broken(loosened("none")), [], "a front without a lease refuses all");
+    assert_eq!(violations(loosened("lease")), [Property::ContradictionsEnd, Property::BeginsAfterLeases]);
+    assert_eq!(violations(loosened("none")), [], "a front without a lease refuses all");
 }
 
 #[test]
-fn what_was_told_to_be_agreed_and_is_not_there_at_the_end_was_lost() {
+fn a_version_reported_as_agreed_and_missing_at_the_end_was_lost() {
     let told = json!({"at": 4 * SECOND, "front": "a", "told": 1, "what": "Became(Version(3))"});
-    assert_eq!(broken(vec![told]), [Property::AgreedStays]);
+    assert_eq!(violations(vec![told]), [Property::AgreedStays]);
     let calm = json!({"at": 10 * SECOND, "truth": "calm"});
-    assert_eq!(broken(vec![calm.clone()]), [Property::AgreedStays], "b ends a step behind");
+    assert_eq!(violations(vec![calm.clone()]), [Property::AgreedStays], "b ends a step behind");
     let down = json!({"at": 9 * SECOND, "truth": "down", "front": "b"});
-    assert_eq!(broken(vec![down, calm]), [], "it is not there any more");
+    assert_eq!(violations(vec![down, calm]), [], "b is down");
 }
 
 #[test]
-fn who_is_not_on_the_latest_by_a_lease_after_all_faults_is_late() {
+fn a_front_not_on_the_latest_version_after_all_faults_is_late() {
     let calm = json!({"at": 10 * SECOND, "truth": "calm"});
     let both = |late: Value| vec![took(5 * SECOND, "b", 2, "two", 2), calm.clone(), late];
-    assert_eq!(broken(both(act(20 * SECOND, "b", "v2", true, "lease", 1, 2))), [Property::AllOnOne]);
-    assert_eq!(broken(both(act(20 * SECOND, "b", "v2", false, "none", 2, 2))), [Property::AllOnOne]);
-    assert_eq!(broken(both(act(12 * SECOND, "b", "v2", true, "lease", 1, 2))), [], "there is still time");
+    assert_eq!(violations(both(act(20 * SECOND, "b", "v2", true, "lease", 1, 2))), [Property::AllOnOne]);
+    assert_eq!(violations(both(act(20 * SECOND, "b", "v2", false, "none", 2, 2))), [Property::AllOnOne]);
+    assert_eq!(violations(both(act(12 * SECOND, "b", "v2", true, "lease", 1, 2))), [], "there is still time");
     assert_eq!(
-        broken(both(act(20 * SECOND, "b", "v2", true, "meet", 2, 2))),
+        violations(both(act(20 * SECOND, "b", "v2", true, "meet", 2, 2))),
         [],
         "on the version, by the meet"
     );
 }
 
 #[test]
-fn a_lease_without_a_version_that_has_begun_breaks_the_order_of_beginnings() {
+fn acting_by_a_lease_without_a_version_that_has_begun_is_a_violation() {
     let begun = act(4 * SECOND, "a", "v2", true, "lease", 2, 2);
     let late = |by| vec![begun.clone(), act(5 * SECOND, "b", "v2", true, by, 1, 1)];
-    assert_eq!(broken(late("lease")), [Property::BeginsAfterLeases]);
-    assert_eq!(broken(late("meet")), [], "its lease has ended");
+    assert_eq!(violations(late("lease")), [Property::BeginsAfterLeases]);
+    assert_eq!(violations(late("meet")), [], "its lease has ended");
 }
 
 #[test]
-fn acts_against_the_versions_they_carry_or_on_ones_never_agreed_break_the_rules() {
-    let acts = |act: Value| broken(vec![act]);
+fn actions_against_their_versions_or_on_versions_never_agreed_are_violations() {
+    let acts = |act: Value| violations(vec![act]);
     assert_eq!(acts(act(2 * SECOND, "a", "v0", true, "lease", 1, 1)), [Property::ActsAsAgreed]);
     assert_eq!(acts(act(2 * SECOND, "a", "v2", false, "lease", 1, 1)), [Property::ActsAsAgreed]);
     assert_eq!(
@@ -118,6 +133,10 @@
         [Property::ActsAsAgreed],
         "never agreed"
     );
-    assert_eq!(acts(act(4 * SECOND, "a", "v2", true, "none", 1, 1)), [Property::ActsAsAgreed], "by no right");
+    assert_eq!(
+        acts(act(4 * SECOND, "a", "v2", true, "none", 1, 1)),
+        [Property::ActsAsAgreed],
+        "without authority"
+    );
     assert_eq!(acts(act(4 * SECOND, "a", "v2", false, "meet", 1, 2)), [], "a proposal may refuse more");
 }
--- a/crates/judge/tests/rules.rs
+++ b/crates/judge/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule on records made by hand: kept by the one, broken by the next that differs in one thing.
+//! Each rule on hand-made records: pairs of a record that keeps the rule and a similar one that breaks it.
 
 use salttally_judge::record::*;
 use salttally_judge::worth::worth;
@@ -30,11 +30,11 @@
     }
 }
 
-/// A record, from times in ms.
+/// A record of events with times in milliseconds.
 fn record(lines: &[(u64, Event)]) -> Vec<Line> {
     let mut all = vec![Line { at: 0, what: Event::Terms(terms()) }];
     all.extend(lines.iter().map(|(at, what)| Line { at: at * MS, what: what.clone() }));
-    // So that all that is owed is overdue by the end.
+    // A late last line, so that all required answers are overdue by the end.
     all.push(Line { at: 100_000 * MS, what: Event::FrontUp { front: "f9".into() } });
     all
 }
@@ -57,23 +57,23 @@
     Event::Answered { open, answer, session: session.into() }
 }
 
-fn read(server: u32, session: &str, attempt: u32, class: &str, rung: usize) -> Event {
+fn set_up_read(server: u32, session: &str, attempt: u32, class: &str, rung: usize) -> Event {
     let (front, title) = ("f1".to_owned(), "t".to_owned());
     Event::SetUpRead { server, front, session: session.into(), attempt, class: class.into(), title, rung }
 }
 
-fn end(server: u32, session: &str, attempt: u32, end: SetUpEnd) -> Event {
+fn set_up_ended(server: u32, session: &str, attempt: u32, end: SetUpEnd) -> Event {
     Event::SetUpEnded { server, session: session.into(), attempt, end }
 }
 
 #[track_caller]
-fn kept(rule: Rule, lines: &[(u64, Event)]) {
+fn assert_kept(rule: Rule, lines: &[(u64, Event)]) {
     let verdict = judge(&record(lines));
     assert!(verdict.kept(rule), "{:#?}", verdict.findings);
 }
 
 #[track_caller]
-fn broken(rule: Rule, word: &str, lines: &[(u64, Event)]) {
+fn assert_broken(rule: Rule, word: &str, lines: &[(u64, Event)]) {
     let verdict = judge(&record(lines));
     let found = verdict.findings.iter().any(|finding| finding.rule == rule && finding.text.contains(word));
     assert!(found, "no `{word}` in {:#?}", verdict.findings);
@@ -83,132 +83,166 @@
 fn one_answer_in_time() {
     use AnswerKind::*;
     let rule = Rule::OneAnswer;
-    kept(rule, &[(1, opened(1)), (1_040, answered(1, Failed, "s"))]);
-    broken(rule, "never answered", &[(1, opened(1))]);
-    broken(rule, "too late", &[(1, opened(1)), (1_060, answered(1, Failed, "s"))]);
-    broken(rule, "2 times", &[(1, opened(1)), (2, answered(1, Plays, "s")), (3, answered(1, Failed, "s"))]);
-    broken(rule, "no call", &[(2, answered(1, Plays, "s"))]);
+    assert_kept(rule, &[(1, opened(1)), (1_040, answered(1, Failed, "s"))]);
+    assert_broken(rule, "never answered", &[(1, opened(1))]);
+    assert_broken(rule, "too late", &[(1, opened(1)), (1_060, answered(1, Failed, "s"))]);
+    assert_broken(
+        rule,
+        "2 times",
+        &[(1, opened(1)), (2, answered(1, Plays, "s")), (3, answered(1, Failed, "s"))],
+    );
+    assert_broken(rule, "no call", &[(2, answered(1, Plays, "s"))]);
     let down = Event::FrontDown { front: "f1".into() };
-    kept(rule, &[(1, opened(1)), (500, down.clone())]);
-    broken(rule, "never answered", &[(1, opened(1)), (1_500, down)]);
-    kept(rule, &[(1, opened(1)), (5, Event::GaveUp { open: 1 })]);
+    assert_kept(rule, &[(1, opened(1)), (500, down.clone())]);
+    assert_broken(rule, "never answered", &[(1, opened(1)), (1_500, down)]);
+    assert_kept(rule, &[(1, opened(1)), (5, Event::GaveUp { open: 1 })]);
     let given_up = [(1, opened(1)), (5, Event::GaveUp { open: 1 }), (6, answered(1, Plays, "s"))];
-    kept(rule, &given_up);
+    assert_kept(rule, &given_up);
     let twice = [given_up.as_slice(), &[(7, answered(1, Failed, "s"))]].concat();
-    broken(rule, "2 times", &twice);
-    broken(rule, "never answered", &[(1, opened(1)), (5, Event::Cut { open: 1 })]);
+    assert_broken(rule, "2 times", &twice);
+    assert_broken(rule, "never answered", &[(1, opened(1)), (5, Event::Cut { open: 1 })]);
 }
 
 #[test]
-fn one_attempt_out_and_no_paid_set_up_twice() {
+fn one_attempt_in_flight_and_no_paid_set_up_twice() {
     use SetUpEnd::*;
     let rule = Rule::OneEffect;
-    let again = |how| {
-        vec![(1, read(1, "s", 0, "clip", 0)), (5, end(1, "s", 0, how)), (6, read(2, "s", 1, "clip", 0))]
+    let second_attempt = |how| {
+        vec![
+            (1, set_up_read(1, "s", 0, "clip", 0)),
+            (5, set_up_ended(1, "s", 0, how)),
+            (6, set_up_read(2, "s", 1, "clip", 0)),
+        ]
     };
-    kept(rule, &again(Error));
-    broken(rule, "is out at box 1", &[(1, read(1, "s", 0, "clip", 0)), (6, read(2, "s", 1, "clip", 0))]);
-    // The front goes on as it closes; the box sees that a moment later, but not much later.
+    assert_kept(rule, &second_attempt(Error));
+    assert_broken(
+        rule,
+        "is out at box 1",
+        &[(1, set_up_read(1, "s", 0, "clip", 0)), (6, set_up_read(2, "s", 1, "clip", 0))],
+    );
+    // The front continues as soon as it closes the connection; the box notices that a little later, within the lateness.
     let closed = |seen| {
-        vec![(1, read(1, "s", 0, "clip", 0)), (6, read(2, "s", 1, "clip", 0)), (seen, end(1, "s", 0, Closed))]
+        vec![
+            (1, set_up_read(1, "s", 0, "clip", 0)),
+            (6, set_up_read(2, "s", 1, "clip", 0)),
+            (seen, set_up_ended(1, "s", 0, Closed)),
+        ]
     };
-    kept(rule, &closed(16));
-    broken(rule, "is out at box 1", &closed(17));
-    let late_answer =
-        [(1, read(1, "s", 0, "clip", 0)), (6, read(2, "s", 1, "clip", 0)), (7, end(1, "s", 0, Error))];
-    broken(rule, "is out at box 1", &late_answer);
+    assert_kept(rule, &closed(16));
+    assert_broken(rule, "is out at box 1", &closed(17));
+    let late_answer = [
+        (1, set_up_read(1, "s", 0, "clip", 0)),
+        (6, set_up_read(2, "s", 1, "clip", 0)),
+        (7, set_up_ended(1, "s", 0, Error)),
+    ];
+    assert_broken(rule, "is out at box 1", &late_answer);
     let paid = |how| {
-        vec![(1, read(1, "s", 0, "paid", 1)), (5, end(1, "s", 0, how)), (6, read(2, "s", 1, "paid", 1))]
+        vec![
+            (1, set_up_read(1, "s", 0, "paid", 1)),
+            (5, set_up_ended(1, "s", 0, how)),
+            (6, set_up_read(2, "s", 1, "paid", 1)),
+        ]
     };
-    kept(rule, &paid(Full));
+    assert_kept(rule, &paid(Full));
     for how in [Began, Error, Closed, Reset] {
-        broken(rule, "set up again", &paid(how));
+        assert_broken(rule, "set up again", &paid(how));
     }
     let refused = |how| {
         vec![
-            (1, read(1, "s", 0, "paid", 1)),
-            (5, end(1, "s", 0, how)),
+            (1, set_up_read(1, "s", 0, "paid", 1)),
+            (5, set_up_ended(1, "s", 0, how)),
             (6, answered(1, AnswerKind::Refused, "s")),
         ]
     };
-    kept(rule, &refused(Full));
-    broken(rule, "was refused", &refused(Reset));
-    broken(rule, "3 at most", &[(1, read(1, "s", 3, "clip", 0))]);
+    assert_kept(rule, &refused(Full));
+    assert_broken(rule, "was refused", &refused(Reset));
+    assert_broken(rule, "3 at most", &[(1, set_up_read(1, "s", 3, "clip", 0))]);
 }
 
 #[test]
-fn nothing_new_after_a_drain_and_its_grace() {
+fn no_set_up_after_the_grace_of_a_drain() {
     let told = || Event::DrainTold { front: "f1".into(), server: 1 };
     let rule = Rule::Drains;
-    kept(rule, &[(100, told()), (360, read(1, "s", 0, "clip", 0))]);
-    broken(rule, "draining box 1", &[(100, told()), (361, read(1, "s", 0, "clip", 0))]);
-    broken(rule, "draining box 1", &[(100, told()), (300, told()), (400, read(1, "s", 0, "clip", 0))]);
+    assert_kept(rule, &[(100, told()), (360, set_up_read(1, "s", 0, "clip", 0))]);
+    assert_broken(rule, "draining box 1", &[(100, told()), (361, set_up_read(1, "s", 0, "clip", 0))]);
+    assert_broken(
+        rule,
+        "draining box 1",
+        &[(100, told()), (300, told()), (400, set_up_read(1, "s", 0, "clip", 0))],
+    );
     let ready = Event::ReadyTold { front: "f1".into(), server: 1 };
-    kept(rule, &[(100, told()), (300, ready), (400, read(1, "s", 0, "clip", 0))]);
-    kept(
+    assert_kept(rule, &[(100, told()), (300, ready), (400, set_up_read(1, "s", 0, "clip", 0))]);
+    assert_kept(
         rule,
-        &[(100, told()), (300, Event::FrontUp { front: "f1".into() }), (400, read(1, "s", 0, "clip", 0))],
+        &[
+            (100, told()),
+            (300, Event::FrontUp { front: "f1".into() }),
+            (400, set_up_read(1, "s", 0, "clip", 0)),
+        ],
     );
-    kept(rule, &[(100, told()), (400, read(2, "s", 0, "clip", 0))]);
+    assert_kept(rule, &[(100, told()), (400, set_up_read(2, "s", 0, "clip", 0))]);
 }
 
 #[test]
-fn no_cold_box_is_pushed_over() {
-    // 4 places over 2 s, half of that at the start, twice that in 1 s: 2, and 2 more for chance.
+fn no_cold_box_is_overloaded() {
+    // Pace: 4 places per 2 s, half of that at the start. The multiple of 2 in a window of 1 s allows 2 set-ups, and 2
+    // more are allowed for chance.
     let sent = |cold, count: u64| {
         let mut lines = vec![(10, Event::BoxStarted { server: 1, cold })];
-        lines.extend((0..count).map(|n| (11 + n, read(1, &format!("s{n}"), 0, "clip", 0))));
+        lines.extend((0..count).map(|n| (11 + n, set_up_read(1, &format!("s{n}"), 0, "clip", 0))));
         lines
     };
-    kept(Rule::Cold, &sent(true, 4));
-    broken(Rule::Cold, "sent 5 set-ups", &sent(true, 5));
-    kept(Rule::Cold, &sent(false, 50));
+    assert_kept(Rule::Cold, &sent(true, 4));
+    assert_broken(Rule::Cold, "sent 5 set-ups", &sent(true, 5));
+    assert_kept(Rule::Cold, &sent(false, 50));
     let late: Vec<_> =
         sent(true, 50).into_iter().map(|(at, what)| (if at > 10 { at + 2_000 } else { at }, what)).collect();
-    kept(Rule::Cold, &late);
-    broken(Rule::Cold, "pushed over", &[(1, Event::BoxFell { server: 1 })]);
+    assert_kept(Rule::Cold, &late);
+    assert_broken(Rule::Cold, "pushed over", &[(1, Event::BoxFell { server: 1 })]);
 }
 
 #[test]
 fn floors_and_seats() {
     let rule = Rule::Terms;
-    kept(rule, &[(1, read(1, "s", 0, "paid", 1))]);
-    broken(rule, "rung 0", &[(1, read(1, "s", 0, "paid", 0))]);
+    assert_kept(rule, &[(1, set_up_read(1, "s", 0, "paid", 1))]);
+    assert_broken(rule, "rung 0", &[(1, set_up_read(1, "s", 0, "paid", 0))]);
     let set = |rung| Event::RungSet { server: 1, session: "s".into(), rung };
-    kept(rule, &[(1, read(1, "s", 0, "paid", 1)), (2, set(2))]);
-    broken(rule, "put on rung 0", &[(1, read(1, "s", 0, "paid", 1)), (2, set(0))]);
-    let two =
-        |ended: Event| vec![(1, read(1, "a", 0, "seated", 0)), (2, ended), (3, read(1, "b", 0, "seated", 0))];
-    kept(rule, &two(Event::Ended { server: 1, session: "a".into(), attempt: 0 }));
-    kept(rule, &two(end(1, "a", 0, SetUpEnd::Full)));
-    broken(rule, "1 seats", &two(end(1, "a", 0, SetUpEnd::Began)));
+    assert_kept(rule, &[(1, set_up_read(1, "s", 0, "paid", 1)), (2, set(2))]);
+    assert_broken(rule, "put on rung 0", &[(1, set_up_read(1, "s", 0, "paid", 1)), (2, set(0))]);
+    let two = |ended: Event| {
+        vec![(1, set_up_read(1, "a", 0, "seated", 0)), (2, ended), (3, set_up_read(1, "b", 0, "seated", 0))]
+    };
+    assert_kept(rule, &two(Event::Ended { server: 1, session: "a".into(), attempt: 0 }));
+    assert_kept(rule, &two(set_up_ended(1, "a", 0, SetUpEnd::Full)));
+    assert_broken(rule, "1 seats", &two(set_up_ended(1, "a", 0, SetUpEnd::Began)));
 }
 
 #[test]
 fn further_attempts_within_budget() {
-    let again = |at, n: u32| (at, read(1, &format!("s{n}"), 1, "clip", 0));
+    let second_attempt = |at, n: u32| (at, set_up_read(1, &format!("s{n}"), 1, "clip", 0));
     let rule = Rule::Budget;
-    kept(rule, &[again(1, 1)]);
-    broken(rule, "2 further attempts", &[again(1, 1), again(2, 2)]);
-    kept(rule, &[(1, opened(1)), (1, opened(2)), again(2, 1), again(3, 2)]);
-    broken(
+    assert_kept(rule, &[second_attempt(1, 1)]);
+    assert_broken(rule, "2 further attempts", &[second_attempt(1, 1), second_attempt(2, 2)]);
+    assert_kept(rule, &[(1, opened(1)), (1, opened(2)), second_attempt(2, 1), second_attempt(3, 2)]);
+    assert_broken(
         rule,
         "3 further attempts",
-        &[(1, opened(1)), (1, opened(2)), again(2, 1), again(3, 2), again(900, 3)],
+        &[(1, opened(1)), (1, opened(2)), second_attempt(2, 1), second_attempt(3, 2), second_attempt(900, 3)],
     );
-    kept(rule, &[again(1, 1), again(1_002, 2)]);
+    assert_kept(rule, &[second_attempt(1, 1), second_attempt(1_002, 2)]);
 }
 
 #[test]
-fn a_record_without_terms_is_no_kept_rule() {
+fn a_record_without_terms_breaks_all_rules() {
     assert_eq!(judge(&[]).findings.len(), 6);
-    assert!(matches!(salttally_judge::record::read("".as_bytes()), Err(BadRecord::NoTerms)));
-    assert!(matches!(salttally_judge::record::read("{".as_bytes()), Err(BadRecord::Line(1, _))));
+    assert!(matches!(salttally_judge::record::read("".as_bytes()), Err(RecordError::NoTerms)));
+    assert!(matches!(salttally_judge::record::read("{".as_bytes()), Err(RecordError::Line(1, _))));
 }
 
 #[test]
-fn records_are_read_as_they_are_written_in_the_order_of_their_times() {
-    let lines = record(&[(7, opened(1)), (3, Event::Cut { open: 1 }), (9, end(1, "s", 2, SetUpEnd::Reset))]);
+fn a_written_record_is_read_back_sorted_by_time() {
+    let lines =
+        record(&[(7, opened(1)), (3, Event::Cut { open: 1 }), (9, set_up_ended(1, "s", 2, SetUpEnd::Reset))]);
     let text: String = lines.iter().map(|line| write(line) + "\n").collect();
     let mut sorted = lines;
     sorted.sort_by_key(|line| line.at);
@@ -216,12 +250,12 @@
 }
 
 #[test]
-fn worth_is_time_by_rung_and_class_less_the_stalls() {
+fn worth_is_time_weighted_by_rung_and_class_minus_stalls() {
     let ended = || Event::Ended { server: 1, session: "s".into(), attempt: 0 };
     let play = vec![
         (0, opened(1)),
-        (1, read(1, "s", 0, "clip", 1)),
-        (1_000, end(1, "s", 0, SetUpEnd::Began)),
+        (1, set_up_read(1, "s", 0, "clip", 1)),
+        (1_000, set_up_ended(1, "s", 0, SetUpEnd::Began)),
         (1_000, answered(1, AnswerKind::Plays, "s")),
     ];
     let of = |more: &[(u64, Event)]| worth(&record(&[play.clone(), more.to_vec()].concat()));
@@ -231,7 +265,7 @@
     assert_eq!((plain.began, plain.in_time), (1, 0), "it began after its aim");
     let raised = of(&[(3_000, Event::RungSet { server: 1, session: "s".into(), rung: 2 }), (5_000, ended())]);
     assert!((raised.delivered - 6.0).abs() < 1e-9, "{raised:?}");
-    // A tenth under the 98 in 100 costs five tenths.
+    // A share of the rate 10 points below 98 % costs 50 %.
     let stalled = of(&[(3_000, Event::Share { server: 1, share: 0.88 }), (5_000, ended())]);
     assert!((stalled.delivered - 3.0).abs() < 1e-9, "{stalled:?}");
 }
--- a/crates/members/src/ask.rs
+++ b/crates/members/src/ask.rs
@@ -1,5 +1,5 @@
-//! An operator's question to a running front: how it sees things. It goes as a datagram under the front's own keys, so
-//! that whoever may ask is whoever has the settings.
+//! Requests the status of a running front for an operator. The request is a datagram authenticated with the front's
+//! own keys, so only those who can read its settings may ask.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::io;
@@ -14,46 +14,46 @@
 use crate::settings::Settings;
 use crate::wire::{self, MAX_DATAGRAM_BYTES};
 
-/// Each page is asked for so often.
-const TRIES: u32 = 10;
-/// And waited for so long.
-const WITHIN: Duration = Duration::from_millis(300);
+/// Maximum number of requests for each page.
+const ATTEMPTS_PER_PAGE: u32 = 10;
+/// Time to wait for the answer to each request.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Why there is no answer.
+/// Errors of requesting a front's status.
 #[derive(Debug, Error)]
 pub enum AskError {
-    /// No socket.
+    /// A socket operation failed.
     #[error("cannot ask {0}: {1}")]
     Socket(SocketAddr, io::Error),
-    /// Nobody answers.
+    /// No answer was received.
     #[error("{0} does not answer: no front runs there, or it has other keys")]
     Silent(SocketAddr),
 }
 
-/// What a front shows: one line on itself, and one for each member.
+/// The status of a front: one line about itself, and one for each member.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Shown {
-    /// On itself.
+    /// The front's line about itself.
     pub head: Value,
-    /// On the members.
+    /// The lines about the members.
     pub members: Vec<Value>,
 }
 
-/// Asks the front of these settings.
+/// Requests the status of the front that runs with these settings.
 ///
 /// # Errors
-/// It does not answer.
+/// The front doesn't answer, or a socket operation fails.
 pub fn ask(settings: &Settings) -> Result<Shown, AskError> {
     let to = settings.bind;
     let failed = |error| AskError::Socket(to, error);
     let local: SocketAddr = if to.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0u16; 8], 0).into() };
     let socket = UdpSocket::bind(local).map_err(failed)?;
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_micros() as u64);
-    let boot = unix ^ u64::from(std::process::id()) << 44;
+    let unix_us = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_micros() as u64);
+    let boot = unix_us ^ u64::from(std::process::id()) << 44;
     let (mut lines, mut page, mut pages, mut sequence) = (Vec::new(), 0, 1, 0);
     while page < pages {
         let mut text = None;
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPTS_PER_PAGE {
             sequence += 1;
             let name = Arc::from("operator");
             let body = Body::Show(page);
@@ -61,7 +61,7 @@
             let bytes = wire::encode(&envelope, &settings.keys)
                 .map_err(|error| failed(io::Error::other(error.to_string())))?;
             socket.send_to(&bytes, to).map_err(failed)?;
-            text = heard(&socket, settings, page);
+            text = receive_page(&socket, settings, page);
             if text.is_some() {
                 break;
             }
@@ -74,11 +74,11 @@
     Ok(Shown { head: lines.next().unwrap_or_default(), members: lines.collect() })
 }
 
-fn heard(socket: &UdpSocket, settings: &Settings, page: u32) -> Option<(u32, String)> {
-    let until = Instant::now() + WITHIN;
+fn receive_page(socket: &UdpSocket, settings: &Settings, page: u32) -> Option<(u32, String)> {
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
     loop {
-        let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
+        let left = deadline.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
         socket.set_read_timeout(Some(left)).ok()?;
         let (count, _) = socket.recv_from(&mut bytes).ok()?;
         if let Ok(Envelope { body: Body::Shown(of, pages, text), .. }) =
--- a/crates/members/src/core/detector.rs
+++ b/crates/members/src/core/detector.rs
@@ -1,9 +1,10 @@
-//! Whether single other fronts can be reached both ways, as this front sees it.
+//! Failure detector: which other fronts this front reaches in both directions.
 //!
-//! A front probes the few others that it observes (SWIM's ping, Das et al. 2002, without its random order, so that
-//! each front has the same number of observers at any time: Rapid, Suresh et al. 2018, section 4.1). How many misses
-//! in a row make it accuse follows from the loss that it has measured itself: at a lossy or slow front the same
-//! number of misses means less (the local health of Lifeguard, 2017; the accrual of Hayashibara et al. 2004).
+//! A front pings the few others that it observes (SWIM's ping, Das et al. 2002, but without its random order, so that
+//! each front has the same number of observers at any time: Rapid, Suresh et al. 2018, section 4.1). The number of
+//! consecutive misses that leads to an accusation follows from the loss that the front itself has measured: at a lossy
+//! or slow front the same number of misses is weaker evidence (the local health of Lifeguard, 2017; the accrual
+//! detector of Hayashibara et al. 2004).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,18 +14,18 @@
 use super::view::{Fact, Name, View};
 use super::{Micros, Times};
 
-/// Pings remembered of one link: later pongs prove nothing.
-const REMEMBERED: usize = 64;
-/// A pong that comes later than this proves nothing.
-const LATEST: Micros = 3_000_000;
-/// Bounds of the time that a pong is waited for.
-const WAIT: (Micros, Micros) = (60_000, 400_000);
-/// Misses in a row at least and most.
-const MISSES: (u32, u32) = (3, 60);
-/// Weight of one outcome in the measured loss: one in so many.
-const WEIGHT: f64 = 64.0;
+/// Maximum number of pings remembered per link; pongs to older ones are ignored.
+const MAX_REMEMBERED_PINGS: usize = 64;
+/// Pongs that take longer than this are ignored.
+const MAX_PONG_DELAY: Micros = 3_000_000;
+/// Minimum and maximum time to wait for a pong before it counts as a miss.
+const PONG_TIMEOUT_BOUNDS: (Micros, Micros) = (60_000, 400_000);
+/// Minimum and maximum number of consecutive misses that an accusation needs.
+const MISSES_BOUNDS: (u32, u32) = (3, 60);
+/// Each outcome has a weight of 1 in this many in the measured loss.
+const LOSS_SMOOTHING: f64 = 64.0;
 
-/// Round trips lost at this front, measured at peers that were heard again.
+/// Share of round trips lost at this front, measured on peers that have answered again.
 #[derive(Clone, Copy, Debug)]
 pub struct Loss(f64);
 
@@ -35,90 +36,92 @@
 }
 
 impl Loss {
-    /// The share of round trips that is lost.
+    /// The share of lost round trips, from 0 to 1.
     pub fn share(self) -> f64 {
         self.0
     }
 
-    fn proven(&mut self, misses: u32) {
-        for _ in 0..misses.min(MISSES.1) {
-            self.0 += (1.0 - self.0) / WEIGHT;
+    fn record_answer(&mut self, misses: u32) {
+        for _ in 0..misses.min(MISSES_BOUNDS.1) {
+            self.0 += (1.0 - self.0) / LOSS_SMOOTHING;
         }
-        self.0 -= self.0 / WEIGHT;
+        self.0 -= self.0 / LOSS_SMOOTHING;
     }
 
-    /// Misses in a row that a peer which is there produces with less than this chance.
-    pub fn misses(self, chance: f64) -> u32 {
-        let (mut left, mut count) = (1.0, 0);
-        while left > chance && count < MISSES.1 {
-            left *= self.0;
+    /// The number of consecutive misses that a reachable peer causes with a probability of at most `chance`.
+    pub fn misses_needed(self, chance: f64) -> u32 {
+        let (mut probability, mut count) = (1.0, 0);
+        while probability > chance && count < MISSES_BOUNDS.1 {
+            probability *= self.0;
             count += 1;
         }
-        count.max(MISSES.0)
+        count.max(MISSES_BOUNDS.0)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentPing {
     nonce: u64,
     at: Micros,
     missed: bool,
 }
 
-/// One other front as it is probed.
+/// Probe state of one other front.
 #[derive(Clone, Debug)]
 pub struct Link {
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     boot: u64,
-    mark: u32,
-    pings: VecDeque<Sent>,
+    short_id: u32,
+    pings: VecDeque<SentPing>,
     misses: u32,
-    /// Since when it was not heard.
-    pub heard: Micros,
-    /// It has answered at all.
-    pub proven: bool,
-    next: Micros,
-    /// Smoothed round trip.
+    /// When it last answered, or when probing began.
+    pub last_heard: Micros,
+    /// Whether it has ever answered.
+    pub has_answered: bool,
+    next_ping: Micros,
+    /// Smoothed round-trip time.
     pub round_trip: Micros,
-    /// It counts as not to be reached.
+    /// Whether it counts as unreachable.
     pub failing: bool,
-    /// Probed because others accuse it: since when, and until when.
+    /// Set while it is probed because others accuse it: start and end of that time.
     polled: Option<(Micros, Micros)>,
-    /// No more this front's to observe, and looked at to the end: until then.
-    kept: Option<Micros>,
+    /// Set while it is still probed although this front doesn't observe it any more: the end of that time.
+    watched_until: Option<Micros>,
 }
 
-/// The links of a front.
+/// The failure detector of one front, with a link to each front that it probes.
 #[derive(Clone, Debug, Default)]
 pub struct Detector {
     links: BTreeMap<Name, Link>,
-    /// Whom this front observes, in the view of this digest.
+    /// Digest of a view, and the fronts that this front observes in that view.
     observed: (u64, Vec<Name>),
     loss: Loss,
 }
 
 impl Detector {
-    /// Measured loss.
+    /// The measured share of lost round trips.
     pub fn loss(&self) -> f64 {
         self.loss.share()
     }
 
-    /// The link to a front, if it is probed.
+    /// The link to a front, if this front probes it.
     pub fn link(&self, name: &str) -> Option<&Link> {
         self.links.get(name)
     }
 
-    /// Whom this front observes: in each of so many rings of all members, ordered by a hash, its successor.
-    pub fn observe(&mut self, me: &Name, view: &View, rings: usize) -> &[Name] {
+    /// The fronts that this front observes: its successor in each of `rings` rings of all members, each ring ordered by
+    /// its own hash.
+    pub fn observed_fronts(&mut self, own_name: &Name, view: &View, rings: usize) -> &[Name] {
         if self.observed.0 != view.digest() || self.observed.1.is_empty() {
-            self.observed = (view.digest(), successors(me, view, rings));
+            self.observed = (view.digest(), successors(own_name, view, rings));
         }
         &self.observed.1
     }
 
-    /// Probes these and no others, and those that are polled still: closely at first, and whenever they are nearly out.
-    pub fn keep(
+    /// Sets the fronts to probe: `wanted`, `polled` (accused by others), and those still watched from before. Polled
+    /// fronts are pinged at short intervals at first and while `nearly_out` holds for them.
+    pub fn set_targets(
         &mut self,
         now: Micros,
         wanted: &[&Fact],
@@ -136,97 +139,101 @@
             if let Some(link) = self.links.get_mut(&fact.name) {
                 let since = link.polled.map(|(since, _)| since).filter(|_| !nearly_out(fact));
                 let since = since.unwrap_or(now);
-                link.polled = Some((since, now + times.poll_kept));
+                link.polled = Some((since, now + times.poll_duration));
             }
         }
         self.links.retain(|name, link| {
             link.polled = link.polled.filter(|(_, until)| *until > now);
-            let mine = wanted.iter().any(|fact| fact.name == *name);
-            // Danger: who observes whom changes with every view, and all that was seen of a front that has just died
-            // would be seen anew by others, from the beginning.
-            link.kept = match link.kept {
-                _ if mine => None,
-                None if link.misses > 0 => Some(now + 2 * times.bear),
-                kept => kept,
+            let is_wanted = wanted.iter().any(|fact| fact.name == *name);
+            // Danger: observers are reassigned with every view. Without this, all misses already counted of a front that
+            // has just died would be lost, and its new observers would start from zero.
+            link.watched_until = match link.watched_until {
+                _ if is_wanted => None,
+                None if link.misses > 0 => Some(now + 2 * times.min_silence),
+                until => until,
             };
-            mine || link.polled.is_some() || link.kept.is_some_and(|until| until > now)
+            is_wanted || link.polled.is_some() || link.watched_until.is_some_and(|until| until > now)
         });
         for fact in wanted.iter().chain(polled) {
-            self.links.entry(Name::clone(&fact.name)).and_modify(|link| link.mark = fact.mark());
+            self.links.entry(Name::clone(&fact.name)).and_modify(|link| link.short_id = fact.short_id());
         }
     }
 
-    /// Pings that are due, each to be sent under the number that `nonce` gives.
-    pub fn due(
+    /// The pings that are due: address and number, which `nonce` generates. Counts overdue pongs as misses.
+    pub fn due_pings(
         &mut self,
         now: Micros,
         times: &Times,
         chance: f64,
         mut nonce: impl FnMut() -> u64,
     ) -> Vec<(SocketAddr, u64)> {
-        let (all, failing) =
-            (self.links.len(), self.links.values().filter(|link| link.misses >= MISSES.0).count());
-        // Danger: a front that is itself cut off or slow accuses everybody. Where most links fail at once it is
-        // more likely to be its own doing, and it takes twice the proof.
-        let needed = self.loss.misses(chance) * if failing * 2 > all { 2 } else { 1 };
+        let (link_count, failing) =
+            (self.links.len(), self.links.values().filter(|link| link.misses >= MISSES_BOUNDS.0).count());
+        // Danger: a front that is itself cut off or slow would accuse everybody. If most links fail at once, the cause is
+        // more likely at this front, so twice as many misses are needed.
+        let needed = self.loss.misses_needed(chance) * if failing * 2 > link_count { 2 } else { 1 };
         let mut pings = Vec::new();
         for link in self.links.values_mut() {
-            let wait = (link.round_trip * 4).clamp(WAIT.0, WAIT.1);
-            for sent in link.pings.iter_mut().filter(|sent| !sent.missed && sent.at + wait <= now) {
+            let pong_timeout = (link.round_trip * 4).clamp(PONG_TIMEOUT_BOUNDS.0, PONG_TIMEOUT_BOUNDS.1);
+            for sent in link.pings.iter_mut().filter(|sent| !sent.missed && sent.at + pong_timeout <= now) {
                 sent.missed = true;
                 link.misses += 1;
             }
-            let bear = if link.polled.is_some() { times.bear / 2 } else { times.bear };
-            link.failing |= link.misses >= needed && link.heard + bear <= now;
-            if link.next > now {
+            let min_silence = if link.polled.is_some() { times.min_silence / 2 } else { times.min_silence };
+            link.failing |= link.misses >= needed && link.last_heard + min_silence <= now;
+            if link.next_ping > now {
                 continue;
             }
-            let asks = link.misses > 0 || !link.proven || link.pings.iter().any(|sent| sent.at > link.heard);
-            // An accusation in doubt is looked into closely, but not for ever: a cut may last.
-            let lately = link.polled.is_some_and(|(since, _)| since + times.poll_kept > now);
-            let hurry = asks && (!link.failing || lately);
-            link.next = now + if hurry { times.hurry } else { times.period };
-            let number = nonce();
-            link.pings.push_back(Sent { nonce: number, at: now, missed: false });
-            if link.pings.len() > REMEMBERED {
+            let unanswered = link.misses > 0
+                || !link.has_answered
+                || link.pings.iter().any(|sent| sent.at > link.last_heard);
+            // Unconfirmed accusations are checked at short intervals, but only for a limited time: a network cut may last.
+            let recently_polled = link.polled.is_some_and(|(since, _)| since + times.poll_duration > now);
+            let ping_fast = unanswered && (!link.failing || recently_polled);
+            link.next_ping =
+                now + if ping_fast { times.unanswered_ping_interval } else { times.ping_interval };
+            let ping_nonce = nonce();
+            link.pings.push_back(SentPing { nonce: ping_nonce, at: now, missed: false });
+            if link.pings.len() > MAX_REMEMBERED_PINGS {
                 link.pings.pop_front();
             }
-            pings.push((link.address, number));
+            pings.push((link.address, ping_nonce));
         }
         pings
     }
 
-    /// A pong of this front and start, or of any start: it is there and can be reached both ways.
-    pub fn pong(&mut self, now: Micros, name: &str, boot: u64, nonce: u64, any_start: bool) {
-        let of = |link: &&mut Link| link.boot == boot || any_start;
-        let Some(link) = self.links.get_mut(name).filter(of) else { return };
+    /// Handles a pong of the front with this name and `boot`, or of any `boot` if `any_start`: the front is reachable in
+    /// both directions.
+    pub fn receive_pong(&mut self, now: Micros, name: &str, boot: u64, nonce: u64, any_start: bool) {
+        let is_same_start = |link: &&mut Link| link.boot == boot || any_start;
+        let Some(link) = self.links.get_mut(name).filter(is_same_start) else { return };
         let Some(at) = link.pings.iter().position(|sent| sent.nonce == nonce) else { return };
-        let Some(sent) = link.pings.remove(at).filter(|sent| sent.at + LATEST > now) else { return };
-        let trip = now - sent.at;
-        link.round_trip = (link.round_trip * 7 + trip) / 8;
-        // Danger: a link that was cut for seconds and is whole again counts as one that loses much, and the next crash is
-        // seen late; found by the hunt.
-        self.loss.proven(if link.failing { 0 } else { link.misses });
+        let Some(sent) = link.pings.remove(at).filter(|sent| sent.at + MAX_PONG_DELAY > now) else { return };
+        let round_trip = now - sent.at;
+        link.round_trip = (link.round_trip * 7 + round_trip) / 8;
+        // Danger: if a link that was cut for seconds and works again counted as lossy, the next crash would be detected
+        // late.
+        self.loss.record_answer(if link.failing { 0 } else { link.misses });
         link.pings.retain(|other| other.at > sent.at);
         link.misses = link.pings.iter().filter(|other| other.missed).count() as u32;
-        (link.heard, link.proven, link.failing) = (now, true, false);
+        (link.last_heard, link.has_answered, link.failing) = (now, true, false);
     }
 
-    /// Marks of those that count as not to be reached.
+    /// Short ids of the fronts that count as unreachable.
     pub fn failing(&self) -> impl Iterator<Item = u32> + '_ {
-        self.links.values().filter(|link| link.failing).map(|link| link.mark)
+        self.links.values().filter(|link| link.failing).map(|link| link.short_id)
     }
 
-    /// Whether this front answered within so long.
+    /// Whether the front `name` has answered within the last `within` microseconds.
     pub fn answers(&self, now: Micros, name: &str, within: Micros) -> bool {
-        self.links.get(name).is_some_and(|link| link.proven && link.heard + within > now)
+        self.links.get(name).is_some_and(|link| link.has_answered && link.last_heard + within > now)
     }
 
-    /// The process was not running: what was not heard meanwhile is nobody's fault.
-    pub fn woke(&mut self, now: Micros) {
+    /// Forgets all misses after this process was not running: silence during that time proves nothing.
+    pub fn reset_after_pause(&mut self, now: Micros) {
         for link in self.links.values_mut() {
             link.pings.clear();
-            (link.misses, link.heard, link.failing, link.next) = (0, now, false, now);
+            (link.misses, link.last_heard, link.failing, link.next_ping) = (0, now, false, now);
         }
     }
 }
@@ -236,35 +243,35 @@
         Link {
             address: fact.address,
             boot: fact.boot,
-            mark: fact.mark(),
+            short_id: fact.short_id(),
             pings: VecDeque::new(),
             misses: 0,
-            heard: now,
-            proven: false,
-            next: now,
-            round_trip: WAIT.1 / 8,
+            last_heard: now,
+            has_answered: false,
+            next_ping: now,
+            round_trip: PONG_TIMEOUT_BOUNDS.1 / 8,
             failing: false,
             polled: None,
-            kept: None,
+            watched_until: None,
         }
     }
 }
 
-fn successors(me: &Name, view: &View, rings: usize) -> Vec<Name> {
-    let names: Vec<&Name> = view.members().map(|fact| &fact.name).filter(|name| *name != me).collect();
+fn successors(own_name: &Name, view: &View, rings: usize) -> Vec<Name> {
+    let names: Vec<&Name> = view.members().map(|fact| &fact.name).filter(|name| *name != own_name).collect();
     if names.len() <= rings {
         return names.into_iter().cloned().collect();
     }
     let mut chosen = Vec::with_capacity(rings);
     for ring in 0..rings as u8 {
-        let place = |name: &Name| {
+        let position = |name: &Name| {
             let mut bytes = vec![ring];
             bytes.extend(name.as_bytes());
             xxh3_64(&bytes)
         };
-        let own = place(me);
-        let after = |name: &&&Name| (place(name).wrapping_sub(own), Name::clone(name));
-        if let Some(next) = names.iter().filter(|name| !chosen.contains(**name)).min_by_key(after) {
+        let own_position = position(own_name);
+        let distance = |name: &&&Name| (position(name).wrapping_sub(own_position), Name::clone(name));
+        if let Some(next) = names.iter().filter(|name| !chosen.contains(**name)).min_by_key(distance) {
             chosen.push(Name::clone(next));
         }
     }
--- a/crates/members/src/core/gossip.rs
+++ b/crates/members/src/core/gossip.rs
@@ -1,6 +1,7 @@
-//! What is passed on, and how often: news go along with pings and pongs, and while there are any, to a few random
-//! members besides (infection style, SWIM section 4.1). Each is sent a number of times that grows with the logarithm
-//! of the view, the freshest first, within a bound of bytes.
+//! Dissemination of updates. Updates are piggybacked on pings and pongs, and while there are new ones, also sent to a
+//! few random members in messages of their own (infection style, SWIM section 4.1). Each update is sent a number of
+//! times that grows with the logarithm of the number of members, the least-sent first, within a byte limit per
+//! message.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,159 +10,161 @@
 use super::observe::{Observations, Row};
 use super::view::{Fact, Name, View};
 
-/// Bytes of news in one message at most; with envelope and authentication it stays under 1,200.
-pub const ROOM: usize = 980;
+/// Maximum size of the updates in one message, in bytes; with envelope and authentication a datagram stays under 1,200.
+pub const MAX_UPDATE_BYTES: usize = 980;
 
-/// News in one message.
+/// Updates in one message.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct News {
-    /// Who came and went.
+pub struct Updates {
+    /// Joins and departures.
     pub facts: Vec<Fact>,
-    /// Who cannot be reached, by observers that say the same.
-    pub rows: Vec<Alike>,
+    /// Unreachable fronts, grouped by observers that accuse the same ones.
+    pub rows: Vec<RowGroup>,
 }
 
-/// Observers whose rows accuse the same: after a loss of many, nearly all are alike.
+/// Observers whose rows accuse the same fronts: after the loss of many fronts, nearly all rows are equal.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Alike {
-    /// Marks of the accused, in order.
+pub struct RowGroup {
+    /// Short ids of the accused, ascending.
     pub accused: Vec<u32>,
-    /// Observers and the versions of their rows.
+    /// Short ids of the observers and the versions of their rows.
     pub by: Vec<(u32, u32)>,
 }
 
-impl News {
-    /// Whether there are none.
+impl Updates {
+    /// Whether there are no updates.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty() && self.rows.is_empty()
     }
 
-    /// The rows, one by one.
+    /// All rows, ungrouped.
     pub fn each_row(&self) -> impl Iterator<Item = Row> + '_ {
-        self.rows.iter().flat_map(|alike| {
-            alike.by.iter().map(|(by, version)| Row {
+        self.rows.iter().flat_map(|group| {
+            group.by.iter().map(|(by, version)| Row {
                 by: *by,
                 version: *version,
-                accused: alike.accused.clone(),
+                accused: group.accused.clone(),
             })
         })
     }
 }
 
-/// What a fact takes in a message, at most.
-pub fn size(fact: &Fact) -> usize {
+/// Maximum encoded size of a fact, in bytes.
+pub fn max_encoded_size(fact: &Fact) -> usize {
     fact.name.len() + 1 + 20 + 10 + 5 + 5 + 21
 }
 
-/// Keys with the number of times that each is still to be sent, those that were sent least first.
+/// Keys with the number of transmissions that each has left; those with the most left come first.
 #[derive(Clone, Debug)]
 struct Queue<K> {
-    left: BTreeMap<K, u32>,
+    remaining: BTreeMap<K, u32>,
     order: BTreeSet<(u32, K)>,
 }
 
 impl<K> Default for Queue<K> {
     fn default() -> Self {
-        Queue { left: BTreeMap::new(), order: BTreeSet::new() }
+        Queue { remaining: BTreeMap::new(), order: BTreeSet::new() }
     }
 }
 
 impl<K: Ord + Clone> Queue<K> {
     fn set(&mut self, key: K, times: u32) {
-        if let Some(before) = self.left.remove(&key) {
+        if let Some(before) = self.remaining.remove(&key) {
             self.order.remove(&(before, key.clone()));
         }
         if times > 0 {
             self.order.insert((times, key.clone()));
-            self.left.insert(key, times);
+            self.remaining.insert(key, times);
         }
     }
 
     fn is_empty(&self) -> bool {
-        self.left.is_empty()
+        self.remaining.is_empty()
     }
 
-    /// Takes keys in order as long as `take` wants them, and counts them as sent once more; those that it does not
-    /// know any more are forgotten.
-    fn each(&mut self, mut take: impl FnMut(&K) -> Taken) {
+    /// Passes the keys to `send` in order until it answers `Full`, and counts a transmission for each that it has sent.
+    /// Keys that are `Unknown` to it are dropped.
+    fn send_in_order(&mut self, mut send: impl FnMut(&K) -> SendResult) {
         let mut sent = Vec::new();
         for (times, key) in self.order.iter().rev() {
-            match take(key) {
-                Taken::Sent => sent.push((key.clone(), times - 1)),
-                Taken::Unknown => sent.push((key.clone(), 0)),
-                Taken::Full => break,
+            match send(key) {
+                SendResult::Sent => sent.push((key.clone(), times - 1)),
+                SendResult::Unknown => sent.push((key.clone(), 0)),
+                SendResult::Full => break,
             }
         }
         sent.into_iter().for_each(|(key, times)| self.set(key, times));
     }
 }
 
-enum Taken {
+enum SendResult {
     Sent,
     Unknown,
     Full,
 }
 
-/// What is still to be passed on.
+/// The updates that are still to be disseminated.
 #[derive(Clone, Debug, Default)]
 pub struct Gossip {
     facts: Queue<Name>,
     rows: Queue<u32>,
-    /// Messages of its own that are still worth sending; renewals go along with pings alone.
-    hot: u32,
+    /// Number of rounds of standalone messages left; renewed rows are only piggybacked.
+    standalone_rounds_left: u32,
 }
 
-fn times(members: usize) -> u32 {
+fn transmissions(members: usize) -> u32 {
     3 * (usize::BITS - members.leading_zeros()) + 3
 }
 
 impl Gossip {
-    /// A fact is news.
-    pub fn fact(&mut self, name: &Name, members: usize) {
-        self.facts.set(Name::clone(name), times(members));
-        self.hot = times(members);
+    /// Queues a fact for dissemination.
+    pub fn queue_fact(&mut self, name: &Name, members: usize) {
+        self.facts.set(Name::clone(name), transmissions(members));
+        self.standalone_rounds_left = transmissions(members);
     }
 
-    /// An observer's row is news, or renewed with nothing new in it.
-    pub fn row(&mut self, by: u32, members: usize, renewed: bool) {
-        self.rows.set(by, times(members));
+    /// Queues the row of an observer; `renewed` if it accuses the same fronts as its previous version.
+    pub fn queue_row(&mut self, by: u32, members: usize, renewed: bool) {
+        self.rows.set(by, transmissions(members));
         if !renewed {
-            self.hot = times(members);
+            self.standalone_rounds_left = transmissions(members);
         }
     }
 
-    /// Whether a message of its own is worth sending; it is counted.
-    pub fn hot(&mut self) -> bool {
-        let none = self.facts.is_empty() && self.rows.is_empty();
-        self.hot = if none { 0 } else { self.hot.saturating_sub(1) };
-        self.hot > 0
+    /// Whether to send standalone messages in this round; counts the round.
+    pub fn take_standalone_round(&mut self) -> bool {
+        let nothing_queued = self.facts.is_empty() && self.rows.is_empty();
+        self.standalone_rounds_left =
+            if nothing_queued { 0 } else { self.standalone_rounds_left.saturating_sub(1) };
+        self.standalone_rounds_left > 0
     }
 
-    /// News for one message.
-    pub fn take(&mut self, view: &View, observations: &Observations) -> News {
-        let (mut room, mut news) = (ROOM, News::default());
-        self.facts.each(|name| {
-            let Some(fact) = view.get(name) else { return Taken::Unknown };
-            if size(fact) > room {
-                return Taken::Full;
+    /// The updates for one message, each counted as sent once more.
+    pub fn take_updates(&mut self, view: &View, observations: &Observations) -> Updates {
+        let (mut bytes_left, mut updates) = (MAX_UPDATE_BYTES, Updates::default());
+        self.facts.send_in_order(|name| {
+            let Some(fact) = view.get(name) else { return SendResult::Unknown };
+            if max_encoded_size(fact) > bytes_left {
+                return SendResult::Full;
             }
-            room -= size(fact);
-            news.facts.push(fact.clone());
-            Taken::Sent
+            bytes_left -= max_encoded_size(fact);
+            updates.facts.push(fact.clone());
+            SendResult::Sent
         });
-        let mut alike: BTreeMap<&[u32], Vec<(u32, u32)>> = BTreeMap::new();
-        self.rows.each(|by| {
-            let Some(row) = observations.row(*by) else { return Taken::Unknown };
-            let known = alike.contains_key(row.accused.as_slice());
-            let takes = 10 + if known { 0 } else { 4 + 5 * row.accused.len() };
-            if takes > room {
-                return Taken::Full;
+        let mut groups: BTreeMap<&[u32], Vec<(u32, u32)>> = BTreeMap::new();
+        self.rows.send_in_order(|by| {
+            let Some(row) = observations.row(*by) else { return SendResult::Unknown };
+            let group_exists = groups.contains_key(row.accused.as_slice());
+            let row_bytes = 10 + if group_exists { 0 } else { 4 + 5 * row.accused.len() };
+            if row_bytes > bytes_left {
+                return SendResult::Full;
             }
-            room -= takes;
-            alike.entry(&row.accused).or_default().push((*by, row.version));
-            Taken::Sent
+            bytes_left -= row_bytes;
+            groups.entry(&row.accused).or_default().push((*by, row.version));
+            SendResult::Sent
         });
-        news.rows = alike.into_iter().map(|(accused, by)| Alike { accused: accused.to_vec(), by }).collect();
-        news
+        updates.rows =
+            groups.into_iter().map(|(accused, by)| RowGroup { accused: accused.to_vec(), by }).collect();
+        updates
     }
 }
--- a/crates/members/src/core/observe.rs
+++ b/crates/members/src/core/observe.rs
@@ -1,10 +1,11 @@
-//! What single fronts observe, put together: who is to leave the view.
+//! Combines the observations of all fronts and decides which members leave the view.
 //!
-//! Each front publishes whom it cannot reach, as one row with a version. A front leaves the view when more than half
-//! of all members cannot reach it: so nobody whom a majority reaches is removed, and a minority that is cut off
-//! removes nobody. Rapid's almost-everywhere detection (section 4.2) has a low and a high mark; here, too, nothing is
-//! removed while somebody else stands between them, for a bounded time, so that removals of one cause come in one
-//! step. At the low mark everybody looks for itself: the few observers of a front are no majority.
+//! Each front publishes the members that it cannot reach, as one row with a version. A member leaves the view when more
+//! than half of all members cannot reach it, so no member that a majority reaches is removed, and a minority that is
+//! cut off removes nobody. As in Rapid's almost-everywhere detection (section 4.2), there are a low and a high
+//! threshold, and nothing is removed, for a bounded time, while another member is between them, so that removals with
+//! one cause happen in one step. Once a member reaches the low threshold, all fronts probe it themselves, since its few
+//! observers are no majority.
 
 use std::collections::BTreeMap;
 
@@ -13,172 +14,177 @@
 use super::view::View;
 use super::Micros;
 
-/// Most that one row accuses; the rest follows when these are gone.
-pub const MOST_ACCUSED: usize = 100;
+/// Maximum number of members that one row accuses; further ones follow when these have been removed.
+pub const MAX_ACCUSED_PER_ROW: usize = 100;
 
-/// Whom one front cannot reach, by marks.
+/// The members that one front cannot reach, by short id.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Row {
-    /// Mark of the observer.
+    /// Short id of the observer.
     pub by: u32,
-    /// Its count of rows; a later one takes the place of an earlier one.
+    /// Version of the observer's row; a later one replaces an earlier one.
     pub version: u32,
-    /// Marks of those that it cannot reach, in order.
+    /// Short ids of the members that it cannot reach, ascending.
     pub accused: Vec<u32>,
 }
 
-/// What a row was to whoever heard it.
+/// What a received row adds to the stored one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// Nothing new.
+pub enum RowNovelty {
+    /// The stored version is as recent, or the row is too long.
     Known,
-    /// A later version that accuses the same.
+    /// A later version that accuses the same members.
     Renewed,
-    /// It accuses others than before.
+    /// It accuses other members than before.
     New,
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredRow {
     row: Row,
     at: Micros,
 }
 
-/// The rows of all observers.
+/// The latest rows of all observers.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    rows: BTreeMap<u32, Kept>,
+    rows: BTreeMap<u32, StoredRow>,
 }
 
-/// The marks that count for a view of so many: low, at which all look for themselves, and high, from which on a
-/// front is removed.
-pub fn marks(members: usize) -> (usize, usize) {
+/// The thresholds for a view of `members` members: low, at which all fronts probe the accused themselves, and high, at
+/// which it is removed.
+pub fn thresholds(members: usize) -> (usize, usize) {
     let high = members / 2 + 1;
     (high.saturating_sub(1).clamp(1, 3), high)
 }
 
 impl Observations {
-    /// Takes in a row; returns whether it is news: one that is only renewed is less so.
-    pub fn hear(&mut self, now: Micros, row: &Row) -> Heard {
-        let kept = self.rows.get(&row.by);
-        if kept.is_some_and(|kept| kept.row.version >= row.version) || row.accused.len() > MOST_ACCUSED {
-            return Heard::Known;
+    /// Stores a row if it is newer than the stored one, and returns what it adds.
+    pub fn store(&mut self, now: Micros, row: &Row) -> RowNovelty {
+        let stored = self.rows.get(&row.by);
+        if stored.is_some_and(|stored| stored.row.version >= row.version)
+            || row.accused.len() > MAX_ACCUSED_PER_ROW
+        {
+            return RowNovelty::Known;
         }
-        let same = kept.is_some_and(|kept| kept.row.accused == row.accused);
-        self.rows.insert(row.by, Kept { row: row.clone(), at: now });
+        let same = stored.is_some_and(|stored| stored.row.accused == row.accused);
+        self.rows.insert(row.by, StoredRow { row: row.clone(), at: now });
         if same {
-            Heard::Renewed
+            RowNovelty::Renewed
         } else {
-            Heard::New
+            RowNovelty::New
         }
     }
 
-    /// The row of an observer, to be passed on.
+    /// The latest row of an observer.
     pub fn row(&self, by: u32) -> Option<&Row> {
-        self.rows.get(&by).map(|kept| &kept.row)
+        self.rows.get(&by).map(|stored| &stored.row)
     }
 
-    /// Whether anybody accuses anybody.
-    pub fn quiet(&self) -> bool {
-        self.rows.values().all(|kept| kept.row.accused.is_empty())
+    /// Whether no row accuses any member.
+    pub fn has_no_accusations(&self) -> bool {
+        self.rows.values().all(|stored| stored.row.accused.is_empty())
     }
 
-    /// Forgets rows of observers that are no members, and rows that were not renewed in time: an observer that has
-    /// stopped accuses nobody.
-    pub fn age(&mut self, now: Micros, life: Micros, view: &View) {
-        self.rows.retain(|by, kept| {
-            if kept.at + life <= now {
-                // The version stays, so that the row that comes late is not news again.
-                kept.row.accused.clear();
+    /// Drops the rows of observers that aren't members, and the accusations of rows not renewed within `lifetime`: an
+    /// observer that has stopped accuses nobody.
+    pub fn expire(&mut self, now: Micros, lifetime: Micros, view: &View) {
+        self.rows.retain(|by, stored| {
+            if stored.at + lifetime <= now {
+                // The version is kept, so that a delayed copy of the row doesn't count as new.
+                stored.row.accused.clear();
             }
-            view.has_mark(*by)
+            view.has_short_id(*by)
         });
     }
 
-    /// By how many members each member is accused.
-    pub fn tally(&self, view: &View) -> BTreeMap<u32, usize> {
-        let mut tally = BTreeMap::new();
-        if view.has_twins() {
-            // Two members of one mark cannot be told apart by it: until one has gone, nobody is removed.
-            return tally;
+    /// Number of other members that accuse each member, by short id.
+    pub fn accusation_counts(&self, view: &View) -> BTreeMap<u32, usize> {
+        let mut counts = BTreeMap::new();
+        if view.has_short_id_collision() {
+            // Two members with the same short id can't be told apart: nobody is removed until one of them has left.
+            return counts;
         }
-        for (by, kept) in self.rows.iter().filter(|(by, _)| view.has_mark(**by)) {
-            for mark in kept.row.accused.iter().filter(|mark| *mark != by && view.has_mark(**mark)) {
-                *tally.entry(*mark).or_insert(0) += 1;
+        for (by, stored) in self.rows.iter().filter(|(by, _)| view.has_short_id(**by)) {
+            for accused in stored.row.accused.iter().filter(|id| *id != by && view.has_short_id(**id)) {
+                *counts.entry(*accused).or_insert(0) += 1;
             }
         }
-        tally
+        counts
     }
 
-    /// Who accuses this member.
-    pub fn accusers(&self, mark: u32) -> impl Iterator<Item = u32> + '_ {
-        self.rows.iter().filter(move |(_, kept)| kept.row.accused.contains(&mark)).map(|(by, _)| *by)
+    /// Short ids of the observers that accuse this member.
+    pub fn accusers(&self, short_id: u32) -> impl Iterator<Item = u32> + '_ {
+        self.rows.iter().filter(move |(_, stored)| stored.row.accused.contains(&short_id)).map(|(by, _)| *by)
     }
 
-    /// The process was not running: whatever was observed is from before.
-    pub fn woke(&mut self) {
-        self.rows.values_mut().for_each(|kept| kept.row.accused.clear());
+    /// Clears all accusations after this process was not running: they are outdated.
+    pub fn reset_after_pause(&mut self) {
+        self.rows.values_mut().for_each(|stored| stored.row.accused.clear());
     }
 }
 
-/// When those over the high mark leave the view.
+/// Decides when members over the high threshold leave the view, several at once if possible.
 #[derive(Clone, Debug, Default)]
-pub struct Cut {
-    over: BTreeMap<u32, Micros>,
+pub struct CutDetector {
+    over_high_since: BTreeMap<u32, Micros>,
 }
 
-/// A thin majority must last so many times as long.
-pub const THIN: Micros = 15;
+/// Factor on the confirmation time while hardly more than half of all members accuse.
+pub const THIN_MAJORITY_FACTOR: Micros = 15;
 
-/// All others together, where they are no more than a bare majority, so many times. Danger: of three, one that is cut
-/// off doubts the second by itself, and the third's doubt, taken back since, is the last that it heard; found by the
-/// hunt. LocalConfig doubt (1 s of silence) and this are longer than rows live.
-pub const ALL: Micros = 8;
+/// Factor on the confirmation time while all other members accuse but are no more than a bare majority. Danger: of
+/// three fronts, one that is cut off accuses the second by itself, and the last row that it received from the third
+/// still accuses the second although the third has withdrawn that since. The silence before an own accusation (1 s) and
+/// this time are together longer than the lifetime of rows.
+pub const ALL_OTHERS_FACTOR: Micros = 8;
 
-/// Times of a cut.
+/// Timing of removals.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
-    /// Over the high mark for so long without a break, and for [`THIN`] times as long while hardly more than half of
-    /// all accuse. Danger: where nearly half cannot reach a front for good, one accusation by chance makes the
-    /// majority; it is taken back by the next answer. Found by the hunt.
-    pub confirm: Micros,
-    /// Others between the marks are awaited for so long.
-    pub settle: Micros,
+pub struct CutTimes {
+    /// A member is removed when it has been over the high threshold for this long without a break, or for
+    /// [`THIN_MAJORITY_FACTOR`] times as long while hardly more than half of all accuse it. Danger: where nearly half of
+    /// all fronts permanently can't reach a member, a single accusation by chance completes the majority, and the next
+    /// answer withdraws it.
+    pub confirm_time: Micros,
+    /// Removals wait at most this long for other members that are between the thresholds.
+    pub settle_time: Micros,
 }
 
-impl Cut {
-    /// The marks of those that leave now.
+impl CutDetector {
+    /// The short ids of the members to remove now.
     pub fn decide(
         &mut self,
         now: Micros,
-        tally: &BTreeMap<u32, usize>,
+        counts: &BTreeMap<u32, usize>,
         members: usize,
-        patience: Patience,
+        times: CutTimes,
     ) -> Vec<u32> {
-        let (low, high) = marks(members);
-        self.over.retain(|mark, _| tally.get(mark).is_some_and(|count| *count >= high));
-        for (mark, _) in tally.iter().filter(|(_, count)| **count >= high) {
-            self.over.entry(*mark).or_insert(now);
+        let (low, high) = thresholds(members);
+        self.over_high_since.retain(|id, _| counts.get(id).is_some_and(|count| *count >= high));
+        for (id, _) in counts.iter().filter(|(_, count)| **count >= high) {
+            self.over_high_since.entry(*id).or_insert(now);
         }
-        let Some(first) = self.over.values().min().copied() else { return Vec::new() };
+        let Some(first) = self.over_high_since.values().min().copied() else { return Vec::new() };
         let factor = |count: usize| match count {
             _ if count >= high + (members / 10).max(1) => 1,
-            _ if count + 1 >= members => ALL,
-            _ => THIN,
+            _ if count + 1 >= members => ALL_OTHERS_FACTOR,
+            _ => THIN_MAJORITY_FACTOR,
         };
-        let sure = |(mark, since): &(&u32, &Micros)| {
-            *since + patience.confirm * tally.get(*mark).map_or(THIN, |count| factor(*count)) <= now
+        let is_confirmed = |(id, since): &(&u32, &Micros)| {
+            *since + times.confirm_time * counts.get(*id).map_or(THIN_MAJORITY_FACTOR, |count| factor(*count))
+                <= now
         };
-        let between = tally.values().any(|count| (low..high).contains(count));
-        let unsettled = between || !self.over.iter().all(|one| sure(&one));
-        if unsettled && now < first + patience.settle {
+        let between_thresholds = counts.values().any(|count| (low..high).contains(count));
+        let unsettled = between_thresholds || !self.over_high_since.iter().all(|entry| is_confirmed(&entry));
+        if unsettled && now < first + times.settle_time {
             return Vec::new();
         }
-        self.over.iter().filter(sure).map(|(mark, _)| *mark).collect()
+        self.over_high_since.iter().filter(is_confirmed).map(|(id, _)| *id).collect()
     }
 
-    /// The process was not running.
-    pub fn woke(&mut self) {
-        self.over.clear();
+    /// Restarts all confirmation times after this process was not running.
+    pub fn reset_after_pause(&mut self) {
+        self.over_high_since.clear();
     }
 }
--- a/crates/members/src/core/pauses.rs
+++ b/crates/members/src/core/pauses.rs
@@ -1,45 +1,45 @@
-//! Time during which this process was not running: stopped, swapped out, or without a processor.
+//! Detects time during which this process was not running: stopped, swapped out, or without a processor.
 //!
-//! A core says when it wants to be called again. Called much later, the process was not running in between, and
-//! nothing may be concluded from what was not heard in that time, nor may anything go on as if no time had gone
-//! (Lifeguard, Dadgar et al. 2017, section III, of slow members; here the slow member measures itself).
+//! A state machine announces when it expects its next call. If the call comes much later, the process was not running
+//! in between: silence of others during that time proves nothing, and timers must not continue as if no time had
+//! passed (Lifeguard, Dadgar et al. 2017, section III, on slow members; here the slow member measures itself).
 
 use super::Micros;
 
-/// Called later than asked by less than this, a process runs as processes do.
-pub const LATE: Micros = 200_000;
+/// A call that is late by less than this is ordinary scheduling delay.
+pub const PAUSE_THRESHOLD: Micros = 200_000;
 
-/// Measures the time that a process was not running.
+/// Measures how long the process was not running.
 #[derive(Clone, Debug, Default)]
 pub struct PauseDetector {
-    asked: Option<Micros>,
+    expected_at: Option<Micros>,
     total: Micros,
     count: u64,
 }
 
 impl PauseDetector {
-    /// None so far.
+    /// A detector that has measured no pause yet.
     pub fn new() -> PauseDetector {
         PauseDetector::default()
     }
 
-    /// The core was called; tells how long the process had not been running, if that is worth heeding.
+    /// Records a call; returns the length of the pause before it if the call was late by `PAUSE_THRESHOLD` or more.
     pub fn check(&mut self, now: Micros) -> Option<Micros> {
-        let lost = now.saturating_sub(self.asked.take()?);
-        if lost < LATE {
+        let paused = now.saturating_sub(self.expected_at.take()?);
+        if paused < PAUSE_THRESHOLD {
             return None;
         }
-        self.total += lost;
+        self.total += paused;
         self.count += 1;
-        Some(lost)
+        Some(paused)
     }
 
-    /// The core wants to be called then.
+    /// Records when the next call is expected.
     pub fn expect_call_at(&mut self, at: Micros) {
-        self.asked = Some(at);
+        self.expected_at = Some(at);
     }
 
-    /// All of it so far, and how many times.
+    /// Total length of all pauses so far, and their number.
     pub fn total(&self) -> (Micros, u64) {
         (self.total, self.count)
     }
--- a/crates/members/src/core/replay.rs
+++ b/crates/members/src/core/replay.rs
@@ -1,53 +1,53 @@
-//! Datagrams that were recorded and are sent again. Each sender numbers its datagrams; a receiver remembers the
-//! highest number and which of the last 128 came (the sliding window of RFC 4303, section 3.4.3).
+//! Replay protection. Each sender numbers its datagrams; a receiver remembers the highest number and which of the
+//! last 128 numbers it has received (the sliding window of RFC 4303, section 3.4.3).
 
 use std::collections::BTreeMap;
 
 use super::view::Name;
 
-/// Senders remembered at most.
-const SENDERS: usize = 8_192;
+/// Maximum number of senders remembered.
+const MAX_SENDERS: usize = 8_192;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
     boot: u64,
     highest: u64,
-    came: u128,
+    received: u128,
 }
 
-/// The windows of all senders.
+/// Replay windows of all senders.
 #[derive(Clone, Debug, Default)]
 pub struct Replay {
     windows: BTreeMap<Name, Window>,
-    /// Datagrams that came again, or too late to tell.
+    /// Datagrams rejected as repeated, or as too old to tell.
     pub stale: u64,
 }
 
 impl Replay {
-    /// Whether a datagram of this sender, start and number is new; it is not from then on.
-    pub fn fresh(&mut self, name: &Name, boot: u64, number: u64) -> bool {
-        if self.windows.len() >= SENDERS && !self.windows.contains_key(name) {
+    /// Whether a datagram with this sender, process start and number is new; records it as received.
+    pub fn accept(&mut self, name: &Name, boot: u64, number: u64) -> bool {
+        if self.windows.len() >= MAX_SENDERS && !self.windows.contains_key(name) {
             self.windows.pop_first();
         }
         let window = self.windows.entry(Name::clone(name)).or_default();
         if window.boot != boot {
-            *window = Window { boot, highest: number, came: 1 };
+            *window = Window { boot, highest: number, received: 1 };
             return true;
         }
-        let fresh = if number > window.highest {
+        let is_new = if number > window.highest {
             let step = number - window.highest;
-            window.came = if step < 128 { window.came << step | 1 } else { 1 };
+            window.received = if step < 128 { window.received << step | 1 } else { 1 };
             window.highest = number;
             true
         } else {
-            let back = window.highest - number;
-            let new = back < 128 && window.came & (1 << back) == 0;
-            if new {
-                window.came |= 1 << back;
+            let age = window.highest - number;
+            let first_time = age < 128 && window.received & (1 << age) == 0;
+            if first_time {
+                window.received |= 1 << age;
             }
-            new
+            first_time
         };
-        self.stale += u64::from(!fresh);
-        fresh
+        self.stale += u64::from(!is_new);
+        is_new
     }
 }
--- a/crates/members/src/core/view.rs
+++ b/crates/members/src/core/view.rs
@@ -1,13 +1,13 @@
-//! Numbered views: who is there, as facts that only grow.
+//! Numbered membership views, kept as a state-based CRDT.
 //!
-//! Of each name a count is kept of how often it came and went: odd, it is in the view; even, it is out. Two states
-//! merge by the higher count of each name (a state-based grow-only join, Shapiro et al. 2011), so that all fronts
-//! that heard the same facts, in whatever order and however often, hold the same view. The view's number is the sum
-//! of all counts: it grows with each change and never goes back, and equal views have equal numbers.
+//! Each name has a count of its joins and departures: if odd, the name is in the view; if even, it is not. Two states
+//! merge by taking the higher count of each name (a state-based grow-only join, Shapiro et al. 2011), so all fronts
+//! that received the same facts, in any order and any number of times, hold the same view. The view's number is the
+//! sum of all counts: it grows with each change and never decreases, and equal views have equal numbers.
 //!
-//! What may be concluded: a higher number holds all that a lower one held, at one front. Two fronts with one number
-//! may hold different views for a moment, when each has heard of a change that the other has not; the digest tells
-//! them apart. Views that all agree on are the next subsystem's.
+//! Guarantees: at one front, a view with a higher number includes all changes of a view with a lower one. Two fronts
+//! with the same number may briefly hold different views, when each has received a change that the other has not;
+//! the digest tells them apart. Views by consensus are provided by the accord subsystem.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,41 +16,42 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Name of a front: the same at each of its starts.
+/// Name of a front, the same at each start of its process.
 pub type Name = Arc<str>;
 
-/// Names ever known at most. Danger: names that are made up by whoever has the key fill the memory of all.
+/// Maximum number of names a view ever holds. Danger: without it, anybody who has the key could fill the memory of all
+/// fronts with invented names.
 pub const MAX_NAMES: usize = 4_096;
-/// Longest name, bytes.
+/// Maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
-/// Parts by which two views are compared.
+/// Number of buckets by which two views are compared.
 pub const BUCKETS: usize = 16;
 
-/// What is known of one name.
+/// The state of one name in the view.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Fact {
-    /// Whose.
+    /// Name of the front.
     pub name: Name,
-    /// Where it listens for other fronts.
+    /// Address at which other fronts reach it.
     pub address: SocketAddr,
-    /// Where it stands: what fails together is in one zone.
+    /// Failure domain: fronts that fail together are in one zone.
     pub zone: u32,
-    /// Where players reach it, if it takes any.
+    /// Address at which players reach it, if it serves any.
     pub serves: Option<SocketAddr>,
-    /// Which start of its process: drawn anew at each.
+    /// Identifies the start of its process; drawn anew at each start.
     pub boot: u64,
-    /// How often it came and went: odd is in, even is out.
+    /// Count of joins and departures: odd if it is in the view, even if not.
     pub count: u32,
 }
 
 impl Fact {
     /// Whether the name is in the view.
-    pub fn is_in(&self) -> bool {
+    pub fn is_member(&self) -> bool {
         self.count % 2 == 1
     }
 
-    /// A short name of this member in this incarnation, for observations.
-    pub fn mark(&self) -> u32 {
+    /// A 32-bit hash that identifies this incarnation of the member in observations.
+    pub fn short_id(&self) -> u32 {
         self.hash() as u32
     }
 
@@ -66,31 +67,31 @@
         xxh3_64(self.name.as_bytes()) as usize % BUCKETS
     }
 
-    /// Of two facts on a name the one that counts. Two processes that came under one name at once are told apart by
-    /// their boots, the same way everywhere.
-    fn beats(&self, other: &Fact) -> bool {
+    /// Whether this fact replaces `other`, which has the same name. Where two processes joined under one name at once,
+    /// the higher `boot` wins at every front alike.
+    fn supersedes(&self, other: &Fact) -> bool {
         (self.count, self.boot) > (other.count, other.boot)
     }
 }
 
-/// A front's view.
+/// The membership view of one front.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct View {
     facts: BTreeMap<Name, Fact>,
     number: u64,
     digest: u64,
     members: usize,
-    /// Marks of the members, and how many have each.
-    marks: BTreeMap<u32, u32>,
+    /// Short ids of the members, with the number of members that have each.
+    short_ids: BTreeMap<u32, u32>,
 }
 
 impl View {
-    /// Its number: it never falls.
+    /// The view's number, which never decreases.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Equal for equal views, and for others by accident only.
+    /// Digest of the view: equal for equal views, and different for others but for hash collisions.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -105,65 +106,65 @@
         self.members == 0
     }
 
-    /// The members, by name.
+    /// The members, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &Fact> {
-        self.facts.values().filter(|fact| fact.is_in())
+        self.facts.values().filter(|fact| fact.is_member())
     }
 
-    /// Names that were members and are not.
-    pub fn out(&self) -> impl Iterator<Item = &Fact> {
-        self.facts.values().filter(|fact| !fact.is_in())
+    /// Names that were members and are not any more.
+    pub fn former_members(&self) -> impl Iterator<Item = &Fact> {
+        self.facts.values().filter(|fact| !fact.is_member())
     }
 
-    /// Whether a member has this mark.
-    pub fn has_mark(&self, mark: u32) -> bool {
-        self.marks.contains_key(&mark)
+    /// Whether a member has this short id.
+    pub fn has_short_id(&self, short_id: u32) -> bool {
+        self.short_ids.contains_key(&short_id)
     }
 
-    /// Whether two members have one mark.
-    pub fn has_twins(&self) -> bool {
-        self.marks.len() < self.members
+    /// Whether two members have the same short id.
+    pub fn has_short_id_collision(&self) -> bool {
+        self.short_ids.len() < self.members
     }
 
-    /// What is known of a name.
+    /// The fact known about a name.
     pub fn get(&self, name: &str) -> Option<&Fact> {
         self.facts.get(name)
     }
 
-    /// Takes in a fact; returns whether it changed anything.
+    /// Merges a fact; returns whether the view has changed.
     pub fn merge(&mut self, fact: &Fact) -> bool {
-        let sound = !fact.name.is_empty() && fact.name.len() <= MAX_NAME_BYTES && fact.count > 0;
+        let is_valid = !fact.name.is_empty() && fact.name.len() <= MAX_NAME_BYTES && fact.count > 0;
         let known = self.facts.get(&fact.name);
-        let room = known.is_some() || self.facts.len() < MAX_NAMES;
-        if !sound || !room || known.is_some_and(|known| !fact.beats(known)) {
+        let has_room = known.is_some() || self.facts.len() < MAX_NAMES;
+        if !is_valid || !has_room || known.is_some_and(|known| !fact.supersedes(known)) {
             return false;
         }
         if let Some(known) = known {
             self.number -= u64::from(known.count);
             self.digest ^= known.hash();
-            if known.is_in() {
+            if known.is_member() {
                 self.members -= 1;
-                let mark = known.mark();
-                let left = self.marks.get_mut(&mark).map(|count| {
+                let short_id = known.short_id();
+                let remaining = self.short_ids.get_mut(&short_id).map(|count| {
                     *count -= 1;
                     *count
                 });
-                if left == Some(0) {
-                    self.marks.remove(&mark);
+                if remaining == Some(0) {
+                    self.short_ids.remove(&short_id);
                 }
             }
         }
         self.number += u64::from(fact.count);
         self.digest ^= fact.hash();
-        if fact.is_in() {
+        if fact.is_member() {
             self.members += 1;
-            *self.marks.entry(fact.mark()).or_default() += 1;
+            *self.short_ids.entry(fact.short_id()).or_default() += 1;
         }
         self.facts.insert(Arc::clone(&fact.name), fact.clone());
         true
     }
 
-    /// A digest of each part, to find what differs between two views.
+    /// The digest of each bucket, used to find the differences between two views.
     pub fn buckets(&self) -> [u32; BUCKETS] {
         let mut buckets = [0; BUCKETS];
         for fact in self.facts.values() {
@@ -172,7 +173,7 @@
         buckets
     }
 
-    /// The facts in parts that differ from these digests.
+    /// The facts in the buckets whose digests differ from these.
     pub fn differing(&self, theirs: &[u32; BUCKETS]) -> Vec<Fact> {
         let ours = self.buckets();
         let differs = |fact: &&Fact| ours[fact.bucket()] != theirs[fact.bucket()];
--- a/crates/members/src/edge.rs
+++ b/crates/members/src/edge.rs
@@ -1,5 +1,5 @@
-//! The one thread of membership: it reads datagrams, hands them to [`Members`], and sends what that answers. It waits
-//! for nobody and holds no rule.
+//! The membership thread: reads datagrams, passes them to [`Members`] and carries out its outputs. It makes no protocol
+//! decisions.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::io;
@@ -16,12 +16,12 @@
 use crate::settings::Settings;
 use crate::wire::{self, relay_header, KeyRing, MAX_DATAGRAM_BYTES};
 
-/// Stack of the thread.
-const STACK: usize = 256 * 1024;
-/// Datagrams read before the core looks around again.
-const AT_ONCE: usize = 256;
+/// Stack size of the thread.
+const STACK_BYTES: usize = 256 * 1024;
+/// Maximum number of datagrams read before the periodic work gets its turn.
+const MAX_DATAGRAMS_PER_TURN: usize = 256;
 
-/// Why membership does not start.
+/// Errors of starting membership.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address cannot be bound.
@@ -30,52 +30,52 @@
     /// The history cannot be written.
     #[error("members: history: {0}")]
     History(io::Error),
-    /// No thread to be had.
+    /// The thread cannot be created.
     #[error("members: no thread: {0}")]
     Thread(io::Error),
 }
 
-enum Word {
+enum Command {
     Keys(KeyRing),
     Leave,
 }
 
-/// Who is known, and where: told anew at each change of the view.
+/// A front that is or was in the view, as reported to the listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KnownFront {
-    /// Its name.
+    /// Name of the front.
     pub name: Name,
-    /// Where it listens, or did.
+    /// Address at which other fronts reach it, or did.
     pub address: SocketAddr,
-    /// It is in the view.
+    /// Whether it is in the view.
     pub in_view: bool,
-    /// Its zone.
+    /// Zone of the front.
     pub zone: u32,
-    /// Where players reach it, if it takes any.
+    /// Address at which players reach it, if it serves any.
     pub serves: Option<SocketAddr>,
-    /// Which start of its process.
+    /// Identifies the start of its process.
     pub boot: u64,
 }
 
-/// What wants to hear of views.
+/// Called with all known fronts at each change of the view.
 pub type ViewListener = Box<dyn Fn(Vec<KnownFront>) + Send>;
 
-/// Running membership. Dropped, it ends with no word to others.
+/// Handle of the running membership thread. Dropping it ends the thread without leaving the view.
 pub struct Running {
-    words: Sender<Word>,
+    commands: Sender<Command>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Running {
-    /// Starts it.
+    /// Starts the membership thread.
     ///
     /// # Errors
-    /// The address cannot be bound, the history cannot be written, or there is no thread to be had.
+    /// The address cannot be bound, the history cannot be written, or the thread cannot be created.
     pub fn start(settings: &Settings) -> Result<Running, StartError> {
         Running::start_with_listener(settings, None)
     }
 
-    /// Starts it, and tells of each view.
+    /// Starts the membership thread; `listener` is called at each change of the view.
     ///
     /// # Errors
     /// As [`Running::start`].
@@ -86,11 +86,11 @@
         let socket = UdpSocket::bind(settings.bind).map_err(|e| StartError::Bind(settings.bind, e))?;
         let mut history = History::open(settings.history.as_deref()).map_err(StartError::History)?;
         let clock = Clock::start();
-        // What a process takes for the time tells its starts apart, and nothing else: a wrong clock does no harm.
-        let boot =
-            clock.unix().saturating_add_signed(settings.clock_offset) ^ u64::from(std::process::id()) << 44;
-        history.starts(clock.unix(), &settings.name, boot);
-        let own = LocalConfig {
+        // The wall clock is used only to distinguish the starts of this process, so a wrong clock does no harm.
+        let boot = clock.unix_us().saturating_add_signed(settings.clock_offset)
+            ^ u64::from(std::process::id()) << 44;
+        history.write_start(clock.unix_us(), &settings.name, boot);
+        let config = LocalConfig {
             name: Name::clone(&settings.name),
             address: settings.advertise,
             zone: settings.zone,
@@ -100,9 +100,9 @@
             observers: settings.observers,
             times: settings.times,
         };
-        let (words, heard) = crossbeam_channel::unbounded();
-        let work = Work {
-            members: Members::new(own, clock.now()),
+        let (commands, received) = crossbeam_channel::unbounded();
+        let event_loop = EventLoop {
+            members: Members::new(config, clock.now()),
             name: Name::clone(&settings.name),
             clock,
             socket,
@@ -112,27 +112,27 @@
             listener,
             ignored: 0,
         };
-        let thread = thread::Builder::new().name("members".into()).stack_size(STACK);
-        let thread = thread.spawn(move || work.run(&heard)).map_err(StartError::Thread)?;
-        Ok(Running { words, thread: Some(thread) })
+        let thread = thread::Builder::new().name("members".into()).stack_size(STACK_BYTES);
+        let thread = thread.spawn(move || event_loop.run(&received)).map_err(StartError::Thread)?;
+        Ok(Running { commands, thread: Some(thread) })
     }
 
-    /// Other keys from now on.
+    /// Replaces the keys.
     pub fn set_keys(&self, keys: KeyRing) {
-        let _ = self.words.send(Word::Keys(keys));
+        let _ = self.commands.send(Command::Keys(keys));
     }
 
-    /// Leaves the view, tells others, and ends.
+    /// Leaves the view, announces that to others, and waits for the thread to end.
     pub fn leave(mut self) {
-        // The thread looks at words at each of its turns, a twentieth of a second apart at most.
-        let _ = self.words.send(Word::Leave);
+        // The thread checks for commands at each turn, at least every 50 ms.
+        let _ = self.commands.send(Command::Leave);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// A clock that only goes forward, and the machine's for histories.
+/// A monotonic clock for the protocol, and the wall clock for histories.
 struct Clock {
     started: Instant,
 }
@@ -146,12 +146,12 @@
         self.started.elapsed().as_micros() as Micros
     }
 
-    fn unix(&self) -> Micros {
+    fn unix_us(&self) -> Micros {
         SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
     }
 }
 
-struct Work {
+struct EventLoop {
     members: Members,
     name: Name,
     clock: Clock,
@@ -163,14 +163,14 @@
     ignored: u64,
 }
 
-impl Work {
-    fn run(mut self, words: &Receiver<Word>) {
+impl EventLoop {
+    fn run(mut self, commands: &Receiver<Command>) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + relay_header::LENGTH_BYTES + 1];
         loop {
-            match words.try_recv() {
-                Ok(Word::Keys(keys)) => self.keys = keys,
-                Ok(Word::Leave) => {
-                    self.hand(Input::Leave);
+            match commands.try_recv() {
+                Ok(Command::Keys(keys)) => self.keys = keys,
+                Ok(Command::Leave) => {
+                    self.handle(Input::Leave);
                     tracing::info!("members: left; {}", history::summary(&self.members));
                     return;
                 }
@@ -179,55 +179,57 @@
             }
             let wait = self.members.next_due().saturating_sub(self.clock.now()).clamp(1_000, 1_000_000);
             let _ = self.socket.set_read_timeout(Some(Duration::from_micros(wait)));
-            for _ in 0..AT_ONCE {
+            for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 match self.socket.recv_from(&mut bytes) {
-                    Ok((count, from)) => self.datagram(&bytes[..count], from),
+                    Ok((count, from)) => self.receive(&bytes[..count], from),
                     Err(_) => break,
                 }
-                // The rest only as far as it has come.
+                // Further datagrams are read only if they have already arrived.
                 let _ = self.socket.set_nonblocking(true);
             }
             let _ = self.socket.set_nonblocking(false);
-            self.hand(Input::Tick);
+            self.handle(Input::Tick);
         }
     }
 
-    fn datagram(&mut self, bytes: &[u8], from: SocketAddr) {
-        // An operator's question comes without the relay.
-        let via = self.relay.filter(|relay| *relay == from).and_then(|_| relay_header::split(bytes));
-        let (from, bytes) = via.map_or((from, bytes), |(peer, rest)| (peer.into(), rest));
+    fn receive(&mut self, bytes: &[u8], from: SocketAddr) {
+        // Requests of operators don't pass through the relay.
+        let relayed = self.relay.filter(|relay| *relay == from).and_then(|_| relay_header::split(bytes));
+        let (from, bytes) = relayed.map_or((from, bytes), |(peer, rest)| (peer.into(), rest));
         match wire::decode(bytes, &self.keys) {
-            Ok(envelope) => self.hand(Input::Received(from, Box::new(envelope))),
+            Ok(envelope) => self.handle(Input::Received(from, Box::new(envelope))),
             Err(error) => {
                 self.ignored += 1;
                 if self.ignored.is_power_of_two() {
-                    tracing::warn!(%from, %error, ignored = self.ignored, "members: a datagram is not used");
+                    tracing::warn!(%from, %error, ignored = self.ignored, "members: ignored an invalid datagram");
                 }
             }
         }
     }
 
-    fn hand(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.members.handle(self.clock.now(), input, &mut out);
         for output in out {
-            self.history.write(self.clock.unix(), &self.name, &output);
+            self.history.write(self.clock.unix_us(), &self.name, &output);
             match output {
                 Output::Send(to, envelope) => match wire::encode(&envelope, &self.keys) {
                     Ok(bytes) => self.send(to, &bytes, matches!(envelope.body, Body::Shown(..))),
-                    Err(error) => tracing::error!(%error, "members: a message is not sent"),
+                    Err(error) => tracing::error!(%error, "members: message not sent"),
                 },
                 Output::View(change) => {
                     tracing::info!(number = change.number, members = change.members.len(),
-                        joined = ?change.joined, gone = ?change.gone, "members: view");
+                        joined = ?change.joined, gone = ?change.gone, "members: view changed");
                     if let Some(listener) = &self.listener {
-                        listener(self.known());
+                        listener(self.known_fronts());
                     }
                 }
-                Output::Stands(stage) => tracing::info!(?stage, "members: this front stands otherwise"),
-                Output::Accuses(name, on) => tracing::debug!(%name, on, "members: reached, or not"),
-                Output::Lost(span) => {
-                    tracing::warn!(ms = span / 1000, "members: this process was not running");
+                Output::StageChanged(stage) => tracing::info!(?stage, "members: stage changed"),
+                Output::AccusationChanged(name, on) => {
+                    tracing::debug!(%name, on, "members: accusation changed")
+                }
+                Output::Paused(pause) => {
+                    tracing::warn!(ms = pause / 1000, "members: this process was not running");
                 }
                 Output::NameInUse(at) => {
                     tracing::error!(name = %self.name, %at, "members: another front has this name");
@@ -236,15 +238,15 @@
         }
     }
 
-    fn known(&self) -> Vec<KnownFront> {
+    fn known_fronts(&self) -> Vec<KnownFront> {
         let view = self.members.view();
-        let known = |in_view| {
+        let known_front = |in_view| {
             move |fact: &Fact| {
                 let Fact { address, zone, serves, boot, .. } = *fact;
                 KnownFront { name: Name::clone(&fact.name), address, in_view, zone, serves, boot }
             }
         };
-        view.members().map(known(true)).chain(view.out().map(known(false))).collect()
+        view.members().map(known_front(true)).chain(view.former_members().map(known_front(false))).collect()
     }
 
     fn send(&self, to: SocketAddr, bytes: &[u8], to_operator: bool) {
@@ -254,9 +256,9 @@
             }
             _ => self.socket.send_to(bytes, to),
         };
-        // A full buffer or an address without a way is a lost datagram like any other.
+        // A full send buffer or an unreachable address counts as a lost datagram.
         if let Err(error) = sent {
-            tracing::debug!(%error, %to, "members: not sent");
+            tracing::debug!(%error, %to, "members: datagram not sent");
         }
     }
 }
--- a/crates/members/src/lib.rs
+++ b/crates/members/src/lib.rs
@@ -1,11 +1,11 @@
-//! Who is there: which session fronts live, told to each of them as numbered views.
+//! Group membership of session fronts: each front has a numbered view of the fronts that are running.
 //!
-//! Fronts probe each other over UDP, put together whom they cannot reach, and remove whoever more than half of them
-//! cannot reach. `docs/design/membership.md` tells the ways weighed, `docs/operate/members.md` how to run it.
+//! Fronts probe each other over UDP, combine their observations, and remove a front that more than half of them cannot
+//! reach. `docs/design/membership.md` describes the alternatives considered, `docs/operate/members.md` the operation.
 //!
-//! - [`core`]: all that is decided and kept, with no I/O; read it first.
-//! - [`wire`]: datagrams and what authenticates them. [`edge`]: the thread with the socket. [`settings`]: KDL.
-//! - [`history`]: what happened, as JSON lines. [`ask`]: an operator's question to a running front.
+//! - [`core`]: the protocol as a state machine without I/O; read it first.
+//! - [`wire`]: encoding and authentication of datagrams. [`edge`]: the thread with the socket. [`settings`]: KDL.
+//! - [`history`]: events as JSON lines. [`ask`]: requests the status of a running front.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/members/src/settings.rs
+++ b/crates/members/src/settings.rs
@@ -1,4 +1,4 @@
-//! The block `members { }` of a front's settings, checked before anything starts.
+//! The block `members { }` of a front's settings, validated before anything starts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,61 +10,61 @@
 use crate::core::{Micros, Times};
 use crate::wire::KeyRing;
 
-/// Shortest key, bytes.
-const KEY: usize = 32;
+/// Length of a key, in bytes.
+const KEY_BYTES: usize = 32;
 
 /// Settings of membership at one front.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The front's name.
+    /// Name of the front.
     pub name: Arc<str>,
-    /// Where it listens, UDP.
+    /// UDP address at which the front listens.
     pub bind: SocketAddr,
-    /// Where others reach it; where it listens, if nothing else is said.
+    /// Address at which other fronts reach it; `bind` by default.
     pub advertise: SocketAddr,
-    /// Its zone, as `front` has it.
+    /// Zone of the front, from the block `front`.
     pub zone: u32,
-    /// Where players reach it, as `front` has it.
+    /// Address at which players reach it, from the block `front`.
     pub serves: Option<SocketAddr>,
-    /// Where others may be found.
+    /// Addresses of fronts to contact while joining.
     pub seeds: Vec<SocketAddr>,
-    /// Keys.
+    /// Authentication keys.
     pub keys: KeyRing,
-    /// Observers of each front.
+    /// Number of observers of each front.
     pub observers: usize,
-    /// Times.
+    /// Timing of the protocol.
     pub times: Times,
-    /// Where the history goes.
+    /// File to which the history is written.
     pub history: Option<PathBuf>,
-    /// A relay by which all datagrams go: only trials give one.
+    /// A relay through which all datagrams pass; set only in trials.
     pub relay: Option<SocketAddr>,
-    /// What this process's clock is off by, us: only trials give it.
+    /// Offset of this process's wall clock, in microseconds; set only in trials.
     pub clock_offset: i64,
 }
 
-fn address(node: &Node<'_>, text: &str) -> Read<SocketAddr> {
+fn parse_address(node: &Node<'_>, text: &str) -> Read<SocketAddr> {
     text.parse().map_err(|_| node.error(format!("`{text}` is no address and port, as 127.0.0.1:7301")))
 }
 
-fn key(node: &Node<'_>, text: &str) -> Read<[u8; KEY]> {
+fn parse_key(node: &Node<'_>, text: &str) -> Read<[u8; KEY_BYTES]> {
     let digit = |at: usize| text.get(at..at + 2).and_then(|pair| u8::from_str_radix(pair, 16).ok());
-    if text.len() < KEY * 2 {
+    if text.len() < KEY_BYTES * 2 {
         return Err(node.error(format!(
-            "a key of {} bytes: {KEY} are needed, as {} hex digits",
+            "a key of {} bytes: {KEY_BYTES} are needed, as {} hex digits",
             text.len() / 2,
-            KEY * 2
+            KEY_BYTES * 2
         )));
     }
     let bytes: Option<Vec<u8>> = (0..text.len()).step_by(2).map(digit).collect();
     let key = bytes.and_then(|bytes| bytes.try_into().ok());
-    key.ok_or_else(|| node.error(format!("a key is {} hex digits", KEY * 2)))
+    key.ok_or_else(|| node.error(format!("a key is {} hex digits", KEY_BYTES * 2)))
 }
 
 impl Settings {
-    /// The block, if the document has one. The front's name stands in its `front`.
+    /// Reads the block `members`, if the document has one. The front's name is read from the block `front`.
     ///
     /// # Errors
-    /// What cannot hold, with file, line and reason.
+    /// A setting is missing or invalid; the error names file, line and reason.
     pub fn read(document: &Document) -> Read<Option<Settings>> {
         let root = document.root();
         let Some(node) = root.one("members")? else { return Ok(None) };
@@ -74,10 +74,13 @@
             return Err(front.error(format!("a member's name has 1 to {MAX_NAME_BYTES} bytes")));
         }
         let block = node.children();
-        let about = front.children();
-        let listen =
-            about.one("listen")?.map(|node| address(&node, &node.argument::<String>()?)).transpose()?;
-        let settings = Settings { zone: about.or("zone", 0)?, serves: listen, ..read(&name, &block)? };
+        let front_block = front.children();
+        let listen = front_block
+            .one("listen")?
+            .map(|node| parse_address(&node, &node.argument::<String>()?))
+            .transpose()?;
+        let settings =
+            Settings { zone: front_block.or("zone", 0)?, serves: listen, ..read_block(&name, &block)? };
         block.done()?;
         node.done()?;
         check(&node, &block, &settings)?;
@@ -85,11 +88,11 @@
     }
 }
 
-fn read(name: &str, block: &Block<'_>) -> Read<Settings> {
+fn read_block(name: &str, block: &Block<'_>) -> Read<Settings> {
     let socket = |name: &str| -> Read<Option<SocketAddr>> {
         let Some(node) = block.one(name)? else { return Ok(None) };
         let text: String = node.argument()?;
-        let at = address(&node, &text)?;
+        let at = parse_address(&node, &text)?;
         node.done()?;
         Ok(Some(at))
     };
@@ -98,7 +101,7 @@
     let mut seeds = Vec::new();
     for node in block.all("seeds") {
         for text in node.arguments::<String>()? {
-            let seed = address(&node, &text)?;
+            let seed = parse_address(&node, &text)?;
             if seeds.contains(&seed) {
                 return Err(node.error(format!("seed {seed} stands twice")));
             }
@@ -108,28 +111,28 @@
     }
     let mut keys = Vec::new();
     for node in block.all("key") {
-        keys.push(key(&node, &node.argument::<String>()?)?);
+        keys.push(parse_key(&node, &node.argument::<String>()?)?);
         node.done()?;
     }
     let keys = KeyRing::new(keys).ok_or_else(|| block.error("`key` is missing: at least one"))?;
-    let usual = Times::default();
-    let ms = |name: &str, usual: Micros| -> Read<Micros> {
-        Ok(block.or(name, usual / 1000)?.saturating_mul(1000))
+    let defaults = Times::default();
+    let ms = |name: &str, default: Micros| -> Read<Micros> {
+        Ok(block.or(name, default / 1000)?.saturating_mul(1000))
     };
     let times = Times {
-        period: ms("period-ms", usual.period)?,
-        hurry: ms("hurry-ms", usual.hurry)?,
-        bear: ms("bear-ms", usual.bear)?,
-        settle: ms("settle-ms", usual.settle)?,
-        confirm: ms("confirm-ms", usual.confirm)?,
-        alone: ms("alone-ms", usual.alone)?,
-        ..usual
+        ping_interval: ms("period-ms", defaults.ping_interval)?,
+        unanswered_ping_interval: ms("hurry-ms", defaults.unanswered_ping_interval)?,
+        min_silence: ms("bear-ms", defaults.min_silence)?,
+        settle_time: ms("settle-ms", defaults.settle_time)?,
+        confirm_time: ms("confirm-ms", defaults.confirm_time)?,
+        bootstrap_delay: ms("alone-ms", defaults.bootstrap_delay)?,
+        ..defaults
     };
     let trial = block.one("trial")?;
     let (mut relay, mut clock_offset) = (None, 0);
     if let Some(trial) = &trial {
         if let Some(text) = trial.maybe::<String>("relay")? {
-            relay = Some(address(trial, &text)?);
+            relay = Some(parse_address(trial, &text)?);
         }
         clock_offset = (trial.or("clock-offset-s", 0.0)? * 1e6) as i64;
         trial.done()?;
@@ -162,7 +165,7 @@
         );
     }
     if let Some(seeds) = block.all("seeds").first() {
-        // Another front's port on this front's own address is another front's name for this one.
+        // If `bind` differs from `advertise`, a seed equal to `bind` would be this front under another address.
         let own = settings.seeds.iter().any(|seed| *seed != settings.advertise && *seed == settings.bind);
         if own {
             return Err(
@@ -170,13 +173,13 @@
             );
         }
     }
-    if times.period < 10_000 || times.period > 60_000_000 {
+    if times.ping_interval < 10_000 || times.ping_interval > 60_000_000 {
         return Err(at("period-ms")?.as_ref().unwrap_or(node).error("`period-ms` lies from 10 to 60000"));
     }
-    if times.hurry == 0 || times.hurry > times.period {
+    if times.unanswered_ping_interval == 0 || times.unanswered_ping_interval > times.ping_interval {
         return Err(at("hurry-ms")?.as_ref().unwrap_or(node).error("`hurry-ms` lies from 1 to `period-ms`"));
     }
-    if times.bear < 2 * times.period {
+    if times.min_silence < 2 * times.ping_interval {
         let reason = "`bear-ms` under twice `period-ms`: a front would be accused between two pings";
         return Err(at("bear-ms")?.as_ref().unwrap_or(node).error(reason));
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,7 @@
-//! KDL documents, read node by node, with an error that names file, line and reason.
+//! Reads KDL documents node by node, with errors that name file, line and reason.
 //!
-//! Settings of the front and scripts of the stand-ins are read through [`Block`]: it hands out the values of its
-//! nodes once each, and [`Block::done`] complains of whatever nobody asked for, so that a misspelt setting is
-//! told and never passed over.
+//! Settings of the front and scripts of the stand-ins are read through [`Block`]. It records the names of the nodes that
+//! were read, and [`Block::done`] rejects all others, so that a misspelt setting is an error and never ignored.
 #![warn(missing_docs)]
 
 use std::cell::RefCell;
@@ -14,13 +13,13 @@
 use miette::{Diagnostic, NamedSource, SourceSpan};
 use thiserror::Error;
 
-/// What is wrong with a document, and where. `Display` begins with file, line and column.
+/// An error in a document, with its place. `Display` begins with file, line and column.
 #[derive(Debug, Error, Diagnostic)]
 #[error("{place}: {reason}")]
 pub struct SettingError {
-    /// File, line and column, each from 1.
+    /// File, line and column; line and column count from 1.
     pub place: String,
-    /// What is wrong, in a sentence.
+    /// Description of the error, a sentence.
     pub reason: String,
     #[source_code]
     source_code: NamedSource<Arc<String>>,
@@ -28,7 +27,7 @@
     span: SourceSpan,
 }
 
-/// The text of a document and its name, for the places of errors.
+/// Name and text of a document, used to locate errors.
 #[derive(Debug)]
 struct Origin {
     name: String,
@@ -56,11 +55,11 @@
     parsed: KdlDocument,
 }
 
-/// Result of reading.
+/// Result of reading a document or a value.
 pub type Read<T> = Result<T, Box<SettingError>>;
 
 impl Document {
-    /// Parses a text; `name` stands in its errors.
+    /// Parses a text; errors name it `name`.
     pub fn parse(name: &str, text: &str) -> Read<Document> {
         let origin = Origin { name: name.to_owned(), text: Arc::new(text.to_owned()) };
         match KdlDocument::parse_v2(text) {
@@ -74,7 +73,7 @@
         }
     }
 
-    /// Reads and parses a file; one that cannot be read is an error at its line 1.
+    /// Reads and parses a file; if it cannot be read, the error is at line 1.
     pub fn load(path: &Path) -> Read<Document> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path).map_err(|error| {
@@ -87,50 +86,53 @@
     /// The whole document as a block.
     pub fn root(&self) -> Block<'_> {
         let nodes = self.parsed.nodes().iter().collect();
-        Block { origin: &self.origin, span: (0, 0).into(), nodes, asked: RefCell::default() }
+        Block { origin: &self.origin, span: (0, 0).into(), nodes, read_names: RefCell::default() }
     }
 }
 
 /// A value that a node's argument or property may be read as.
 pub trait Value: Sized {
-    /// What is expected, for the error.
-    const WANTED: &'static str;
-    /// The value, if it is of this kind.
-    fn take(value: &KdlValue) -> Option<Self>;
+    /// The expected kind of value, for error messages.
+    const EXPECTED: &'static str;
+    /// Converts a KDL value, if it is of this kind.
+    fn from_kdl(value: &KdlValue) -> Option<Self>;
 }
 
 impl Value for String {
-    const WANTED: &'static str = "a string";
-    fn take(value: &KdlValue) -> Option<Self> {
+    const EXPECTED: &'static str = "a string";
+    fn from_kdl(value: &KdlValue) -> Option<Self> {
         value.as_string().map(str::to_owned)
     }
 }
 
 impl Value for bool {
-    const WANTED: &'static str = "#true or #false";
-    fn take(value: &KdlValue) -> Option<Self> {
+    const EXPECTED: &'static str = "#true or #false";
+    fn from_kdl(value: &KdlValue) -> Option<Self> {
         value.as_bool()
     }
 }
 
 impl Value for f64 {
-    const WANTED: &'static str = "a number";
-    fn take(value: &KdlValue) -> Option<Self> {
-        value.as_float().or_else(|| value.as_integer().map(|whole| whole as f64)).filter(|v| v.is_finite())
+    const EXPECTED: &'static str = "a number";
+    fn from_kdl(value: &KdlValue) -> Option<Self> {
+        value
+            .as_float()
+            .or_else(|| value.as_integer().map(|integer| integer as f64))
+            .filter(|v| v.is_finite())
     }
 }
 
-macro_rules! whole {
+macro_rules! impl_integer_values {
     ($($kind:ty),*) => {$(
         impl Value for $kind {
-            const WANTED: &'static str = "a whole number that is not negative and not too large";
-            fn take(value: &KdlValue) -> Option<Self> {
-                value.as_integer().and_then(|whole| whole.try_into().ok())
+            const EXPECTED: &'static str = "a whole number that is not negative and not too large";
+            fn from_kdl(value: &KdlValue) -> Option<Self> {
+                value.as_integer().and_then(|integer| integer.try_into().ok())
             }
         }
     )*};
 }
-whole!(u16, u32, u64, usize);
+impl_integer_values!(u16, u32, u64, usize);
 
 /// The nodes of a document, or the children of one node.
 #[derive(Debug)]
@@ -138,7 +140,7 @@
     origin: &'a Origin,
     span: SourceSpan,
     nodes: Vec<&'a KdlNode>,
-    asked: RefCell<BTreeSet<String>>,
+    read_names: RefCell<BTreeSet<String>>,
 }
 
 /// One node with its arguments, properties and children.
@@ -146,27 +148,27 @@
 pub struct Node<'a> {
     origin: &'a Origin,
     node: &'a KdlNode,
-    asked: RefCell<BTreeSet<String>>,
+    read_names: RefCell<BTreeSet<String>>,
 }
 
 impl<'a> Block<'a> {
-    /// All nodes of this name, in order.
+    /// All nodes with this name, in order.
     pub fn all(&self, name: &str) -> Vec<Node<'a>> {
-        self.asked.borrow_mut().insert(name.to_owned());
+        self.read_names.borrow_mut().insert(name.to_owned());
         let named = self.nodes.iter().filter(|node| node.name().value() == name);
-        named.map(|node| Node { origin: self.origin, node, asked: RefCell::default() }).collect()
+        named.map(|node| Node { origin: self.origin, node, read_names: RefCell::default() }).collect()
     }
 
-    /// All nodes, whatever their names.
+    /// All nodes, with any name.
     pub fn every(&self) -> Vec<Node<'a>> {
         let node = |node: &&'a KdlNode| {
-            self.asked.borrow_mut().insert(node.name().value().to_owned());
-            Node { origin: self.origin, node, asked: RefCell::default() }
+            self.read_names.borrow_mut().insert(node.name().value().to_owned());
+            Node { origin: self.origin, node, read_names: RefCell::default() }
         };
         self.nodes.iter().map(node).collect()
     }
 
-    /// The one node of this name, if it is there; a second one is an error.
+    /// The node with this name, if there is one; a second one is an error.
     pub fn one(&self, name: &str) -> Read<Option<Node<'a>>> {
         let mut all = self.all(name);
         match all.len() {
@@ -175,12 +177,12 @@
         }
     }
 
-    /// The node of this name, which must be there.
+    /// The node with this name; it is an error if it is missing.
     pub fn need(&self, name: &str) -> Read<Node<'a>> {
         self.one(name)?.ok_or_else(|| self.error(format!("`{name}` is missing")))
     }
 
-    /// First argument of the node of this name, or a default.
+    /// The first argument of the node with this name, or `default` if there is no such node.
     pub fn or<T: Value>(&self, name: &str, default: T) -> Read<T> {
         match self.one(name)? {
             None => Ok(default),
@@ -192,7 +194,7 @@
         }
     }
 
-    /// First argument of the node of this name, which must be there.
+    /// The first argument of the node with this name; it is an error if the node is missing.
     pub fn value<T: Value>(&self, name: &str) -> Read<T> {
         let node = self.need(name)?;
         let value = node.argument()?;
@@ -200,23 +202,23 @@
         Ok(value)
     }
 
-    /// An error at this block.
+    /// Creates an error located at this block.
     pub fn error(&self, reason: impl Into<String>) -> Box<SettingError> {
         self.origin.error(self.span, reason)
     }
 
-    /// Its nodes as they stand, to be put into another document.
+    /// The text of the nodes, for insertion into another document.
     pub fn text(&self) -> String {
         self.nodes.iter().map(|node| format!("{}\n", node.to_string().trim())).collect()
     }
 
-    /// Complains of the first node that nobody asked for.
+    /// Checks that all nodes were read; the error names the first one that wasn't.
     pub fn done(&self) -> Read<()> {
-        let asked = self.asked.borrow();
-        match self.nodes.iter().find(|node| !asked.contains(node.name().value())) {
+        let read_names = self.read_names.borrow();
+        match self.nodes.iter().find(|node| !read_names.contains(node.name().value())) {
             None => Ok(()),
             Some(node) => {
-                let known: Vec<&str> = asked.iter().map(String::as_str).collect();
+                let known: Vec<&str> = read_names.iter().map(String::as_str).collect();
                 let reason =
                     format!("`{}` is no setting here; known: {}", node.name().value(), known.join(", "));
                 Err(self.origin.error(node.span(), reason))
@@ -226,12 +228,12 @@
 }
 
 impl<'a> Node<'a> {
-    /// Its name.
+    /// The name of the node.
     pub fn name(&self) -> &'a str {
         self.node.name().value()
     }
 
-    /// Its first argument.
+    /// The first argument; it is an error if there is none.
     pub fn argument<T: Value>(&self) -> Read<T> {
         self.arguments()?
             .into_iter()
@@ -239,56 +241,56 @@
             .ok_or_else(|| self.error(format!("`{}` needs a value", self.name())))
     }
 
-    /// All its arguments.
+    /// All arguments, in order.
     pub fn arguments<T: Value>(&self) -> Read<Vec<T>> {
-        self.asked.borrow_mut().insert(String::new());
-        let plain = self.node.entries().iter().filter(|entry| entry.name().is_none());
-        let read = plain.map(|entry| {
-            let wrong = || format!("`{}` takes {}, not {}", self.name(), T::WANTED, entry.value());
-            T::take(entry.value()).ok_or_else(|| self.origin.error(entry.span(), wrong()))
+        self.read_names.borrow_mut().insert(String::new());
+        let positional = self.node.entries().iter().filter(|entry| entry.name().is_none());
+        let values = positional.map(|entry| {
+            let reason = || format!("`{}` takes {}, not {}", self.name(), T::EXPECTED, entry.value());
+            T::from_kdl(entry.value()).ok_or_else(|| self.origin.error(entry.span(), reason()))
         });
-        read.collect()
+        values.collect()
     }
 
-    /// A property, if it is there.
+    /// A property, if it is present.
     pub fn maybe<T: Value>(&self, key: &str) -> Read<Option<T>> {
-        self.asked.borrow_mut().insert(key.to_owned());
+        self.read_names.borrow_mut().insert(key.to_owned());
         let named = |entry: &&kdl::KdlEntry| entry.name().is_some_and(|name| name.value() == key);
         let Some(entry) = self.node.entries().iter().find(named) else { return Ok(None) };
-        let wrong = || format!("`{key}` takes {}, not {}", T::WANTED, entry.value());
-        T::take(entry.value()).map(Some).ok_or_else(|| self.origin.error(entry.span(), wrong()))
+        let reason = || format!("`{key}` takes {}, not {}", T::EXPECTED, entry.value());
+        T::from_kdl(entry.value()).map(Some).ok_or_else(|| self.origin.error(entry.span(), reason()))
     }
 
-    /// A property, or a default.
+    /// A property, or `default` if it is missing.
     pub fn or<T: Value>(&self, key: &str, default: T) -> Read<T> {
         Ok(self.maybe(key)?.unwrap_or(default))
     }
 
-    /// A property that must be there.
+    /// A property; it is an error if it is missing.
     pub fn need<T: Value>(&self, key: &str) -> Read<T> {
         self.maybe(key)?.ok_or_else(|| self.error(format!("`{}` needs `{key}=`", self.name())))
     }
 
-    /// Its children.
+    /// The children of the node.
     pub fn children(&self) -> Block<'a> {
         let nodes = self.node.children().map(|inner| inner.nodes().iter().collect()).unwrap_or_default();
-        Block { origin: self.origin, span: self.node.span(), nodes, asked: RefCell::default() }
+        Block { origin: self.origin, span: self.node.span(), nodes, read_names: RefCell::default() }
     }
 
-    /// An error at this node.
+    /// Creates an error located at this node.
     pub fn error(&self, reason: impl Into<String>) -> Box<SettingError> {
         self.origin.error(self.node.span(), reason)
     }
 
-    /// Complains of the first property or argument that nobody asked for.
+    /// Checks that all properties and arguments were read; the error names the first one that wasn't.
     pub fn done(&self) -> Read<()> {
-        let asked = self.asked.borrow();
+        let read_names = self.read_names.borrow();
         let key = |entry: &kdl::KdlEntry| entry.name().map_or("", |name| name.value()).to_owned();
-        match self.node.entries().iter().find(|entry| !asked.contains(&key(entry))) {
+        match self.node.entries().iter().find(|entry| !read_names.contains(&key(entry))) {
             None => Ok(()),
             Some(entry) => {
-                let what = format!("`{}` takes no `{}`", self.name(), entry.to_string().trim());
-                Err(self.origin.error(entry.span(), what))
+                let reason = format!("`{}` takes no `{}`", self.name(), entry.to_string().trim());
+                Err(self.origin.error(entry.span(), reason))
             }
         }
     }
@@ -299,7 +301,7 @@
     use super::*;
 
     #[test]
-    fn a_misspelt_setting_is_told_with_its_line() {
+    fn a_misspelt_setting_is_an_error_with_its_line() {
         let document = Document::parse("front.kdl", "name \"f1\"\nlisten 1\nlisten-on 2\n").unwrap();
         let root = document.root();
         assert_eq!(root.value::<String>("name").unwrap(), "f1");
@@ -313,7 +315,7 @@
     }
 
     #[test]
-    fn broken_kdl_is_an_error_with_a_place() {
+    fn invalid_kdl_is_an_error_with_its_place() {
         let error = Document::parse("a.kdl", "x 1\ny {{\n").unwrap_err();
         assert!(error.place.starts_with("a.kdl:2:"), "{}", error.place);
     }
--- a/crates/trial/src/whole.rs
+++ b/crates/trial/src/whole.rs
@@ -595,13 +595,14 @@
         let Some(alive) = &self.nodes[front].alive else { return };
         let view = alive.members.view();
         let name = plan::name(front);
-        let own = view.get(&name).filter(|fact| fact.is_in()).map(|fact| fact.boot);
+        let own = view.get(&name).filter(|fact| fact.is_member()).map(|fact| fact.boot);
         let here: Vec<copies::Peer> = view
             .members()
             .filter(|fact| *fact.name != *name)
             .map(|fact| copies::Peer { name: Name::clone(&fact.name), zone: fact.zone, boot: fact.boot })
             .collect();
-        let others = view.members().map(|fact| (fact, true)).chain(view.out().map(|fact| (fact, false)));
+        let others =
+            view.members().map(|fact| (fact, true)).chain(view.former_members().map(|fact| (fact, false)));
         let others = others.map(|(fact, here)| {
             (Name::clone(&fact.name), PeerFront { in_view: here, client_address: fact.serves })
         });
