--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -9,7 +9,7 @@
 use salttally::controller::Controller;
 use salttally::interface::Micros;
 use salttally_copies::edge::Teller as Copies;
-use salttally_members::core::pauses::Pauses;
+use salttally_members::core::pauses::PauseDetector;
 
 use crate::box_list::ListFollower;
 use crate::boxes::BoxConnections;
@@ -51,7 +51,7 @@
     /// Replication of session records, if enabled.
     pub copies: Option<Copies>,
     /// Detects suspensions of this process.
-    pub pauses: Pauses,
+    pub pauses: PauseDetector,
 }
 
 /// Maximum time between checks of the clock, us, which detect that the process was suspended.
@@ -181,11 +181,11 @@
         // it for the input, it would not notice, and would take its own suspension for silence of the boxes:
         // all their sessions would be lost. So both use the same reading.
         let now = self.clock.now();
-        if let Some(suspended) = self.pauses.called(now) {
+        if let Some(suspended) = self.pauses.check(now) {
             tracing::warn!(ms = suspended / 1000, "this process was not running");
             self.ledger.handle(now, Input::ProcessResumed, &mut outputs);
         }
-        self.pauses.ask(now + MAX_WAIT_US);
+        self.pauses.expect_call_at(now + MAX_WAIT_US);
         self.ledger.handle(now, input, &mut outputs);
         let mut finished = false;
         for output in outputs.drain(..) {
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -14,8 +14,8 @@
 use salttally_accord::core::stand::Stand;
 use salttally_copies::core::Life;
 use salttally_copies::edge::{Teller as Copies, Told};
-use salttally_members::core::pauses::Pauses;
-use salttally_members::edge::Known;
+use salttally_members::core::pauses::PauseDetector;
+use salttally_members::edge::KnownFront;
 use thiserror::Error;
 
 use crate::box_list::ListFollower;
@@ -165,7 +165,7 @@
             outputs: Vec::new(),
             touched_clients: BTreeSet::new(),
             copies,
-            pauses: Pauses::new(),
+            pauses: PauseDetector::new(),
         };
         // The first event for the decision module, before any player: it responds by following the list.
         let _ = engine.send(EngineMessage::Input(remembered));
@@ -211,11 +211,11 @@
     }
 
     /// Returns the sink for changes of the membership view.
-    pub fn peers_sink(&self) -> impl Fn(&[Known]) + Send + 'static {
+    pub fn peers_sink(&self) -> impl Fn(&[KnownFront]) + Send + 'static {
         let engine = self.engine.clone();
         move |known| {
-            let peer = |known: &Known| {
-                (Arc::clone(&known.name), PeerFront { in_view: known.here, client_address: known.serves })
+            let peer = |known: &KnownFront| {
+                (Arc::clone(&known.name), PeerFront { in_view: known.in_view, client_address: known.serves })
             };
             let _ = engine.send(EngineMessage::Input(Input::Peers(known.iter().map(peer).collect())));
         }
