--- a/crates/cli/src/fronts.rs
+++ b/crates/cli/src/fronts.rs
@@ -9,7 +9,7 @@
 
 use salttally_front::settings::Settings;
 use salttally_front::Front;
-use salttally_standin::day::Fronts;
+use salttally_standin::day::FrontController;
 
 use crate::Against;
 
@@ -55,7 +55,7 @@
     }
 }
 
-impl Fronts for Company {
+impl FrontController for Company {
     fn start(&mut self, number: usize, settings: &str) -> io::Result<()> {
         if self.running.contains_key(&number) {
             // Two troubles have ended that had both killed it.
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -97,7 +97,7 @@
         let played = play(script, self.against, self.keep.as_deref(), |progress| {
             if show {
                 let (now, come, of, here) =
-                    (progress.now / 1_000_000, progress.come, progress.of, progress.present);
+                    (progress.now / 1_000_000, progress.arrived, progress.total, progress.present);
                 eprint!("\r{now:3} of {length} s, {come} of {of} viewers have come, {here} are there   ");
                 let _ = std::io::stderr().flush();
             }
--- a/crates/cli/src/siege.rs
+++ b/crates/cli/src/siege.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clap::Args;
-use salttally_standin::siege::{lay, Kind, Measure, Plan};
+use salttally_standin::attack::{run_attack, AttackKind, AttackPlan, AttackReport};
 use serde_json::json;
 
 /// Arguments of `salttally siege`.
@@ -15,7 +15,7 @@
     /// Kinds to lay at once: slow-handshake, half-message, idle, churn, calls, opens, closes, pings, deaf, vanish;
     /// without any, each by itself, after a run with nobody for comparison
     #[arg(value_name = "KIND", value_parser = kind)]
-    kinds: Vec<Kind>,
+    kinds: Vec<AttackKind>,
     /// Front, on loopback
     #[arg(long, default_value = "127.0.0.1:7001", value_name = "ADDRESS")]
     against: SocketAddr,
@@ -54,16 +54,16 @@
     json: bool,
 }
 
-fn kind(name: &str) -> Result<Kind, String> {
-    let known = || Kind::ALL.map(Kind::name).join(", ");
-    Kind::named(name).ok_or_else(|| format!("no siege `{name}`; there are {}", known()))
+fn kind(name: &str) -> Result<AttackKind, String> {
+    let known = || AttackKind::ALL.map(AttackKind::name).join(", ");
+    AttackKind::from_name(name).ok_or_else(|| format!("no siege `{name}`; there are {}", known()))
 }
 
 impl Siege {
     /// Lays the sieges and prints what came of each.
     pub fn run(self) -> Result<ExitCode, Box<dyn Error>> {
-        let sieges: Vec<Vec<Kind>> = match self.kinds.is_empty() {
-            true => Kind::ALL.into_iter().map(|kind| vec![kind]).collect(),
+        let sieges: Vec<Vec<AttackKind>> = match self.kinds.is_empty() {
+            true => AttackKind::ALL.into_iter().map(|kind| vec![kind]).collect(),
             false => vec![self.kinds.clone()],
         };
         if !self.json {
@@ -74,8 +74,8 @@
         }
         let mut held = true;
         for kinds in sieges {
-            let measure = lay(self.plan(kinds.clone()))?;
-            held &= measure.share() >= self.least && measure.unharmed == measure.watchers;
+            let measure = run_attack(self.plan(kinds.clone()))?;
+            held &= measure.served_share() >= self.least && measure.unharmed == measure.watchers;
             let name = kinds.iter().map(|kind| kind.name()).collect::<Vec<_>>().join("+");
             if self.json {
                 println!("{}", json!({"siege": name, "peers": self.peers, "measure": measure.to_json()}));
@@ -86,31 +86,31 @@
         Ok(if held { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn row(&self, name: &str, measure: &Measure) {
-        let at = |part: f64| measure.answers.value_at_quantile(part);
+    fn row(&self, name: &str, measure: &AttackReport) {
+        let at = |part: f64| measure.answer_us.value_at_quantile(part);
         println!(
             "{name:16} {:>7} {:>7} {:>6.1}% {:>9} {:>9} {:>12} {:>9}",
             measure.served,
-            measure.asked,
-            measure.share() * 100.0,
+            measure.requested,
+            measure.served_share() * 100.0,
             at(0.5),
             at(0.99),
             format!("{} of {}", measure.unharmed, measure.watchers),
-            measure.cut
+            measure.disconnects
         );
-        for why in &measure.why {
+        for why in &measure.failures {
             println!("    not served: {why}");
         }
     }
 
-    fn plan(&self, kinds: Vec<Kind>) -> Plan {
-        Plan {
+    fn plan(&self, kinds: Vec<AttackKind>) -> AttackPlan {
+        AttackPlan {
             kinds,
             front: self.against,
             peers: self.peers,
             sources: self.sources,
-            length: Duration::from_secs(self.seconds),
-            before: Duration::from_secs(self.before),
+            duration: Duration::from_secs(self.seconds),
+            lead_time: Duration::from_secs(self.before),
             viewers: self.viewers,
             watchers: self.watchers,
             title: self.title.clone(),
--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -13,11 +13,11 @@
 use salttally_front::settings::Settings;
 use salttally_judge::record::read;
 use salttally_settings::BadSetting;
-use salttally_standin::boxes::{Boxes, Notes};
-use salttally_standin::fleet::{Build, Nature};
-use salttally_standin::list::{Line as ListLine, List, State};
+use salttally_standin::boxes::{Boxes, NoteSettings};
+use salttally_standin::fleet::{BoxModel, BoxSpec};
+use salttally_standin::list::{BoxList, ListEntry, ListState};
 use salttally_standin::log::Log;
-use salttally_standin::players::{Line, Silence};
+use salttally_standin::players::{PlayerConnection, ReceiveError};
 use serde_json::json;
 
 use crate::rehearse::{print_verdict, verdict_json};
@@ -138,33 +138,33 @@
         match self {
             Standin::Boxes { count, address, list, link_kb, places } => {
                 let log = Log::default();
-                let nature = Nature {
+                let model = BoxModel {
                     warm_up: 1,
                     cold_from: 1.0,
                     fall_multiple: 2.0,
                     fall_window: 1_000_000,
                     refuses_from: 1.0,
                     report_every: 200_000,
-                    set_up: 10_000,
+                    set_up_time: 10_000,
                 };
-                let notes = Notes { every: 3_000_000, age: 0, leaves: 0.0 };
+                let notes = NoteSettings { interval: 3_000_000, age: 0, leave_probability: 0.0 };
                 let uplinks = vec![f64::MAX];
-                let boxes = Boxes::new(log.clone(), nature, uplinks, Default::default(), notes, 1);
-                let list = list.map(|at| List::start(log, at, 0)).transpose()?;
+                let boxes = Boxes::new(log.clone(), model, uplinks, Default::default(), notes, 1);
+                let list = list.map(|at| BoxList::start(log, at, 0)).transpose()?;
                 for id in 0..count {
                     let port = address.port().checked_add(u16::try_from(id)?).ok_or("no port after 65535")?;
                     let at = SocketAddr::new(address.ip(), port);
-                    boxes.add(Build { id, zone: 0, cell: id, rack: 0, link_kb, places }, at, false)?;
+                    boxes.add(BoxSpec { id, zone: 0, cell: id, rack: 0, link_kb, places }, at, false)?;
                     println!("box {id} listens at {at}");
                     if let Some(list) = &list {
                         list.set(named(id, at));
                     }
                 }
-                let _ = boxes.run()?.join();
+                let _ = boxes.start_link_monitor()?.join();
                 Ok(ExitCode::SUCCESS)
             }
             Standin::List { address, boxes } => {
-                let list = List::start(Log::default(), address, 0)?;
+                let list = BoxList::start(Log::default(), address, 0)?;
                 for (id, at) in boxes.iter().enumerate() {
                     list.set(named(u32::try_from(id)?, *at));
                 }
@@ -193,13 +193,13 @@
     }
 }
 
-fn named(id: u32, address: SocketAddr) -> ListLine {
-    ListLine { id, address, zone: 0, cell: id, state: State::Ready, units: 1.0, started: None }
+fn named(id: u32, address: SocketAddr) -> ListEntry {
+    ListEntry { id, address, zone: 0, cell: id, state: ListState::Ready, size_units: 1.0, started: None }
 }
 
 fn one(front: SocketAddr, params: &serde_json::Value, watch: Duration) -> String {
     let played = || -> Result<String, Box<dyn Error>> {
-        let mut line = Line::connect(front, Duration::from_secs(2))?;
+        let mut line = PlayerConnection::connect(front, Duration::from_secs(2))?;
         let (answer, _) = open(&mut line, params)?;
         if let Some(session) = answer["result"]["session"].as_str() {
             std::thread::sleep(watch);
@@ -211,15 +211,15 @@
     played().unwrap_or_else(|error| error.to_string())
 }
 
-fn said(silence: Silence) -> String {
-    match silence {
-        Silence::TimedOut => "nothing was heard in time".to_owned(),
-        Silence::Cut(why) => format!("the connection ended: {why}"),
+fn said(error: ReceiveError) -> String {
+    match error {
+        ReceiveError::TimedOut => "nothing was heard in time".to_owned(),
+        ReceiveError::Closed(why) => format!("the connection ended: {why}"),
     }
 }
 
 fn open(
-    line: &mut Line,
+    line: &mut PlayerConnection,
     params: &serde_json::Value,
 ) -> Result<(serde_json::Value, Vec<serde_json::Value>), Box<dyn Error>> {
     let id = line.call("session.open", params).map_err(said)?;
@@ -262,7 +262,7 @@
             "viewer": self.viewer, "title": self.title, "class": self.class, "top_rung": self.top_rung,
             "patience_ms": self.patience_ms
         });
-        let mut line = Line::connect(self.front, Duration::from_secs(2))?;
+        let mut line = PlayerConnection::connect(self.front, Duration::from_secs(2))?;
         let (answer, mut news) = open(&mut line, &params)?;
         println!("{answer}");
         let Some(session) = answer["result"]["session"].as_str() else {
@@ -275,8 +275,8 @@
             }
             match line.next(until) {
                 Ok(heard) => news.push(heard),
-                Err(Silence::TimedOut) => break,
-                Err(silence) => return Err(said(silence).into()),
+                Err(ReceiveError::TimedOut) => break,
+                Err(error) => return Err(said(error).into()),
             }
         }
         let id = line.call("session.close", &json!({"session": session})).map_err(said)?;
--- a/crates/daemon/benches/front.rs
+++ b/crates/daemon/benches/front.rs
@@ -14,7 +14,7 @@
 use salttally_settings::Document;
 use salttally_standin::day::Day;
 use salttally_standin::http;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use salttally_standin::script::Script;
 use serde_json::{json, Value};
 
@@ -92,7 +92,7 @@
             }
         }
     });
-    let mut line = Line::connect(address, Duration::from_secs(2)).expect("connects");
+    let mut line = PlayerConnection::connect(address, Duration::from_secs(2)).expect("connects");
     let text = json!({"id": 1, "pad": "x".repeat(160)}).to_string();
     let mut times = histogram();
     for round in 0..rounds + 500 {
@@ -187,20 +187,20 @@
     })
 }
 
-fn open(line: &mut Line, viewer: usize) -> Option<String> {
+fn open(line: &mut PlayerConnection, viewer: usize) -> Option<String> {
     let id = line.call("session.open", &params(viewer)).ok()?;
     let answer = line.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new()).ok()?;
     answer["result"]["session"].as_str().map(str::to_owned)
 }
 
-fn close(line: &mut Line, session: &str) {
+fn close(line: &mut PlayerConnection, session: &str) {
     if let Ok(id) = line.call("session.close", &json!({"session": session})) {
         let _ = line.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new());
     }
 }
 
 fn opens(front: &Running, rounds: usize) -> Histogram<u64> {
-    let mut line = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
+    let mut line = PlayerConnection::connect(front.address, Duration::from_secs(2)).expect("connects");
     let mut times = histogram();
     for round in 0..rounds + 500 {
         let begun = Instant::now();
@@ -220,7 +220,7 @@
         .map(|player| {
             let ready = Arc::clone(&ready);
             thread::spawn(move || {
-                let mut line = Line::connect(address, Duration::from_secs(2)).expect("connects");
+                let mut line = PlayerConnection::connect(address, Duration::from_secs(2)).expect("connects");
                 ready.wait();
                 let (begun, mut times) = (Instant::now(), histogram());
                 let mut number = player * 1_000_000;
@@ -253,15 +253,16 @@
     };
     let start = look();
     let idle = 4_000;
-    let lines: Vec<Line> =
-        (0..idle).map_while(|_| Line::connect(front.address, Duration::from_secs(2)).ok()).collect();
+    let lines: Vec<PlayerConnection> = (0..idle)
+        .map_while(|_| PlayerConnection::connect(front.address, Duration::from_secs(2)).ok())
+        .collect();
     thread::sleep(Duration::from_millis(300));
     print(&format!("idle connection ({} of {idle} held)", lines.len()), start, look(), lines.len());
     drop(lines);
     thread::sleep(Duration::from_secs(1));
     let before = look();
     let held = 10_000;
-    let mut line = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
+    let mut line = PlayerConnection::connect(front.address, Duration::from_secs(2)).expect("connects");
     let begun = Instant::now();
     let plays = (0..held).filter(|viewer| open(&mut line, *viewer).is_some()).count();
     let took = begun.elapsed();
--- a/crates/daemon/tests/accord.rs
+++ b/crates/daemon/tests/accord.rs
@@ -24,7 +24,7 @@
 use salttally_judge::accord::judge;
 use salttally_settings::Document;
 use salttally_standin::day::Day;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use salttally_trial::describe::Trial;
 use salttally_trial::{plan, processes};
 use serde_json::Value;
@@ -240,7 +240,7 @@
     (fleet, day)
 }
 
-fn opened(line: &mut Line, viewer: &str) -> Value {
+fn opened(line: &mut PlayerConnection, viewer: &str) -> Value {
     let params = serde_json::json!({"viewer": viewer, "title": "title-0", "class": "paid", "top_rung": 2,
         "patience_ms": 2000});
     let begun = Instant::now();
@@ -263,7 +263,7 @@
 fn a_front_whose_voters_are_lost_refuses_new_sessions_after_the_stated_time_or_goes_on_as_it_was_told() {
     for (more, refuses) in [("", true), ("without-lease \"go-on\"", false)] {
         let (mut fleet, day) = serving(if refuses { "refuses" } else { "goes-on" }, more);
-        let mut line = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+        let mut line = PlayerConnection::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
         wait(Duration::from_secs(10), || plays(&opened(&mut line, "first")), || "no box".into());
         fleet.propose(2, None, refuse("eve")).unwrap();
         fleet.until(2, "version 1", |status| status["begun"] == 1);
@@ -275,7 +275,7 @@
             assert_eq!((plays(&said), refused_at_once(&said)), (!refuses, refuses), "{said}");
         }
         assert!(refused_at_once(&opened(&mut line, "eve")), "the last version stays in force");
-        let held = day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+        let held = day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
         assert!(held >= 1, "what plays plays on");
         // The voters are back: sessions are taken again.
         (0..2).for_each(|front| fleet.start(front, more));
@@ -290,7 +290,7 @@
 #[ignore = "a measurement"]
 fn measure_what_accord_costs_an_answer() {
     let measure = |day: &Day, what: &str| {
-        let mut line = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+        let mut line = PlayerConnection::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
         wait(Duration::from_secs(10), || plays(&opened(&mut line, "first")), || "no box".into());
         let mut spans: Vec<u128> = Vec::new();
         for turn in 0..3_000 {
@@ -323,9 +323,10 @@
 #[test]
 fn a_process_that_sleeps_through_its_lease_sets_nothing_up_when_it_wakes() {
     let (fleet, day) = serving("sleeps", "");
-    let mut line = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+    let mut line = PlayerConnection::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
     wait(Duration::from_secs(10), || plays(&opened(&mut line, "first")), || "no box".into());
-    let set_ups = |day: &Day| day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+    let set_ups =
+        |day: &Day| day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
     let before = set_ups(&day);
     let pid = Pid::from_child(fleet.children[2].as_ref().unwrap());
     kill_process(pid, Signal::STOP).unwrap();
--- a/crates/daemon/tests/bad_days.rs
+++ b/crates/daemon/tests/bad_days.rs
@@ -105,7 +105,7 @@
     settings: Option<salttally_front::settings::Settings>,
 }
 
-impl salttally_standin::day::Fronts for Recorded {
+impl salttally_standin::day::FrontController for Recorded {
     fn start(&mut self, number: usize, settings: &str) -> std::io::Result<()> {
         if number != 1 {
             return self.fronts.start(number, settings);
--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -9,20 +9,20 @@
 use rig::{head, script, wait, Heard, Rig, Viewer};
 use salttally_front::settings::Settings;
 use salttally_front::{Front, SessionRequest};
-use salttally_standin::players::{Line, Silence};
-use salttally_standin::siege::frame_of as frame;
+use salttally_standin::attack::frame_of as frame;
+use salttally_standin::players::{PlayerConnection, ReceiveError};
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn said(line: &mut Line, text: &str) -> Value {
+fn said(line: &mut PlayerConnection, text: &str) -> Value {
     line.send(text).expect("written");
     line.next(Instant::now() + SECOND).expect("answered")
 }
 
-fn cut(line: &mut Line) -> String {
+fn cut(line: &mut PlayerConnection) -> String {
     match line.next(Instant::now() + SECOND * 2) {
-        Err(Silence::Cut(why)) => why,
+        Err(ReceiveError::Closed(why)) => why,
         other => panic!("the connection goes on: {other:?}"),
     }
 }
@@ -32,7 +32,7 @@
     let rig = Rig::start(script(&head(2, 5), ""));
     let mut watching = Viewer::connect(&rig, 0, "watching");
     let Heard::Plays(session) = watching.open("title-0", "clip", 2000) else { panic!("it plays") };
-    let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut line = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let call = |method: &str, params: Value| {
         json!({"jsonrpc": "2.0", "id": 5, "method": method, "params": params}).to_string()
     };
@@ -125,13 +125,13 @@
         ("7.4.1 a binary message", frame(0x82, b"binary"), "1003"),
     ];
     for (case, bytes, code) in &cases {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
+        let mut line = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
         line.stream().write_all(bytes).expect("written");
         let why = cut(&mut line);
         assert!(why.contains(code), "{case}: {why}");
     }
     // What the RFC allows goes on: parts, a ping between them, a character over two of them, a pong unasked.
-    let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut line = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let call = r#"{"jsonrpc":"2.0","id":"\u20ac €","method":"session.status","params":{"session":"x"}}"#;
     let at = call.find('€').expect("there") + 1;
     let parts = [
@@ -145,7 +145,7 @@
     let answer = line.next(Instant::now() + SECOND).expect("answered");
     assert_eq!((&answer["id"], &answer["error"]["code"]), (&json!("€ €"), &json!(-32003)));
     for code in [1000, 1001, 3000, 4999] {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
+        let mut line = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
         line.stream().write_all(&close(code)).expect("written");
         let why = cut(&mut line);
         assert!(why.contains(&code.to_string()), "a proper close is given back: {why}");
@@ -181,7 +181,7 @@
 #[test]
 fn a_flood_of_calls_is_told_to_wait_and_does_not_hold_others_up() {
     let rig = Rig::start(script(&head(2, 5), "calls-per-s 50; calls-at-once 20; calls-surplus 60"));
-    let mut flood = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut flood = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     for _ in 0..60 {
         flood.call("session.status", &json!({"session": "x"})).expect("written");
     }
@@ -210,7 +210,7 @@
     flood.send(&Value::from(vec![batch; 64]).to_string()).expect("written");
     wait(
         SECOND * 2,
-        || matches!(flood.next(Instant::now() + SECOND), Err(Silence::Cut(_))),
+        || matches!(flood.next(Instant::now() + SECOND), Err(ReceiveError::Closed(_))),
         || "goes on".into(),
     );
     rig.end();
@@ -230,8 +230,8 @@
     let line = |id: u32| json!({"box": id, "address": address.to_string(), "cell": 0, "state": "ready"});
     let lines: Vec<Value> = std::iter::once(0).chain(also).map(line).collect();
     let boxes = json!({"revision": 1, "as_of_ms": now + 100, "boxes": lines});
-    let event = salttally_standin::http::event("whole", &boxes);
-    [salttally_standin::http::EVENTS, event.as_bytes()].concat()
+    let event = salttally_standin::http::server_sent_event("whole", &boxes);
+    [salttally_standin::http::EVENT_STREAM_HEAD, event.as_bytes()].concat()
 }
 
 impl Crooked {
@@ -396,7 +396,7 @@
         let state = if flip.is_multiple_of(2) { "ready" } else { "gone" };
         let line = json!({"box": 1, "address": "127.0.0.1:1", "cell": 0, "state": state});
         let change = json!({"revision": 2 + flip, "as_of_ms": now, "boxes": [line]});
-        salttally_standin::http::event("changes", &change).into_bytes()
+        salttally_standin::http::server_sent_event("changes", &change).into_bytes()
     };
     let flips: Vec<u8> = (0..20_000).flat_map(change).collect();
     let crooked = Crooked::at(move |address, request| match request.starts_with("GET /boxes") {
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -19,7 +19,7 @@
 use salttally_accord::wire::Question;
 use salttally_judge::{judge, Rule};
 use salttally_standin::day::Day;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use salttally_trial::net::{Net, Quality};
 use salttally_trial::processes::Clock;
 use salttally_trial::relay::Relay;
@@ -177,8 +177,9 @@
         );
     }
 
-    fn line(&self, front: usize) -> Line {
-        Line::connect(self.day.front_address(front as u32), 3 * SECOND).expect("the front takes players")
+    fn line(&self, front: usize) -> PlayerConnection {
+        PlayerConnection::connect(self.day.front_address(front as u32), 3 * SECOND)
+            .expect("the front takes players")
     }
 
     fn kill(&mut self, front: usize) {
@@ -196,7 +197,7 @@
     }
 
     /// So many sessions at a front, of the class that is set up once.
-    fn play(&self, front: usize, line: &mut Line, count: usize) -> Vec<Held> {
+    fn play(&self, front: usize, line: &mut PlayerConnection, count: usize) -> Vec<Held> {
         let all: Vec<Held> =
             (0..count).filter_map(|number| open(line, &format!("v{front}-{number}"), "paid")).collect();
         assert!(all.len() * 10 >= count * 9, "{} of {count} play: {}", all.len(), self.log(front));
@@ -204,10 +205,10 @@
     }
 
     /// Where its viewer finds a session, asking the fronts that run as they tell; nothing where nobody has it.
-    fn find(&self, held: &Held, first: usize, until: Instant) -> Option<(Line, Value)> {
+    fn find(&self, held: &Held, first: usize, until: Instant) -> Option<(PlayerConnection, Value)> {
         let mut at = self.day.front_address(first as u32);
         while Instant::now() < until {
-            let Ok(mut line) = Line::connect(at, SECOND) else {
+            let Ok(mut line) = PlayerConnection::connect(at, SECOND) else {
                 // Told to go to a front that is gone, a viewer asks another one again.
                 at = self.day.front_address(first as u32);
                 thread::sleep(SECOND / 20);
@@ -234,7 +235,7 @@
     /// Boxes that hold a session.
     fn boxes_of(&self, session: &str) -> usize {
         let fleet = self.day.boxes.fleet();
-        fleet.boxes.values().filter(|state| state.plays.keys().any(|(id, _)| id == session)).count()
+        fleet.boxes.values().filter(|state| state.sessions.keys().any(|(id, _)| id == session)).count()
     }
 
     /// What was set up more than once though it may not be, or while another attempt was out.
@@ -245,7 +246,7 @@
     }
 }
 
-fn open(line: &mut Line, viewer: &str, class: &str) -> Option<Held> {
+fn open(line: &mut PlayerConnection, viewer: &str, class: &str) -> Option<Held> {
     let params =
         json!({"viewer": viewer, "title": "title-0", "class": class, "top_rung": 2, "patience_ms": 2000});
     let id = line.call("session.open", &params).ok()?;
@@ -254,13 +255,13 @@
     Some(Held { session, viewer: viewer.to_owned() })
 }
 
-fn close(line: &mut Line, held: &Held) -> bool {
+fn close(line: &mut PlayerConnection, held: &Held) -> bool {
     let Ok(id) = line.call("session.close", &json!({"session": held.session})) else { return false };
     let answer = line.response(id, Instant::now() + 3 * SECOND, &mut Vec::new());
     answer.is_ok_and(|answer| answer["result"]["state"] == "closed")
 }
 
-fn status(line: &mut Line, held: &Held) -> Value {
+fn status(line: &mut PlayerConnection, held: &Held) -> Value {
     let params = json!({"session": held.session, "viewer": held.viewer});
     let Ok(id) = line.call("session.status", &params) else { return Value::Null };
     line.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).unwrap_or_default()
@@ -371,7 +372,7 @@
         lines.push(found.unwrap_or_else(|| panic!("{one:?} is lost\n{}\n{}", fleet.log(0), fleet.log(1))).0);
     }
     fleet.cut(3, one_sided, false);
-    let anew = |line: &mut Line| open(line, "anew", "paid").is_some_and(|one| close(line, &one));
+    let anew = |line: &mut PlayerConnection| open(line, "anew", "paid").is_some_and(|one| close(line, &one));
     wait(15 * SECOND, || anew(&mut line), || fleet.log(3));
     for (line, one) in lines.iter_mut().zip(&held) {
         assert_eq!(fleet.boxes_of(&one.session), 1, "{one:?}");
@@ -418,7 +419,7 @@
 fn two_machines_lost_at_once_with_two_copies_lose_nothing() {
     let mut fleet = Fleet::start("two", 5, "enough 2;");
     let mut held = Vec::new();
-    let mut lines: Vec<Line> = [3, 4].iter().map(|front| fleet.line(*front)).collect();
+    let mut lines: Vec<PlayerConnection> = [3, 4].iter().map(|front| fleet.line(*front)).collect();
     for (line, front) in lines.iter_mut().zip([3, 4]) {
         held.extend(fleet.play(front, line, 25));
     }
--- a/crates/daemon/tests/doors.rs
+++ b/crates/daemon/tests/doors.rs
@@ -9,8 +9,8 @@
 
 use rig::{head, script, wait, Rig, Viewer};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
-use salttally_standin::players::{Line, Silence};
-use salttally_standin::siege::frame;
+use salttally_standin::attack::frame;
+use salttally_standin::players::{PlayerConnection, ReceiveError};
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -84,7 +84,7 @@
     // Whoever reads answers its pings, and is left alone.
     let reads = |stays: &mut Viewer| {
         let quiet = stays.line.next(Instant::now() + Duration::from_millis(10));
-        assert!(matches!(quiet, Err(Silence::TimedOut)), "{quiet:?}");
+        assert!(matches!(quiet, Err(ReceiveError::TimedOut)), "{quiet:?}");
     };
     let cut = std::thread::spawn(move || vanished.rest());
     while !cut.is_finished() {
@@ -95,7 +95,7 @@
     let missed = begun.elapsed();
     assert!((Duration::from_millis(200)..SECOND).contains(&missed), "{missed:?}");
     assert_eq!(rig.boxes_of(&session).len(), 1, "it plays on for a while");
-    let mut back = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut back = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let status = json!({"session": session, "viewer": "vanished"});
     let id = back.call("session.status", &status).expect("written");
     let found = back.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
@@ -108,7 +108,7 @@
         reads(&mut stays);
     }
     println!("a vanished viewer's session is released {:?} after its last word", released.elapsed());
-    let mut late = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut late = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let id = late.call("session.status", &status).expect("written");
     let gone = late.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
     assert_eq!(gone["error"]["code"], -32003, "{gone}");
@@ -169,34 +169,36 @@
     let mut rig = Rig::start(script(&head(3, 5), limits));
     let name = |n: usize| format!("viewer-{n}");
     let holds = |rig: &Rig, n: usize| {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("let in");
+        let mut line = PlayerConnection::connect(rig.address(0), SECOND).expect("let in");
         let mut call = open(&name(n), "clip");
         call["params"]["patience_ms"] = json!(2000);
         let id = line.call("session.open", &call["params"]).expect("written");
         let answer = line.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
         (line, session_in(&answer.to_string()))
     };
-    let house: Vec<(Line, String)> = (0..3).map(|n| holds(&rig, n)).collect();
+    let house: Vec<(PlayerConnection, String)> = (0..3).map(|n| holds(&rig, n)).collect();
     // The reserve lets nobody open anything new, says so, and sends away whoever returns to nothing.
-    let mut newcomer = Line::connect(rig.address(0), SECOND).expect("the reserve");
+    let mut newcomer = PlayerConnection::connect(rig.address(0), SECOND).expect("the reserve");
     let id = newcomer.call("session.open", &open("new", "clip")["params"]).expect("written");
     let told = newcomer.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
     assert_eq!(
         (&told["error"]["code"], &told["error"]["data"]["hold_off_ms"]),
         (&json!(-32006), &json!(300))
     );
-    let Err(Silence::Cut(why)) = newcomer.next(Instant::now() + SECOND * 2) else { panic!("it stays") };
+    let Err(ReceiveError::Closed(why)) = newcomer.next(Instant::now() + SECOND * 2) else {
+        panic!("it stays")
+    };
     assert!(why.contains("1013") || why.contains("again"), "{why}");
     assert_eq!(rig.front(0).status().playing, 3);
     // Born again, the front is stormed by newcomers and finds places for its viewers all the same.
     rig.down(0);
     rig.day.log.write(salttally_judge::record::What::FrontUp { front: "f0".into() });
     let settings = rig.day.settings(0).to_owned();
-    salttally_standin::day::Fronts::start(&mut rig.fronts, 0, &settings).expect("starts");
+    salttally_standin::day::FrontController::start(&mut rig.fronts, 0, &settings).expect("starts");
     wait(SECOND * 3, || rig.front(0).status().playing == 3, || "the sessions are not found".into());
     let _storm: Vec<Option<Dumb>> = (0..12).map(|_| Dumb::connect(rig.address(0))).collect();
     for (at, (_, session)) in house.iter().enumerate() {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("let in");
+        let mut line = PlayerConnection::connect(rig.address(0), SECOND).expect("let in");
         let params = json!({"session": session, "viewer": name(at)});
         let id = line.call("session.status", &params).expect("written");
         let found = line.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
@@ -242,8 +244,8 @@
         line.trim().strip_prefix("listening ").expect("its address").parse().expect("one");
     let daemon = Daemon(child, address);
     // Its files are limited once it runs: what it has stays open.
-    let plays = |name: &str| -> Option<(Line, String)> {
-        let mut line = Line::connect(daemon.1, SECOND).ok()?;
+    let plays = |name: &str| -> Option<(PlayerConnection, String)> {
+        let mut line = PlayerConnection::connect(daemon.1, SECOND).ok()?;
         let id = line.call("session.open", &open(name, "clip")["params"]).ok()?;
         let answer = line.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).ok()?;
         let session = answer["result"]["session"].as_str()?.to_owned();
--- a/crates/daemon/tests/front_node.rs
+++ b/crates/daemon/tests/front_node.rs
@@ -12,10 +12,10 @@
 use node::{ask, soon, Node, CELLS, SECOND};
 use rustix::process::Signal;
 use salttally_platform::wire::{cause, code, kind, Message};
-use salttally_standin::platform::{Deed, Platform, Viewer};
+use salttally_standin::platform::{Platform, ScriptedReply, Viewer};
 
 fn set_ups(platform: &Platform, id: u64) -> usize {
-    platform.came().iter().filter(|c| c.message.kind == kind::SET_UP && c.message.session == id).count()
+    platform.received().iter().filter(|c| c.message.kind == kind::SET_UP && c.message.session == id).count()
 }
 
 #[test]
@@ -25,21 +25,21 @@
     let mut viewer = node.viewer();
     for id in 1..=20 {
         let got = ask(&mut viewer, id, if id % 2 == 0 { "paid" } else { "clip" });
-        let at = platform.stands_at(id).unwrap();
+        let at = platform.box_of_session(id).unwrap();
         assert_eq!(
             (got.kind, got.text(code::DESCRIPTION)),
             (kind::ANSWER, Some(format!("box {at}").as_str()))
         );
     }
-    platform.end(1, cause::NORMAL);
+    platform.end_session(1, cause::NORMAL);
     assert_eq!(viewer.next(SECOND), Some(Message::release(1, cause::NORMAL)));
     // A break of connections cuts nothing, and the end of a session finds its viewer all the same.
     (0..CELLS).for_each(|at| platform.break_connections(at));
     let mut other = node.viewer();
-    other.say(&Message::release(2, cause::NORMAL));
+    other.send(&Message::release(2, cause::NORMAL));
     assert_eq!(other.next(SECOND), Some(Message::new(kind::RELEASE_ACK, 2)));
-    soon("it ends at its box", || platform.stands_at(2).is_none());
-    assert!((3..=20).all(|id| platform.stands_at(id).is_some()));
+    soon("it ends at its box", || platform.box_of_session(2).is_none());
+    assert!((3..=20).all(|id| platform.box_of_session(id).is_some()));
     assert_eq!(viewer.next(SECOND / 4), None);
 }
 
@@ -49,34 +49,34 @@
     three_gb[2] = kind::ANSWER;
     let no_description = [0, 9, kind::ANSWER, 0, 0, 0, 0, 0, 0, 0, 0];
     let deeds = [
-        Deed::Spoilt(b"HTTP/1.1 200 OK\r\n\r\nnoise".to_vec()),
-        Deed::Spoilt(three_gb),
-        Deed::Spoilt(no_description.to_vec()),
-        Deed::Spoilt(vec![0x20]),
-        Deed::Breaks,
-        Deed::Silent,
-        Deed::Late(SECOND),
+        ScriptedReply::Malformed(b"HTTP/1.1 200 OK\r\n\r\nnoise".to_vec()),
+        ScriptedReply::Malformed(three_gb),
+        ScriptedReply::Malformed(no_description.to_vec()),
+        ScriptedReply::Malformed(vec![0x20]),
+        ScriptedReply::Disconnects,
+        ScriptedReply::Silent,
+        ScriptedReply::Late(SECOND),
     ];
     for (id, deed) in (100..).zip(deeds) {
         // Each with a module that has no reason to doubt a box.
         let platform = Platform::start(CELLS).unwrap();
         let node = Node::start(&platform, &format!("spoilt-{id}"), 256);
         let mut viewer = node.viewer();
-        platform.script([deed.clone()]);
+        platform.script_replies([deed.clone()]);
         let got = ask(&mut viewer, id, "paid");
         assert!(
             got.kind == kind::RELEASE && ![34, 42, 102].contains(&got.cause().unwrap()),
             "{deed:?}: {got:?}"
         );
         assert_eq!(set_ups(&platform, id), 1, "{id}");
-        platform.script([deed.clone()]);
+        platform.script_replies([deed.clone()]);
         let got = ask(&mut viewer, id + 100, "clip");
         assert_eq!((got.kind, set_ups(&platform, id + 100)), (kind::ANSWER, 2), "{id}");
     }
     let platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "copies", 256);
     let mut viewer = node.viewer();
-    platform.script([Deed::Copies, Deed::Releases(cause::FULL)]);
+    platform.script_replies([ScriptedReply::Duplicates, ScriptedReply::Releases(cause::FULL)]);
     assert_eq!(ask(&mut viewer, 300, "paid").kind, kind::ANSWER);
     assert_eq!(ask(&mut viewer, 301, "paid").kind, kind::ANSWER, "turned away unseen, it goes elsewhere");
     assert_eq!(viewer.next(SECOND / 4), None, "no second copy");
@@ -115,7 +115,7 @@
         rude(&bytes);
     }
     let mut many = node.viewer();
-    (1_000..1_400).for_each(|id| many.say(&Message::release(id, cause::NORMAL)));
+    (1_000..1_400).for_each(|id| many.send(&Message::release(id, cause::NORMAL)));
     assert!((0..400).all(|_| many.next(SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK)));
     for id in 1..=30 {
         assert_eq!(ask(&mut viewer, id, "clip").kind, kind::ANSWER);
@@ -130,8 +130,8 @@
     let node = Node::start(&platform, "list", 256);
     let mut viewer = node.viewer();
     platform.cut_next_event(30);
-    platform.tell(0, 2);
-    soon("asked again with the last number", || platform.asked() == [1, 1]);
+    platform.announce(0, 2);
+    soon("asked again with the last number", || platform.requested_numbers() == [1, 1]);
     platform.add_coordinator().unwrap();
     platform.close_first_coordinator();
     // Half a file changes nothing, and ends nothing.
@@ -140,12 +140,12 @@
     thread::sleep(SECOND / 10);
     fs::write(&node.config, platform.config(node.listen, 256).to_string()).unwrap();
     node.signal(Signal::HUP);
-    soon("the new one is asked", || !platform.asked().is_empty());
-    platform.tell(1, 1);
+    soon("the new one is asked", || !platform.requested_numbers().is_empty());
+    platform.announce(1, 1);
     thread::sleep(SECOND / 10);
     for id in 1..=20 {
         assert_eq!(ask(&mut viewer, id, "clip").kind, kind::ANSWER);
-        assert_eq!(platform.stands_at(id), Some(2), "one has gone, one drains");
+        assert_eq!(platform.box_of_session(id), Some(2), "one has gone, one drains");
     }
 }
 
@@ -155,7 +155,7 @@
     let mut node = Node::start(&platform, "end", 256);
     let mut viewer = node.viewer();
     assert_eq!(ask(&mut viewer, 1, "paid").kind, kind::ANSWER);
-    let at = platform.stands_at(1).unwrap();
+    let at = platform.box_of_session(1).unwrap();
     node.restart(&platform);
     let mut viewer = node.viewer();
     let mut handed = Viewer::request(1, "paid", CELLS);
@@ -165,14 +165,14 @@
         .iter_mut()
         .filter(|(c, _)| *c == code::REQUEST_FIELDS)
         .for_each(|p| p.1 = figures.clone().into());
-    viewer.say(&handed);
-    viewer.say(&handed);
+    viewer.send(&handed);
+    viewer.send(&handed);
     assert_eq!(viewer.next(SECOND / 4), None, "it wants no answer");
     assert_eq!(set_ups(&platform, 1), 1, "and is not set up again");
 
     node.signal(Signal::TERM);
     thread::sleep(SECOND / 5);
-    platform.script([Deed::Late(SECOND / 2)]);
+    platform.script_replies([ScriptedReply::Late(SECOND / 2)]);
     let mut late = node.viewer();
     assert_eq!(ask(&mut late, 2, "clip").kind, kind::ANSWER);
     assert!(node.ends(3 * SECOND).is_some_and(|status| status.success()));
--- a/crates/daemon/tests/front_node_crossings.rs
+++ b/crates/daemon/tests/front_node_crossings.rs
@@ -19,7 +19,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn test(viewer: &mut Viewer) -> Option<u8> {
-    viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+    viewer.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
     wait_for(viewer, kind::TEST_RESULT, 1).cause()
 }
 
@@ -55,7 +55,7 @@
     let mut queued: Vec<Viewer> = (100..180)
         .map(|id| {
             let viewer = node.viewer();
-            viewer.say(&Viewer::request(id, if id % 2 == 0 { "clip" } else { "paid" }, CELLS));
+            viewer.send(&Viewer::request(id, if id % 2 == 0 { "clip" } else { "paid" }, CELLS));
             viewer
         })
         .collect();
@@ -84,7 +84,7 @@
         config["settings"]["policy_limits"]["conn_idle_ms"] = json!(150);
     });
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
+    viewer.send(&request_at(1, "paid", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     plays(&line, 1);
@@ -125,7 +125,7 @@
     let mut hands = Hands::new(1);
     let node = hands.node("half-closed", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
+    viewer.send(&request_at(1, "paid", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     viewer.stream.shutdown(Shutdown::Write).unwrap();
@@ -162,7 +162,7 @@
     let (_gives_up, _buried) = (ask(3, &give_up), ask(5, &behind));
     drop(closes);
     half.stream.shutdown(Shutdown::Write).unwrap();
-    early.say(&request_at(6, "paid", 0));
+    early.send(&request_at(6, "paid", 0));
     node.signal(Signal::CONT);
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 6);
@@ -217,7 +217,7 @@
                 _ => {}
             }
         }
-        viewer.say(&message);
+        viewer.send(&message);
     };
     fill(&viewer, 1);
     let mut line = hands.accept(0);
@@ -229,7 +229,7 @@
     let last = (40..2_000u64).find(|id| {
         fill(&viewer, *id);
         // It is heard of all the time, and no look at it opens another connection.
-        line.say(&Message::new(kind::PROGRESS, 1));
+        line.send(&Message::new(kind::PROGRESS, 1));
         // Answered behind it, so that it has been handed to the kernel as far as that takes it.
         assert_eq!(test(&mut viewer), Some(1));
         let all = first.len() * (*id as usize - 1);
@@ -244,7 +244,7 @@
         !grown(SECOND)
     });
     let last = last.expect("the kernel takes no more at last");
-    viewer.say(&Message::release(last, cause::NORMAL));
+    viewer.send(&Message::release(last, cause::NORMAL));
     wait_for(&mut viewer, kind::RELEASE_ACK, last);
     let came = rest(&mut line, SECOND);
     let set_ups: Vec<u64> = came.iter().filter(|m| m.kind == kind::SET_UP).map(|m| m.session).collect();
@@ -260,7 +260,7 @@
         config["settings"]["policy_limits"]["conn_idle_ms"] = json!(3_000);
     });
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     plays(&line, 1);
@@ -269,7 +269,7 @@
     let mut byte = [0];
     line.stream.set_read_timeout(Some(5 * SECOND)).unwrap();
     assert_eq!((&line.stream).read(&mut byte).unwrap(), 0, "the node closes it");
-    line.say(&Message::release(1, cause::NORMAL));
+    line.send(&Message::release(1, cause::NORMAL));
     wait_for(&mut viewer, kind::RELEASE, 1);
 }
 
@@ -281,15 +281,15 @@
     let mut hands = Hands::new(1);
     let node = hands.node("late-refusal", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let mut first = hands.accept(0);
     wait_for(&mut first, kind::SET_UP, 1);
     // Nothing comes; the time-out takes it back and tries again.
     wait_for(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::RELEASE_ACK, 1));
+    first.send(&Message::new(kind::RELEASE_ACK, 1));
     let mut second = hands.accept(0);
     wait_for(&mut second, kind::SET_UP, 1);
-    first.say(&Message::release(1, cause::FULL));
+    first.send(&Message::release(1, cause::FULL));
     assert!(second.next(100 * MS).is_none_or(|message| message.kind == kind::RUNG), "it is not given up");
     assert!(hands.accepted(0).is_empty(), "and no third one is dialled");
     plays(&second, 1);
@@ -303,7 +303,7 @@
     let mut hands = Hands::new(1);
     let node = hands.node("answer-close", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
+    viewer.send(&request_at(1, "paid", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     node.signal(Signal::STOP);
@@ -319,7 +319,7 @@
     let mut hands = Hands::new(1);
     let node = hands.node("answer-end", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
+    viewer.send(&request_at(1, "paid", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     let mut bytes = Vec::new();
@@ -338,17 +338,17 @@
     let mut hands = Hands::new(1);
     let node = hands.node("untold", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     plays(&line, 1);
     assert_eq!(viewer.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
     viewer.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(viewer.next(SECOND), None, "the front node has seen it go");
-    line.say(&Message::release(1, cause::NORMAL));
+    line.send(&Message::release(1, cause::NORMAL));
     wait_for(&mut line, kind::RELEASE_ACK, 1);
     let mut next = node.viewer();
-    next.say(&Message::new(kind::TEST, 9).with(code::CAUSE, [0]));
+    next.send(&Message::new(kind::TEST, 9).with(code::CAUSE, [0]));
     assert_eq!(next.next(SECOND), Some(Message::release(1, cause::NORMAL)));
 }
 
@@ -358,15 +358,15 @@
     let mut hands = Hands::new(1);
     let node = hands.node("early-end", |_| {});
     let viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
-    line.say(&Message::release(77, cause::NORMAL));
+    line.send(&Message::release(77, cause::NORMAL));
     wait_for(&mut line, kind::RELEASE_ACK, 77);
     let figures = "home:0;copies:1;top:1;viewer:000000000000004d;at:s-00000001";
     let handed = with(request_at(77, "clip", 0), code::REQUEST_FIELDS, figures);
     let mut other = node.viewer();
-    other.say(&handed);
+    other.send(&handed);
     assert_eq!(other.next(SECOND), Some(Message::release(77, cause::NORMAL)));
 }
 
@@ -384,7 +384,7 @@
     let mut viewer = node.viewer();
     let message = request_at(1, "paid", 0);
     let message = with(message, code::WAIT_MS, "9000");
-    viewer.say(&message);
+    viewer.send(&message);
     assert_eq!(test(&mut node.viewer()), Some(1));
     hands.frame(2, &[(0, 1)]);
     let answer = viewer.next(SECOND).expect("answered at once: no other holds it");
--- a/crates/daemon/tests/front_node_gone.rs
+++ b/crates/daemon/tests/front_node_gone.rs
@@ -16,7 +16,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 fn set_ups(platform: &Platform, ids: impl Fn(u64) -> bool) -> Vec<u64> {
-    let came = platform.came().into_iter().map(|came| came.message);
+    let came = platform.received().into_iter().map(|came| came.message);
     came.filter(|message| message.kind == kind::SET_UP && ids(message.session)).map(|m| m.session).collect()
 }
 
@@ -31,18 +31,18 @@
     for id in 1..=12 {
         assert_eq!(ask(&mut proper, id, "clip").kind, kind::ANSWER);
     }
-    assert!((0..CELLS).all(|at| (1..=12).any(|id| platform.stands_at(id) == Some(at))));
+    assert!((0..CELLS).all(|at| (1..=12).any(|id| platform.box_of_session(id) == Some(at))));
     let viewers: Vec<Viewer> = (0..60).map(|_| node.viewer()).collect();
     let mut others: Vec<Viewer> = (0..60).map(|_| node.viewer()).collect();
     others.iter_mut().chain([&mut proper]).for_each(|viewer| {
-        viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+        viewer.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
         assert!(viewer.next(SECOND).is_some());
     });
     node.stop();
     let mut kept = Vec::new();
     for (at, (viewer, other)) in viewers.into_iter().zip(others).enumerate() {
         let id = 1_000 + at as u64;
-        let ask = || viewer.say(&Viewer::request(id, "clip", CELLS));
+        let ask = || viewer.send(&Viewer::request(id, "clip", CELLS));
         match at % 6 {
             0 => ask(),
             1 => {
@@ -51,13 +51,13 @@
             }
             2 => {
                 ask();
-                viewer.say(&Message::release(id, cause::NORMAL));
+                viewer.send(&Message::release(id, cause::NORMAL));
                 kept.push((viewer, other));
                 continue;
             }
             3 => {
                 ask();
-                other.say(&Message::release(id, cause::NORMAL));
+                other.send(&Message::release(id, cause::NORMAL));
                 kept.push((viewer, other));
                 continue;
             }
@@ -65,7 +65,7 @@
             4 => {
                 ask();
                 let new = node.viewer();
-                new.say(&Message::release(id, cause::NORMAL));
+                new.send(&Message::release(id, cause::NORMAL));
                 kept.push((viewer, new));
                 continue;
             }
@@ -77,7 +77,7 @@
         }
         kept.push((other, node.viewer()));
     }
-    proper.say(&Viewer::request(500, "clip", CELLS));
+    proper.send(&Viewer::request(500, "clip", CELLS));
     thread::sleep(SECOND);
     node.signal(Signal::CONT);
     assert_eq!(answer(&mut proper, 500).kind, kind::ANSWER, "whoever waits is served");
@@ -97,7 +97,7 @@
     }
     let viewers: Vec<Viewer> = (0..10).map(|_| node.viewer()).collect();
     let floods: Vec<Viewer> = (0..30).map(|_| node.viewer()).collect();
-    proper.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+    proper.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
     assert!(proper.next(SECOND).is_some());
     node.stop();
     floods.iter().zip(2_000..).for_each(|(flood, id)| behind_others(flood, id));
@@ -108,9 +108,9 @@
     }
     let mut kept = Vec::new();
     for (viewer, id) in viewers.iter().zip(1_000..) {
-        viewer.say(&Viewer::request(id, "clip", CELLS));
+        viewer.send(&Viewer::request(id, "clip", CELLS));
         let new = node.viewer();
-        new.say(&Message::release(id, cause::NORMAL));
+        new.send(&Message::release(id, cause::NORMAL));
         kept.push(new);
     }
     thread::sleep(SECOND / 2);
@@ -145,10 +145,10 @@
     let mut lines = Vec::new();
     // A connection to each, with nothing out on it.
     for at in 0..2 {
-        viewer.say(&node::hand::request_at(1 + at as u64, "clip", at));
+        viewer.send(&node::hand::request_at(1 + at as u64, "clip", at));
         let mut line = hands.accept(at);
         wait_for(&mut line, kind::SET_UP, 1 + at as u64);
-        line.say(&Message::release(1 + at as u64, cause::FULL));
+        line.send(&Message::release(1 + at as u64, cause::FULL));
         assert!(viewer.next(SECOND).is_some());
         lines.push(line);
     }
@@ -157,7 +157,7 @@
     for (round, closes) in [true, false, true, false].into_iter().enumerate() {
         let id = 100 + round as u64;
         let leaving = node.viewer();
-        leaving.say(&Viewer::request(id, "clip", 2));
+        leaving.send(&Viewer::request(id, "clip", 2));
         let until = Instant::now() + 2 * SECOND;
         let at = loop {
             let has = |line: &mut Viewer| {
@@ -169,14 +169,14 @@
             assert!(Instant::now() < until, "no first attempt");
         };
         node.stop();
-        lines[at].say(&Message::release(id, cause::NOT_SENT));
+        lines[at].send(&Message::release(id, cause::NOT_SENT));
         let kept = match closes {
             true => {
                 drop(leaving);
                 None
             }
             false => {
-                leaving.say(&Message::release(id, cause::NORMAL));
+                leaving.send(&Message::release(id, cause::NORMAL));
                 Some(leaving)
             }
         };
@@ -196,18 +196,18 @@
     let node =
         hands.node("hung-end", |config| config["settings"]["policy_limits"]["conn_idle_ms"] = 900.into());
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let mut first = hands.accept(0);
     wait_for(&mut first, kind::SET_UP, 1);
     plays(&first, 1);
     wait_for(&mut viewer, kind::ANSWER, 1);
     // It hangs: a request times out on the connection, which is of no more use then.
-    viewer.say(&request_at(2, "clip", 0));
+    viewer.send(&request_at(2, "clip", 0));
     wait_for(&mut viewer, kind::RELEASE, 2);
     thread::sleep(4 * SECOND);
     // It goes on, and says the end on what it takes for open, and for the next connection.
     let end = Message::release(1, cause::NORMAL);
-    first.say(&end);
-    hands.accepted(0).first().into_iter().for_each(|next| next.say(&end));
+    first.send(&end);
+    hands.accepted(0).first().into_iter().for_each(|next| next.send(&end));
     wait_for(&mut viewer, kind::RELEASE, 1);
 }
--- a/crates/daemon/tests/front_node_list.rs
+++ b/crates/daemon/tests/front_node_list.rs
@@ -37,11 +37,11 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let came = Arc::clone(&kept);
             thread::spawn(move || {
-                let mut line = Viewer::over(stream);
+                let mut line = Viewer::from_stream(stream);
                 while let Some(message) = line.next(60 * SECOND) {
                     if message.kind == kind::SET_UP {
                         came.lock().unwrap().push(Instant::now());
-                        line.say(&Message::release(message.session, cause::NOT_SENT));
+                        line.send(&Message::release(message.session, cause::NOT_SENT));
                     }
                 }
             });
@@ -68,7 +68,7 @@
         let mut id = 1_000;
         while !flag.load(Ordering::Relaxed) {
             id += 1;
-            viewer.say(&request_at(id, "clip", 0));
+            viewer.send(&request_at(id, "clip", 0));
             while viewer.next(5 * MS).is_some() {}
         }
     });
@@ -121,7 +121,7 @@
         thread::sleep(200 * MS);
     }
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let answer = viewer.next(SECOND).expect("an answer");
     assert_eq!((answer.kind, answer.cause()), (kind::RELEASE, Some(cause::FULL)), "it was told to leave");
     let coordinator = hands.coordinator();
@@ -229,7 +229,7 @@
     hands.frame(0, &[]);
     let came = turns_away(&hands, 0);
     let mut viewer = node.viewer();
-    viewer.say(&with(request_at(7, "clip", 0), code::WAIT_MS, "1000"));
+    viewer.send(&with(request_at(7, "clip", 0), code::WAIT_MS, "1000"));
     assert!(viewer.next(2 * SECOND).is_some());
     assert!(!came.lock().unwrap().is_empty());
 }
@@ -360,7 +360,7 @@
     let node = hands.node_within(name, 512, grace(350));
     let mut viewer = node.viewer();
     // A connection to the server is open, so that a set-up waits for no dial.
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     plays(&line, 1);
@@ -376,7 +376,7 @@
     let nothing = hands.record(1, 0, &[]);
     hands.list().write_all(&nothing.repeat(2_000)).unwrap();
     hands.frame(2, &[(0, 1)]);
-    viewer.say(&request_at(2, "clip", 0));
+    viewer.send(&request_at(2, "clip", 0));
     thread::sleep(SECOND);
     node.signal(Signal::CONT);
     let until = Instant::now() + SECOND;
@@ -387,7 +387,7 @@
             "1 s after it was announced as leaving"
         );
     }
-    viewer.say(&with(request_at(3, "clip", 1), code::WAIT_MS, "1000"));
+    viewer.send(&with(request_at(3, "clip", 1), code::WAIT_MS, "1000"));
     let mut other = hands.accept(1);
     wait_for(&mut other, kind::SET_UP, 3);
 }
--- a/crates/daemon/tests/front_node_process.rs
+++ b/crates/daemon/tests/front_node_process.rs
@@ -88,7 +88,7 @@
         let mut viewers: Vec<Viewer> = (0..100).map(|_| node.viewer()).collect();
         for (at, viewer) in viewers.iter_mut().enumerate() {
             let first = from + at as u64 * 10;
-            (first..first + 10).for_each(|id| viewer.say(&Viewer::request(id, "clip", CELLS)));
+            (first..first + 10).for_each(|id| viewer.send(&Viewer::request(id, "clip", CELLS)));
         }
         for viewer in &mut viewers {
             assert!((0..10).all(|_| viewer.next(5 * SECOND).is_some()), "each has its answer");
@@ -98,7 +98,7 @@
         for (at, viewer) in viewers.iter().enumerate() {
             let first = from + at as u64 * 10;
             (first..first + 10)
-                .for_each(|id| viewer.say(&salttally_platform::wire::Message::release(id, 16)));
+                .for_each(|id| viewer.send(&salttally_platform::wire::Message::release(id, 16)));
         }
         let ended =
             |viewer: &mut Viewer| viewer.next(5 * SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK);
--- a/crates/daemon/tests/front_node_restart.rs
+++ b/crates/daemon/tests/front_node_restart.rs
@@ -61,7 +61,7 @@
             .collect();
         // Clients come at once, ready or not.
         let early: Vec<Viewer> = nodes.iter().filter_map(|n| Viewer::connect(n.listen).ok()).collect();
-        early.iter().zip(1..).for_each(|(viewer, id)| viewer.say(&Viewer::request(id, "clip", CELLS)));
+        early.iter().zip(1..).for_each(|(viewer, id)| viewer.send(&Viewer::request(id, "clip", CELLS)));
         let mut times: Vec<Duration> = thread::scope(|scope| {
             let waits: Vec<_> = nodes
                 .iter()
--- a/crates/daemon/tests/front_node_retries.rs
+++ b/crates/daemon/tests/front_node_retries.rs
@@ -15,7 +15,7 @@
 
 /// A server's connection on which the first attempt of request 1 is out, and is being given up.
 fn first_attempt_given_up(hands: &mut Hands, viewer: &Viewer) -> Viewer {
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.send(&request_at(1, "clip", 0));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     std::thread::sleep(ATTEMPT_TIMEOUT);
@@ -46,11 +46,11 @@
     let mut viewer = node.viewer();
     let mut first = first_attempt_given_up(&mut hands, &viewer);
     wait_for(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::RELEASE_ACK, 1));
+    first.send(&Message::new(kind::RELEASE_ACK, 1));
     let mut line = hands.accept(0);
     wait_for(&mut line, kind::SET_UP, 1);
     let late = Message::new(kind::ANSWER, 1).with(code::DESCRIPTION, "made by the first attempt");
-    first.say(&late);
+    first.send(&late);
     plays(&line, 1);
     let answer = viewer.next(SECOND).expect("an answer");
     assert_eq!(answer.text(code::DESCRIPTION), Some("made by hand"));
--- a/crates/daemon/tests/front_node_shutdown.rs
+++ b/crates/daemon/tests/front_node_shutdown.rs
@@ -10,7 +10,7 @@
 use node::{Node, CELLS};
 use rustix::process::Signal;
 use salttally_platform::wire::{code, kind, Message};
-use salttally_standin::platform::{Deed, Platform, Viewer};
+use salttally_standin::platform::{Platform, ScriptedReply, Viewer};
 use serde_json::json;
 
 const MS: Duration = Duration::from_millis(1);
@@ -34,7 +34,7 @@
         config
     });
     node.wait_ready();
-    platform.script(std::iter::repeat_n(Deed::Late(answered_after), 1_000));
+    platform.script_replies(std::iter::repeat_n(ScriptedReply::Late(answered_after), 1_000));
     let mut viewer = node.viewer();
     let mut open: BTreeMap<u64, Instant> = BTreeMap::new();
     let mut closed = None;
@@ -45,13 +45,13 @@
     while Instant::now() < kill && closed.is_none() {
         id += 1;
         let request = with(Viewer::request(id, "paid", CELLS), code::WAIT_MS, deadline_ms.to_string());
-        viewer.say(&request);
+        viewer.send(&request);
         open.insert(id, Instant::now());
         let next = Instant::now() + 25 * MS;
         while let Some(left) = next.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
             match viewer.next(left) {
                 Some(message) => answered(&message, &mut open),
-                None if viewer.ended() => closed = closed.or(Some(Instant::now())),
+                None if viewer.is_closed() => closed = closed.or(Some(Instant::now())),
                 None => {}
             }
             if closed.is_some() {
--- a/crates/daemon/tests/front_node_size.rs
+++ b/crates/daemon/tests/front_node_size.rs
@@ -49,7 +49,7 @@
         prlimit(Some(Pid::from_child(&node.child)), Resource::Nofile, limit).unwrap();
         node.wait_ready();
         if way == "changes" {
-            platform.tell(SERVERS - 1, 0);
+            platform.announce(SERVERS - 1, 0);
             thread::sleep(SECOND / 5);
         }
         let mut viewer = node.viewer();
@@ -57,9 +57,13 @@
         let mut most = 0;
         for at in 0..SERVERS {
             let id = first + at as u64;
-            viewer.say(&request_at(id, "clip", at));
+            viewer.send(&request_at(id, "clip", at));
             let got = answer(&mut viewer, id);
-            assert_eq!((got.kind, platform.stands_at(id)), (kind::ANSWER, Some(at)), "{way}, server {at}");
+            assert_eq!(
+                (got.kind, platform.box_of_session(id)),
+                (kind::ANSWER, Some(at)),
+                "{way}, server {at}"
+            );
             most = most.max(descriptors(&node));
         }
         assert!(most < sockets, "{way}: {most} of {sockets} descriptors");
@@ -68,7 +72,7 @@
             ends_are_heard(&platform, &mut viewer, first);
         }
         let ids = first..first + SERVERS as u64;
-        ids.for_each(|id| platform.end(id, cause::NORMAL));
+        ids.for_each(|id| platform.end_session(id, cause::NORMAL));
     }
 }
 
@@ -77,7 +81,7 @@
     assert_eq!(viewer.next(5 * SECOND), None, "a session was taken for lost");
     let ended: Vec<u64> = (0..SERVERS as u64).step_by(100).map(|at| first + at).collect();
     let since = Instant::now();
-    ended.iter().for_each(|id| platform.end(*id, cause::NORMAL));
+    ended.iter().for_each(|id| platform.end_session(*id, cause::NORMAL));
     let mut heard: Vec<Message> = Vec::new();
     soon("all ends are told", || {
         heard.extend(viewer.next(SECOND / 10));
--- a/crates/daemon/tests/hard_cases.rs
+++ b/crates/daemon/tests/hard_cases.rs
@@ -7,7 +7,7 @@
 use rig::{head, script, wait, Heard, Rig, Viewer};
 use salttally_front::SessionRequest;
 use salttally_judge::record::{SetUpEnd, What};
-use salttally_standin::list::State;
+use salttally_standin::list::ListState;
 use serde_json::json;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -25,7 +25,7 @@
     let at = || {
         let fleet = rig.day.boxes.fleet();
         let begins =
-            |state: &salttally_standin::fleet::BoxState| state.plays.values().any(|play| !play.begun);
+            |state: &salttally_standin::fleet::BoxState| state.sessions.values().any(|play| !play.is_playing);
         fleet.boxes.iter().find(|(_, state)| begins(state)).map(|(id, _)| *id)
     };
     wait(SECOND * 2, || at().is_some(), || "no set-up is out".into());
@@ -112,12 +112,12 @@
         fleet
             .boxes
             .iter()
-            .find(|(_, state)| !state.plays.is_empty())
+            .find(|(_, state)| !state.sessions.is_empty())
             .map(|(id, _)| *id)
             .expect("a set-up is out")
     };
-    let line = rig.day.list.line(at).expect("listed");
-    rig.day.list.set(salttally_standin::list::Line { state: State::Draining, ..line });
+    let line = rig.day.list.entry(at).expect("listed");
+    rig.day.list.set(salttally_standin::list::ListEntry { state: ListState::Draining, ..line });
     assert!(viewer.hear(id, SECOND * 2).is_plays(), "it was sent before the notice");
     std::thread::sleep(Duration::from_millis(300));
     for number in 0..4 {
@@ -138,7 +138,7 @@
     let mut viewer = Viewer::connect(&rig, 0, "again");
     let id = viewer.ask("title-0", "clip", 2000);
     let at = kill_mid_set_up(&rig);
-    let address = rig.day.list.line(at).expect("listed").address;
+    let address = rig.day.list.entry(at).expect("listed").address;
     rig.day.boxes.restart(at, address).expect("it comes back");
     let first = viewer.hear(id, SECOND * 3);
     assert!(matches!(first, Heard::Plays(_) | Heard::Refused(..)), "{first:?}");
@@ -157,7 +157,7 @@
     // The set-up takes longer than the whole aim: its answer comes to a connection that is closed.
     let rig = Rig::start(script(&head(3, 5), ""));
     for id in 0..3 {
-        rig.day.boxes.fleet().nature.set_up = 1_200_000;
+        rig.day.boxes.fleet().model.set_up_time = 1_200_000;
         let mut viewer = Viewer::connect(&rig, 0, &format!("lost-{id}"));
         let heard = viewer.open("title-0", "paid", 1500);
         let Heard::Failed(session, _) = heard else { panic!("it may have run: {heard:?}") };
@@ -194,13 +194,13 @@
         .map(|(n, viewer)| rig.boxes_of(viewer.session.as_deref().expect("plays")) != [n as u32 % 2])
         .collect();
     assert!(crossing.contains(&true), "with two holders some cross");
-    rig.day.boxes.cut(Some(0));
+    rig.day.boxes.cut_zone(Some(0));
     for (viewer, crosses) in viewers.iter_mut().zip(&crossing) {
         if *crosses {
             assert_eq!(viewer.news("session.ended", SECOND * 6)["params"]["reason"], "lost");
         }
     }
-    rig.day.boxes.cut(None);
+    rig.day.boxes.cut_zone(None);
     // The boxes played on for the fronts that they could not reach; these find out and release it.
     rig.wait_held(crossing.iter().filter(|crosses| !**crosses).count());
     drop(viewers);
@@ -301,10 +301,10 @@
 fn an_ordered_end_answers_what_is_owed_and_releases_what_plays() {
     let mut rig = Rig::start(script(&head(2, 400), ""));
     let played = {
-        rig.day.boxes.fleet().nature.set_up = 5_000;
+        rig.day.boxes.fleet().model.set_up_time = 5_000;
         let mut plays = Viewer::connect(&rig, 0, "plays");
         assert!(plays.open("title-0", "clip", 2000).is_plays());
-        rig.day.boxes.fleet().nature.set_up = 400_000;
+        rig.day.boxes.fleet().model.set_up_time = 400_000;
         let mut owed = Viewer::connect(&rig, 0, "owed");
         let id = owed.ask("title-0", "clip", 2000);
         std::thread::sleep(Duration::from_millis(100));
--- a/crates/daemon/tests/node/hand.rs
+++ b/crates/daemon/tests/node/hand.rs
@@ -9,7 +9,7 @@
 
 use rustix::process::Signal;
 use salttally_platform::wire::{code, kind, Message};
-use salttally_standin::platform::{own_host, Platform, Viewer};
+use salttally_standin::platform::{unique_loopback_host, Platform, Viewer};
 use serde_json::{json, Value};
 use socket2::{Domain, SockRef, Socket, Type};
 
@@ -25,7 +25,7 @@
 
 impl Hands {
     pub fn new(boxes: usize) -> Hands {
-        let host = own_host();
+        let host = unique_loopback_host();
         let listener = |_| TcpListener::bind((host, 0)).unwrap();
         let coordinator = listener(0);
         Hands { boxes: (0..boxes).map(listener).collect(), coordinator, list: None, told: 1 }
@@ -131,7 +131,7 @@
     pub fn accept(&self, at: usize) -> Viewer {
         let stream = accept_within(&self.boxes[at], 10 * SECOND);
         stream.set_nodelay(true).unwrap();
-        Viewer::over(stream)
+        Viewer::from_stream(stream)
     }
 
     /// The connections that were made to a media server by now and that nobody has accepted.
@@ -141,7 +141,7 @@
         streams
             .map(|stream| {
                 stream.set_nonblocking(false).unwrap();
-                Viewer::over(stream)
+                Viewer::from_stream(stream)
             })
             .collect()
     }
@@ -184,7 +184,7 @@
 /// An address at which calls are refused until this socket listens, and which nobody else can take meanwhile.
 pub fn refusing() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from((own_host(), 0)).into()).unwrap();
+    socket.bind(&SocketAddr::from((unique_loopback_host(), 0)).into()).unwrap();
     let at = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, at)
 }
@@ -215,7 +215,7 @@
 }
 
 pub fn plays(line: &Viewer, id: u64) {
-    line.say(&Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by hand"));
+    line.send(&Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by hand"));
 }
 
 /// With another value of a parameter.
--- a/crates/daemon/tests/node/mod.rs
+++ b/crates/daemon/tests/node/mod.rs
@@ -12,7 +12,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_platform::wire::{code, kind, Message};
-use salttally_standin::platform::{own_host, Platform, Viewer};
+use salttally_standin::platform::{unique_loopback_host, Platform, Viewer};
 use serde_json::Value;
 
 pub const SECOND: Duration = Duration::from_secs(1);
@@ -36,7 +36,7 @@
     /// The same by any configuration, not waiting until it is ready.
     pub fn start_by(name: &str, sockets: usize, config: impl FnOnce(SocketAddr) -> Value) -> Node {
         // The address is free again when the listener is dropped, and nobody else has this host.
-        let listen = TcpListener::bind((own_host(), 0)).unwrap().local_addr().unwrap();
+        let listen = TcpListener::bind((unique_loopback_host(), 0)).unwrap().local_addr().unwrap();
         let file = format!("salttally-{name}-{}.json", std::process::id());
         let path = std::env::temp_dir().join(file);
         fs::write(&path, config(listen).to_string()).unwrap();
@@ -48,7 +48,7 @@
         let until = Instant::now() + 10 * SECOND;
         while Instant::now() < until {
             if let Ok(mut viewer) = Viewer::connect(self.listen) {
-                viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+                viewer.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
                 if viewer.next(SECOND).and_then(|m| m.cause()) == Some(1) {
                     return;
                 }
@@ -112,7 +112,7 @@
 
 /// Asks for a session and waits for the one answer.
 pub fn ask(viewer: &mut Viewer, id: u64, class: &str) -> Message {
-    viewer.say(&Viewer::request(id, class, CELLS));
+    viewer.send(&Viewer::request(id, class, CELLS));
     answer(viewer, id)
 }
 
--- a/crates/daemon/tests/rig/mod.rs
+++ b/crates/daemon/tests/rig/mod.rs
@@ -11,8 +11,8 @@
 use salttally_judge::judge;
 use salttally_judge::record::{AnswerKind, What};
 use salttally_settings::Document;
-use salttally_standin::day::{Day, Fronts};
-use salttally_standin::players::{Line, Silence};
+use salttally_standin::day::{Day, FrontController};
+use salttally_standin::players::{PlayerConnection, ReceiveError};
 use salttally_standin::script::Script;
 use serde_json::{json, Value};
 
@@ -48,7 +48,7 @@
 #[derive(Default)]
 pub struct InProcess(pub Vec<Option<Front>>);
 
-impl Fronts for InProcess {
+impl FrontController for InProcess {
     fn start(&mut self, number: usize, settings: &str) -> io::Result<()> {
         let settings = Settings::parse("front.kdl", settings).map_err(|e| io::Error::other(e.to_string()))?;
         let front = Front::start(settings).map_err(|e| io::Error::other(e.to_string()))?;
@@ -123,7 +123,7 @@
 
     /// Sessions that boxes hold now.
     pub fn held(&self) -> usize {
-        self.day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum()
+        self.day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum()
     }
 
     /// Waits until the boxes hold so many sessions.
@@ -139,7 +139,7 @@
     pub fn boxes_of(&self, session: &str) -> Vec<u32> {
         let fleet = self.day.boxes.fleet();
         let holds =
-            |state: &salttally_standin::fleet::BoxState| state.plays.keys().any(|(id, _)| id == session);
+            |state: &salttally_standin::fleet::BoxState| state.sessions.keys().any(|(id, _)| id == session);
         fleet.boxes.iter().filter(|(_, state)| holds(state)).map(|(id, _)| *id).collect()
     }
 
@@ -184,7 +184,7 @@
 /// A player led by hand.
 pub struct Viewer<'a> {
     rig: &'a Rig,
-    pub line: Line,
+    pub line: PlayerConnection,
     front: String,
     name: String,
     pub session: Option<String>,
@@ -193,8 +193,8 @@
 
 impl<'a> Viewer<'a> {
     pub fn connect(rig: &'a Rig, front: u32, name: &str) -> Viewer<'a> {
-        let line =
-            Line::connect(rig.address(front), Duration::from_secs(3)).expect("the front takes players");
+        let line = PlayerConnection::connect(rig.address(front), Duration::from_secs(3))
+            .expect("the front takes players");
         let (front, name) = (format!("f{front}"), name.to_owned());
         Viewer { rig, line, front, name, session: None, aside: Vec::new() }
     }
@@ -266,8 +266,8 @@
                 self.rig.day.log.write(What::Answered { open, answer: kind, session });
                 heard
             }
-            Err(Silence::TimedOut) => panic!("no answer in {within:?}"),
-            Err(Silence::Cut(_)) => {
+            Err(ReceiveError::TimedOut) => panic!("no answer in {within:?}"),
+            Err(ReceiveError::Closed(_)) => {
                 self.rig.day.log.write(What::Cut { open });
                 Heard::Cut
             }
--- a/crates/daemon/tests/stopped.rs
+++ b/crates/daemon/tests/stopped.rs
@@ -11,7 +11,7 @@
 use rig::{head, script, wait};
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_standin::day::Day;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -48,27 +48,27 @@
     }
 }
 
-fn open(line: &mut Line, viewer: &str, class: &str, patience_ms: u64) -> u64 {
+fn open(line: &mut PlayerConnection, viewer: &str, class: &str, patience_ms: u64) -> u64 {
     let params = json!({"viewer": viewer, "title": "title-0", "class": class, "top_rung": 2, "patience_ms": patience_ms});
     line.call("session.open", &params).unwrap()
 }
 
-fn opened(line: &mut Line, viewer: &str) -> Option<String> {
+fn opened(line: &mut PlayerConnection, viewer: &str) -> Option<String> {
     let id = open(line, viewer, "paid", 2000);
     let answer = line.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).ok()?;
     answer["result"]["session"].as_str().map(str::to_owned)
 }
 
 /// A front that serves, and a line to it.
-fn serving(day: &Day, name: &str) -> (Front, Line) {
+fn serving(day: &Day, name: &str) -> (Front, PlayerConnection) {
     let front = Front::start(day, name);
-    let mut line = Line::connect(day.front_address(0), 3 * SECOND).unwrap();
+    let mut line = PlayerConnection::connect(day.front_address(0), 3 * SECOND).unwrap();
     wait(10 * SECOND, || opened(&mut line, "first").is_some(), || "the front never has a box".into());
     (front, line)
 }
 
 /// Sessions that play, of so many that are asked for; at least this many must.
-fn playing(line: &mut Line, asked: usize, least: usize) -> Vec<String> {
+fn playing(line: &mut PlayerConnection, asked: usize, least: usize) -> Vec<String> {
     let sessions: Vec<String> =
         (0..asked).filter_map(|number| opened(line, &format!("viewer-{number}"))).collect();
     assert!(sessions.len() >= least, "{} of {asked} play", sessions.len());
@@ -91,11 +91,11 @@
     assert_eq!(ended, 0, "of {}: {:?}", sessions.len(), told.first());
     let held = |session: &String| {
         let fleet = day.boxes.fleet();
-        fleet.boxes.values().any(|state| state.plays.keys().any(|(id, _)| id == session))
+        fleet.boxes.values().any(|state| state.sessions.keys().any(|(id, _)| id == session))
     };
     assert!(sessions.iter().all(held), "and their boxes hold them");
     // A box that does die is still missed.
-    let at = *day.boxes.fleet().boxes.iter().find(|(_, state)| !state.plays.is_empty()).unwrap().0;
+    let at = *day.boxes.fleet().boxes.iter().find(|(_, state)| !state.sessions.is_empty()).unwrap().0;
     day.boxes.kill(at);
     let end = line.next(Instant::now() + 3 * SECOND).expect("its sessions are told to be over");
     assert_eq!(end["method"], "session.ended", "{end}");
@@ -108,7 +108,7 @@
     let day = Day::start(script(&head(8, 5), "")).unwrap();
     let (front, mut line) = serving(&day, "stopped-busy");
     let sessions = playing(&mut line, 30, 28);
-    let mut other = Line::connect(day.front_address(0), 3 * SECOND).unwrap();
+    let mut other = PlayerConnection::connect(day.front_address(0), 3 * SECOND).unwrap();
     let question = |id: u64| {
         json!({"jsonrpc": "2.0", "id": id, "method": "session.status",
             "params": {"session": format!("f0-00000000-{id:010}"), "viewer": "nobody"}})
--- a/crates/daemon/tests/suite.rs
+++ b/crates/daemon/tests/suite.rs
@@ -16,8 +16,8 @@
 use salttally_front::settings::Settings;
 use salttally_front::{CallerMessage, Front, Session, SessionRequest};
 use salttally_standin::day::Day;
-use salttally_standin::list::{Line as ListLine, State};
-use salttally_standin::players::Line;
+use salttally_standin::list::{ListEntry, ListState};
+use salttally_standin::players::PlayerConnection;
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -121,7 +121,7 @@
     front: Host,
     address: std::net::SocketAddr,
     /// One connection a session, as leaving is by connection.
-    sessions: Vec<(Option<Line>, u64, String)>,
+    sessions: Vec<(Option<PlayerConnection>, u64, String)>,
 }
 
 enum Host {
@@ -131,7 +131,7 @@
 
 impl Door for Socket {
     fn ask(&mut self, viewer: &str, title: &str, class: &str) {
-        let mut line = Line::connect(self.address, SECOND * 3).expect("connects");
+        let mut line = PlayerConnection::connect(self.address, SECOND * 3).expect("connects");
         let params =
             json!({"viewer": viewer, "title": title, "class": class, "top_rung": 2, "patience_ms": 2000});
         let id = line.call("session.open", &params).expect("written");
@@ -228,21 +228,21 @@
     // A viewer leaves without a word.
     door.leave(2);
     let held = |count| {
-        let now = || day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+        let now = || day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
         wait(SECOND * 3, || now() == count, || format!("boxes hold {}", now()));
     };
     held(4);
     // One gives up while its set-up is out.
-    day.boxes.fleet().nature.set_up = 200_000;
+    day.boxes.fleet().model.set_up_time = 200_000;
     door.ask("c", "title-1", "clip");
     std::thread::sleep(Duration::from_millis(80));
     said.push(door.cancel());
     std::thread::sleep(Duration::from_millis(250));
     held(4);
-    day.boxes.fleet().nature.set_up = 5_000;
+    day.boxes.fleet().model.set_up_time = 5_000;
     // A drain.
-    let line = day.list.line(3).expect("listed");
-    day.list.set(ListLine { state: State::Draining, ..line });
+    let line = day.list.entry(3).expect("listed");
+    day.list.set(ListEntry { state: ListState::Draining, ..line });
     std::thread::sleep(Duration::from_millis(250));
     door.ask("d", "title-3", "clip");
     said.push(door.answer());
@@ -255,12 +255,12 @@
         said.push(door.answer());
     }
     // Every set-up fails: a clip is tried elsewhere and refused in the end, a paid one fails.
-    day.boxes.fleet().boxes.values_mut().for_each(|state| state.errors = 1.0);
+    day.boxes.fleet().boxes.values_mut().for_each(|state| state.error_share = 1.0);
     door.ask("f", "title-1", "clip");
     said.push(door.answer());
     door.ask("g", "title-1", "paid");
     said.push(door.answer());
-    day.boxes.fleet().boxes.values_mut().for_each(|state| (state.errors, state.draining) = (0.0, true));
+    day.boxes.fleet().boxes.values_mut().for_each(|state| (state.error_share, state.draining) = (0.0, true));
     door.ask("h", "title-2", "paid");
     said.push(door.answer());
     said
@@ -361,7 +361,7 @@
     let address = day.front_address(0);
     let mut names = Vec::new();
     for number in 0..5 {
-        let mut line = Line::connect(address, SECOND * 3).expect("connects");
+        let mut line = PlayerConnection::connect(address, SECOND * 3).expect("connects");
         let params = json!({
             "viewer": format!("v-{number}"), "title": "title-0", "class": "paid", "top_rung": 2, "patience_ms": 2000
         });
@@ -372,7 +372,7 @@
     }
     first.kill().expect("killed");
     first.wait().expect("gone");
-    let held = || day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+    let held = || day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(held(), 5, "they play on");
     let mut second = daemon(&config);
@@ -380,7 +380,7 @@
     wait(
         SECOND * 3,
         || {
-            let Ok(mut line) = Line::connect(address, SECOND) else { return false };
+            let Ok(mut line) = PlayerConnection::connect(address, SECOND) else { return false };
             let params = json!({"session": names[2], "viewer": "v-2"});
             let id = line.call("session.status", &params).expect("written");
             let status = line.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -1,4 +1,4 @@
-//! Media boxes on sockets: the box API of `docs/box-api.md`, and the ways in which boxes fail.
+//! Media boxes on sockets: the box API of `docs/box-api.md`, and the faults of boxes.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,32 +14,32 @@
 use salttally_judge::record::{SetUpEnd, What};
 use serde_json::{json, Value};
 
-use crate::fleet::{BoxState, Build, Fleet, Life, Nature, Play, Taken};
+use crate::fleet::{BoxModel, BoxSession, BoxSpec, BoxState, Fleet, Liveness, SetUpOutcome};
 use crate::http::{self, Request};
 use crate::log::Log;
 
-/// Stack of a thread that serves one connection.
-const STACK: usize = 96 * 1024;
-/// Pause between two signs of life on an event stream.
-const BEAT: Duration = Duration::from_millis(400);
-/// How often links are looked at.
-const TICK: u64 = 50_000;
+/// Stack size of a thread that serves one connection.
+const CONNECTION_STACK_BYTES: usize = 96 * 1024;
+/// Interval of the comments that keep an idle event stream alive.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval at which the utilization of links is checked, us.
+const LINK_CHECK_INTERVAL_US: u64 = 50_000;
 
-/// Key of a session at a box: its id and the attempt.
-pub type Key = (String, u32);
+/// Key of a session at a box: session id and attempt number.
+pub type SessionKey = (String, u32);
 
-/// How notes are sent to fronts.
+/// How often and how late boxes send link notes to fronts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Notes {
-    /// Time between two notes on a link, us; 0 is none.
-    pub every: u64,
+pub struct NoteSettings {
+    /// Interval of the notes about a link, us; 0 disables them.
+    pub interval: u64,
     /// Age of a note when it is sent, us.
     pub age: u64,
-    /// Chance in a second that a viewer leaves who gets under three quarters of the rate.
-    pub leaves: f64,
+    /// Probability per second that a viewer leaves who receives less than three quarters of the rate.
+    pub leave_probability: f64,
 }
 
-/// All boxes and their sockets; cheap to clone.
+/// All boxes and their sockets; clones share state.
 #[derive(Clone, Debug)]
 pub struct Boxes(Arc<Inner>);
 
@@ -47,142 +47,149 @@
 struct Inner {
     log: Log,
     fleet: Mutex<Fleet>,
-    doors: Mutex<BTreeMap<u32, Door>>,
-    pending: Mutex<BTreeMap<(u32, Key), ()>>,
+    listeners: Mutex<BTreeMap<u32, BoxListener>>,
+    pending: Mutex<BTreeMap<(u32, SessionKey), ()>>,
     streams: Mutex<BTreeMap<(u32, String), Sender<String>>>,
     zones: BTreeMap<String, u32>,
-    cut: Mutex<Option<u32>>,
-    late: AtomicU64,
+    cut_zone: Mutex<Option<u32>>,
+    report_delay: AtomicU64,
     rng: Mutex<Pcg32>,
-    notes: Notes,
-    over: AtomicBool,
+    notes: NoteSettings,
+    stopped: AtomicBool,
 }
 
-/// Where a box listens, and its open connections.
+/// Listening address of a box and its open connections.
 #[derive(Debug)]
-struct Door {
+struct BoxListener {
     address: SocketAddr,
-    open: Arc<AtomicBool>,
-    conns: Vec<TcpStream>,
+    accepting: Arc<AtomicBool>,
+    connections: Vec<TcpStream>,
 }
 
-fn hold<T>(lock: &Mutex<T>) -> MutexGuard<'_, T> {
-    lock.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Boxes {
-    /// No box yet. `zones` tells the zone of each front.
+    /// Creates an empty fleet. `zones` maps each front to its zone.
     pub fn new(
         log: Log,
-        nature: Nature,
+        model: BoxModel,
         uplinks: Vec<f64>,
         zones: BTreeMap<String, u32>,
-        notes: Notes,
+        notes: NoteSettings,
         seed: u64,
     ) -> Boxes {
         Boxes(Arc::new(Inner {
             log,
-            fleet: Mutex::new(Fleet { boxes: BTreeMap::new(), uplinks, nature }),
-            doors: Mutex::default(),
+            fleet: Mutex::new(Fleet { boxes: BTreeMap::new(), uplinks, model }),
+            listeners: Mutex::default(),
             pending: Mutex::default(),
             streams: Mutex::default(),
             zones,
-            cut: Mutex::default(),
-            late: AtomicU64::new(0),
+            cut_zone: Mutex::default(),
+            report_delay: AtomicU64::new(0),
             rng: Mutex::new(Pcg32::seed_from_u64(seed)),
             notes,
-            over: AtomicBool::new(false),
+            stopped: AtomicBool::new(false),
         }))
     }
 
-    /// Adds a box and opens its door.
-    pub fn add(&self, build: Build, address: SocketAddr, cold: bool) -> io::Result<()> {
-        let (id, now) = (build.id, self.0.log.now());
-        hold(&self.0.fleet).boxes.insert(id, BoxState::new(build, cold.then_some(now)));
-        self.open(id, address)?;
+    /// Adds a box and starts listening.
+    pub fn add(&self, spec: BoxSpec, address: SocketAddr, cold: bool) -> io::Result<()> {
+        let (id, now) = (spec.id, self.0.log.now());
+        lock(&self.0.fleet).boxes.insert(id, BoxState::new(spec, cold.then_some(now)));
+        self.listen(id, address)?;
         self.0.log.write(What::BoxStarted { server: id, cold });
         Ok(())
     }
 
-    fn open(&self, id: u32, address: SocketAddr) -> io::Result<()> {
-        let listener = TcpListener::bind(address)?;
-        let open = Arc::new(AtomicBool::new(true));
-        let door = Door { address: listener.local_addr()?, open: Arc::clone(&open), conns: Vec::new() };
-        hold(&self.0.doors).insert(id, door);
+    fn listen(&self, id: u32, address: SocketAddr) -> io::Result<()> {
+        let socket = TcpListener::bind(address)?;
+        let accepting = Arc::new(AtomicBool::new(true));
+        let listener = BoxListener {
+            address: socket.local_addr()?,
+            accepting: Arc::clone(&accepting),
+            connections: Vec::new(),
+        };
+        lock(&self.0.listeners).insert(id, listener);
         let boxes = self.clone();
         let accept = move || {
-            for stream in listener.incoming() {
-                if !open.load(Ordering::Acquire) {
+            for stream in socket.incoming() {
+                if !accepting.load(Ordering::Acquire) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
                 let Ok(other) = stream.try_clone() else { continue };
-                match hold(&boxes.0.doors).get_mut(&id) {
-                    Some(door) => {
-                        // Those that have ended are let go of now and then.
-                        if door.conns.len() % 64 == 63 {
-                            door.conns.retain(|conn| conn.peer_addr().is_ok());
+                match lock(&boxes.0.listeners).get_mut(&id) {
+                    Some(listener) => {
+                        // Periodically drops the handles of connections that have ended.
+                        if listener.connections.len() % 64 == 63 {
+                            listener.connections.retain(|conn| conn.peer_addr().is_ok());
                         }
-                        door.conns.push(other);
+                        listener.connections.push(other);
                     }
                     None => return,
                 }
                 let boxes = boxes.clone();
                 let serve = move || boxes.serve(id, stream);
-                let _ = thread::Builder::new().name("standin".into()).stack_size(STACK).spawn(serve);
+                let _ = thread::Builder::new()
+                    .name("standin".into())
+                    .stack_size(CONNECTION_STACK_BYTES)
+                    .spawn(serve);
             }
         };
-        thread::Builder::new().name("door".into()).stack_size(STACK).spawn(accept)?;
+        thread::Builder::new().name("door".into()).stack_size(CONNECTION_STACK_BYTES).spawn(accept)?;
         Ok(())
     }
 
-    /// Where a box listens.
+    /// Listening address of a box.
     pub fn address(&self, id: u32) -> Option<SocketAddr> {
-        hold(&self.0.doors).get(&id).map(|door| door.address)
+        lock(&self.0.listeners).get(&id).map(|listener| listener.address)
     }
 
-    /// What the boxes hold now.
+    /// State of the fleet.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
-        hold(&self.0.fleet)
+        lock(&self.0.fleet)
     }
 
     // ---- Faults ----
 
-    /// The process ends: connections are reset or closed, new ones refused, sessions lost.
+    /// Ends the process of a box: its connections are closed, new ones refused, its sessions lost.
     pub fn kill(&self, id: u32) {
-        self.end_sessions(id, Life::Dead);
-        let door = hold(&self.0.doors).remove(&id);
-        let Some(door) = door else { return };
-        door.open.store(false, Ordering::Release);
-        for conn in &door.conns {
+        self.end_sessions(id, Liveness::Dead);
+        let listener = lock(&self.0.listeners).remove(&id);
+        let Some(listener) = listener else { return };
+        listener.accepting.store(false, Ordering::Release);
+        for conn in &listener.connections {
             let _ = conn.shutdown(Shutdown::Both);
         }
-        // Wakes the thread that accepts, which drops the listener.
-        let _ = TcpStream::connect_timeout(&door.address, Duration::from_millis(200));
+        // Wakes the accepting thread, which then drops the listener.
+        let _ = TcpStream::connect_timeout(&listener.address, Duration::from_millis(200));
     }
 
-    /// The machine goes silent: it neither answers nor resets, and its sessions get nothing.
+    /// Makes a box unresponsive: it neither answers nor resets connections, and its sessions receive nothing.
     pub fn silence(&self, id: u32) {
-        self.end_sessions(id, Life::Silent);
+        self.end_sessions(id, Liveness::Silent);
     }
 
-    fn end_sessions(&self, id: u32, life: Life) {
-        let mut fleet = hold(&self.0.fleet);
-        let lost = fleet.die(id);
+    fn end_sessions(&self, id: u32, liveness: Liveness) {
+        let mut fleet = lock(&self.0.fleet);
+        let lost = fleet.crash(id);
         if let Some(state) = fleet.boxes.get_mut(&id) {
-            state.life = life;
+            state.liveness = liveness;
         }
         self.0.log.write(What::BoxDied { server: id });
-        for ((session, attempt), play) in lost {
-            if play.begun {
+        for ((session, attempt), box_session) in lost {
+            if box_session.is_playing {
                 self.0.log.write(What::Ended { server: id, session, attempt });
             }
         }
-        if life == Life::Dead {
-            let mut pending = hold(&self.0.pending);
-            let there: Vec<Key> =
+        if liveness == Liveness::Dead {
+            let mut pending = lock(&self.0.pending);
+            let lost_set_ups: Vec<SessionKey> =
                 pending.keys().filter(|(server, _)| *server == id).map(|(_, key)| key.clone()).collect();
-            for key in there {
+            for key in lost_set_ups {
                 pending.remove(&(id, key.clone()));
                 let (session, attempt) = key;
                 let end = SetUpEnd::Reset;
@@ -191,14 +198,14 @@
         }
     }
 
-    /// The process starts again at its old address, cold. A box that runs is ended first.
+    /// Restarts the process of a box at its previous address, cold. A running box is killed first.
     pub fn restart(&self, id: u32, address: SocketAddr) -> io::Result<()> {
         self.kill(id);
         let now = self.0.log.now();
-        hold(&self.0.fleet).start(id, now);
-        // The old listener is dropped by its own thread, a moment after it was woken.
+        lock(&self.0.fleet).restart(id, now);
+        // The accepting thread drops the old listener shortly after it is woken.
         let until = Instant::now() + Duration::from_secs(2);
-        while let Err(error) = self.open(id, address) {
+        while let Err(error) = self.listen(id, address) {
             if Instant::now() > until {
                 return Err(error);
             }
@@ -208,38 +215,38 @@
         Ok(())
     }
 
-    /// Cuts one zone off from the others, or heals the cut.
-    pub fn cut(&self, zone: Option<u32>) {
-        *hold(&self.0.cut) = zone;
+    /// Cuts one zone off from the others; `None` ends the cut.
+    pub fn cut_zone(&self, zone: Option<u32>) {
+        *lock(&self.0.cut_zone) = zone;
     }
 
-    /// Load reports are made this much less often, us.
-    pub fn report_late(&self, late: u64) {
-        self.0.late.store(late, Ordering::Relaxed);
+    /// Lengthens the interval of load reports by this, us.
+    pub fn delay_reports(&self, delay: u64) {
+        self.0.report_delay.store(delay, Ordering::Relaxed);
     }
 
-    /// Ends everything.
+    /// Stops all boxes.
     pub fn stop(&self) {
-        self.0.over.store(true, Ordering::Release);
-        let all: Vec<u32> = hold(&self.0.doors).keys().copied().collect();
+        self.0.stopped.store(true, Ordering::Release);
+        let all: Vec<u32> = lock(&self.0.listeners).keys().copied().collect();
         for id in all {
-            let door = hold(&self.0.doors).remove(&id);
-            let Some(door) = door else { continue };
-            door.open.store(false, Ordering::Release);
-            door.conns.iter().for_each(|conn| drop(conn.shutdown(Shutdown::Both)));
-            let _ = TcpStream::connect_timeout(&door.address, Duration::from_millis(200));
+            let listener = lock(&self.0.listeners).remove(&id);
+            let Some(listener) = listener else { continue };
+            listener.accepting.store(false, Ordering::Release);
+            listener.connections.iter().for_each(|conn| drop(conn.shutdown(Shutdown::Both)));
+            let _ = TcpStream::connect_timeout(&listener.address, Duration::from_millis(200));
         }
     }
 
     // ---- Serving ----
 
-    fn unreachable(&self, id: u32, front: &str) -> bool {
-        let cut = *hold(&self.0.cut);
-        let fleet = hold(&self.0.fleet);
+    fn is_unreachable(&self, id: u32, front: &str) -> bool {
+        let cut = *lock(&self.0.cut_zone);
+        let fleet = lock(&self.0.fleet);
         let Some(state) = fleet.boxes.get(&id) else { return true };
-        let zone = self.0.zones.get(front).copied().unwrap_or(state.build.zone);
-        let cut = cut.is_some_and(|cut| zone != state.build.zone && (zone == cut || state.build.zone == cut));
-        state.life != Life::Up || cut
+        let zone = self.0.zones.get(front).copied().unwrap_or(state.spec.zone);
+        let cut = cut.is_some_and(|cut| zone != state.spec.zone && (zone == cut || state.spec.zone == cut));
+        state.liveness != Liveness::Up || cut
     }
 
     fn serve(&self, id: u32, mut stream: TcpStream) {
@@ -258,22 +265,22 @@
                 Err(_) => return,
             };
             if request.method == "GET" && request.path == "/events" {
-                return self.events(id, &request.front, &mut stream);
+                return self.serve_events(id, &request.front, &mut stream);
             }
-            if !self.one(id, &request, &mut stream) {
+            if !self.serve_request(id, &request, &mut stream) {
                 return;
             }
         }
     }
 
-    /// Serves one request; returns whether the connection goes on.
-    fn one(&self, id: u32, request: &Request, stream: &mut TcpStream) -> bool {
+    /// Serves one request; returns whether the connection stays open.
+    fn serve_request(&self, id: u32, request: &Request, stream: &mut TcpStream) -> bool {
         let parts: Vec<&str> = request.path.split('/').filter(|part| !part.is_empty()).collect();
         if request.method == "POST" && parts == ["sessions"] {
             return self.set_up(id, request, stream);
         }
-        // Held back while nobody answers; the front may close meanwhile.
-        while self.unreachable(id, &request.front) {
+        // No answer while the box is unreachable; the front may close the connection meanwhile.
+        while self.is_unreachable(id, &request.front) {
             if closed_within(stream, Duration::from_millis(20)) {
                 return false;
             }
@@ -281,21 +288,23 @@
         let body: Value = serde_json::from_slice(&request.body).unwrap_or(Value::Null);
         let (status, mut answer) = match (request.method.as_str(), parts.as_slice()) {
             ("GET", ["load"]) => (200, json!({})),
-            ("PUT", ["lives", life]) => {
+            ("PUT", ["lives", incarnation]) => {
                 let epoch = body["epoch"].as_u64().unwrap_or(0);
-                match hold(&self.0.fleet).claim(id, life, epoch, &request.front) {
-                    Some(held) => (200, held),
+                match lock(&self.0.fleet).claim_incarnation(id, incarnation, epoch, &request.front) {
+                    Some(sessions) => (200, sessions),
                     None => (409, json!({"error": "a later epoch has it"})),
                 }
             }
-            (_, ["sessions", session, ..]) if hold(&self.0.fleet).replaced(id, session, request.epoch) => {
+            (_, ["sessions", session, ..])
+                if lock(&self.0.fleet).is_superseded(id, session, request.epoch) =>
+            {
                 (409, json!({"error": "a later epoch has it"}))
             }
             ("PUT", ["sessions", session, attempt, "rung"]) => {
                 let key = (session.to_string(), attempt.parse().unwrap_or(u32::MAX));
                 let rung = body["rung"].as_u64().unwrap_or(0) as usize;
                 let rate_kb = body["rate_kb"].as_f64().unwrap_or(0.0);
-                let found = hold(&self.0.fleet).set_rung(id, &key, rung, rate_kb);
+                let found = lock(&self.0.fleet).set_rung(id, &key, rung, rate_kb);
                 if found {
                     self.0.log.write(What::RungSet { server: id, session: key.0, rung });
                 }
@@ -304,21 +313,21 @@
             ("DELETE", ["sessions", session, attempt]) => {
                 let key = (session.to_string(), attempt.parse().unwrap_or(u32::MAX));
                 let now = self.0.log.now();
-                let play = hold(&self.0.fleet).release(id, &key, now);
-                if play.as_ref().is_some_and(|play| play.begun) {
+                let box_session = lock(&self.0.fleet).release(id, &key, now);
+                if box_session.as_ref().is_some_and(|box_session| box_session.is_playing) {
                     self.0.log.write(What::Ended { server: id, session: key.0, attempt: key.1 });
                 }
-                (if play.is_some() { 200 } else { 404 }, json!({}))
+                (if box_session.is_some() { 200 } else { 404 }, json!({}))
             }
             _ => (404, json!({"error": "no such resource"})),
         };
-        answer["load"] = self.load(id);
+        answer["load"] = self.load_report(id);
         http::write(stream, &http::response(status, &answer)).is_ok()
     }
 
-    fn load(&self, id: u32) -> Value {
-        let (now, late) = (self.0.log.now(), self.0.late.load(Ordering::Relaxed));
-        hold(&self.0.fleet).load(id, now, late)
+    fn load_report(&self, id: u32) -> Value {
+        let (now, delay) = (self.0.log.now(), self.0.report_delay.load(Ordering::Relaxed));
+        lock(&self.0.fleet).load_report(id, now, delay)
     }
 
     fn set_up(&self, id: u32, request: &Request, stream: &mut TcpStream) -> bool {
@@ -326,7 +335,7 @@
         let text = |key: &str| body[key].as_str().unwrap_or("").to_owned();
         let key = (text("session"), body["attempt"].as_u64().unwrap_or(0) as u32);
         let rung = body["rung"].as_u64().unwrap_or(0) as usize;
-        hold(&self.0.pending).insert((id, key.clone()), ());
+        lock(&self.0.pending).insert((id, key.clone()), ());
         self.0.log.write(What::SetUpRead {
             server: id,
             front: request.front.clone(),
@@ -336,170 +345,175 @@
             title: text("title"),
             rung,
         });
-        if hold(&self.0.fleet).replaced(id, &key.0, request.epoch) {
-            self.ended(id, &key, SetUpEnd::Full);
+        if lock(&self.0.fleet).is_superseded(id, &key.0, request.epoch) {
+            self.record_set_up_end(id, &key, SetUpEnd::Full);
             let answer = json!({"session": key.0, "attempt": key.1, "error": "a later epoch has it"});
             return http::write(stream, &http::response(409, &answer)).is_ok();
         }
-        while self.unreachable(id, &request.front) {
+        while self.is_unreachable(id, &request.front) {
             if closed_within(stream, Duration::from_millis(5)) {
-                self.ended(id, &key, SetUpEnd::Closed);
+                self.record_set_up_end(id, &key, SetUpEnd::Closed);
                 return false;
             }
         }
-        let play = Play {
+        let box_session = BoxSession {
             front: request.front.clone(),
             rung,
             rate_kb: body["rate_kb"].as_f64().unwrap_or(0.0),
             context: body["context"].clone(),
-            begun: false,
+            is_playing: false,
         };
-        let luck = f64::from(hold(&self.0.rng).next_u32()) / f64::from(u32::MAX);
+        let failure_draw = f64::from(lock(&self.0.rng).next_u32()) / f64::from(u32::MAX);
         let now = self.0.log.now();
-        let taken = hold(&self.0.fleet).set_up(id, &key, play, now, luck);
-        let (status, error, end) = match taken {
-            Taken::Sets(after) => match self.begin(id, &key, after, stream) {
-                Begun::Plays => (201, "", SetUpEnd::Began),
-                Begun::Released => (500, "released", SetUpEnd::Error),
-                Begun::Closed => return false,
+        let outcome = lock(&self.0.fleet).set_up(id, &key, box_session, now, failure_draw);
+        let (status, error, end) = match outcome {
+            SetUpOutcome::Accepted(duration) => match self.finish_set_up(id, &key, duration, stream) {
+                BeginOutcome::Plays => (201, "", SetUpEnd::Began),
+                BeginOutcome::Released => (500, "released", SetUpEnd::Error),
+                BeginOutcome::Closed => return false,
             },
-            Taken::Full => (503, "full", SetUpEnd::Full),
-            Taken::Draining => (503, "draining", SetUpEnd::Full),
-            Taken::Barred => (503, "released", SetUpEnd::Full),
-            Taken::Fails => (500, "failed", SetUpEnd::Error),
-            Taken::Fell => {
+            SetUpOutcome::Full => (503, "full", SetUpEnd::Full),
+            SetUpOutcome::Draining => (503, "draining", SetUpEnd::Full),
+            SetUpOutcome::AlreadyReleased => (503, "released", SetUpEnd::Full),
+            SetUpOutcome::Failed => (500, "failed", SetUpEnd::Error),
+            SetUpOutcome::Overloaded => {
                 self.0.log.write(What::BoxFell { server: id });
                 self.kill(id);
                 return false;
             }
         };
         if end != SetUpEnd::Began {
-            self.ended(id, &key, end);
+            self.record_set_up_end(id, &key, end);
         }
-        let mut answer = json!({"session": key.0, "attempt": key.1, "load": self.load(id)});
+        let mut answer = json!({"session": key.0, "attempt": key.1, "load": self.load_report(id)});
         if !error.is_empty() {
             answer["error"] = Value::from(error);
         }
         let written = http::write(stream, &http::response(status, &answer)).is_ok();
         if !written && end == SetUpEnd::Began {
-            // It plays, and whoever asked for it has gone.
+            // The session plays, but the front that requested it has gone.
             let data = json!({"session": key.0, "attempt": key.1, "rung": rung, "context": body["context"]});
-            self.tell(id, &request.front, "began", &data);
+            self.send_event(id, &request.front, "began", &data);
         }
         written
     }
 
-    /// Waits until a set-up is done, and begins to play unless the front has closed or released meanwhile.
-    fn begin(&self, id: u32, key: &Key, after: u64, stream: &TcpStream) -> Begun {
-        let until = Instant::now() + Duration::from_micros(after);
+    /// Waits until a set-up is done, then starts the session unless the front has closed or released it meanwhile.
+    fn finish_set_up(&self, id: u32, key: &SessionKey, duration: u64, stream: &TcpStream) -> BeginOutcome {
+        let until = Instant::now() + Duration::from_micros(duration);
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = until.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 break;
             }
-            if closed_within(stream, left) {
-                // A box that finds nobody waiting does not begin.
+            if closed_within(stream, remaining) {
+                // The session does not start if the front has closed the connection.
                 let now = self.0.log.now();
-                hold(&self.0.fleet).release(id, key, now);
-                self.ended(id, key, SetUpEnd::Closed);
-                return Begun::Closed;
+                lock(&self.0.fleet).release(id, key, now);
+                self.record_set_up_end(id, key, SetUpEnd::Closed);
+                return BeginOutcome::Closed;
             }
         }
-        let mut fleet = hold(&self.0.fleet);
-        if !fleet.begin(id, key) {
-            return Begun::Released;
+        let mut fleet = lock(&self.0.fleet);
+        if !fleet.finish_set_up(id, key) {
+            return BeginOutcome::Released;
         }
-        // Under the lock: the box's death, which takes it too, comes wholly before or after this.
-        self.ended(id, key, SetUpEnd::Began);
-        Begun::Plays
+        // Under the fleet lock: the death of the box takes the same lock, so it is recorded wholly before or after
+        // this.
+        self.record_set_up_end(id, key, SetUpEnd::Began);
+        BeginOutcome::Plays
     }
 
-    /// Writes down how a set-up ended, unless that has been done.
-    fn ended(&self, id: u32, key: &Key, end: SetUpEnd) {
-        if hold(&self.0.pending).remove(&(id, key.clone())).is_some() {
+    /// Records the end of a set-up, unless it is recorded already.
+    fn record_set_up_end(&self, id: u32, key: &SessionKey, end: SetUpEnd) {
+        if lock(&self.0.pending).remove(&(id, key.clone())).is_some() {
             let (session, attempt) = key.clone();
             self.0.log.write(What::SetUpEnded { server: id, session, attempt, end });
         }
     }
 
-    fn events(&self, id: u32, front: &str, stream: &mut TcpStream) {
-        while self.unreachable(id, front) {
+    fn serve_events(&self, id: u32, front: &str, stream: &mut TcpStream) {
+        while self.is_unreachable(id, front) {
             if closed_within(stream, Duration::from_millis(20)) {
                 return;
             }
         }
-        let (to, events): (Sender<String>, Receiver<String>) = crossbeam_channel::unbounded();
-        hold(&self.0.streams).insert((id, front.to_owned()), to);
-        let held = hold(&self.0.fleet).held(id, front);
-        let mut bytes = http::EVENTS.to_vec();
-        bytes.extend_from_slice(http::event("held", &held).as_bytes());
+        let (sender, events): (Sender<String>, Receiver<String>) = crossbeam_channel::unbounded();
+        lock(&self.0.streams).insert((id, front.to_owned()), sender);
+        let sessions = lock(&self.0.fleet).playing_sessions(id, front);
+        let mut bytes = http::EVENT_STREAM_HEAD.to_vec();
+        bytes.extend_from_slice(http::server_sent_event("held", &sessions).as_bytes());
         if http::write(stream, &bytes).is_err() {
             return;
         }
         loop {
-            let text = match events.recv_timeout(BEAT) {
+            let text = match events.recv_timeout(HEARTBEAT_INTERVAL) {
                 Ok(text) => text,
                 Err(RecvTimeoutError::Timeout) => ":\n\n".to_owned(),
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            let mut held_back = false;
-            while self.unreachable(id, front) {
-                held_back = true;
+            let mut was_unreachable = false;
+            while self.is_unreachable(id, front) {
+                was_unreachable = true;
                 if closed_within(stream, Duration::from_millis(20)) {
                     return;
                 }
             }
-            // What was said while nobody could hear it is lost.
-            let text = if held_back { ":\n\n".to_owned() } else { text };
+            // Events that fell due while the front could not be reached are lost.
+            let text = if was_unreachable { ":\n\n".to_owned() } else { text };
             if http::write(stream, text.as_bytes()).is_err() {
                 return;
             }
         }
     }
 
-    fn tell(&self, id: u32, front: &str, name: &str, data: &Value) {
-        if let Some(to) = hold(&self.0.streams).get(&(id, front.to_owned())) {
-            let _ = to.send(http::event(name, data));
+    fn send_event(&self, id: u32, front: &str, name: &str, data: &Value) {
+        if let Some(sender) = lock(&self.0.streams).get(&(id, front.to_owned())) {
+            let _ = sender.send(http::server_sent_event(name, data));
         }
     }
 
-    // ---- Time ----
+    // ---- Link monitor ----
 
-    /// Writes down shares as they change, tells fronts of short delivery and full links, and lets viewers go who
-    /// get too little; in a thread of its own until the end.
-    pub fn run(&self) -> io::Result<thread::JoinHandle<()>> {
+    /// Starts a thread that runs until [`Boxes::stop`]. It records changed shares, notifies fronts of short delivery
+    /// and of link utilization, and ends sessions of viewers that receive too little.
+    pub fn start_link_monitor(&self) -> io::Result<thread::JoinHandle<()>> {
         let boxes = self.clone();
         thread::Builder::new().name("links".into()).stack_size(256 * 1024).spawn(move || {
-            let mut due: Vec<(u64, u32, String, &'static str, Value)> = Vec::new();
-            let (mut short_at, mut link_at) = (0, 0);
-            while !boxes.0.over.load(Ordering::Acquire) {
-                thread::sleep(Duration::from_micros(TICK));
+            let mut pending_notes: Vec<(u64, u32, String, &'static str, Value)> = Vec::new();
+            let (mut last_short_report, mut last_link_report) = (0, 0);
+            while !boxes.0.stopped.load(Ordering::Acquire) {
+                thread::sleep(Duration::from_micros(LINK_CHECK_INTERVAL_US));
                 let now = boxes.0.log.now();
-                for (server, share) in hold(&boxes.0.fleet).changed_shares(now) {
+                for (server, share) in lock(&boxes.0.fleet).changed_shares(now) {
                     boxes.0.log.write(What::Share { server, share });
                 }
                 let notes = boxes.0.notes;
-                if now >= short_at + 1_000_000 {
-                    short_at = now;
-                    boxes.short(now + notes.age, &mut due);
+                if now >= last_short_report + 1_000_000 {
+                    last_short_report = now;
+                    boxes.report_short_delivery(now + notes.age, &mut pending_notes);
                 }
-                if notes.every > 0 && now >= link_at + notes.every {
-                    link_at = now;
-                    boxes.links(now, now + notes.age, &mut due);
+                if notes.interval > 0 && now >= last_link_report + notes.interval {
+                    last_link_report = now;
+                    boxes.report_links(now, now + notes.age, &mut pending_notes);
                 }
-                let (ready, later) = due.into_iter().partition(|note| note.0 <= now);
-                due = later;
+                let (ready, later) = pending_notes.into_iter().partition(|note| note.0 <= now);
+                pending_notes = later;
                 for (_, id, front, name, data) in ready {
-                    boxes.tell(id, &front, name, &data);
+                    boxes.send_event(id, &front, name, &data);
                 }
             }
         })
     }
 
-    fn short(&self, at: u64, due: &mut Vec<(u64, u32, String, &'static str, Value)>) {
-        let mut left = Vec::new();
+    fn report_short_delivery(
+        &self,
+        at: u64,
+        pending_notes: &mut Vec<(u64, u32, String, &'static str, Value)>,
+    ) {
+        let mut departed = Vec::new();
         {
-            let mut fleet = hold(&self.0.fleet);
+            let mut fleet = lock(&self.0.fleet);
             let now = self.0.log.now();
             let ids: Vec<u32> = fleet.boxes.keys().copied().collect();
             for id in ids {
@@ -507,61 +521,72 @@
                 if share >= 0.98 {
                     continue;
                 }
-                for (front, session) in fleet.fronts(id) {
-                    due.push((at, id, front, "delivered", json!({"session": session, "share": share})));
+                for (front, session) in fleet.playing_fronts(id) {
+                    pending_notes.push((
+                        at,
+                        id,
+                        front,
+                        "delivered",
+                        json!({"session": session, "share": share}),
+                    ));
                 }
                 if share >= 0.75 {
                     continue;
                 }
-                let plays: Vec<Key> = match fleet.boxes.get(&id) {
+                let playing: Vec<SessionKey> = match fleet.boxes.get(&id) {
                     Some(state) => {
-                        state.plays.iter().filter(|(_, p)| p.begun).map(|(k, _)| k.clone()).collect()
+                        state.sessions.iter().filter(|(_, p)| p.is_playing).map(|(k, _)| k.clone()).collect()
                     }
                     None => continue,
                 };
-                for key in plays {
-                    let luck = f64::from(hold(&self.0.rng).next_u32()) / f64::from(u32::MAX);
-                    if luck < self.0.notes.leaves {
-                        if let Some(play) = fleet.release(id, &key, now) {
+                for key in playing {
+                    let leave_draw = f64::from(lock(&self.0.rng).next_u32()) / f64::from(u32::MAX);
+                    if leave_draw < self.0.notes.leave_probability {
+                        if let Some(box_session) = fleet.release(id, &key, now) {
                             let (session, attempt) = key.clone();
                             self.0.log.write(What::Ended { server: id, session, attempt });
-                            left.push((id, key, play.front));
+                            departed.push((id, key, box_session.front));
                         }
                     }
                 }
             }
         }
-        for (id, (session, attempt), front) in left {
-            self.tell(id, &front, "ended", &json!({"session": session, "attempt": attempt}));
+        for (id, (session, attempt), front) in departed {
+            self.send_event(id, &front, "ended", &json!({"session": session, "attempt": attempt}));
         }
     }
 
-    fn links(&self, now: u64, at: u64, due: &mut Vec<(u64, u32, String, &'static str, Value)>) {
-        let fleet = hold(&self.0.fleet);
+    fn report_links(
+        &self,
+        now: u64,
+        at: u64,
+        pending_notes: &mut Vec<(u64, u32, String, &'static str, Value)>,
+    ) {
+        let fleet = lock(&self.0.fleet);
         for id in fleet.boxes.keys() {
-            let (link, uplink) = fleet.fullness(*id, now);
-            for (front, session) in fleet.fronts(*id) {
+            let (link, uplink) = fleet.utilization(*id, now);
+            for (front, session) in fleet.playing_fronts(*id) {
                 let data = json!({"session": session, "link": link, "uplink": uplink});
-                due.push((at, *id, front, "link", data));
+                pending_notes.push((at, *id, front, "link", data));
             }
         }
     }
 }
 
-enum Begun {
+enum BeginOutcome {
     Plays,
     Released,
     Closed,
 }
 
-/// Waits until the peer closes, or the time is over; returns whether it has closed.
+/// Waits until the peer closes or the time is over; returns whether the peer has closed.
 fn closed_within(stream: &TcpStream, within: Duration) -> bool {
     let _ = stream.set_read_timeout(Some(within.max(Duration::from_micros(100))));
     let mut byte = [0];
     match stream.peek(&mut byte) {
         Ok(0) => true,
         Ok(_) => {
-            // A further request already; it is read after this one.
+            // The next request has arrived already; it is read after the current one.
             thread::sleep(within);
             false
         }
--- a/crates/standin/src/fleet.rs
+++ b/crates/standin/src/fleet.rs
@@ -1,18 +1,18 @@
-//! What boxes hold and deliver, with no socket: links, uplinks that racks share, places, cold starts.
+//! State and capacity of boxes, without sockets: links, uplinks shared by racks, session limits, cold starts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde_json::{json, Value};
 
-/// How long a box remembers that an attempt was released before it came, us.
-const BARRED: u64 = 30_000_000;
-/// Set-ups beyond the sum that a cold box bears in a window.
-const SLACK: f64 = 2.0;
+/// How long a box remembers the release of an attempt that has not arrived yet, us.
+const RELEASE_MEMORY_US: u64 = 30_000_000;
+/// Set-ups that a cold box accepts in a window beyond the computed limit.
+const COLD_SET_UP_SLACK: f64 = 2.0;
 
-/// A box as it is built; all the rest is state.
+/// Fixed properties of a box.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Build {
-    /// Its number.
+pub struct BoxSpec {
+    /// Number of the box.
     pub id: u32,
     /// Zone.
     pub zone: u32,
@@ -20,169 +20,170 @@
     pub cell: u32,
     /// Rack.
     pub rack: usize,
-    /// Link, kB a second.
+    /// Capacity of the link, kB/s.
     pub link_kb: f64,
-    /// Streams at most.
+    /// Maximum number of sessions.
     pub places: usize,
 }
 
-/// What cold boxes bear, and when a box turns set-ups away.
+/// Properties that all boxes share: warm-up, overload, refusals and reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Nature {
-    /// Time to warm up, us.
+pub struct BoxModel {
+    /// Duration of the warm-up, us.
     pub warm_up: u64,
-    /// Part of its pace at the start.
+    /// Share of the full pace at the start of the warm-up.
     pub cold_from: f64,
-    /// Multiple of the pace at which it falls.
+    /// Multiple of the pace at which a cold box fails.
     pub fall_multiple: f64,
-    /// Window of that, us.
+    /// Window in which set-ups at a cold box are counted, us.
     pub fall_window: u64,
-    /// Share of the link from which set-ups are turned away; 0 is never.
+    /// Link utilization from which set-ups are refused; 0 disables this.
     pub refuses_from: f64,
-    /// A load report is made anew this often, us.
+    /// Interval at which the load report is refreshed, us.
     pub report_every: u64,
-    /// Time of a set-up on a warm box, us.
-    pub set_up: u64,
+    /// Duration of a set-up on a warm box, us.
+    pub set_up_time: u64,
 }
 
-/// Whether a box's process runs and answers.
+/// State of a box process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Life {
-    /// It does.
+pub enum Liveness {
+    /// Runs and answers.
     Up,
-    /// It runs but neither answers nor resets.
+    /// Runs, but neither answers nor resets connections.
     Silent,
-    /// It is gone; connections are refused.
+    /// Ended; connections are refused.
     Dead,
 }
 
 /// A session at a box.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Play {
-    /// By which front.
+pub struct BoxSession {
+    /// Front that holds it.
     pub front: String,
-    /// Rung in force.
+    /// Current rung.
     pub rung: usize,
-    /// Its rate, kB a second.
+    /// Its rate, kB/s.
     pub rate_kb: f64,
-    /// What the front gave it to keep.
+    /// Opaque data that the front stored with the session.
     pub context: Value,
-    /// Whether it plays, or is being set up.
-    pub begun: bool,
+    /// Whether it plays; false during the set-up.
+    pub is_playing: bool,
 }
 
-/// One box.
+/// State of one box.
 #[derive(Clone, Debug)]
 pub struct BoxState {
-    /// As built.
-    pub build: Build,
-    /// Whether it runs.
-    pub life: Life,
-    /// Takes no new sessions.
+    /// Fixed properties.
+    pub spec: BoxSpec,
+    /// State of its process.
+    pub liveness: Liveness,
+    /// Whether it accepts no new sessions.
     pub draining: bool,
     /// When its process started cold.
     pub cold_since: Option<u64>,
     /// Share of set-ups that fail at once.
-    pub errors: f64,
-    /// Its link gives so many times less.
-    pub slower: f64,
+    pub error_share: f64,
+    /// Factor by which its link capacity is divided.
+    pub slowdown: f64,
     /// Sessions by id and attempt.
-    pub plays: BTreeMap<(String, u32), Play>,
-    barred: BTreeMap<(String, u32), u64>,
-    /// Lives of fronts that others go on with, and by which epoch.
-    lives: BTreeMap<String, u64>,
-    recent: VecDeque<u64>,
-    report: (u64, [f64; 3]),
-    told_share: f64,
+    pub sessions: BTreeMap<(String, u32), BoxSession>,
+    released: BTreeMap<(String, u32), u64>,
+    /// Latest epoch that claimed each front incarnation.
+    claims: BTreeMap<String, u64>,
+    recent_set_ups: VecDeque<u64>,
+    cached_report: (u64, [f64; 3]),
+    reported_share: f64,
 }
 
-/// What a box says to a set-up.
+/// Decision of a box on a set-up.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Taken {
-    /// It plays after so many us.
-    Sets(u64),
-    /// Full.
+pub enum SetUpOutcome {
+    /// Accepted; it plays after this time, us.
+    Accepted(u64),
+    /// Refused: full.
     Full,
-    /// Draining.
+    /// Refused: draining.
     Draining,
-    /// An error.
-    Fails,
-    /// This attempt was released before it came.
-    Barred,
-    /// The box has just been pushed over.
-    Fell,
+    /// Failed with an error.
+    Failed,
+    /// The attempt was released before it arrived.
+    AlreadyReleased,
+    /// The set-up overloaded the cold box, which fails.
+    Overloaded,
 }
 
 /// All boxes and racks.
 #[derive(Clone, Debug)]
 pub struct Fleet {
-    /// By number.
+    /// Boxes by number.
     pub boxes: BTreeMap<u32, BoxState>,
-    /// Uplink of each rack, kB a second.
+    /// Uplink capacity of each rack, kB/s.
     pub uplinks: Vec<f64>,
-    /// What all boxes have in common.
-    pub nature: Nature,
+    /// Properties that all boxes share.
+    pub model: BoxModel,
 }
 
 impl BoxState {
-    /// A box; `cold_since` is when its process started, if that is not long ago.
-    pub fn new(build: Build, cold_since: Option<u64>) -> BoxState {
+    /// A box; `cold_since` is the start of its process if it is still cold.
+    pub fn new(spec: BoxSpec, cold_since: Option<u64>) -> BoxState {
         BoxState {
-            build,
-            life: Life::Up,
+            spec,
+            liveness: Liveness::Up,
             draining: false,
             cold_since,
-            errors: 0.0,
-            slower: 1.0,
-            plays: BTreeMap::new(),
-            barred: BTreeMap::new(),
-            lives: BTreeMap::new(),
-            recent: VecDeque::new(),
-            report: (0, [0.0; 3]),
-            told_share: 1.0,
+            error_share: 0.0,
+            slowdown: 1.0,
+            sessions: BTreeMap::new(),
+            released: BTreeMap::new(),
+            claims: BTreeMap::new(),
+            recent_set_ups: VecDeque::new(),
+            cached_report: (0, [0.0; 3]),
+            reported_share: 1.0,
         }
     }
 
-    /// What its sessions ask, kB a second.
-    pub fn asked(&self) -> f64 {
-        self.plays.values().map(|play| play.rate_kb).sum()
+    /// Sum of the rates of its sessions, kB/s.
+    pub fn demand_kb(&self) -> f64 {
+        self.sessions.values().map(|box_session| box_session.rate_kb).sum()
     }
 }
 
 impl Fleet {
-    /// Part of its pace that a box has by now.
-    fn warmth(&self, state: &BoxState, now: u64) -> f64 {
+    /// Share of its full pace that a box has reached.
+    fn warm_fraction(&self, state: &BoxState, now: u64) -> f64 {
         let Some(since) = state.cold_since else { return 1.0 };
-        let warmed = now.saturating_sub(since) as f64 / self.nature.warm_up.max(1) as f64;
-        (self.nature.cold_from + (1.0 - self.nature.cold_from) * warmed).min(1.0)
+        let warmed = now.saturating_sub(since) as f64 / self.model.warm_up.max(1) as f64;
+        (self.model.cold_from + (1.0 - self.model.cold_from) * warmed).min(1.0)
     }
 
-    fn link(&self, state: &BoxState, now: u64) -> f64 {
-        (state.build.link_kb * self.warmth(state, now) / state.slower).max(1.0)
+    fn link_capacity_kb(&self, state: &BoxState, now: u64) -> f64 {
+        (state.spec.link_kb * self.warm_fraction(state, now) / state.slowdown).max(1.0)
     }
 
-    /// What is asked of a rack's uplink over what it carries.
-    fn uplink(&self, rack: usize, now: u64) -> f64 {
-        let there = self.boxes.values().filter(|state| state.build.rack == rack && state.life != Life::Dead);
-        let asked: f64 = there.map(|state| state.asked().min(self.link(state, now))).sum();
-        asked / self.uplinks.get(rack).copied().unwrap_or(f64::MAX).max(1.0)
+    /// Demand on the uplink of a rack divided by its capacity.
+    fn uplink_utilization(&self, rack: usize, now: u64) -> f64 {
+        let in_rack =
+            self.boxes.values().filter(|state| state.spec.rack == rack && state.liveness != Liveness::Dead);
+        let demand: f64 = in_rack.map(|state| state.demand_kb().min(self.link_capacity_kb(state, now))).sum();
+        demand / self.uplinks.get(rack).copied().unwrap_or(f64::MAX).max(1.0)
     }
 
-    /// Share of their rates that the sessions at a box get.
+    /// Share of their rates that the sessions at a box receive.
     pub fn share(&self, id: u32, now: u64) -> f64 {
         let Some(state) = self.boxes.get(&id) else { return 0.0 };
-        let link = (self.link(state, now) / state.asked().max(1.0)).min(1.0);
-        link / self.uplink(state.build.rack, now).max(1.0)
+        let link = (self.link_capacity_kb(state, now) / state.demand_kb().max(1.0)).min(1.0);
+        link / self.uplink_utilization(state.spec.rack, now).max(1.0)
     }
 
-    /// Boxes whose share has changed enough since it was last told, with the new one.
+    /// Boxes whose share changed by more than 0.005 since it was last reported, with the new share.
     pub fn changed_shares(&mut self, now: u64) -> Vec<(u32, f64)> {
         let shares: Vec<(u32, f64)> = self.boxes.keys().map(|id| (*id, self.share(*id, now))).collect();
         let mut changed = Vec::new();
         for (id, share) in shares {
             if let Some(state) = self.boxes.get_mut(&id) {
-                if (state.told_share - share).abs() > 0.005 {
-                    state.told_share = share;
+                if (state.reported_share - share).abs() > 0.005 {
+                    state.reported_share = share;
                     changed.push((id, share));
                 }
             }
@@ -190,140 +191,157 @@
         changed
     }
 
-    /// What is asked of a box's link over what it gives, and the same of its rack's uplink.
-    pub fn fullness(&self, id: u32, now: u64) -> (f64, f64) {
+    /// Utilization of the link of a box and of the uplink of its rack.
+    pub fn utilization(&self, id: u32, now: u64) -> (f64, f64) {
         let Some(state) = self.boxes.get(&id) else { return (0.0, 0.0) };
-        (state.asked() / self.link(state, now), self.uplink(state.build.rack, now))
+        (state.demand_kb() / self.link_capacity_kb(state, now), self.uplink_utilization(state.spec.rack, now))
     }
 
-    /// The load report of a box; it is made anew now and then, `late` us before it is given.
-    pub fn load(&mut self, id: u32, now: u64, late: u64) -> Value {
-        let every = self.nature.report_every + late;
-        let (link, uplink) = self.fullness(id, now);
+    /// Load report of a box. It is refreshed at the configured interval plus `extra_delay` us.
+    pub fn load_report(&mut self, id: u32, now: u64, extra_delay: u64) -> Value {
+        let every = self.model.report_every + extra_delay;
+        let (link, uplink) = self.utilization(id, now);
         let Some(state) = self.boxes.get_mut(&id) else { return Value::Null };
-        if state.report.0 == 0 || state.report.0 + every <= now {
-            state.report = (now.max(1), [state.plays.len() as f64, link, uplink]);
+        if state.cached_report.0 == 0 || state.cached_report.0 + every <= now {
+            state.cached_report = (now.max(1), [state.sessions.len() as f64, link, uplink]);
         }
-        let [streams, link, uplink] = state.report.1;
+        let [streams, link, uplink] = state.cached_report.1;
         json!({"streams": streams, "link": link, "uplink": uplink})
     }
 
-    /// A set-up has come. `luck` is a draw from 0 to 1 for fast errors.
-    pub fn set_up(&mut self, id: u32, key: &(String, u32), play: Play, now: u64, luck: f64) -> Taken {
-        let nature = self.nature;
-        let (asked, _) = self.fullness(id, now);
-        let warmth = self.boxes.get(&id).map_or(1.0, |state| self.warmth(state, now));
-        let Some(state) = self.boxes.get_mut(&id) else { return Taken::Fails };
-        state.barred.retain(|_, until| *until > now);
-        if state.barred.contains_key(key) {
-            return Taken::Barred;
+    /// Decides on a set-up. `failure_draw` is a draw from 0 to 1 that decides about immediate errors.
+    pub fn set_up(
+        &mut self,
+        id: u32,
+        key: &(String, u32),
+        box_session: BoxSession,
+        now: u64,
+        failure_draw: f64,
+    ) -> SetUpOutcome {
+        let model = self.model;
+        let (demand, _) = self.utilization(id, now);
+        let warm_fraction = self.boxes.get(&id).map_or(1.0, |state| self.warm_fraction(state, now));
+        let Some(state) = self.boxes.get_mut(&id) else { return SetUpOutcome::Failed };
+        state.released.retain(|_, until| *until > now);
+        if state.released.contains_key(key) {
+            return SetUpOutcome::AlreadyReleased;
         }
         if state.draining {
-            return Taken::Draining;
+            return SetUpOutcome::Draining;
         }
-        if state.cold_since.is_some_and(|since| since + nature.warm_up > now) {
-            state.recent.push_back(now);
-            state.recent.retain(|at| at + nature.fall_window > now);
-            let pace = state.build.places as f64 / nature.warm_up.max(1) as f64 * warmth;
-            let most = nature.fall_multiple * pace * nature.fall_window as f64 + SLACK;
-            if state.recent.len() as f64 > most {
-                return Taken::Fell;
+        if state.cold_since.is_some_and(|since| since + model.warm_up > now) {
+            state.recent_set_ups.push_back(now);
+            state.recent_set_ups.retain(|at| at + model.fall_window > now);
+            let pace = state.spec.places as f64 / model.warm_up.max(1) as f64 * warm_fraction;
+            let allowed = model.fall_multiple * pace * model.fall_window as f64 + COLD_SET_UP_SLACK;
+            if state.recent_set_ups.len() as f64 > allowed {
+                return SetUpOutcome::Overloaded;
             }
         }
-        if luck < state.errors {
-            return Taken::Fails;
+        if failure_draw < state.error_share {
+            return SetUpOutcome::Failed;
         }
-        let full = nature.refuses_from > 0.0 && asked >= nature.refuses_from;
-        if full || state.plays.len() >= state.build.places {
-            return Taken::Full;
+        let full = model.refuses_from > 0.0 && demand >= model.refuses_from;
+        if full || state.sessions.len() >= state.spec.places {
+            return SetUpOutcome::Full;
         }
-        state.plays.insert(key.clone(), play);
-        Taken::Sets((nature.set_up as f64 / warmth) as u64)
+        state.sessions.insert(key.clone(), box_session);
+        SetUpOutcome::Accepted((model.set_up_time as f64 / warm_fraction) as u64)
     }
 
-    /// A set-up is done; whether the session plays now, or was released meanwhile.
-    pub fn begin(&mut self, id: u32, key: &(String, u32)) -> bool {
-        let play = self.boxes.get_mut(&id).and_then(|state| state.plays.get_mut(key));
-        play.map(|play| play.begun = true).is_some()
+    /// Ends a set-up. Returns whether the session plays; it may have been released meanwhile.
+    pub fn finish_set_up(&mut self, id: u32, key: &(String, u32)) -> bool {
+        let box_session = self.boxes.get_mut(&id).and_then(|state| state.sessions.get_mut(key));
+        box_session.map(|box_session| box_session.is_playing = true).is_some()
     }
 
-    /// A session is released, or an attempt barred that has not come. Returns whether it played.
-    pub fn release(&mut self, id: u32, key: &(String, u32), now: u64) -> Option<Play> {
+    /// Releases a session, or remembers the release of an attempt that has not arrived. Returns the session, if any.
+    pub fn release(&mut self, id: u32, key: &(String, u32), now: u64) -> Option<BoxSession> {
         let state = self.boxes.get_mut(&id)?;
-        state.barred.insert(key.clone(), now + BARRED);
-        state.plays.remove(key)
+        state.released.insert(key.clone(), now + RELEASE_MEMORY_US);
+        state.sessions.remove(key)
     }
 
-    /// A change of rung; whether there is such a session.
+    /// Changes the rung. Returns whether the session exists.
     pub fn set_rung(&mut self, id: u32, key: &(String, u32), rung: usize, rate_kb: f64) -> bool {
-        let play = self.boxes.get_mut(&id).and_then(|state| state.plays.get_mut(key));
-        play.map(|play| (play.rung, play.rate_kb) = (rung, rate_kb)).is_some()
+        let box_session = self.boxes.get_mut(&id).and_then(|state| state.sessions.get_mut(key));
+        box_session.map(|box_session| (box_session.rung, box_session.rate_kb) = (rung, rate_kb)).is_some()
     }
 
-    /// The process ends: its sessions are lost, and returned.
-    pub fn die(&mut self, id: u32) -> Vec<((String, u32), Play)> {
+    /// Ends the process of a box and returns the lost sessions.
+    pub fn crash(&mut self, id: u32) -> Vec<((String, u32), BoxSession)> {
         let Some(state) = self.boxes.get_mut(&id) else { return Vec::new() };
-        state.life = Life::Dead;
-        state.barred.clear();
-        state.recent.clear();
-        std::mem::take(&mut state.plays).into_iter().collect()
+        state.liveness = Liveness::Dead;
+        state.released.clear();
+        state.recent_set_ups.clear();
+        std::mem::take(&mut state.sessions).into_iter().collect()
     }
 
-    /// The process starts again, cold.
-    pub fn start(&mut self, id: u32, now: u64) {
+    /// Starts the process again, cold.
+    pub fn restart(&mut self, id: u32, now: u64) {
         if let Some(state) = self.boxes.get_mut(&id) {
-            let build = state.build.clone();
-            let (slower, told_share) = (state.slower, state.told_share);
-            *state = BoxState { slower, told_share, ..BoxState::new(build, Some(now)) };
+            let spec = state.spec.clone();
+            let (slowdown, reported_share) = (state.slowdown, state.reported_share);
+            *state = BoxState { slowdown, reported_share, ..BoxState::new(spec, Some(now)) };
         }
     }
 
-    /// A front goes on with a life by this epoch: what is held of it is that front's now, and told; nothing where a later
-    /// epoch was here.
-    pub fn claim(&mut self, id: u32, life: &str, epoch: u64, front: &str) -> Option<Value> {
+    /// Claims an incarnation of a front for the front of this epoch: its playing sessions now belong to that front
+    /// and are returned. Returns nothing if a later epoch has claimed it.
+    pub fn claim_incarnation(
+        &mut self,
+        id: u32,
+        incarnation: &str,
+        epoch: u64,
+        front: &str,
+    ) -> Option<Value> {
         let state = self.boxes.get_mut(&id)?;
-        let there = state.lives.entry(life.to_owned()).or_insert(0);
-        if *there > epoch {
+        let latest_epoch = state.claims.entry(incarnation.to_owned()).or_insert(0);
+        if *latest_epoch > epoch {
             return None;
         }
-        let later = *there < epoch;
-        *there = epoch;
-        let of = |session: &str| session.rsplit_once('-').is_some_and(|(of, _)| of == life);
-        if later {
-            // What is being set up for an earlier epoch does not begin any more.
-            state.plays.retain(|(session, _), play| play.begun || !of(session));
+        let is_newer = *latest_epoch < epoch;
+        *latest_epoch = epoch;
+        let belongs =
+            |session: &str| session.rsplit_once('-').is_some_and(|(prefix, _)| prefix == incarnation);
+        if is_newer {
+            // Set-ups in progress for an earlier epoch are dropped.
+            state.sessions.retain(|(session, _), box_session| box_session.is_playing || !belongs(session));
         }
         let mut sessions = Vec::new();
-        for ((session, attempt), play) in &mut state.plays {
-            if of(session) && play.begun {
-                play.front = front.to_owned();
-                sessions.push(json!({"session": session, "attempt": attempt, "rung": play.rung, "context": play.context}));
+        for ((session, attempt), box_session) in &mut state.sessions {
+            if belongs(session) && box_session.is_playing {
+                box_session.front = front.to_owned();
+                sessions.push(json!({"session": session, "attempt": attempt, "rung": box_session.rung, "context": box_session.context}));
             }
         }
         Some(json!({"sessions": sessions}))
     }
 
-    /// Whether a later epoch has this session than whoever asks.
-    pub fn replaced(&self, id: u32, session: &str, epoch: Option<u64>) -> bool {
-        let life = session.rsplit_once('-').map_or(session, |(life, _)| life);
-        let there = self.boxes.get(&id).and_then(|state| state.lives.get(life)).copied();
-        there.is_some_and(|there| epoch.unwrap_or(0) < there)
+    /// Whether an epoch later than this one has claimed the session.
+    pub fn is_superseded(&self, id: u32, session: &str, epoch: Option<u64>) -> bool {
+        let incarnation = session.rsplit_once('-').map_or(session, |(incarnation, _)| incarnation);
+        let latest_epoch = self.boxes.get(&id).and_then(|state| state.claims.get(incarnation)).copied();
+        latest_epoch.is_some_and(|latest_epoch| epoch.unwrap_or(0) < latest_epoch)
     }
 
-    /// What a box holds for a front.
-    pub fn held(&self, id: u32, front: &str) -> Value {
+    /// Playing sessions that a box holds for a front.
+    pub fn playing_sessions(&self, id: u32, front: &str) -> Value {
         let Some(state) = self.boxes.get(&id) else { return json!({"sessions": []}) };
-        let own = state.plays.iter().filter(|(_, play)| play.front == front && play.begun);
-        let session = |((session, attempt), play): (&(String, u32), &Play)| json!({"session": session, "attempt": attempt, "rung": play.rung, "context": play.context});
-        json!({"sessions": own.map(session).collect::<Vec<_>>()})
+        let playing = state
+            .sessions
+            .iter()
+            .filter(|(_, box_session)| box_session.front == front && box_session.is_playing);
+        let session = |((session, attempt), box_session): (&(String, u32), &BoxSession)| json!({"session": session, "attempt": attempt, "rung": box_session.rung, "context": box_session.context});
+        json!({"sessions": playing.map(session).collect::<Vec<_>>()})
     }
 
-    /// Fronts with sessions that play at a box, with one session of each.
-    pub fn fronts(&self, id: u32) -> Vec<(String, String)> {
+    /// Fronts that have playing sessions at a box, with one session of each.
+    pub fn playing_fronts(&self, id: u32) -> Vec<(String, String)> {
         let mut seen = BTreeSet::new();
-        let plays = self.boxes.get(&id).into_iter().flat_map(|state| &state.plays);
-        let begun = plays.filter(|(_, play)| play.begun);
-        let first = begun.filter(|(_, play)| seen.insert(play.front.clone()));
-        first.map(|((session, _), play)| (play.front.clone(), session.clone())).collect()
+        let sessions = self.boxes.get(&id).into_iter().flat_map(|state| &state.sessions);
+        let is_playing = sessions.filter(|(_, box_session)| box_session.is_playing);
+        let first = is_playing.filter(|(_, box_session)| seen.insert(box_session.front.clone()));
+        first.map(|((session, _), box_session)| (box_session.front.clone(), session.clone())).collect()
     }
 }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as a small server needs it.
+//! A minimal HTTP/1.1 server side.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -11,15 +11,15 @@
     pub method: String,
     /// Path.
     pub path: String,
-    /// The front's name.
+    /// Name of the front that sent it, from the `front` header.
     pub front: String,
-    /// The epoch by which the front asks, if it tells one.
+    /// Epoch of the front, from the `epoch` header, if present.
     pub epoch: Option<u64>,
     /// Body.
     pub body: Vec<u8>,
 }
 
-/// Reads one request; nothing at the end of the connection. Anything that is not HTTP is an error.
+/// Reads one request; `None` at the end of the connection. Input that is not HTTP is an error.
 pub fn read(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<Request>> {
     let mut part = [0; 4096];
     loop {
@@ -58,7 +58,7 @@
     Ok(Some((request, size + length)))
 }
 
-/// A response with a JSON body.
+/// Formats a response with a JSON body.
 pub fn response(status: u16, body: &serde_json::Value) -> Vec<u8> {
     let reason = match status {
         200 => "OK",
@@ -75,16 +75,16 @@
     .into_bytes()
 }
 
-/// Head of an event stream.
-pub const EVENTS: &[u8] =
+/// Response head of an event stream.
+pub const EVENT_STREAM_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\nConnection: close\r\n\r\n";
 
-/// One server-sent event.
-pub fn event(name: &str, data: &serde_json::Value) -> String {
+/// Formats one server-sent event.
+pub fn server_sent_event(name: &str, data: &serde_json::Value) -> String {
     format!("event: {name}\ndata: {data}\n\n")
 }
 
-/// Writes to a peer that may be gone or read nothing; an error ends the connection.
+/// Writes to a peer that may be gone or not reading. Fails after 2 s without progress.
 pub fn write(stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
     stream.set_write_timeout(Some(Duration::from_secs(2)))?;
     stream.write_all(bytes)
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -1,4 +1,4 @@
-//! The box list on a socket: server-sent events, with a lag.
+//! The box list on a socket: server-sent events with a configurable lag.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,185 +14,185 @@
 use crate::http;
 use crate::log::Log;
 
-/// State of a box as the list has it.
+/// State of a box in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// Takes sessions.
+pub enum ListState {
+    /// Accepts new sessions.
     Ready,
-    /// Takes no new ones.
+    /// Accepts no new sessions.
     Draining,
     /// Removed.
     Gone,
 }
 
-/// A line of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
-    /// Which box.
+pub struct ListEntry {
+    /// Number of the box.
     pub id: u32,
-    /// Where it listens.
+    /// Listening address of the box.
     pub address: SocketAddr,
     /// Zone.
     pub zone: u32,
     /// Cell.
     pub cell: u32,
     /// State.
-    pub state: State,
-    /// Its size, in units of the usual link.
-    pub units: f64,
-    /// Time of its latest start, us of the day; none if it ran before that.
+    pub state: ListState,
+    /// Size of the box, in units of the usual link.
+    pub size_units: f64,
+    /// Time of the latest start, us of the day; `None` if the box ran before the day.
     pub started: Option<u64>,
 }
 
-/// The list and its followers; cheap to clone.
+/// The list and its followers; clones share state.
 #[derive(Clone, Debug)]
-pub struct List(Arc<Inner>);
+pub struct BoxList(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
     log: Log,
     /// Unix time of the start of the day, ms.
-    epoch_ms: u64,
-    changes: Mutex<Vec<(u64, Line)>>,
+    start_unix_ms: u64,
+    changes: Mutex<Vec<(u64, ListEntry)>>,
     lag: AtomicU64,
-    over: AtomicBool,
-    conns: Mutex<Vec<TcpStream>>,
+    stopped: AtomicBool,
+    connections: Mutex<Vec<TcpStream>>,
     address: SocketAddr,
 }
 
-impl List {
-    /// Opens the list's door; every follower hears of a change `lag` us after it.
-    pub fn start(log: Log, address: SocketAddr, lag: u64) -> io::Result<List> {
+impl BoxList {
+    /// Starts listening. Followers receive each change `lag` us after it was made.
+    pub fn start(log: Log, address: SocketAddr, lag: u64) -> io::Result<BoxList> {
         let listener = TcpListener::bind(address)?;
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let list = List(Arc::new(Inner {
-            epoch_ms: (unix.as_millis() as u64).saturating_sub(log.now() / 1000),
+        let list = BoxList(Arc::new(Inner {
+            start_unix_ms: (unix.as_millis() as u64).saturating_sub(log.now() / 1000),
             log,
             changes: Mutex::default(),
             lag: AtomicU64::new(lag),
-            over: AtomicBool::new(false),
-            conns: Mutex::default(),
+            stopped: AtomicBool::new(false),
+            connections: Mutex::default(),
             address: listener.local_addr()?,
         }));
         let serving = list.clone();
         thread::Builder::new().name("list".into()).stack_size(96 * 1024).spawn(move || {
             for stream in listener.incoming() {
-                if serving.0.over.load(Ordering::Acquire) {
+                if serving.0.stopped.load(Ordering::Acquire) {
                     return;
                 }
                 let Ok(stream) = stream else { continue };
-                if let Ok(other) = stream.try_clone() {
-                    serving.0.conns.lock().unwrap_or_else(PoisonError::into_inner).push(other);
+                if let Ok(second_handle) = stream.try_clone() {
+                    serving.0.connections.lock().unwrap_or_else(PoisonError::into_inner).push(second_handle);
                 }
                 let list = serving.clone();
-                let follow = move || drop(list.follow(stream));
-                let _ = thread::Builder::new().name("list".into()).stack_size(96 * 1024).spawn(follow);
+                let serve = move || drop(list.serve_follower(stream));
+                let _ = thread::Builder::new().name("list".into()).stack_size(96 * 1024).spawn(serve);
             }
         })?;
         Ok(list)
     }
 
-    /// Where it listens.
+    /// Listening address.
     pub fn address(&self) -> SocketAddr {
         self.0.address
     }
 
-    /// Changes a line.
-    pub fn set(&self, line: Line) {
+    /// Adds or changes an entry.
+    pub fn set(&self, entry: ListEntry) {
         let now = self.0.log.now();
-        self.0.changes.lock().unwrap_or_else(PoisonError::into_inner).push((now, line));
+        self.0.changes.lock().unwrap_or_else(PoisonError::into_inner).push((now, entry));
     }
 
-    /// The latest line of a box.
-    pub fn line(&self, id: u32) -> Option<Line> {
+    /// Latest entry of a box.
+    pub fn entry(&self, id: u32) -> Option<ListEntry> {
         let changes = self.0.changes.lock().unwrap_or_else(PoisonError::into_inner);
-        changes.iter().rev().find(|(_, line)| line.id == id).map(|(_, line)| line.clone())
+        changes.iter().rev().find(|(_, entry)| entry.id == id).map(|(_, entry)| entry.clone())
     }
 
     /// Sets the lag, us.
-    pub fn lag(&self, lag: u64) {
+    pub fn set_lag(&self, lag: u64) {
         self.0.lag.store(lag, Ordering::Relaxed);
     }
 
-    /// Closes all connections of followers, once.
+    /// Closes all current connections of followers.
     pub fn drop_followers(&self) {
-        for conn in self.0.conns.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
+        for conn in self.0.connections.lock().unwrap_or_else(PoisonError::into_inner).drain(..) {
             let _ = conn.shutdown(Shutdown::Both);
         }
     }
 
-    /// Ends it.
+    /// Stops the list.
     pub fn stop(&self) {
-        self.0.over.store(true, Ordering::Release);
+        self.0.stopped.store(true, Ordering::Release);
         self.drop_followers();
         let _ = TcpStream::connect_timeout(&self.0.address, Duration::from_millis(200));
     }
 
-    fn follow(&self, mut stream: TcpStream) -> io::Result<()> {
+    fn serve_follower(&self, mut stream: TcpStream) -> io::Result<()> {
         let request = http::read(&mut stream, &mut Vec::new())?;
         let front = request.map(|request| request.front).unwrap_or_default();
-        http::write(&mut stream, http::EVENTS)?;
+        http::write(&mut stream, http::EVENT_STREAM_HEAD)?;
         let (mut sent, mut revision) = (0, 0u64);
-        let mut beat = 0;
-        while !self.0.over.load(Ordering::Acquire) {
+        let mut last_written = 0;
+        while !self.0.stopped.load(Ordering::Acquire) {
             let now = self.0.log.now();
             let lag = self.0.lag.load(Ordering::Relaxed);
-            // What the list says, it says of that time.
-            let as_of = self.0.epoch_ms + now.saturating_sub(lag) / 1000;
-            let news: Vec<Line> = {
+            // Unix time that the content of the list refers to, ms.
+            let as_of = self.0.start_unix_ms + now.saturating_sub(lag) / 1000;
+            let due_changes: Vec<ListEntry> = {
                 let changes = self.0.changes.lock().unwrap_or_else(PoisonError::into_inner);
-                // What was so at the start of the day is known at once.
+                // Entries made in the first second of the day are sent without lag.
                 let due = |at: u64| at + lag <= now || at < 1_000_000;
                 let until = changes.iter().position(|(at, _)| !due(*at)).unwrap_or(changes.len());
-                let news = changes.get(sent..until).unwrap_or_default();
-                let news = news.iter().map(|(_, line)| line.clone()).collect();
+                let due_changes = changes.get(sent..until).unwrap_or_default();
+                let due_changes = due_changes.iter().map(|(_, entry)| entry.clone()).collect();
                 sent = sent.max(until);
-                news
+                due_changes
             };
-            let first = beat == 0;
-            if first || !news.is_empty() {
-                let mut latest: BTreeMap<u32, Line> = BTreeMap::new();
-                for line in news {
-                    latest.insert(line.id, line);
+            let is_first = last_written == 0;
+            if is_first || !due_changes.is_empty() {
+                let mut latest: BTreeMap<u32, ListEntry> = BTreeMap::new();
+                for entry in due_changes {
+                    latest.insert(entry.id, entry);
                 }
-                if first {
-                    latest.retain(|_, line| line.state != State::Gone);
+                if is_first {
+                    latest.retain(|_, entry| entry.state != ListState::Gone);
                 }
-                for line in latest.values() {
-                    let (front, server) = (front.clone(), line.id);
-                    self.0.log.write(match line.state {
-                        State::Ready => What::ReadyTold { front, server },
-                        State::Draining | State::Gone => What::DrainTold { front, server },
+                for entry in latest.values() {
+                    let (front, server) = (front.clone(), entry.id);
+                    self.0.log.write(match entry.state {
+                        ListState::Ready => What::ReadyTold { front, server },
+                        ListState::Draining | ListState::Gone => What::DrainTold { front, server },
                     });
                 }
-                let boxes: Vec<Value> = latest.values().map(|line| self.json(line)).collect();
-                let name = if first { "whole" } else { "changes" };
+                let boxes: Vec<Value> = latest.values().map(|entry| self.entry_json(entry)).collect();
+                let name = if is_first { "whole" } else { "changes" };
                 revision += 1;
                 let data = json!({"revision": revision, "as_of_ms": as_of, "boxes": boxes});
-                http::write(&mut stream, http::event(name, &data).as_bytes())?;
-                beat = now.max(1);
-            } else if now > beat + 200_000 {
+                http::write(&mut stream, http::server_sent_event(name, &data).as_bytes())?;
+                last_written = now.max(1);
+            } else if now > last_written + 200_000 {
                 let data = json!({"revision": revision, "as_of_ms": as_of});
-                http::write(&mut stream, http::event("beat", &data).as_bytes())?;
-                beat = now;
+                http::write(&mut stream, http::server_sent_event("beat", &data).as_bytes())?;
+                last_written = now;
             }
             thread::sleep(Duration::from_millis(20));
         }
         Ok(())
     }
 
-    fn json(&self, line: &Line) -> Value {
-        let state = match line.state {
-            State::Ready => "ready",
-            State::Draining => "draining",
-            State::Gone => "gone",
+    fn entry_json(&self, entry: &ListEntry) -> Value {
+        let state = match entry.state {
+            ListState::Ready => "ready",
+            ListState::Draining => "draining",
+            ListState::Gone => "gone",
         };
         let mut value = json!({
-            "box": line.id, "address": line.address.to_string(), "zone": line.zone, "cell": line.cell,
-            "state": state, "units": line.units
+            "box": entry.id, "address": entry.address.to_string(), "zone": entry.zone, "cell": entry.cell,
+            "state": state, "units": entry.size_units
         });
-        if let Some(started) = line.started {
-            value["started_ms"] = Value::from(self.0.epoch_ms + started / 1000);
+        if let Some(started) = entry.started {
+            value["started_ms"] = Value::from(self.0.start_unix_ms + started / 1000);
         }
         value
     }
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The one record of a day, and its clock.
+//! The event log of a day, and its clock.
 
 use std::io::{self, Write};
 use std::path::Path;
@@ -7,8 +7,8 @@
 
 use salttally_judge::record::{self, Line, What};
 
-/// Where every stand-in writes what crosses its sockets. The time is that of the call, so a line of something
-/// that is about to be written is no later than its reading at the other side.
+/// Event log shared by all simulated peers. An event is stamped when [`Log::write`] is called: one that is logged
+/// before its bytes are written is stamped no later than the other side can read them.
 #[derive(Clone, Debug)]
 pub struct Log {
     started: Instant,
@@ -27,24 +27,24 @@
         self.started.elapsed().as_micros() as u64
     }
 
-    /// The moment of a time of the day.
+    /// Converts a time of the day, us, to an instant.
     pub fn moment(&self, at: u64) -> Instant {
         self.started + Duration::from_micros(at)
     }
 
-    /// Writes a line.
+    /// Appends an event.
     pub fn write(&self, what: What) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
-        // Under the lock, so that the record is in the order of its times.
+        // Taken under the lock, so that events are ordered by time.
         lines.push(Line { at: self.now(), what });
     }
 
-    /// All lines so far.
+    /// All events so far.
     pub fn lines(&self) -> Vec<Line> {
         self.lines.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Writes all lines so far to a file.
+    /// Writes all events so far to a file, one a line.
     pub fn save(&self, path: &Path) -> io::Result<()> {
         let mut file = io::BufWriter::new(std::fs::File::create(path)?);
         for line in self.lines() {
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,6 +1,6 @@
-//! A stand-in of the platform that a front node serves: media boxes, the coordinator and viewers, over the
-//! platform's binary messages. Boxes do what their script says, one entry for each set-up; what comes to them is kept
-//! in order for the test to look at.
+//! A simulated platform for a front node: media boxes, the coordinator and viewers, over the platform's binary
+//! messages. Boxes answer each set-up with the next scripted reply and keep all received messages in order, for the
+//! test to inspect.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, Read, Write};
@@ -14,205 +14,207 @@
 use serde_json::{json, Value};
 use socket2::{Domain, SockRef, Socket, Type};
 
-/// What a box does with a set-up.
+/// Reply of a box to a set-up.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
-    /// The session stands.
+pub enum ScriptedReply {
+    /// An answer at once: the session plays.
     Plays,
-    /// It stands after a while.
+    /// An answer after this delay.
     Late(Duration),
-    /// The answer comes twice, behind one under an unknown id.
-    Copies,
-    /// It is released with this cause at once.
+    /// An answer for an unknown session, then the right answer twice.
+    Duplicates,
+    /// A release with this cause at once.
     Releases(u8),
-    /// Nothing comes, and the connection stays open.
+    /// No reply; the connection stays open.
     Silent,
-    /// These bytes come in place of an answer, and the connection stays open.
-    Spoilt(Vec<u8>),
-    /// The connection closes.
-    Breaks,
+    /// These bytes instead of an answer; the connection stays open.
+    Malformed(Vec<u8>),
+    /// The connection is closed.
+    Disconnects,
 }
 
-/// What came to a box, in order over all of them.
+/// A message that a box received.
 #[derive(Clone, Debug)]
-pub struct Came {
-    /// Place of the box.
-    pub at: usize,
-    /// What it was.
+pub struct ReceivedMessage {
+    /// Index of the box.
+    pub box_index: usize,
+    /// The message.
     pub message: Message,
 }
 
 #[derive(Default)]
 struct Shared {
-    deeds: VecDeque<Deed>,
-    came: Vec<Came>,
-    /// What stands, where, and the connection of its set-up.
-    standing: BTreeMap<u64, (usize, Arc<TcpStream>)>,
-    open: Vec<Vec<Arc<TcpStream>>>,
+    replies: VecDeque<ScriptedReply>,
+    received: Vec<ReceivedMessage>,
+    /// Playing sessions with their box and the connection of their set-up.
+    sessions: BTreeMap<u64, (usize, Arc<TcpStream>)>,
+    connections: Vec<Vec<Arc<TcpStream>>>,
     /// Boxes whose process has died.
     dead: BTreeSet<usize>,
-    /// Releases to be told on the next connection to a box too.
-    untold: BTreeMap<usize, Vec<Message>>,
+    /// Releases that are sent again on the next connection to a box.
+    pending_releases: BTreeMap<usize, Vec<Message>>,
 }
 
-/// Events of the list, and whom they are told to.
+/// List events of a coordinator and the requests for them.
 #[derive(Default)]
-struct Told {
+struct EventLog {
     frames: Vec<Vec<u8>>,
-    /// Bytes of the next frame that are written before the connection breaks.
-    cut: Option<usize>,
-    asked: Vec<u64>,
+    /// Number of bytes of the next frame to write before closing the connection.
+    truncate_next: Option<usize>,
+    requested: Vec<u64>,
     closed: bool,
 }
 
-/// An address of the loopback range that no other call in any process gives out. Danger: a port that is set free for a
-/// moment, to be bound again or by another process, is taken by somebody else's listener or connection meanwhile, which
-/// are all at 127.0.0.1.
-pub fn own_host() -> Ipv4Addr {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
+/// A loopback address that no other call in any process returns. Danger: at 127.0.0.1, a port that is freed for a
+/// moment, to be bound again by this or another process, may be taken meanwhile by an unrelated listener or outgoing
+/// connection.
+pub fn unique_loopback_host() -> Ipv4Addr {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
     let process = std::process::id();
-    let number = GIVEN.fetch_add(1, Ordering::Relaxed) % 254 + 1;
+    let number = NEXT.fetch_add(1, Ordering::Relaxed) % 254 + 1;
     Ipv4Addr::new(127, 128 + (process >> 8) as u8 % 128, process as u8, number as u8)
 }
 
-/// A platform on a loopback address of its own, which ends with this value.
+/// A platform on its own loopback address.
 pub struct Platform {
     shared: Arc<Mutex<Shared>>,
     host: Ipv4Addr,
     boxes: Vec<SocketAddr>,
-    /// The threads that accept for them.
-    doors: Mutex<BTreeMap<usize, thread::JoinHandle<()>>>,
-    coordinators: Vec<(SocketAddr, Arc<Mutex<Told>>)>,
-    /// Listeners that accept nobody, and the connections that fill them.
-    deaf: Vec<(Socket, Vec<Socket>)>,
+    /// Threads that accept connections, by box.
+    accept_threads: Mutex<BTreeMap<usize, thread::JoinHandle<()>>>,
+    coordinators: Vec<(SocketAddr, Arc<Mutex<EventLog>>)>,
+    /// Listeners that accept nothing, and the connections that fill their backlogs.
+    full_listeners: Vec<(Socket, Vec<Socket>)>,
 }
 
-fn hold<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn say(stream: &TcpStream, message: &Message) {
+fn send(stream: &TcpStream, message: &Message) {
     let mut bytes = Vec::new();
     message.write(&mut bytes);
     let _ = (&*stream).write_all(&bytes);
 }
 
 impl Platform {
-    /// So many boxes, each in a cell of its own, and one coordinator that knows them.
+    /// Starts this many boxes, each in its own cell, and one coordinator that lists them.
     ///
     /// # Errors
-    /// No address to be had.
+    /// No listening address is available.
     pub fn start(boxes: usize) -> io::Result<Platform> {
-        let shared = Arc::new(Mutex::new(Shared { open: vec![Vec::new(); boxes], ..Shared::default() }));
-        let (host, doors) = (own_host(), Mutex::default());
-        let (boxes_at, coordinators, deaf) = (Vec::new(), Vec::new(), Vec::new());
-        let mut platform = Platform { shared, host, boxes: boxes_at, doors, coordinators, deaf };
-        for at in 0..boxes {
+        let shared =
+            Arc::new(Mutex::new(Shared { connections: vec![Vec::new(); boxes], ..Shared::default() }));
+        let (host, accept_threads) = (unique_loopback_host(), Mutex::default());
+        let (addresses, coordinators, full_listeners) = (Vec::new(), Vec::new(), Vec::new());
+        let mut platform =
+            Platform { shared, host, boxes: addresses, accept_threads, coordinators, full_listeners };
+        for box_index in 0..boxes {
             let listener = TcpListener::bind((host, 0))?;
             platform.boxes.push(listener.local_addr()?);
             let shared = Arc::clone(&platform.shared);
-            let door = thread::spawn(move || {
+            let thread = thread::spawn(move || {
                 for stream in listener.incoming().map_while(Result::ok) {
                     let (shared, stream) = (Arc::clone(&shared), Arc::new(stream));
                     let _ = stream.set_nodelay(true);
-                    let mut held = hold(&shared);
-                    if held.dead.contains(&at) {
+                    let mut state = lock(&shared);
+                    if state.dead.contains(&box_index) {
                         return;
                     }
-                    held.open[at].push(Arc::clone(&stream));
-                    let untold = held.untold.remove(&at).unwrap_or_default();
-                    drop(held);
-                    untold.iter().for_each(|message| say(&stream, message));
+                    state.connections[box_index].push(Arc::clone(&stream));
+                    let pending_releases = state.pending_releases.remove(&box_index).unwrap_or_default();
+                    drop(state);
+                    pending_releases.iter().for_each(|message| send(&stream, message));
                     thread::spawn(move || {
-                        serve(at, &stream, &shared);
-                        hold(&shared).open[at].retain(|open| !Arc::ptr_eq(open, &stream));
+                        serve(box_index, &stream, &shared);
+                        lock(&shared).connections[box_index].retain(|open| !Arc::ptr_eq(open, &stream));
                     });
                 }
             });
-            hold(&platform.doors).insert(at, door);
+            lock(&platform.accept_threads).insert(box_index, thread);
         }
         platform.add_coordinator()?;
         Ok(platform)
     }
 
-    /// One more coordinator, which knows the same events; the last one counts.
+    /// Adds a coordinator with the same events; the latest one is the one in use.
     ///
     /// # Errors
-    /// No address to be had.
+    /// No listening address is available.
     pub fn add_coordinator(&mut self) -> io::Result<()> {
         let listener = TcpListener::bind((self.host, 0))?;
         let frames = match self.coordinators.last() {
-            Some((_, told)) => hold(told).frames.clone(),
-            None => vec![self.frame(1, 1, 0..self.boxes.len(), 0)],
+            Some((_, events)) => lock(events).frames.clone(),
+            None => vec![self.list_frame(1, 1, 0..self.boxes.len(), 0)],
         };
-        let told = Arc::new(Mutex::new(Told { frames, ..Told::default() }));
-        self.coordinators.push((listener.local_addr()?, Arc::clone(&told)));
+        let events = Arc::new(Mutex::new(EventLog { frames, ..EventLog::default() }));
+        self.coordinators.push((listener.local_addr()?, Arc::clone(&events)));
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
-                if hold(&told).closed {
+                if lock(&events).closed {
                     return;
                 }
-                let told = Arc::clone(&told);
-                thread::spawn(move || coordinate(&stream, &told));
+                let events = Arc::clone(&events);
+                thread::spawn(move || serve_events(&stream, &events));
             }
         });
         Ok(())
     }
 
-    fn frame(&self, number: u64, kind: u8, boxes: std::ops::Range<usize>, state: u8) -> Vec<u8> {
+    fn list_frame(&self, number: u64, kind: u8, boxes: std::ops::Range<usize>, state: u8) -> Vec<u8> {
         let mut bytes = (9 + 27 * boxes.len() as u32).to_be_bytes().to_vec();
         bytes.extend(number.to_be_bytes());
         bytes.push(kind);
-        for at in boxes {
-            bytes.extend((at as u32 + 1).to_be_bytes());
+        for box_index in boxes {
+            bytes.extend((box_index as u32 + 1).to_be_bytes());
             bytes.extend(self.host.octets());
-            bytes.extend(self.boxes[at].port().to_be_bytes());
+            bytes.extend(self.boxes[box_index].port().to_be_bytes());
             bytes.extend([state, 0, 0]);
-            bytes.extend((at as u16).to_be_bytes());
+            bytes.extend((box_index as u16).to_be_bytes());
             bytes.extend(1000u32.to_be_bytes());
             bytes.extend(0u64.to_be_bytes());
         }
         bytes
     }
 
-    fn last(&self) -> &(SocketAddr, Arc<Mutex<Told>>) {
+    fn latest_coordinator(&self) -> &(SocketAddr, Arc<Mutex<EventLog>>) {
         &self.coordinators[self.coordinators.len() - 1]
     }
 
-    /// Tells a change: this box is ready, drains or is gone (0, 1, 2).
-    pub fn tell(&self, at: usize, state: u8) {
-        let told = &self.last().1;
-        let number = hold(told).frames.len() as u64 + 1;
-        let frame = self.frame(number, 2, at..at + 1, state);
-        hold(told).frames.push(frame);
+    /// Publishes the state of a box: 0 ready, 1 draining, 2 gone.
+    pub fn announce(&self, box_index: usize, state: u8) {
+        let events = &self.latest_coordinator().1;
+        let number = lock(events).frames.len() as u64 + 1;
+        let frame = self.list_frame(number, 2, box_index..box_index + 1, state);
+        lock(events).frames.push(frame);
     }
 
-    /// The next event breaks off after so many bytes.
+    /// Truncates the next event to this many bytes and closes its connection.
     pub fn cut_next_event(&self, after: usize) {
-        hold(&self.last().1).cut = Some(after);
+        lock(&self.latest_coordinator().1).truncate_next = Some(after);
     }
 
-    /// Numbers with which the last coordinator was asked.
-    pub fn asked(&self) -> Vec<u64> {
-        hold(&self.last().1).asked.clone()
+    /// Event numbers that followers sent to the latest coordinator.
+    pub fn requested_numbers(&self) -> Vec<u64> {
+        lock(&self.latest_coordinator().1).requested.clone()
     }
 
-    /// The first coordinator tells nothing more and closes.
+    /// Stops the first coordinator: it publishes nothing more and closes its connections.
     pub fn close_first_coordinator(&self) {
-        hold(&self.coordinators[0].1).closed = true;
+        lock(&self.coordinators[0].1).closed = true;
     }
 
-    /// The configuration of a front node, as JSON.
+    /// Configuration of a front node, as JSON.
     pub fn config(&self, listen: SocketAddr, sockets: usize) -> Value {
-        let host = |at: usize| {
-            json!({"host": format!("s-{:08x}", at + 1), "dial": self.boxes[at].to_string(), "site": "a",
-                "class": "k", "block": at, "health": "active", "share": 1, "born_ms": 0})
+        let host = |box_index: usize| {
+            json!({"host": format!("s-{:08x}", box_index + 1), "dial": self.boxes[box_index].to_string(), "site": "a",
+                "class": "k", "block": box_index, "health": "active", "share": 1, "born_ms": 0})
         };
         let hosts: Vec<Value> = (0..self.boxes.len()).map(host).collect();
         let cells = self.boxes.len();
         json!({"name": "n1", "listen": listen.to_string(), "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": sockets},
-            "coordinator": self.last().0.to_string(),
+            "coordinator": self.latest_coordinator().0.to_string(),
             "known": {"index": 1, "updates": [{"index": 1, "endpoints": {"seq": 1, "whole": true, "hosts": hosts}}]},
             "settings": {"balancers": 1, "zone": 0, "localities": ["a"], "host_types": ["k"],
                 "classes": [
@@ -229,81 +231,84 @@
                     "fall_multiple": 3, "fall_ms": 1500}}})
     }
 
-    /// What boxes do with the next set-ups, in order; after that they play.
-    pub fn script(&self, deeds: impl IntoIterator<Item = Deed>) {
-        hold(&self.shared).deeds = deeds.into_iter().collect();
+    /// Sets the replies to the next set-ups, in order; after them every set-up is answered.
+    pub fn script_replies(&self, replies: impl IntoIterator<Item = ScriptedReply>) {
+        lock(&self.shared).replies = replies.into_iter().collect();
     }
 
-    /// What came to boxes so far.
-    pub fn came(&self) -> Vec<Came> {
-        hold(&self.shared).came.clone()
+    /// Messages that boxes have received so far.
+    pub fn received(&self) -> Vec<ReceivedMessage> {
+        lock(&self.shared).received.clone()
     }
 
-    /// Where a session stands.
-    pub fn stands_at(&self, session: u64) -> Option<usize> {
-        hold(&self.shared).standing.get(&session).map(|(at, _)| *at)
+    /// Index of the box where a session plays.
+    pub fn box_of_session(&self, session: u64) -> Option<usize> {
+        lock(&self.shared).sessions.get(&session).map(|(box_index, _)| *box_index)
     }
 
-    /// The box ends a session that stands there: told on the connection of its set-up, else on any open one, and on
-    /// the next one that is opened.
-    pub fn end(&self, session: u64, cause: u8) {
-        let mut held = hold(&self.shared);
-        let Some((at, stream)) = held.standing.remove(&session) else { return };
+    /// Ends a session at its box. The release is sent on the connection of its set-up, else on any open connection,
+    /// and again on the next new connection.
+    pub fn end_session(&self, session: u64, cause: u8) {
+        let mut state = lock(&self.shared);
+        let Some((box_index, stream)) = state.sessions.remove(&session) else { return };
         let message = Message::release(session, cause);
-        let its = held.open[at].iter().find(|open| Arc::ptr_eq(open, &stream)).or(held.open[at].last());
-        if let Some(stream) = its {
-            say(stream, &message);
+        let connection = state.connections[box_index]
+            .iter()
+            .find(|open| Arc::ptr_eq(open, &stream))
+            .or(state.connections[box_index].last());
+        if let Some(stream) = connection {
+            send(stream, &message);
         }
-        held.untold.entry(at).or_default().push(message);
+        state.pending_releases.entry(box_index).or_default().push(message);
     }
 
-    /// All connections to a box break; what stands goes on.
-    pub fn break_connections(&self, at: usize) {
-        for stream in hold(&self.shared).open[at].drain(..) {
+    /// Closes all connections to a box; its sessions play on.
+    pub fn break_connections(&self, box_index: usize) {
+        for stream in lock(&self.shared).connections[box_index].drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// The box's process dies: what stands there is cut, its connections are reset and new ones refused.
-    pub fn kill(&self, at: usize) {
-        let mut held = hold(&self.shared);
-        held.dead.insert(at);
-        held.standing.retain(|_, (of, _)| *of != at);
-        for stream in held.open[at].drain(..) {
+    /// Kills the process of a box: its sessions end, its connections are reset, and new ones are refused.
+    pub fn kill(&self, box_index: usize) {
+        let mut state = lock(&self.shared);
+        state.dead.insert(box_index);
+        state.sessions.retain(|_, (session_box, _)| *session_box != box_index);
+        for stream in state.connections[box_index].drain(..) {
             let _ =
                 (SockRef::from(&*stream).set_linger(Some(Duration::ZERO)), stream.shutdown(Shutdown::Both));
         }
-        drop(held);
-        // Wakes its listener, which ends. Danger: not gone by the return, it takes a connection of a dead process, or
-        // holds the address that is to be bound again.
-        let _ = TcpStream::connect(self.boxes[at]);
-        let door = hold(&self.doors).remove(&at);
-        let _ = door.map(thread::JoinHandle::join);
+        drop(state);
+        // Wakes the accepting thread and waits for its end. Danger: a thread that still runs after the return accepts
+        // a connection for a dead process, or holds the address that is to be bound again.
+        let _ = TcpStream::connect(self.boxes[box_index]);
+        let thread = lock(&self.accept_threads).remove(&box_index);
+        let _ = thread.map(thread::JoinHandle::join);
     }
 
-    /// The box's machine goes on taking no connection: a dial is neither made nor refused.
+    /// Makes a box neither accept nor refuse connections: the backlog of its listener is full.
     ///
     /// # Errors
-    /// Its address is taken.
-    pub fn deafen(&mut self, at: usize) -> io::Result<()> {
-        self.kill(at);
+    /// Its address is in use.
+    pub fn stop_accepting(&mut self, box_index: usize) -> io::Result<()> {
+        self.kill(box_index);
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         listener.set_reuse_address(true)?;
-        listener.bind(&self.boxes[at].into())?;
+        listener.bind(&self.boxes[box_index].into())?;
         listener.listen(0)?;
-        let mut fill = Vec::new();
+        let mut filler_connections = Vec::new();
         for _ in 0..4 {
             let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
             socket.set_nonblocking(true)?;
-            let _ = socket.connect(&self.boxes[at].into());
-            fill.push(socket);
+            let _ = socket.connect(&self.boxes[box_index].into());
+            filler_connections.push(socket);
         }
-        self.deaf.push((listener, fill));
+        self.full_listeners.push((listener, filler_connections));
         Ok(())
     }
 }
 
-fn serve(at: usize, stream: &Arc<TcpStream>, shared: &Mutex<Shared>) {
+fn serve(box_index: usize, stream: &Arc<TcpStream>, shared: &Mutex<Shared>) {
     let (mut decoder, mut bytes) = (Decoder::default(), [0; 4096]);
     while let Ok(count) = (&**stream).read(&mut bytes) {
         if count == 0 {
@@ -312,7 +317,7 @@
         decoder.feed(&bytes[..count]);
         loop {
             match decoder.next_message() {
-                Ok(Some(message)) => act(at, message, stream, shared),
+                Ok(Some(message)) => handle_message(box_index, message, stream, shared),
                 Ok(None) => break,
                 Err(_) => return drop(stream.shutdown(Shutdown::Both)),
             }
@@ -320,73 +325,78 @@
     }
 }
 
-fn act(at: usize, message: Message, stream: &Arc<TcpStream>, shared: &Mutex<Shared>) {
+fn handle_message(box_index: usize, message: Message, stream: &Arc<TcpStream>, shared: &Mutex<Shared>) {
     let id = message.session;
-    let mut held = hold(shared);
-    held.came.push(Came { at, message: message.clone() });
+    let mut state = lock(shared);
+    state.received.push(ReceivedMessage { box_index, message: message.clone() });
     match message.kind {
         kind::SET_UP => {
-            let deed = held.deeds.pop_front().unwrap_or(Deed::Plays);
-            let answer = |id| Message::new(kind::ANSWER, id).with(code::DESCRIPTION, format!("box {at}"));
+            let reply = state.replies.pop_front().unwrap_or(ScriptedReply::Plays);
+            let answer =
+                |id| Message::new(kind::ANSWER, id).with(code::DESCRIPTION, format!("box {box_index}"));
             let release = |cause| Message::release(id, cause).with(code::REPORT, "active:3;x0:0.25");
-            if matches!(deed, Deed::Plays | Deed::Late(_) | Deed::Copies) {
-                held.standing.insert(id, (at, Arc::clone(stream)));
+            if matches!(reply, ScriptedReply::Plays | ScriptedReply::Late(_) | ScriptedReply::Duplicates) {
+                state.sessions.insert(id, (box_index, Arc::clone(stream)));
             }
-            drop(held);
-            match deed {
-                Deed::Plays => say(stream, &answer(id)),
-                Deed::Late(span) => {
+            drop(state);
+            match reply {
+                ScriptedReply::Plays => send(stream, &answer(id)),
+                ScriptedReply::Late(span) => {
                     let (stream, answer) = (Arc::clone(stream), answer(id));
                     thread::spawn(move || {
                         thread::sleep(span);
-                        say(&stream, &answer);
+                        send(&stream, &answer);
                     });
                 }
-                Deed::Copies => [answer(!id), answer(id), answer(id)].iter().for_each(|m| say(stream, m)),
-                Deed::Releases(cause) => say(stream, &release(cause)),
-                Deed::Silent => {}
-                Deed::Spoilt(bytes) => drop((&**stream).write_all(&bytes)),
-                Deed::Breaks => drop(stream.shutdown(Shutdown::Both)),
+                ScriptedReply::Duplicates => {
+                    [answer(!id), answer(id), answer(id)].iter().for_each(|m| send(stream, m))
+                }
+                ScriptedReply::Releases(cause) => send(stream, &release(cause)),
+                ScriptedReply::Silent => {}
+                ScriptedReply::Malformed(bytes) => drop((&**stream).write_all(&bytes)),
+                ScriptedReply::Disconnects => drop(stream.shutdown(Shutdown::Both)),
             }
         }
-        kind::RELEASE if held.standing.get(&id).is_some_and(|(of, _)| *of == at) => {
-            held.standing.remove(&id);
-            drop(held);
-            say(stream, &Message::release(id, cause::ON_PURPOSE));
+        kind::RELEASE
+            if state.sessions.get(&id).is_some_and(|(session_box, _)| *session_box == box_index) =>
+        {
+            state.sessions.remove(&id);
+            drop(state);
+            send(stream, &Message::release(id, cause::ON_PURPOSE));
         }
-        kind::TEST => say(stream, &Message::new(kind::TEST_RESULT, id).with(code::CAUSE, [1])),
+        kind::TEST => send(stream, &Message::new(kind::TEST_RESULT, id).with(code::CAUSE, [1])),
         _ => {}
     }
 }
 
-fn coordinate(mut stream: &TcpStream, told: &Mutex<Told>) {
+fn serve_events(mut stream: &TcpStream, events: &Mutex<EventLog>) {
     let mut number = [0; 8];
     if stream.read_exact(&mut number).is_err() {
         return;
     }
     let mut last = u64::from_be_bytes(number);
-    hold(told).asked.push(last);
-    let mut beat = Instant::now() - Duration::from_secs(1);
+    lock(events).requested.push(last);
+    let mut last_heartbeat = Instant::now() - Duration::from_secs(1);
     loop {
-        let mut held = hold(told);
-        if held.closed {
+        let mut state = lock(events);
+        if state.closed {
             return;
         }
         let mut bytes = Vec::new();
-        if let Some(frame) = held.frames.get(last as usize).cloned() {
-            if let Some(cut) = held.cut.take() {
+        if let Some(frame) = state.frames.get(last as usize).cloned() {
+            if let Some(cut) = state.truncate_next.take() {
                 let _ = stream.write_all(&frame[..cut.min(frame.len())]);
                 return;
             }
             last += 1;
             bytes = frame;
-        } else if beat.elapsed() >= Duration::from_secs(1) {
-            beat = Instant::now();
+        } else if last_heartbeat.elapsed() >= Duration::from_secs(1) {
+            last_heartbeat = Instant::now();
             bytes.extend(9u32.to_be_bytes());
             bytes.extend(last.to_be_bytes());
             bytes.push(0);
         }
-        drop(held);
+        drop(state);
         if stream.write_all(&bytes).is_err() {
             return;
         }
@@ -394,83 +404,86 @@
     }
 }
 
-/// A viewer's connection to a front node.
+/// Connection of a viewer to a front node.
 pub struct Viewer {
-    /// The socket, for what no message can say.
+    /// The socket, for bytes that are not messages.
     pub stream: TcpStream,
     decoder: Decoder,
-    ended: bool,
+    closed: bool,
 }
 
 impl Viewer {
-    /// Connects.
+    /// Connects to a front node.
     ///
     /// # Errors
-    /// Nobody listens.
+    /// The connection is refused or fails.
     pub fn connect(to: SocketAddr) -> io::Result<Viewer> {
         let stream = TcpStream::connect(to)?;
         stream.set_nodelay(true)?;
-        Ok(Viewer::over(stream))
+        Ok(Viewer::from_stream(stream))
     }
 
-    /// A connection that is made already, from either side: a box's end of one is led by hand the same way.
-    pub fn over(stream: TcpStream) -> Viewer {
-        Viewer { stream, decoder: Decoder::default(), ended: false }
+    /// Wraps an established connection. The box's end of a connection is scripted in the same way.
+    pub fn from_stream(stream: TcpStream) -> Viewer {
+        Viewer { stream, decoder: Decoder::default(), closed: false }
     }
 
-    /// A request that a front node can use, of a title that all boxes of `cells` cells hold.
+    /// A valid request for a title that is held in `cells` cells.
     pub fn request(id: u64, class: &str, cells: usize) -> Message {
-        let figures = format!("home:0;copies:{cells};top:1;viewer:{id:016x}");
+        let fields = format!("home:0;copies:{cells};top:1;viewer:{id:016x}");
         Message::new(kind::SET_UP, id)
             .with(code::CLASS, class)
             .with(code::WAIT_MS, "1500")
             .with(code::TITLE, "7f3a9c21e0b4d655")
             .with(code::LENGTH_HINT_MS, "8200.0")
-            .with(code::REQUEST_FIELDS, figures)
+            .with(code::REQUEST_FIELDS, fields)
             .with(code::DESCRIPTION, "offer")
     }
 
-    /// Says something.
-    pub fn say(&self, message: &Message) {
-        say(&self.stream, message);
+    /// Sends a message.
+    pub fn send(&self, message: &Message) {
+        send(&self.stream, message);
     }
 
-    /// What is said next, within this time; nothing at the end of the connection too.
+    /// The next message within this time; `None` after it and at the end of the connection.
     pub fn next(&mut self, within: Duration) -> Option<Message> {
         let until = Instant::now() + within;
         loop {
             if let Ok(Some(message)) = self.decoder.next_message() {
                 return Some(message);
             }
-            let left = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero())?;
-            self.stream.set_read_timeout(Some(left)).ok()?;
+            let remaining =
+                until.checked_duration_since(Instant::now()).filter(|remaining| !remaining.is_zero())?;
+            self.stream.set_read_timeout(Some(remaining)).ok()?;
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(count) if count > 0 => self.decoder.feed(&bytes[..count]),
-                Err(error) if is_time_out(&error) => return None,
+                Err(error) if is_timeout(&error) => return None,
                 _ => {
-                    self.ended = true;
+                    self.closed = true;
                     return None;
                 }
             }
         }
     }
 
-    /// Whether the connection was found closed or reset while something was waited for.
-    pub fn ended(&self) -> bool {
-        self.ended
+    /// Whether a read has found the connection closed or reset.
+    pub fn is_closed(&self) -> bool {
+        self.closed
     }
 
-    /// Whether the front node closes the connection within this time; what it says meanwhile is dropped.
+    /// Whether the front node closes the connection within this time; received messages are discarded.
     pub fn closes(&mut self, within: Duration) -> bool {
         let until = Instant::now() + within;
-        while let Some(left) = until.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
-            let _ = self.stream.set_read_timeout(Some(left));
+        while let Some(remaining) =
+            until.checked_duration_since(Instant::now()).filter(|remaining| !remaining.is_zero())
+        {
+            let _ = self.stream.set_read_timeout(Some(remaining));
             let mut bytes = [0; 4096];
             match self.stream.read(&mut bytes) {
                 Ok(0) => return true,
                 Ok(_) => {}
-                Err(error) if is_time_out(&error) => {}
+                Err(error) if is_timeout(&error) => {}
                 Err(_) => return true,
             }
         }
@@ -478,6 +491,6 @@
     }
 }
 
-fn is_time_out(error: &io::Error) -> bool {
+fn is_timeout(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
