--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -1,145 +1,145 @@
-//! A day as KDL: fleet, terms, load and faults. `docs/operate/rehearsal.md` tells every setting.
+//! A day as KDL: fleet, terms, load and faults. `docs/operate/rehearsal.md` describes every setting.
 
 use std::collections::BTreeMap;
 
 use salttally_judge::record::{BudgetTerms, ClassTerms, EffectKind, Terms};
 use salttally_settings::{Block, Document, Node, Read};
 
-use crate::boxes::Notes;
-use crate::fleet::Nature;
-use crate::siege;
+use crate::attack;
+use crate::boxes::NoteSettings;
+use crate::fleet::BoxModel;
 
 /// A day.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// Seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Length of the day, us.
     pub length: u64,
-    /// Viewers that come in it.
+    /// Number of viewers that arrive, not counting crowds.
     pub sessions: usize,
     /// Number of fronts.
     pub fronts: u32,
-    /// Boxes at the start.
+    /// Number of boxes at the start.
     pub boxes: u32,
-    /// Zones; box and front number modulo this.
+    /// Number of zones; a box or front belongs to zone (number modulo zones).
     pub zones: u32,
-    /// Racks; cell modulo this.
+    /// Number of racks; a box belongs to rack (cell modulo racks). 0 disables racks.
     pub racks: usize,
-    /// Places of a box.
+    /// Maximum number of sessions on a box.
     pub places: usize,
-    /// Mean link, kB a second, and how far links differ from it, as a part.
+    /// Mean link capacity, kB/s, and the largest relative deviation from it.
     pub link: (f64, f64),
-    /// Uplink of a rack over the sum of its links, and how far racks differ.
+    /// Uplink of a rack relative to the sum of its links, and the largest relative deviation.
     pub uplink: (f64, f64),
     /// Lag of the list, us.
     pub list_lag: u64,
-    /// Titles, cells that hold each, and exponent of their popularity.
+    /// Number of titles, number of cells that hold each, and Zipf exponent of their popularity.
     pub titles: (usize, u32, f64),
     /// Viewers by class.
-    pub viewers: Vec<Viewers>,
-    /// What viewers do.
-    pub habits: Habits,
-    /// What boxes have in common.
-    pub nature: Nature,
-    /// What boxes tell of their links.
-    pub notes: Notes,
-    /// The rules.
+    pub viewers: Vec<ViewerClass>,
+    /// Behavior of viewers.
+    pub viewer_behavior: ViewerBehavior,
+    /// Properties that all boxes share.
+    pub box_model: BoxModel,
+    /// Notes of boxes about their links.
+    pub notes: NoteSettings,
+    /// Terms that the judge checks.
     pub terms: Terms,
-    /// Settings that every front has, as KDL.
+    /// Settings of all fronts, as KDL.
     pub front_text: String,
-    /// What goes wrong.
+    /// Faults.
     pub faults: Vec<Fault>,
 }
 
 /// Viewers of one class.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Viewers {
+pub struct ViewerClass {
     /// Class.
     pub class: String,
-    /// Part of all viewers.
+    /// Weight of this class among all viewers.
     pub share: f64,
-    /// Mean length of a session, us.
+    /// Mean session length, us.
     pub length: f64,
-    /// Time before they give up, us.
+    /// Patience of the viewers, us.
     pub patience: u64,
     /// Highest rung they can use.
     pub top: usize,
 }
 
-/// What viewers do.
+/// Behavior of viewers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Habits {
-    /// Chance that one comes again after a refusal or a break.
+pub struct ViewerBehavior {
+    /// Probability that a viewer comes back after a refusal or a broken session.
     pub returns: f64,
-    /// So long after it, us.
-    pub after: u64,
-    /// Chance that one gives up before its patience is over.
-    pub hasty: f64,
-    /// Part of viewers that can use only the lower half of the ladder.
+    /// Pause before it comes back, us.
+    pub pause: u64,
+    /// Probability that a viewer gives up before its patience is over.
+    pub impatient: f64,
+    /// Share of viewers that can use only the lower half of the ladder.
     pub limited: f64,
 }
 
-/// A kind of trouble.
+/// A kind of fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Kind {
-    /// Processes of a part of the boxes die and come back cold at the end.
+pub enum FaultKind {
+    /// The processes of a share of the boxes die and restart cold at the end of the fault.
     Crash(f64),
-    /// A part of the boxes goes silent and comes back cold.
+    /// A share of the boxes becomes unresponsive and restarts cold at the end of the fault.
     Vanish(f64),
-    /// A part of the boxes is given notice, us, dies after it and comes back cold.
+    /// A share of the boxes drains for the notice time, us, then dies and restarts cold.
     Preempt(f64, u64),
-    /// At a part of the boxes this share of set-ups fails at once.
+    /// At a share of the boxes, this share of set-ups fails at once.
     Errors(f64, f64),
-    /// Load reports are made this much less often, us.
+    /// The interval of load reports grows by this, us.
     ReportsLate(u64),
-    /// A crowd of so many more viewers, as a part of all, comes for so many titles.
+    /// Extra viewers, as a share of all viewers, request this many of the least popular titles.
     Crowd(f64, usize),
-    /// A zone is lost; silently or not, with its fronts or not.
+    /// A zone fails: its number, whether boxes become unresponsive instead of dying, whether its fronts fail too.
     ZoneLoss(u32, bool, bool),
     /// A zone is cut off from the others.
     ZoneCut(u32),
-    /// A part of the boxes is replaced in batches, a part of the fleet each, with this time to drain, us.
+    /// A share of the boxes is replaced in batches, each a share of the fleet, with this time to drain, us.
     Deploy(f64, f64, u64),
-    /// The list lags this much further behind, us.
+    /// The lag of the list grows by this, us.
     ListStale(u64),
-    /// Connections to the list break.
+    /// Connections to the list are closed.
     ListDrop,
-    /// So many fronts are killed and come back at the end.
+    /// This many fronts are killed and restarted at the end of the fault.
     FrontCrash(u32),
-    /// At a part of the boxes the link gives so many times less.
+    /// At a share of the boxes, the link capacity is divided by this factor.
     Slow(f64, f64),
-    /// At a part of the boxes the link gives less and less, up to so many times.
-    Ageing(f64, f64),
-    /// So many besiegers come to each front, of up to three kinds at once.
-    Siege(usize, [siege::Kind; 3]),
+    /// At a share of the boxes, the divisor of the link capacity grows up to this factor.
+    Degrading(f64, f64),
+    /// This many attackers connect to each front, of up to three kinds at once.
+    Attack(usize, [attack::AttackKind; 3]),
 }
 
-/// A trouble and its time.
+/// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// Beginning, us of the day.
+    /// Start, us of the day.
     pub at: u64,
     /// Length, us.
     pub length: u64,
-    /// What.
-    pub kind: Kind,
+    /// Kind.
+    pub kind: FaultKind,
 }
 
-fn micros(ms: f64) -> u64 {
+fn ms_to_us(ms: f64) -> u64 {
     (ms.max(0.0) * 1000.0).round() as u64
 }
 
-fn seconds(s: f64) -> u64 {
-    micros(s * 1000.0)
+fn seconds_to_us(s: f64) -> u64 {
+    ms_to_us(s * 1000.0)
 }
 
 impl Script {
-    /// Reads a script.
+    /// Reads a script from a KDL document.
     pub fn read(document: &Document) -> Read<Script> {
         let root = document.root();
         let day = root.need("day")?;
-        let length = seconds(day.need("seconds")?);
+        let length = seconds_to_us(day.need("seconds")?);
         let (seed, sessions) = (day.or("seed", 1)?, day.need("sessions")?);
         day.done()?;
         let fronts: u32 = root.or("fronts", 1)?;
@@ -152,43 +152,46 @@
         let uplink = (boxes.or("uplink-part", 1.0)?, boxes.or("uplink-spread", 0.0)?);
         let places = boxes.need("places")?;
         let rules = terms_block.need("rules")?.children();
-        let nature = Nature {
-            warm_up: micros(rules.value("warm-up-ms")?),
+        let box_model = BoxModel {
+            warm_up: ms_to_us(rules.value("warm-up-ms")?),
             cold_from: rules.value("cold-from")?,
             fall_multiple: rules.value("fall-multiple")?,
-            fall_window: micros(rules.value("fall-ms")?),
+            fall_window: ms_to_us(rules.value("fall-ms")?),
             refuses_from: boxes.or("refuses-from", 0.0)?,
-            report_every: micros(boxes.or("report-ms", 300.0)?),
-            set_up: micros(boxes.or("set-up-ms", 10.0)?),
+            report_every: ms_to_us(boxes.or("report-ms", 300.0)?),
+            set_up_time: ms_to_us(boxes.or("set-up-ms", 10.0)?),
         };
         let count: u32 = boxes.argument()?;
         boxes.done()?;
         if fronts == 0 || count == 0 || zones == 0 || zones > fronts {
-            return Err(boxes.bad("fronts, boxes and zones are 1 at least, and no zone is without a front"));
+            return Err(boxes.bad("fronts, boxes and zones must be at least 1, and every zone needs a front"));
         }
         let titles = root.need("titles")?;
-        let titles_of = (titles.argument()?, titles.need("holders")?, titles.or("zipf", 0.8)?);
+        let title_settings = (titles.argument()?, titles.need("holders")?, titles.or("zipf", 0.8)?);
         titles.done()?;
-        if titles_of.0 == 0 || titles_of.1 == 0 || titles_of.1 > count {
-            return Err(
-                titles.bad("at least one title, on at least one cell and no more than there are boxes")
-            );
+        if title_settings.0 == 0 || title_settings.1 == 0 || title_settings.1 > count {
+            return Err(titles.bad(
+                "needs at least one title, held by at least 1 cell and by at most as many as there are boxes",
+            ));
         }
         let viewers = root.all("viewers").iter().map(viewers).collect::<Read<Vec<_>>>()?;
         if viewers.is_empty() {
             return Err(root.bad("at least one `viewers` is needed"));
         }
-        let habits = habits(&root)?;
-        let leaves = root.one("habits")?.map_or(Ok(0.0), |node| node.or("leaves", 0.0))?;
-        let notes = notes(&terms_block, leaves)?;
+        let viewer_behavior = viewer_behavior(&root)?;
+        let leave_probability = root.one("habits")?.map_or(Ok(0.0), |node| node.or("leaves", 0.0))?;
+        let notes = notes(&terms_block, leave_probability)?;
         let terms = terms(&terms_block, places as u32)?;
-        for of in &viewers {
-            if !terms.classes.contains_key(&of.class) {
-                return Err(root.bad(format!("viewers of class `{}`, which the terms do not have", of.class)));
+        for viewer_class in &viewers {
+            if !terms.classes.contains_key(&viewer_class.class) {
+                return Err(root.bad(format!(
+                    "viewers have class `{}`, which the terms do not define",
+                    viewer_class.class
+                )));
             }
         }
         let faults = root.all("fault").iter().map(fault).collect::<Read<Vec<_>>>()?;
-        let list_lag = micros(root.or("list-lag-ms", 500.0)?);
+        let list_lag = ms_to_us(root.or("list-lag-ms", 500.0)?);
         root.done()?;
         Ok(Script {
             seed,
@@ -202,10 +205,10 @@
             link,
             uplink,
             list_lag,
-            titles: titles_of,
+            titles: title_settings,
             viewers,
-            habits,
-            nature,
+            viewer_behavior,
+            box_model,
             notes,
             terms,
             front_text: terms_block.text(),
@@ -214,39 +217,45 @@
     }
 }
 
-fn viewers(node: &Node<'_>) -> Read<Viewers> {
-    let viewers = Viewers {
+fn viewers(node: &Node<'_>) -> Read<ViewerClass> {
+    let viewers = ViewerClass {
         class: node.argument()?,
         share: node.need("share")?,
         length: node.need::<f64>("length-s")? * 1e6,
-        patience: micros(node.need("patience-ms")?),
+        patience: ms_to_us(node.need("patience-ms")?),
         top: node.or("top", 99)?,
     };
     node.done()?;
     Ok(viewers)
 }
 
-fn habits(root: &Block<'_>) -> Read<Habits> {
+fn viewer_behavior(root: &Block<'_>) -> Read<ViewerBehavior> {
     let Some(node) = root.one("habits")? else {
-        return Ok(Habits { returns: 0.9, after: 600_000, hasty: 0.0, limited: 0.0 });
+        return Ok(ViewerBehavior { returns: 0.9, pause: 600_000, impatient: 0.0, limited: 0.0 });
     };
-    let habits = Habits {
+    let viewer_behavior = ViewerBehavior {
         returns: node.or("returns", 0.9)?,
-        after: micros(node.or("after-ms", 600.0)?),
-        hasty: node.or("hasty", 0.0)?,
+        pause: ms_to_us(node.or("after-ms", 600.0)?),
+        impatient: node.or("hasty", 0.0)?,
         limited: node.or("limited", 0.0)?,
     };
     node.or("leaves", 0.0)?;
     node.done()?;
-    Ok(habits)
+    Ok(viewer_behavior)
 }
 
-fn notes(terms: &Block<'_>, leaves: f64) -> Read<Notes> {
-    let Some(node) = terms.one("notes")? else { return Ok(Notes { every: 0, age: 0, leaves }) };
-    Ok(Notes { every: micros(node.need("every-ms")?), age: micros(node.or("age-ms", 0.0)?), leaves })
+fn notes(terms: &Block<'_>, leave_probability: f64) -> Read<NoteSettings> {
+    let Some(node) = terms.one("notes")? else {
+        return Ok(NoteSettings { interval: 0, age: 0, leave_probability });
+    };
+    Ok(NoteSettings {
+        interval: ms_to_us(node.need("every-ms")?),
+        age: ms_to_us(node.or("age-ms", 0.0)?),
+        leave_probability,
+    })
 }
 
-/// The rules, as the judge needs them, from the settings that every front has.
+/// Terms that the judge checks, from the settings of all fronts.
 fn terms(block: &Block<'_>, places: u32) -> Read<Terms> {
     let rungs: Vec<f64> = block
         .need("ladder")?
@@ -265,7 +274,7 @@
             floor: node.or("floor", 0)?,
             top: node.or("top", rungs.len().saturating_sub(1))?,
             seats: node.or("seats", 0)?,
-            aim: micros(node.need("aim-ms")?),
+            aim: ms_to_us(node.need("aim-ms")?),
             gain: node.or("gain", 1.0)?,
         };
         Ok((node.argument()?, class))
@@ -273,19 +282,19 @@
     let classes = block.all("class").iter().map(class).collect::<Read<BTreeMap<_, _>>>()?;
     let rules = block.need("rules")?.children();
     let budget = rules.one("budget")?.map(|node| -> Read<BudgetTerms> {
-        let window = micros(node.need("window-ms")?);
+        let window = ms_to_us(node.need("window-ms")?);
         Ok(BudgetTerms { window, free: node.or("free", 0.0)?, share: node.or("share", 0.0)? })
     });
     Ok(Terms {
         classes,
         rungs,
         stall_cost: 7.0,
-        answer_slack: micros(rules.or("answer-slack-ms", 40.0)?),
-        drain_grace: micros(rules.value("drain-grace-ms")?),
-        warm_up: micros(rules.value("warm-up-ms")?),
+        answer_slack: ms_to_us(rules.or("answer-slack-ms", 40.0)?),
+        drain_grace: ms_to_us(rules.value("drain-grace-ms")?),
+        warm_up: ms_to_us(rules.value("warm-up-ms")?),
         cold_from: rules.value("cold-from")?,
         fall_multiple: rules.value("fall-multiple")?,
-        fall_window: micros(rules.value("fall-ms")?),
+        fall_window: ms_to_us(rules.value("fall-ms")?),
         places,
         attempts: rules.or("attempts", 3)?,
         budget: budget.transpose()?,
@@ -296,40 +305,42 @@
 fn fault(node: &Node<'_>) -> Read<Fault> {
     let kind: String = node.argument()?;
     let part = || node.or("part", 0.15);
-    let ms = |key: &str, default: f64| -> Read<u64> { Ok(micros(node.or(key, default)?)) };
+    let ms = |key: &str, default: f64| -> Read<u64> { Ok(ms_to_us(node.or(key, default)?)) };
     let kind = match kind.as_str() {
-        "crash" => Kind::Crash(part()?),
-        "vanish" => Kind::Vanish(part()?),
-        "preempt" => Kind::Preempt(part()?, ms("notice-ms", 1000.0)?),
-        "errors" => Kind::Errors(part()?, node.or("share", 0.6)?),
-        "reports-late" => Kind::ReportsLate(ms("by-ms", 2000.0)?),
-        "crowd" => Kind::Crowd(node.or("share", 0.1)?, node.or("titles", 2)?),
+        "crash" => FaultKind::Crash(part()?),
+        "vanish" => FaultKind::Vanish(part()?),
+        "preempt" => FaultKind::Preempt(part()?, ms("notice-ms", 1000.0)?),
+        "errors" => FaultKind::Errors(part()?, node.or("share", 0.6)?),
+        "reports-late" => FaultKind::ReportsLate(ms("by-ms", 2000.0)?),
+        "crowd" => FaultKind::Crowd(node.or("share", 0.1)?, node.or("titles", 2)?),
         "zone-loss" => {
-            Kind::ZoneLoss(node.or("zone", 0)?, node.or("silent", false)?, node.or("fronts", false)?)
+            FaultKind::ZoneLoss(node.or("zone", 0)?, node.or("silent", false)?, node.or("fronts", false)?)
         }
-        "zone-cut" => Kind::ZoneCut(node.or("zone", 0)?),
-        "deploy" => Kind::Deploy(part()?, node.or("batch", 0.15)?, ms("drain-ms", 2000.0)?),
-        "list-stale" => Kind::ListStale(ms("by-ms", 4000.0)?),
-        "list-drop" => Kind::ListDrop,
-        "front-crash" => Kind::FrontCrash(node.or("fronts", 1)?),
-        "slow" => Kind::Slow(part()?, node.or("times", 2.0)?),
-        "ageing" => Kind::Ageing(part()?, node.or("times", 2.0)?),
+        "zone-cut" => FaultKind::ZoneCut(node.or("zone", 0)?),
+        "deploy" => FaultKind::Deploy(part()?, node.or("batch", 0.15)?, ms("drain-ms", 2000.0)?),
+        "list-stale" => FaultKind::ListStale(ms("by-ms", 4000.0)?),
+        "list-drop" => FaultKind::ListDrop,
+        "front-crash" => FaultKind::FrontCrash(node.or("fronts", 1)?),
+        "slow" => FaultKind::Slow(part()?, node.or("times", 2.0)?),
+        "ageing" => FaultKind::Degrading(part()?, node.or("times", 2.0)?),
         "siege" => {
-            let one = |key: &str, default: &str| {
+            let attack_kind = |key: &str, default: &str| {
                 let name: String = node.or(key, default.to_owned())?;
-                siege::Kind::named(&name).ok_or_else(|| node.bad(format!("no siege `{name}`")))
+                attack::AttackKind::from_name(&name)
+                    .ok_or_else(|| node.bad(format!("unknown siege `{name}`")))
             };
-            let first = one("first", "slow-handshake")?;
-            let second = one("second", first.name())?;
-            Kind::Siege(node.or("peers", 300)?, [first, second, one("third", second.name())?])
+            let first = attack_kind("first", "slow-handshake")?;
+            let second = attack_kind("second", first.name())?;
+            FaultKind::Attack(node.or("peers", 300)?, [first, second, attack_kind("third", second.name())?])
         }
         other => {
             let known = "crash, vanish, preempt, errors, reports-late, crowd, zone-loss, zone-cut, deploy, \
                          list-stale, list-drop, front-crash, slow, ageing, siege";
-            return Err(node.bad(format!("`{other}` is no fault; known: {known}")));
+            return Err(node.bad(format!("`{other}` is not a fault; known: {known}")));
         }
     };
-    let fault = Fault { at: seconds(node.need("at-s")?), length: seconds(node.or("for-s", 5.0)?), kind };
+    let fault =
+        Fault { at: seconds_to_us(node.need("at-s")?), length: seconds_to_us(node.or("for-s", 5.0)?), kind };
     node.done()?;
     Ok(fault)
 }
