--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,61 +1,66 @@
-//! Discovery: numbered events of the list, told to front nodes on connections that fail.
+//! Discovery: numbered list events, sent to front nodes on connections that fail.
 
 use std::collections::BTreeMap;
 use std::io;
 
-use crate::record::{Micros, Seen};
+use crate::record::{Event, Micros};
+use crate::rig::{Action, Rig, Role};
 use crate::wire::{list_frame, ListRecord, ListState};
-use crate::world::{Act, Role, World};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Number of the first event, which holds the whole list.
+/// Number of the first event, which is the full list.
 const FIRST_EVENT: u64 = 40;
-/// What a discovery that breaks off, or falls silent, would have told counts so long after that began,
-const TOLD_AFTER_BREAK: Micros = 2 * SECOND;
-const TOLD_AFTER_SILENCE: Micros = 4 * SECOND;
-/// and so long after it could be reached again, where that is later.
-const TOLD_AFTER_REACHABLE: Micros = 6 * SECOND;
-/// What there is to tell counts so long after a new configuration.
-const TOLD_AFTER_RELOAD: Micros = 4 * SECOND;
-const OLD_CLOSES_AFTER: Micros = 1_500 * MS;
-/// Slow writes: pieces of a frame, and the time between two.
-const SLOW_PIECES: usize = 8;
+/// When discovery is down or silent, an event counts as announced this long after the start of the outage,
+const ANNOUNCED_AFTER_BREAK: Micros = 2 * SECOND;
+const ANNOUNCED_AFTER_SILENCE: Micros = 4 * SECOND;
+/// and, if discovery is unreachable for longer, this long after the end of the outage.
+const ANNOUNCED_AFTER_REACHABLE: Micros = 6 * SECOND;
+/// An event counts as announced no earlier than this long after a reload.
+const ANNOUNCED_AFTER_RELOAD: Micros = 4 * SECOND;
+const OLD_CLOSE_DELAY: Micros = 1_500 * MS;
+/// Slow mode: number of fragments of a frame, and the pause between two.
+const SLOW_FRAGMENTS: usize = 8;
 const SLOW_PAUSE: Micros = 200 * MS;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mode {
-    Well,
-    /// Since when, and until when.
+    Normal,
+    /// Start and end of the outage.
     Down(Micros, Micros),
     Silent(Micros, Micros),
     Slow(Micros),
 }
 
-struct Event {
+struct ListEvent {
     servers: Vec<u32>,
-    whole: bool,
+    is_full: bool,
 }
 
-/// A connection that has asked.
-struct Asked {
-    last: u64,
-    /// What was written slowly is out by then.
+/// A connection that has sent its request.
+struct Follower {
+    last_sent: u64,
+    /// End of the writes that are already scheduled.
     busy_until: Micros,
 }
 
-/// The list and who follows it.
+/// List events and their followers.
 pub(crate) struct Discovery {
-    events: Vec<Event>,
+    events: Vec<ListEvent>,
     mode: Mode,
-    asked: BTreeMap<u64, Asked>,
-    /// Where each front node is told the list, and since when by a new configuration.
-    places: BTreeMap<usize, (usize, Option<Micros>)>,
+    followers: BTreeMap<u64, Follower>,
+    /// Index of the discovery address of each front node, and the time of the reload that set it.
+    addresses: BTreeMap<usize, (usize, Option<Micros>)>,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
-        Discovery { events: Vec::new(), mode: Mode::Well, asked: BTreeMap::new(), places: BTreeMap::new() }
+        Discovery {
+            events: Vec::new(),
+            mode: Mode::Normal,
+            followers: BTreeMap::new(),
+            addresses: BTreeMap::new(),
+        }
     }
 }
 
@@ -64,32 +69,36 @@
         FIRST_EVENT + self.events.len() as u64
     }
 
-    pub fn place(&self, node: usize) -> usize {
-        self.places.get(&node).map_or(0, |(place, _)| *place)
+    pub fn address_index(&self, node: usize) -> usize {
+        self.addresses.get(&node).map_or(0, |(address_index, _)| *address_index)
     }
 
-    pub fn link_ended(&mut self, token: u64) {
-        self.asked.remove(&token);
+    pub fn connection_ended(&mut self, token: u64) {
+        self.followers.remove(&token);
     }
 
-    /// The trial's time begins again.
+    /// Adapts to a reset of the trial's clock.
     pub fn restart_clock(&mut self) {
-        self.asked.values_mut().for_each(|asked| asked.busy_until = 0);
+        self.followers.values_mut().for_each(|follower| follower.busy_until = 0);
     }
 }
 
-impl World {
-    pub(crate) fn begin_discovery(&mut self) -> io::Result<()> {
+impl Rig {
+    pub(crate) fn start_discovery(&mut self) -> io::Result<()> {
         for node in 0..self.plan.nodes {
             self.listen_as_discovery(node)?;
         }
-        self.set(0, Act::Beat);
+        self.schedule_at(0, Action::Heartbeat);
         Ok(())
     }
 
     fn listen_as_discovery(&mut self, node: usize) -> io::Result<u64> {
-        let place = self.discovery.place(node);
-        self.listen(Role::DiscoveryListener { place, node }, self.hosts.discovery(place, node), 128)
+        let address_index = self.discovery.address_index(node);
+        self.listen(
+            Role::DiscoveryListener { address_index, node },
+            self.addresses.discovery(address_index, node),
+            128,
+        )
     }
 
     pub(crate) fn list_records(&self, servers: &[u32], node: usize) -> Vec<ListRecord> {
@@ -97,7 +106,7 @@
             let server = &self.servers[*number as usize];
             ListRecord {
                 id: server.id,
-                address: self.hosts.server(*number, node),
+                address: self.addresses.server(*number, node),
                 state: server.state,
                 cell: *number as u16,
                 started_ms: server.started.map_or(0, |at| self.unix_ms(at)),
@@ -106,7 +115,7 @@
         servers.iter().map(record).collect()
     }
 
-    /// Servers that the whole list names.
+    /// Servers in the full list.
     pub(crate) fn listed(&self) -> Vec<u32> {
         (0..self.plan.servers).filter(|at| self.servers[*at as usize].state != ListState::Gone).collect()
     }
@@ -114,211 +123,221 @@
     pub(crate) fn discovery_received(&mut self, token: u64, bytes: &[u8]) {
         let Ok(number) = <[u8; 8]>::try_from(bytes) else { return };
         let last = u64::from_be_bytes(number).max(FIRST_EVENT);
-        self.discovery.asked.insert(token, Asked { last, busy_until: 0 });
-        let beat = list_frame(last, &[], false);
-        self.tell_frame(token, &beat);
-        self.tell_later_events(token);
+        self.discovery.followers.insert(token, Follower { last_sent: last, busy_until: 0 });
+        let heartbeat = list_frame(last, &[], false);
+        self.send_frame(token, &heartbeat);
+        self.send_new_events(token);
     }
 
-    /// A change of these servers is an event from now on.
-    pub(crate) fn tell_of(&mut self, servers: &[u32]) {
+    /// Publishes the current state of these servers as an event.
+    pub(crate) fn publish_change(&mut self, servers: &[u32]) {
         self.add_event(servers.to_vec(), false);
     }
 
-    pub(crate) fn tell_whole_list(&mut self) {
+    pub(crate) fn publish_full_list(&mut self) {
         self.add_event(self.listed(), true);
     }
 
-    pub(crate) fn tell_again(&mut self, count: u32) {
+    pub(crate) fn republish(&mut self, count: u32) {
         let from = self.draws.between(0, u64::from(self.plan.servers)) as u32;
         let listed = self.listed();
-        let some: Vec<u32> = listed.into_iter().cycle().skip(from as usize).take(count as usize).collect();
-        self.add_event(some, false);
+        let selected: Vec<u32> =
+            listed.into_iter().cycle().skip(from as usize).take(count as usize).collect();
+        self.add_event(selected, false);
     }
 
-    fn add_event(&mut self, servers: Vec<u32>, whole: bool) {
+    fn add_event(&mut self, servers: Vec<u32>, is_full: bool) {
         for node in 0..self.plan.nodes {
-            let at = self.counts_as_told(node);
+            let at = self.announced_at(node);
             for number in &servers {
                 let (server, state) =
                     (self.servers[*number as usize].id, self.servers[*number as usize].state);
-                let seen = match state {
-                    ListState::Ready => Seen::ToldReady { server, node },
-                    ListState::Draining | ListState::Gone => Seen::ToldToLeave { server, node },
+                let event = match state {
+                    ListState::Ready => Event::AnnouncedReady { server, node },
+                    ListState::Draining | ListState::Gone => Event::AnnouncedLeaving { server, node },
                 };
-                self.seen.push((if state == ListState::Ready { self.now() } else { at }, seen));
+                self.events.push((if state == ListState::Ready { self.now() } else { at }, event));
             }
         }
-        self.discovery.events.push(Event { servers, whole });
-        for token in self.discovery.asked.keys().copied().collect::<Vec<_>>() {
-            self.tell_later_events(token);
+        self.discovery.events.push(ListEvent { servers, is_full });
+        for token in self.discovery.followers.keys().copied().collect::<Vec<_>>() {
+            self.send_new_events(token);
         }
     }
 
-    /// When what is new now counts as told to a front node.
-    fn counts_as_told(&self, node: usize) -> Micros {
+    /// Time at which an event that is published now counts as announced to a front node.
+    fn announced_at(&self, node: usize) -> Micros {
         let now = self.now();
-        let after_outage = |began: Micros, until: Micros, promised: Micros| {
-            if until <= began + promised {
-                (began + promised).max(now)
+        let after_outage = |began: Micros, until: Micros, limit: Micros| {
+            if until <= began + limit {
+                (began + limit).max(now)
             } else {
-                until + TOLD_AFTER_REACHABLE
+                until + ANNOUNCED_AFTER_REACHABLE
             }
         };
-        let by_reload = self.discovery.places.get(&node).and_then(|(_, since)| *since);
-        let by_reload = by_reload.map_or(0, |since| since + TOLD_AFTER_RELOAD);
-        let place = self.discovery.place(node);
-        let its = |token: &u64| {
-            self.links.get(token).is_some_and(|link| link.role == Role::Discovery { place, node })
+        let after_reload = self.discovery.addresses.get(&node).and_then(|(_, since)| *since);
+        let after_reload = after_reload.map_or(0, |since| since + ANNOUNCED_AFTER_RELOAD);
+        let address_index = self.discovery.address_index(node);
+        let is_current = |token: &u64| {
+            self.endpoints
+                .get(token)
+                .is_some_and(|endpoint| endpoint.role == Role::Discovery { address_index, node })
         };
-        let is_followed = self.discovery.asked.keys().any(its);
-        let told = match self.discovery.mode {
-            Mode::Down(began, until) => after_outage(began, until, TOLD_AFTER_BREAK),
-            Mode::Silent(began, until) => after_outage(began, until, TOLD_AFTER_SILENCE),
-            Mode::Slow(_) => now + TOLD_AFTER_SILENCE,
-            Mode::Well if is_followed => now,
-            Mode::Well => now + TOLD_AFTER_REACHABLE,
+        let is_followed = self.discovery.followers.keys().any(is_current);
+        let announced = match self.discovery.mode {
+            Mode::Down(began, until) => after_outage(began, until, ANNOUNCED_AFTER_BREAK),
+            Mode::Silent(began, until) => after_outage(began, until, ANNOUNCED_AFTER_SILENCE),
+            Mode::Slow(_) => now + ANNOUNCED_AFTER_SILENCE,
+            Mode::Normal if is_followed => now,
+            Mode::Normal => now + ANNOUNCED_AFTER_REACHABLE,
         };
-        told.max(by_reload)
+        announced.max(after_reload)
     }
 
-    fn tells(&self, token: u64) -> bool {
-        let Some(Role::Discovery { place, node }) = self.links.get(&token).map(|link| link.role) else {
+    fn can_publish_on(&self, token: u64) -> bool {
+        let Some(Role::Discovery { address_index, node }) =
+            self.endpoints.get(&token).map(|endpoint| endpoint.role)
+        else {
             return false;
         };
-        place == self.discovery.place(node)
+        address_index == self.discovery.address_index(node)
             && !matches!(self.discovery.mode, Mode::Down(..) | Mode::Silent(..))
     }
 
-    fn tell_later_events(&mut self, token: u64) {
-        let Some(Role::Discovery { node, .. }) = self.links.get(&token).map(|link| link.role) else { return };
-        while self.tells(token) {
+    fn send_new_events(&mut self, token: u64) {
+        let Some(Role::Discovery { node, .. }) = self.endpoints.get(&token).map(|endpoint| endpoint.role)
+        else {
+            return;
+        };
+        while self.can_publish_on(token) {
             let last_event = self.discovery.last_event();
-            let Some(asked) = self.discovery.asked.get_mut(&token) else { return };
-            if asked.last >= last_event {
+            let Some(follower) = self.discovery.followers.get_mut(&token) else { return };
+            if follower.last_sent >= last_event {
                 return;
             }
-            asked.last += 1;
-            let number = asked.last;
+            follower.last_sent += 1;
+            let number = follower.last_sent;
             let Some(event) = self.discovery.events.get((number - FIRST_EVENT - 1) as usize) else { return };
             let records = self.list_records(&event.servers, node);
-            let frame = list_frame(number, &records, event.whole);
-            self.tell_frame(token, &frame);
+            let frame = list_frame(number, &records, event.is_full);
+            self.send_frame(token, &frame);
         }
     }
 
-    fn tell_frame(&mut self, token: u64, frame: &[u8]) {
+    fn send_frame(&mut self, token: u64, frame: &[u8]) {
         let now = self.now();
         let slow = matches!(self.discovery.mode, Mode::Slow(_));
-        let Some(asked) = self.discovery.asked.get_mut(&token) else { return };
-        if !slow && asked.busy_until <= now {
+        let Some(follower) = self.discovery.followers.get_mut(&token) else { return };
+        if !slow && follower.busy_until <= now {
             return self.write(token, frame);
         }
-        let mut at = asked.busy_until.max(now);
-        let pieces = if slow { SLOW_PIECES } else { 1 };
+        let mut at = follower.busy_until.max(now);
+        let fragments = if slow { SLOW_FRAGMENTS } else { 1 };
         let mut writes = Vec::new();
-        for piece in frame.chunks(frame.len().div_ceil(pieces)) {
-            writes.push((at, piece.to_vec()));
+        for fragment in frame.chunks(frame.len().div_ceil(fragments)) {
+            writes.push((at, fragment.to_vec()));
             at += if slow { SLOW_PAUSE } else { MS };
         }
-        asked.busy_until = at;
-        writes.into_iter().for_each(|(at, bytes)| self.set(at, Act::Write { token, bytes }));
+        follower.busy_until = at;
+        writes.into_iter().for_each(|(at, bytes)| self.schedule_at(at, Action::Write { token, bytes }));
     }
 
-    /// An empty frame each second, and a word of clients on each front node.
-    pub(crate) fn beat(&mut self) {
+    /// Sends an empty frame to each follower and a test to each front node, every second.
+    pub(crate) fn heartbeat(&mut self) {
         let now = self.now();
-        for token in self.discovery.asked.keys().copied().collect::<Vec<_>>() {
-            let Some(asked) = self.discovery.asked.get(&token) else { continue };
-            let (last, is_free) = (asked.last, asked.busy_until <= now);
-            if self.tells(token) && is_free {
+        for token in self.discovery.followers.keys().copied().collect::<Vec<_>>() {
+            let Some(follower) = self.discovery.followers.get(&token) else { continue };
+            let (last, is_free) = (follower.last_sent, follower.busy_until <= now);
+            if self.can_publish_on(token) && is_free {
                 self.write(token, &list_frame(last, &[], false));
             }
         }
-        self.clients_test();
-        self.set_in(SECOND, Act::Beat);
+        self.send_client_tests();
+        self.schedule_in(SECOND, Action::Heartbeat);
     }
 
     // ---- Faults ----
 
     fn discovery_tokens(&self) -> Vec<u64> {
-        self.tokens(|role| matches!(role, Role::Discovery { .. }))
+        self.tokens_where(|role| matches!(role, Role::Discovery { .. }))
     }
 
     fn discovery_listeners(&self) -> Vec<u64> {
-        self.tokens(|role| matches!(role, Role::DiscoveryListener { .. }))
+        self.tokens_where(|role| matches!(role, Role::DiscoveryListener { .. }))
     }
 
-    fn fail_discovery(&mut self, mode: Mode, span: Micros) -> bool {
-        if self.discovery.mode != Mode::Well {
+    fn fail_discovery(&mut self, mode: Mode, duration: Micros) -> bool {
+        if self.discovery.mode != Mode::Normal {
             return false;
         }
         self.discovery.mode = mode;
-        self.set_in(span, Act::DiscoveryBack);
+        self.schedule_in(duration, Action::RestoreDiscovery);
         true
     }
 
-    pub(crate) fn discovery_down(&mut self, span: Micros) {
+    pub(crate) fn discovery_down(&mut self, duration: Micros) {
         let now = self.now();
-        if self.fail_discovery(Mode::Down(now, now + span), span) {
+        if self.fail_discovery(Mode::Down(now, now + duration), duration) {
             self.discovery_listeners().into_iter().for_each(|token| self.close(token, false));
             self.discovery_tokens().into_iter().for_each(|token| self.close(token, true));
         }
     }
 
-    pub(crate) fn discovery_silent(&mut self, span: Micros) {
+    pub(crate) fn discovery_silent(&mut self, duration: Micros) {
         let now = self.now();
-        if self.fail_discovery(Mode::Silent(now, now + span), span) {
+        if self.fail_discovery(Mode::Silent(now, now + duration), duration) {
             let all = self.discovery_listeners().into_iter().chain(self.discovery_tokens());
             all.collect::<Vec<_>>().into_iter().for_each(|token| self.pause(token, true));
         }
     }
 
-    pub(crate) fn discovery_slow(&mut self, span: Micros) {
-        let until = self.now() + span;
-        self.fail_discovery(Mode::Slow(until), span);
+    pub(crate) fn discovery_slow(&mut self, duration: Micros) {
+        let until = self.now() + duration;
+        self.fail_discovery(Mode::Slow(until), duration);
     }
 
-    pub(crate) fn discovery_back(&mut self) {
-        let was = std::mem::replace(&mut self.discovery.mode, Mode::Well);
-        match was {
+    pub(crate) fn restore_discovery(&mut self) {
+        let previous = std::mem::replace(&mut self.discovery.mode, Mode::Normal);
+        match previous {
             Mode::Down(..) => (0..self.plan.nodes).for_each(|node| drop(self.listen_as_discovery(node))),
             Mode::Silent(..) => {
                 let all = self.discovery_listeners().into_iter().chain(self.discovery_tokens());
                 all.collect::<Vec<_>>().into_iter().for_each(|token| self.pause(token, false));
             }
-            // What was to be written slowly goes out now.
+            // Scheduled writes go out at once.
             Mode::Slow(_) => {
-                let slow: Vec<u64> = self.discovery.asked.keys().copied().collect();
-                self.write_now(&slow);
-                self.discovery.asked.values_mut().for_each(|asked| asked.busy_until = 0);
+                let followers: Vec<u64> = self.discovery.followers.keys().copied().collect();
+                self.write_scheduled_now(&followers);
+                self.discovery.followers.values_mut().for_each(|follower| follower.busy_until = 0);
             }
-            Mode::Well => {}
+            Mode::Normal => {}
         }
-        for token in self.discovery.asked.keys().copied().collect::<Vec<_>>() {
-            self.tell_later_events(token);
+        for token in self.discovery.followers.keys().copied().collect::<Vec<_>>() {
+            self.send_new_events(token);
         }
     }
 
-    /// A new configuration names another address; the old one accepts nobody, tells nothing more, and closes later.
+    /// Reloads a front node with another discovery address. The old address accepts no connection, sends nothing
+    /// more, and closes its connections after [`OLD_CLOSE_DELAY`].
     pub(crate) fn reload(&mut self, node: usize) {
-        if !self.nodes[node].may_be_told(self.now()) || matches!(self.discovery.mode, Mode::Down(..)) {
+        if !self.nodes[node].may_be_signalled(self.now()) || matches!(self.discovery.mode, Mode::Down(..)) {
             return;
         }
-        let old = self.discovery.place(node);
+        let old_index = self.discovery.address_index(node);
         let now = self.now();
-        self.discovery.places.insert(node, (old + 1, Some(now)));
+        self.discovery.addresses.insert(node, (old_index + 1, Some(now)));
         let Ok(token) = self.listen_as_discovery(node) else { return };
         self.pause(token, matches!(self.discovery.mode, Mode::Silent(..)));
-        let listeners = self.tokens(|role| role == Role::DiscoveryListener { place: old, node });
+        let listeners =
+            self.tokens_where(|role| role == Role::DiscoveryListener { address_index: old_index, node });
         listeners.into_iter().for_each(|token| self.close(token, false));
-        self.set_in(OLD_CLOSES_AFTER, Act::OldDiscoveryCloses { place: old, node });
+        self.schedule_in(OLD_CLOSE_DELAY, Action::CloseOldDiscovery { address_index: old_index, node });
         self.write_config(node);
-        self.hang_up_node(node);
+        self.request_reload(node);
     }
 
-    pub(crate) fn old_discovery_closes(&mut self, place: usize, node: usize) {
-        let old = self.tokens(|role| role == Role::Discovery { place, node });
-        old.into_iter().for_each(|token| self.close(token, false));
+    pub(crate) fn close_old_discovery(&mut self, address_index: usize, node: usize) {
+        let connections = self.tokens_where(|role| role == Role::Discovery { address_index, node });
+        connections.into_iter().for_each(|token| self.close(token, false));
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,9 +1,10 @@
-//! Short, dense trials of front nodes: processes on loopback, peers that fail by a seeded plan, and a judge of what crossed
-//! the sockets.
+//! Short, dense trials of front nodes: processes on loopback, peers that fail according to a seeded plan, and a judge
+//! of their network traffic.
 //!
-//! A trial is told by its seed alone ([`plan`]). [`trial::play`] starts the processes and leads their media servers,
-//! discovery and clients in one thread; [`record`] is what these saw, and [`judge`] decides the rules by it. Nothing here
-//! depends on the front node's code: [`wire`] is written from the protocol's page.
+//! The seed determines the whole trial ([`plan`]). [`trial::play`] starts the processes and drives their media
+//! servers, discovery and clients in one thread; [`record`] holds the observed events, and [`judge`] checks the rules
+//! against them. Nothing here depends on the code of the front node: [`wire`] is written from the protocol
+//! documentation.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -13,7 +14,7 @@
 mod nodes;
 pub mod plan;
 pub mod record;
+mod rig;
 mod servers;
 pub mod trial;
 pub mod wire;
-mod world;
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `salttally-soak`: plays trials by their seeds, a few at a time, and prints one line for each.
+//! `salttally-soak`: runs seeded trials, several at a time, and prints one line for each.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,28 +14,28 @@
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
-    /// The first seed
+    /// First seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Seeds in a row
+    /// Number of consecutive seeds
     #[arg(long, default_value_t = 1)]
     count: u64,
-    /// Trials at a time
+    /// Number of concurrent trials
     #[arg(long, default_value_t = 2)]
     jobs: usize,
-    /// The front node, started with `--platform`
+    /// Front node executable, started with `--platform`
     #[arg(long, default_value = "target/release/salttallyd")]
     program: PathBuf,
-    /// Level of the front nodes' logs
+    /// Log level of the front nodes
     #[arg(long, default_value = "info")]
     log_level: String,
-    /// Listed servers, in place of what the seed draws
+    /// Number of listed servers, overriding the value drawn from the seed
     #[arg(long)]
     servers: Option<u32>,
-    /// Share of a core in hundredths, in place of what the seed draws
+    /// Share of a core in percent, overriding the value drawn from the seed
     #[arg(long)]
     cpu_percent: Option<u64>,
-    /// Write all that was seen to this folder, a file for each seed
+    /// Write all observed events to this folder, one file for each seed
     #[arg(long)]
     record: Option<PathBuf>,
 }
@@ -56,7 +56,7 @@
                 match play(seed, overrides, &program) {
                     Ok(outcome) => {
                         let verdict = outcome.verdict();
-                        failed.fetch_add(usize::from(verdict == Verdict::Broken), Ordering::Relaxed);
+                        failed.fetch_add(usize::from(verdict == Verdict::Failed), Ordering::Relaxed);
                         void.fetch_add(usize::from(verdict == Verdict::Void), Ordering::Relaxed);
                         print(&outcome, arguments.record.as_deref());
                     }
@@ -70,7 +70,7 @@
     });
     let (failed, void) = (failed.into_inner(), void.into_inner());
     println!("{} trials, {failed} failed, {void} void since the rig was late", arguments.count);
-    // Trials that say nothing are no pass.
+    // Void trials prove nothing: too many of them are a failure.
     ExitCode::from(u8::from(failed > 0 || 2 * void as u64 > arguments.count))
 }
 
@@ -85,22 +85,22 @@
         plan.cpu_percent,
         plan.faults.len(),
         plan.crowd,
-        outcome.tally(),
+        outcome.counts(),
         outcome.rig_late / 1_000,
         outcome.verdict(),
     );
-    outcome.broken.iter().take(8).for_each(|broken| text += &format!("    {broken}\n"));
-    if outcome.broken.len() > 8 {
-        text += &format!("    and {} more\n", outcome.broken.len() - 8);
+    outcome.violations.iter().take(8).for_each(|violation| text += &format!("    {violation}\n"));
+    if outcome.violations.len() > 8 {
+        text += &format!("    and {} more\n", outcome.violations.len() - 8);
     }
-    for log in outcome.logs.iter().filter(|_| !outcome.broken.is_empty()) {
+    for log in outcome.logs.iter().filter(|_| !outcome.violations.is_empty()) {
         text += &format!("    log {}\n", log.display());
     }
     print!("{text}");
     if let Some(folder) = record {
         let faults = plan.faults.iter().map(|(at, fault)| (at, format!("{fault:?}")));
-        let seen = outcome.record.seen.iter().map(|(at, seen)| (at, format!("{seen:x?}")));
-        let mut lines: Vec<_> = faults.chain(seen).collect();
+        let events = outcome.record.events.iter().map(|(at, event)| (at, format!("{event:x?}")));
+        let mut lines: Vec<_> = faults.chain(events).collect();
         lines.sort_by_key(|(at, _)| **at);
         let lines = lines.iter().map(|(at, line)| format!("{:.4} {line}\n", **at as f64 / 1e6));
         if let Err(error) = fs::write(folder.join(format!("{}.txt", plan.seed)), lines.collect::<String>()) {
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -1,4 +1,4 @@
-//! Front nodes as processes: their configuration, signals, limits and ends.
+//! Front node processes: configuration, signals, limits and exits.
 
 use std::fs::{self, File};
 use std::io;
@@ -9,48 +9,48 @@
 use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
 use serde_json::{json, Value};
 
-use crate::record::{Effect, Micros, Seen};
+use crate::record::{Effect, Event, Micros};
+use crate::rig::{Action, Rig};
 use crate::trial::Program;
 use crate::wire::ListState;
-use crate::world::{Act, World};
 
 const MS: Micros = 1_000;
-/// New connections keep coming for so long after SIGTERM.
-const CONNECTIONS_STILL_COME: Micros = 300 * MS;
-/// The kill comes so long after the longest deadline, which counts as 3 s where it is longer.
-const KILL_AFTER_DEADLINE: Micros = 700 * MS;
-const LONGEST_DEADLINE_COUNTED: Micros = 3_000 * MS;
-/// Neither SIGHUP nor SIGTERM comes in the first second.
-const FIRST_SIGNAL_AFTER: Micros = 1_100 * MS;
-const STARTS_AGAIN_AFTER: Micros = 80 * MS;
-/// While a process is being started it holds what it has of this one.
-const SAMPLED_FROM: Micros = 200 * MS;
-const SAMPLE_EVERY: Micros = 100 * MS;
-/// The least time of a period in which a process with a share of a core runs.
-const THROTTLE_RUN: Micros = 2_500;
-const THROTTLE_PERIOD_AT_LEAST: Micros = 10 * MS;
-const LEFT_STANDING_AFTER: Micros = 1_000 * MS;
-const READY_WITHIN: Duration = Duration::from_secs(20);
+/// Clients still open connections for this long after SIGTERM.
+const SHUTDOWN_CONNECT_TIME: Micros = 300 * MS;
+/// The kill follows SIGTERM after the longest deadline, of which at most 3 s count, plus this delay.
+const KILL_DELAY: Micros = 700 * MS;
+const MAX_KILL_DEADLINE: Micros = 3_000 * MS;
+/// SIGHUP and SIGTERM are sent no earlier than this: the platform sends neither in the first second.
+const FIRST_SIGNAL_DELAY: Micros = 1_100 * MS;
+const RESTART_DELAY: Micros = 80 * MS;
+/// Shortly after the fork, a process still holds descriptors of this one, so it is not sampled yet.
+const FIRST_SAMPLE_DELAY: Micros = 200 * MS;
+const SAMPLE_INTERVAL: Micros = 100 * MS;
+/// Shortest run time within a period of a process that gets a share of a core.
+const MIN_THROTTLE_RUN: Micros = 2_500;
+const MIN_THROTTLE_PERIOD: Micros = 10 * MS;
+const ORPHAN_CHECK_DELAY: Micros = 1_000 * MS;
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    Up,
-    /// Told to end, and when.
-    Ending(Micros),
+    Running,
+    /// Since when.
+    ShuttingDown(Micros),
     Down,
 }
 
 /// A front node.
 pub(crate) struct Node {
     program: Program,
-    place: usize,
+    index: usize,
     child: Option<Child>,
-    /// Counts its starts.
+    /// Number of starts.
     pub process: u32,
     phase: Phase,
-    stopped_until: Micros,
-    /// For how long it was stopped since it was told to end.
-    stopped_for: Micros,
+    suspended_until: Micros,
+    /// Time that it was suspended since the shutdown was requested.
+    suspended_for: Micros,
     started: Micros,
     is_ready: bool,
     config: PathBuf,
@@ -58,17 +58,17 @@
 }
 
 impl Node {
-    pub fn new(program: &Program, place: usize) -> Node {
+    pub fn new(program: &Program, index: usize) -> Node {
         let (config, log) = (PathBuf::new(), PathBuf::new());
         let (program, phase) = (program.clone(), Phase::Down);
         Node {
             program,
-            place,
+            index,
             child: None,
             process: 0,
             phase,
-            stopped_until: 0,
-            stopped_for: 0,
+            suspended_until: 0,
+            suspended_for: 0,
             started: 0,
             is_ready: false,
             config,
@@ -76,25 +76,25 @@
         }
     }
 
-    /// It has answered a test; whether that is the first one that its process has passed.
-    pub fn tested(&mut self, passed: bool) -> bool {
+    /// Records a test result. Returns whether it is the first that this process has passed.
+    pub fn record_test(&mut self, passed: bool) -> bool {
         let is_first = passed && !self.is_ready;
         self.is_ready |= passed;
         is_first
     }
 
-    /// Whether clients make new connections to it.
-    pub fn takes_connections(&self, now: Micros) -> bool {
+    /// Whether clients open new connections to it.
+    pub fn accepts_connections(&self, now: Micros) -> bool {
         match self.phase {
-            Phase::Up => true,
-            Phase::Ending(since) => now < since + CONNECTIONS_STILL_COME,
+            Phase::Running => true,
+            Phase::ShuttingDown(since) => now < since + SHUTDOWN_CONNECT_TIME,
             Phase::Down => false,
         }
     }
 
-    /// Whether a signal of the platform may come.
-    pub fn may_be_told(&self, now: Micros) -> bool {
-        self.phase == Phase::Up && self.is_ready && now >= self.started + FIRST_SIGNAL_AFTER
+    /// Whether the platform may signal it.
+    pub fn may_be_signalled(&self, now: Micros) -> bool {
+        self.phase == Phase::Running && self.is_ready && now >= self.started + FIRST_SIGNAL_DELAY
     }
 
     fn signal(&self, signal: Signal) {
@@ -104,7 +104,7 @@
     }
 }
 
-impl World {
+impl Rig {
     pub(crate) fn start_node(&mut self, node: usize) -> io::Result<()> {
         let (seed, process) = (self.plan.seed, self.nodes[node].process + 1);
         let stem = format!("salttally-soak-{}-{seed}-n{node}", std::process::id());
@@ -113,10 +113,10 @@
         self.nodes[node].log = dir.join(format!("{stem}.log"));
         self.write_config(node);
         let log = File::options().append(true).create(true).open(&self.nodes[node].log)?;
-        let place = &self.nodes[node];
-        let child = Command::new(&place.program.path)
-            .args(["--platform", "--log-level", &place.program.log_level])
-            .env("GW_CONFIG", &place.config)
+        let node_state = &self.nodes[node];
+        let child = Command::new(&node_state.program.path)
+            .args(["--platform", "--log-level", &node_state.program.log_level])
+            .env("GW_CONFIG", &node_state.config)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
@@ -125,23 +125,23 @@
         let limit = Rlimit { current: sockets, maximum: sockets };
         prlimit(Some(Pid::from_child(&child)), Resource::Nofile, limit)?;
         let now = self.now();
-        let started = &mut self.nodes[node];
-        (started.child, started.process) = (Some(child), process);
-        (started.phase, started.started, started.is_ready) = (Phase::Up, now, false);
-        started.stopped_until = 0;
-        // What the list that it is started with says, it was told.
+        let node_state = &mut self.nodes[node];
+        (node_state.child, node_state.process) = (Some(child), process);
+        (node_state.phase, node_state.started, node_state.is_ready) = (Phase::Running, now, false);
+        node_state.suspended_until = 0;
+        // The list in its configuration announces the state of each server.
         for server in &self.servers {
             if server.state != ListState::Ready {
-                self.seen.push((now, Seen::ToldToLeave { server: server.id, node }));
+                self.events.push((now, Event::AnnouncedLeaving { server: server.id, node }));
             }
         }
         if self.plan.cpu_percent < 100 {
-            self.set_in(THROTTLE_PERIOD_AT_LEAST, Act::Throttle { node, process, runs: true });
+            self.schedule_in(MIN_THROTTLE_PERIOD, Action::Throttle { node, process, running: true });
         }
         Ok(())
     }
 
-    pub(crate) fn start_node_again(&mut self, node: usize) {
+    pub(crate) fn restart_node(&mut self, node: usize) {
         if self.nodes[node].phase == Phase::Down {
             let _ = self.start_node(node);
         }
@@ -160,8 +160,8 @@
         });
         let hosts: Vec<Value> = hosts.collect();
         let index = self.discovery.last_event();
-        let discovery = self.hosts.discovery(self.discovery.place(node), node);
-        json!({"name": format!("n{}", self.nodes[node].place), "listen": self.hosts.node(node).to_string(),
+        let discovery = self.addresses.discovery(self.discovery.address_index(node), node);
+        json!({"name": format!("n{}", self.nodes[node].index), "listen": self.addresses.node(node).to_string(),
             "seed": format!("{:016x}", self.plan.seed + node as u64),
             "limits": {"cores": self.plan.cpu_percent as f64 / 100.0, "memory_mb": self.plan.terms.memory_mb,
                 "sockets": self.plan.terms.sockets},
@@ -200,13 +200,13 @@
             "safety": safety})
     }
 
-    /// Goes on until every front node has passed a test.
+    /// Runs the peers until every front node has passed a test.
     pub(crate) fn wait_until_ready(&mut self) {
-        let until = Instant::now() + READY_WITHIN;
+        let until = Instant::now() + READY_TIMEOUT;
         while Instant::now() < until && self.nodes.iter().any(|node| !node.is_ready) {
-            self.turn();
+            self.poll_once();
             if self.nodes.iter().any(|node| !node.is_ready) && self.draws.chance(20) {
-                self.clients_test();
+                self.send_client_tests();
             }
         }
         self.nodes.iter_mut().for_each(|node| node.started = 0);
@@ -214,109 +214,109 @@
 
     // ---- Signals ----
 
-    pub(crate) fn hang_up_node(&self, node: usize) {
+    pub(crate) fn request_reload(&self, node: usize) {
         self.nodes[node].signal(Signal::HUP);
     }
 
-    pub(crate) fn restart(&mut self, node: usize) {
+    pub(crate) fn begin_planned_restart(&mut self, node: usize) {
         let now = self.now();
-        if !self.nodes[node].may_be_told(now) {
+        if !self.nodes[node].may_be_signalled(now) {
             return;
         }
-        self.nodes[node].phase = Phase::Ending(now);
-        self.nodes[node].stopped_for = self.nodes[node].stopped_until.saturating_sub(now);
+        self.nodes[node].phase = Phase::ShuttingDown(now);
+        self.nodes[node].suspended_for = self.nodes[node].suspended_until.saturating_sub(now);
         self.nodes[node].signal(Signal::TERM);
-        self.saw(Seen::ToldToEnd { node });
-        let kill = self.plan.longest_deadline().min(LONGEST_DEADLINE_COUNTED) + KILL_AFTER_DEADLINE;
+        self.record(Event::ShutdownRequested { node });
+        let kill = self.plan.longest_deadline().min(MAX_KILL_DEADLINE) + KILL_DELAY;
         let process = self.nodes[node].process;
-        self.set_in(kill, Act::PlannedKill { node, process });
+        self.schedule_in(kill, Action::PlannedKill { node, process });
     }
 
-    /// A process that was stopped meanwhile has had less time than the page gives: the kill comes later by that.
+    /// A process that was suspended during the shutdown has lost that time, so the kill is delayed by as much.
     pub(crate) fn planned_kill(&mut self, node: usize, process: u32) {
         if self.nodes[node].process != process || self.nodes[node].phase == Phase::Down {
             return;
         }
-        match std::mem::take(&mut self.nodes[node].stopped_for) {
+        match std::mem::take(&mut self.nodes[node].suspended_for) {
             0 => self.kill_now(node),
-            later => self.set_in(later, Act::PlannedKill { node, process }),
+            delay => self.schedule_in(delay, Action::PlannedKill { node, process }),
         }
     }
 
     pub(crate) fn kill_node(&mut self, node: usize) {
-        if self.nodes[node].phase == Phase::Up {
+        if self.nodes[node].phase == Phase::Running {
             self.kill_now(node);
         }
     }
 
     fn kill_now(&mut self, node: usize) {
-        self.saw(Seen::Killed { node });
-        let is_planned = self.nodes[node].phase != Phase::Up;
+        self.record(Event::Killed { node });
+        let is_planned = self.nodes[node].phase != Phase::Running;
         if let Some(mut child) = self.nodes[node].child.take() {
             let _ = (child.kill(), child.wait());
         }
         self.nodes[node].phase = Phase::Down;
         let process = self.nodes[node].process;
-        self.lose_process(node, process, is_planned);
-        self.set_in(STARTS_AGAIN_AFTER, Act::StartNode { node });
+        self.drop_process_sessions(node, process, is_planned);
+        self.schedule_in(RESTART_DELAY, Action::StartNode { node });
     }
 
-    pub(crate) fn stop_node(&mut self, node: usize, span: Micros) {
+    pub(crate) fn suspend_node(&mut self, node: usize, duration: Micros) {
         if self.nodes[node].phase == Phase::Down {
             return;
         }
         self.nodes[node].signal(Signal::STOP);
-        if matches!(self.nodes[node].phase, Phase::Ending(_)) {
-            self.nodes[node].stopped_for += span;
+        if matches!(self.nodes[node].phase, Phase::ShuttingDown(_)) {
+            self.nodes[node].suspended_for += duration;
         }
-        let until = self.now() + span;
-        self.nodes[node].stopped_until = until;
-        self.saw(Seen::Stopped { node, until });
-        self.set_in(span, Act::Continue { node });
+        let until = self.now() + duration;
+        self.nodes[node].suspended_until = until;
+        self.record(Event::ProcessSuspended { node, until });
+        self.schedule_in(duration, Action::ResumeNode { node });
     }
 
-    pub(crate) fn continue_node(&mut self, node: usize) {
+    pub(crate) fn resume_node(&mut self, node: usize) {
         self.nodes[node].signal(Signal::CONT);
     }
 
-    pub(crate) fn throttle(&mut self, node: usize, process: u32, runs: bool) {
+    pub(crate) fn throttle(&mut self, node: usize, process: u32, running: bool) {
         if self.nodes[node].process != process || self.nodes[node].phase == Phase::Down {
             return;
         }
-        self.nodes[node].signal(if runs { Signal::CONT } else { Signal::STOP });
-        let period = (THROTTLE_RUN * 100 / self.plan.cpu_percent).max(THROTTLE_PERIOD_AT_LEAST);
-        let running = period * self.plan.cpu_percent / 100;
-        let span = if runs { running } else { period - running };
-        self.set_in(span, Act::Throttle { node, process, runs: !runs });
+        self.nodes[node].signal(if running { Signal::CONT } else { Signal::STOP });
+        let period = (MIN_THROTTLE_RUN * 100 / self.plan.cpu_percent).max(MIN_THROTTLE_PERIOD);
+        let run_time = period * self.plan.cpu_percent / 100;
+        let duration = if running { run_time } else { period - run_time };
+        self.schedule_in(duration, Action::Throttle { node, process, running: !running });
     }
 
-    /// Ends of processes, and what each holds.
-    pub(crate) fn sample(&mut self) {
+    /// Detects exits and samples the resources of each process.
+    pub(crate) fn sample_processes(&mut self) {
         for node in 0..self.nodes.len() {
-            let is_new = self.now() < self.nodes[node].started + SAMPLED_FROM;
+            let is_starting = self.now() < self.nodes[node].started + FIRST_SAMPLE_DELAY;
             let Some(child) = &mut self.nodes[node].child else { continue };
             if let Ok(Some(status)) = child.try_wait() {
                 self.node_exited(node, status.code());
                 continue;
             }
-            if is_new {
+            if is_starting {
                 continue;
             }
             let pid = child.id();
             let sockets = fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
             let memory_mb = resident_mb(pid);
-            self.saw(Seen::Sample { node, sockets, memory_mb });
+            self.record(Event::ResourceSample { node, sockets, memory_mb });
         }
-        self.set_in(SAMPLE_EVERY, Act::Sample);
+        self.schedule_in(SAMPLE_INTERVAL, Action::SampleProcesses);
     }
 
     fn node_exited(&mut self, node: usize, code: Option<i32>) {
-        self.saw(Seen::Exited { node, code });
+        self.record(Event::Exited { node, code });
         self.nodes[node].child = None;
         self.nodes[node].phase = Phase::Down;
         let (process, ended) = (self.nodes[node].process, self.now());
-        self.set_in(LEFT_STANDING_AFTER, Act::LeftStanding { node, process, ended });
-        self.set_in(STARTS_AGAIN_AFTER, Act::StartNode { node });
+        self.schedule_in(ORPHAN_CHECK_DELAY, Action::CheckOrphans { node, process, ended });
+        self.schedule_in(RESTART_DELAY, Action::StartNode { node });
     }
 
     pub(crate) fn end_processes(&mut self) {
@@ -328,7 +328,7 @@
         }
     }
 
-    /// Logs of the processes, one a front node.
+    /// Log files, one for each front node.
     pub(crate) fn logs(&self) -> Vec<PathBuf> {
         self.nodes.iter().map(|node| node.log.clone()).collect()
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a trial is, drawn from its seed alone.
+//! The plan of a trial, drawn from its seed alone.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
@@ -7,206 +7,206 @@
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Clients go on asking for so long.
-const ASKING: Micros = 7 * SECOND;
+/// Duration of the request load.
+const REQUEST_PERIOD: Micros = 7 * SECOND;
 /// Servers of the largest fleet.
 const LARGEST_FLEET: u32 = 3_200;
 const SERVERS_PER_RACK: u32 = 9;
-/// Of requests and of what goes wrong, so much falls on servers where most happens.
-const BUSY_PERCENT: u64 = 70;
-/// Servers with which something goes wrong together, at most.
-const SERVERS_AT_ONCE: u64 = 200;
+/// Percentage of requests and faults that fall on the hot servers.
+const HOT_PERCENT: u64 = 70;
+/// Maximum number of servers that are affected by a fault that spreads.
+const MAX_SPREAD_SERVERS: u64 = 200;
 
-/// Draws of one trial.
+/// Random draws of one trial.
 pub struct Draws(Pcg32);
 
 impl Draws {
-    /// The draws of this seed.
+    /// The draws of a seed.
     pub fn new(seed: u64) -> Draws {
         Draws(Pcg32::seed_from_u64(seed))
     }
 
-    /// A number from the first one up to, not including, the second.
+    /// A number from `from` up to, not including, `to`.
     pub fn between(&mut self, from: u64, to: u64) -> u64 {
         from + self.0.next_u64() % (to - from).max(1)
     }
 
-    /// Whether something of this chance, in a hundred, happens.
+    /// True with the given probability, in percent.
     pub fn chance(&mut self, percent: u64) -> bool {
         self.between(0, 100) < percent
     }
 
-    /// One of these.
-    pub fn pick<T: Copy>(&mut self, of: &[T]) -> T {
-        of[self.between(0, of.len() as u64) as usize]
+    /// A random element.
+    pub fn pick<T: Copy>(&mut self, options: &[T]) -> T {
+        options[self.between(0, options.len() as u64) as usize]
     }
 }
 
-/// Something that goes wrong.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A server's process dies, and comes back cold after a while or not at all.
+    /// The process of a server dies, and restarts cold after this time or never.
     ServerDies(u32, Option<Micros>),
-    /// A server reads, answers and accepts nothing for a while.
+    /// A server does not read, answer or accept for this time.
     ServerHangs(u32, Micros),
-    /// A server's machine is gone for a while: open connections are silent, new ones do not come up.
+    /// The machine of a server disappears for this time: open connections are silent, new ones are not established.
     ServerVanishes(u32, Micros),
-    /// A server closes its connections that carry nothing.
+    /// A server closes its idle connections.
     ServerClosesIdle(u32),
     /// A server resets all its connections.
     ServerResets(u32),
-    /// A server has forgotten its connections that carry nothing: what comes on one is answered by a reset.
+    /// A server loses the state of its idle connections: data on one is answered by a reset.
     ServerForgetsIdle(u32),
-    /// A server is announced as leaving, and is gone so long after that.
+    /// A server is announced as leaving, and is gone after this time.
     ServerLeaves(u32, Micros),
-    /// The whole list is told anew.
-    WholeList,
-    /// Many servers are told again as they are.
+    /// The full list is published again.
+    FullList,
+    /// This many servers are published again, unchanged.
     ListChanges(u32),
-    /// Discovery refuses calls and has hung up for a while.
+    /// Discovery closes its connections and refuses new ones for this time.
     DiscoveryDown(Micros),
-    /// Discovery says nothing on any connection for a while.
+    /// Discovery sends nothing on any connection for this time.
     DiscoverySilent(Micros),
-    /// Discovery writes slowly for a while.
+    /// Discovery sends slowly for this time.
     DiscoverySlow(Micros),
-    /// A new configuration moves discovery.
+    /// A reload of the configuration moves discovery to another address.
     Reload(usize),
-    /// A planned restart: SIGTERM, and the kill at the page's earliest.
+    /// A planned restart: SIGTERM, then a kill at the earliest time that the protocol allows.
     Restart(usize),
-    /// The process is killed without a word, and starts again.
+    /// The process is killed without notice and restarts.
     Kill(usize),
-    /// The process is stopped for a while.
-    Stop(usize, Micros),
-    /// The network cuts a client's connections to this front node.
+    /// The process is suspended (SIGSTOP) for this time.
+    Suspend(usize, Micros),
+    /// All client connections to this front node are reset.
     CutClients(usize),
 }
 
 impl Fault {
-    /// The same at the server so many places on; none where it is no server's.
+    /// The same fault at the server `places` further on; `None` for faults that affect no server.
     fn at_neighbour(self, places: u32, servers: u32) -> Option<Fault> {
         let next = |server: u32| (server + places) % servers;
         Some(match self {
-            Fault::ServerDies(server, back) => Fault::ServerDies(next(server), back),
-            Fault::ServerHangs(server, span) => Fault::ServerHangs(next(server), span),
-            Fault::ServerVanishes(server, span) => Fault::ServerVanishes(next(server), span),
+            Fault::ServerDies(server, restart_after) => Fault::ServerDies(next(server), restart_after),
+            Fault::ServerHangs(server, duration) => Fault::ServerHangs(next(server), duration),
+            Fault::ServerVanishes(server, duration) => Fault::ServerVanishes(next(server), duration),
             Fault::ServerClosesIdle(server) => Fault::ServerClosesIdle(next(server)),
             Fault::ServerResets(server) => Fault::ServerResets(next(server)),
             Fault::ServerForgetsIdle(server) => Fault::ServerForgetsIdle(next(server)),
-            Fault::ServerLeaves(server, span) => Fault::ServerLeaves(next(server), span),
+            Fault::ServerLeaves(server, duration) => Fault::ServerLeaves(next(server), duration),
             _ => return None,
         })
     }
 }
 
-/// What servers do with set-ups, each in a hundred; the rest is served in time.
+/// Replies of servers to set-ups, each with its probability in percent; other set-ups are served in time.
 #[derive(Clone, Copy, Debug)]
-pub struct Answers {
-    /// The answer comes after the attempt's time.
+pub struct ServerBehavior {
+    /// Answered after the attempt's time is over.
     pub late: u64,
-    /// Turned away as full, moot, with an error or a reset.
+    /// Refused as full or not sent, or failed with an error.
     pub refused: u64,
-    /// No answer ever.
+    /// Never answered.
     pub silent: u64,
-    /// The connection is reset under the request.
+    /// The connection is reset.
     pub reset: u64,
-    /// The answer is spoilt, or its connection ends in the middle of it.
-    pub spoilt: u64,
-    /// The answer comes in pieces.
-    pub pieces: u64,
-    /// The answer comes twice.
-    pub twice: u64,
-    /// One that would come after the time left is not given at all.
-    pub drops: u64,
+    /// The answer is malformed or truncated.
+    pub malformed: u64,
+    /// The answer is sent in fragments.
+    pub fragments: u64,
+    /// The answer is sent twice.
+    pub duplicated: u64,
+    /// An answer that would come too late is not sent at all.
+    pub drops_late: u64,
 }
 
-/// What clients do, each in a hundred.
+/// Behavior of clients, each with its probability in percent unless stated otherwise.
 #[derive(Clone, Copy, Debug)]
-pub struct Habits {
+pub struct ClientBehavior {
     /// A request is given up early.
     pub gives_up: u64,
     /// A refused request is repeated at once.
-    pub repeats: u64,
-    /// A request is written in pieces.
-    pub pieces: u64,
+    pub retries: u64,
+    /// A request is written in fragments.
+    pub fragments: u64,
     /// A session is ended by its client.
     pub ends: u64,
     /// A session that plays on after a kill is not handed over.
-    pub forgets: u64,
+    pub drops_sessions: u64,
     /// A request has very little time left.
-    pub hurries: u64,
-    /// Connections that say nothing, or nothing that can be read, over the trial.
-    pub bad: u64,
+    pub short_deadlines: u64,
+    /// Number of connections that send nothing or invalid input, over the trial.
+    pub abusive: u64,
 }
 
 /// A class of the settings.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassPlan {
-    /// Its name.
+    /// Name.
     pub name: &'static str,
-    /// Its terms.
+    /// Terms that the judge checks.
     pub terms: ClassTerms,
-    /// When it should play, ms.
+    /// Target time of the set-up, ms.
     pub aim_ms: u64,
-    /// How long its clients wait, ms.
+    /// Patience of its clients, ms.
     pub deadline_ms: u64,
 }
 
-/// What is given in place of what the seed draws.
+/// Values that replace those drawn from the seed.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Overrides {
-    /// Listed servers.
+    /// Number of listed servers.
     pub servers: Option<u32>,
-    /// Share of a core, in hundredths.
+    /// Share of a core, in percent.
     pub cpu_percent: Option<u64>,
 }
 
-/// A trial.
+/// The plan of a trial.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its seed.
+    /// Seed.
     pub seed: u64,
-    /// Front nodes.
+    /// Number of front nodes.
     pub nodes: usize,
-    /// Listed servers, one a cell.
+    /// Number of listed servers, one in each cell.
     pub servers: u32,
-    /// Racks; none where they are not told.
+    /// Number of racks; 0 if the settings name none.
     pub racks: u32,
-    /// Requests a second and node.
+    /// Requests per second and front node.
     pub rate: u64,
-    /// Cells that hold a title.
+    /// Number of cells that hold a title.
     pub copies: u64,
-    /// Servers where most happens: the first, and how many.
-    pub busy: (u32, u32),
-    /// The classes.
+    /// The hot servers, which get most requests and faults: the first, and how many.
+    pub hot_servers: (u32, u32),
+    /// Classes.
     pub classes: Vec<ClassPlan>,
-    /// The promises.
+    /// Terms that the judge checks.
     pub terms: Terms,
-    /// A connection that is not made within this time is not made, ms.
+    /// Connect timeout of the front nodes, ms.
     pub connect_ms: u64,
-    /// Connections that carry nothing for so long are closed by servers, ms.
+    /// Idle time after which servers close a connection, ms.
     pub idle_ms: u64,
-    /// Share of a core, in hundredths; the process is stopped for the rest of each period.
+    /// Share of a core, in percent; the process is suspended for the rest of each period.
     pub cpu_percent: u64,
-    /// Bytes on the first connections to a server are read late by this.
-    pub read_late: Micros,
-    /// Servers answer give-ups.
-    pub hears: bool,
-    /// What servers do.
-    pub answers: Answers,
-    /// What clients do.
-    pub habits: Habits,
-    /// Connections of a crowd that says nothing.
+    /// Delay of reads on the first connection of each front node to a server.
+    pub read_delay: Micros,
+    /// Whether servers acknowledge give-ups.
+    pub acknowledges: bool,
+    /// Behavior of servers.
+    pub server_behavior: ServerBehavior,
+    /// Behavior of clients.
+    pub client_behavior: ClientBehavior,
+    /// Additional abusive connections of each front node.
     pub crowd: u64,
-    /// What goes wrong, and when.
+    /// Faults and their times.
     pub faults: Vec<(Micros, Fault)>,
-    /// Clients ask until then.
-    pub asks_until: Micros,
-    /// The trial ends then.
+    /// End of the request load.
+    pub requests_until: Micros,
+    /// End of the trial.
     pub ends: Micros,
 }
 
 impl Plan {
-    /// The trial of this seed.
+    /// Draws the plan of a seed.
     pub fn drawn(seed: u64, overrides: Overrides) -> Plan {
         let mut draws = Draws::new(seed);
         let is_large = draws.chance(30);
@@ -215,35 +215,35 @@
         let servers = overrides.servers.unwrap_or(servers).max(1);
         let nodes = if is_large { 2 } else { draws.between(1, 4) as usize };
         let classes = classes(&mut draws);
-        let longest = classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) * MS;
+        let longest_deadline = classes.iter().map(|class| class.deadline_ms).max().unwrap_or(0) * MS;
         let rate = draws.pick(&[15, 25, 40, 80]);
-        let busy = (draws.between(0, u64::from(servers)) as u32, servers.min(draws.pick(&[40, 200])));
+        let hot_servers = (draws.between(0, u64::from(servers)) as u32, servers.min(draws.pick(&[40, 200])));
         let terms = terms(&mut draws, &classes);
-        let asks_until = ASKING;
-        // Some go on until what could not be told at once has to be told.
-        let told_by = if draws.chance(25) { 8_300 * MS } else { 0 };
-        let ends = asks_until + (longest + 1_200 * MS).max(told_by);
-        let with_racks = is_large || draws.chance(50);
+        let requests_until = REQUEST_PERIOD;
+        // A quarter of the trials lasts until delayed notifications of session ends (8 s) are due.
+        let notified_by = if draws.chance(25) { 8_300 * MS } else { 0 };
+        let ends = requests_until + (longest_deadline + 1_200 * MS).max(notified_by);
+        let has_racks = is_large || draws.chance(50);
         let mut plan = Plan {
             seed,
             nodes,
             servers,
-            racks: if with_racks { servers.div_ceil(SERVERS_PER_RACK) } else { 0 },
+            racks: if has_racks { servers.div_ceil(SERVERS_PER_RACK) } else { 0 },
             rate,
             copies: draws.pick(&[1, 1, 2, 3]),
-            busy,
+            hot_servers,
             classes,
             terms,
             connect_ms: draws.pick(&[150, 250, 400]),
             idle_ms: draws.pick(&[1_500, 6_000, 15_000]),
             cpu_percent: draws.pick(&[100, 100, 50, 25]),
-            read_late: draws.pick(&[0, 0, 5, 20]) * MS,
-            hears: draws.chance(50),
-            answers: answers(&mut draws),
-            habits: habits(&mut draws),
+            read_delay: draws.pick(&[0, 0, 5, 20]) * MS,
+            acknowledges: draws.chance(50),
+            server_behavior: server_behavior(&mut draws),
+            client_behavior: client_behavior(&mut draws),
             crowd: draws.pick(&[0, 0, 60, 200]),
             faults: Vec::new(),
-            asks_until,
+            requests_until,
             ends,
         };
         plan.cpu_percent = overrides.cpu_percent.unwrap_or(plan.cpu_percent).clamp(1, 100);
@@ -254,7 +254,7 @@
     fn draw_faults(&mut self, draws: &mut Draws) {
         let count = draws.between(4, 14);
         for _ in 0..count {
-            let at = draws.between(800 * MS, self.asks_until - 500 * MS);
+            let at = draws.between(800 * MS, self.requests_until - 500 * MS);
             let fault = self.fault(draws);
             self.faults.push((at, fault));
             if draws.chance(30) {
@@ -262,7 +262,7 @@
             }
         }
         if draws.chance(60) {
-            // One after another, while other things go wrong.
+            // Restarts one front node after another while other faults occur.
             let first = draws.between(SECOND, 2 * SECOND);
             for node in 0..self.nodes {
                 self.faults.push((first + node as u64 * 600 * MS, Fault::Restart(node)));
@@ -275,21 +275,21 @@
         self.faults.sort_by_key(|(at, _)| *at);
     }
 
-    /// What goes wrong with one server goes wrong with its neighbours too, at once or one after another.
+    /// Repeats a fault at neighbouring servers, all at once or one after another.
     fn spread(&mut self, at: Micros, fault: Fault, draws: &mut Draws) {
         let part = u64::from(self.servers) * draws.pick(&[5, 20, 40]) / 100;
         let gap = draws.pick(&[0, 2, 20]) * MS;
-        for next in 1..part.min(SERVERS_AT_ONCE) {
+        for next in 1..part.min(MAX_SPREAD_SERVERS) {
             if let Some(fault) = fault.at_neighbour(next as u32, self.servers) {
                 self.faults.push((at + next * gap, fault));
             }
         }
     }
 
-    /// A server, most often one where most happens.
+    /// A random server, most often a hot one.
     pub fn server(&self, draws: &mut Draws) -> u32 {
-        let (first, count) = self.busy;
-        match draws.chance(BUSY_PERCENT) {
+        let (first, count) = self.hot_servers;
+        match draws.chance(HOT_PERCENT) {
             true => (first + draws.between(0, u64::from(count)) as u32) % self.servers,
             false => draws.between(0, u64::from(self.servers)) as u32,
         }
@@ -298,28 +298,28 @@
     fn fault(&self, draws: &mut Draws) -> Fault {
         let server = self.server(draws);
         let node = draws.between(0, self.nodes as u64) as usize;
-        let span = draws.between(200, 3_000) * MS;
+        let duration = draws.between(200, 3_000) * MS;
         match draws.between(0, 18) {
-            0 | 1 => Fault::ServerDies(server, draws.chance(60).then_some(span)),
-            2 | 3 => Fault::ServerHangs(server, span),
-            4 => Fault::ServerVanishes(server, span),
+            0 | 1 => Fault::ServerDies(server, draws.chance(60).then_some(duration)),
+            2 | 3 => Fault::ServerHangs(server, duration),
+            4 => Fault::ServerVanishes(server, duration),
             5 => Fault::ServerClosesIdle(server),
             6 => Fault::ServerResets(server),
-            7 | 8 => Fault::ServerLeaves(server, span),
-            9 => Fault::WholeList,
-            10 => Fault::DiscoveryDown(span),
-            11 => Fault::DiscoverySilent(span),
-            12 => Fault::DiscoverySlow(span),
+            7 | 8 => Fault::ServerLeaves(server, duration),
+            9 => Fault::FullList,
+            10 => Fault::DiscoveryDown(duration),
+            11 => Fault::DiscoverySilent(duration),
+            12 => Fault::DiscoverySlow(duration),
             13 => Fault::Reload(node),
             14 => Fault::Kill(node),
-            15 if self.cpu_percent == 100 => Fault::Stop(node, draws.between(100, 1_200) * MS),
+            15 if self.cpu_percent == 100 => Fault::Suspend(node, draws.between(100, 1_200) * MS),
             16 => Fault::CutClients(node),
             17 => Fault::ServerForgetsIdle(server),
             _ => Fault::Restart(node),
         }
     }
 
-    /// The longest deadline of the settings.
+    /// The longest deadline of the classes.
     pub fn longest_deadline(&self) -> Micros {
         self.classes.iter().map(|class| class.deadline_ms * MS).max().unwrap_or(0)
     }
@@ -339,7 +339,7 @@
         classes: classes.iter().map(|class| class.terms).collect(),
         max_attempts: draws.pick(&[2, 3, 5]),
         drain_grace: draws.pick(&[300, 500, 1_000, 2_000]) * MS,
-        // 40 places, warmed over 2 s from 0.5, borne three times over in 1.5 s.
+        // 40 sessions, warmed up over 2 s from a share of 0.5; three times that pace is allowed in a window of 1.5 s.
         cold: Some((45.0, 1_500 * MS)),
         warm_up: 2 * SECOND,
         budget: draws.chance(30).then_some((2 * SECOND, 4.0, 0.2)),
@@ -348,29 +348,29 @@
     }
 }
 
-fn answers(draws: &mut Draws) -> Answers {
-    let mut some = |most: u64| if draws.chance(50) { draws.between(0, most) } else { 0 };
-    Answers {
-        late: some(20),
-        refused: some(20),
-        silent: some(10),
-        reset: some(10),
-        spoilt: some(8),
-        pieces: some(30),
-        twice: some(10),
-        drops: some(100),
+fn server_behavior(draws: &mut Draws) -> ServerBehavior {
+    let mut maybe = |max: u64| if draws.chance(50) { draws.between(0, max) } else { 0 };
+    ServerBehavior {
+        late: maybe(20),
+        refused: maybe(20),
+        silent: maybe(10),
+        reset: maybe(10),
+        malformed: maybe(8),
+        fragments: maybe(30),
+        duplicated: maybe(10),
+        drops_late: maybe(100),
     }
 }
 
-fn habits(draws: &mut Draws) -> Habits {
-    let mut some = |most: u64| if draws.chance(50) { draws.between(0, most) } else { 0 };
-    Habits {
-        gives_up: some(25),
-        repeats: some(50),
-        pieces: some(30),
-        ends: some(50),
-        bad: some(40),
-        forgets: some(20),
-        hurries: some(20),
+fn client_behavior(draws: &mut Draws) -> ClientBehavior {
+    let mut maybe = |max: u64| if draws.chance(50) { draws.between(0, max) } else { 0 };
+    ClientBehavior {
+        gives_up: maybe(25),
+        retries: maybe(50),
+        fragments: maybe(30),
+        ends: maybe(50),
+        abusive: maybe(40),
+        drops_sessions: maybe(20),
+        short_deadlines: maybe(20),
     }
 }
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,6 +1,6 @@
-//! What crossed the sockets in a trial, in the order and at the times at which its peers saw it.
+//! Events that the peers of the front nodes observed in a trial, with the times at which they observed them.
 
-/// Microseconds since the trial began.
+/// Microseconds since the start of the trial.
 pub type Micros = u64;
 
 /// How often a set-up of a class may take effect.
@@ -8,11 +8,11 @@
 pub enum Effect {
     /// It may be repeated.
     Safe,
-    /// Once.
+    /// At most once.
     Once,
 }
 
-/// A class of the settings, as the rules need it.
+/// Terms of a class that the judge checks.
 #[derive(Clone, Copy, Debug)]
 pub struct ClassTerms {
     /// How often a set-up may take effect.
@@ -23,33 +23,33 @@
     pub top: u64,
 }
 
-/// What the settings promise, as the rules need it.
+/// Terms of the settings that the judge checks.
 #[derive(Clone, Debug)]
 pub struct Terms {
     /// The classes.
     pub classes: Vec<ClassTerms>,
-    /// Attempts for a request at most.
+    /// Maximum number of attempts of a request.
     pub max_attempts: usize,
-    /// Nothing new is sent to a server so long after it was told that it leaves.
+    /// Time after the announcement that a server leaves from which it gets no new session.
     pub drain_grace: Micros,
-    /// Set-ups that a cold server bears in the window, by the settings, and the window.
+    /// Number of set-ups that a cold server handles in a window according to the settings, and the window.
     pub cold: Option<(f64, Micros)>,
-    /// How long a process counts as cold.
+    /// Time for which a process counts as cold.
     pub warm_up: Micros,
-    /// Further attempts in a window: free ones, and a share of the requests taken.
+    /// Limit of repeated attempts: window, free attempts in it, and a share of the requests in it.
     pub budget: Option<(Micros, f64, f64)>,
-    /// Descriptors and memory, MB, of a front node.
+    /// Maximum number of descriptors of a front node.
     pub sockets: usize,
-    /// See `sockets`.
+    /// Maximum resident memory of a front node, MB.
     pub memory_mb: u64,
 }
 
 /// The answer to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// The session stands, with this description.
+    /// The session plays; the description from the answer.
     Served(Vec<u8>),
-    /// Refused: trying again is harmless.
+    /// Refused: a retry is harmless.
     Refused,
     /// Failed.
     Failed,
@@ -58,192 +58,193 @@
 /// How an attempt ended at its server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The session stands, with this description.
+    /// The session plays; the description from the answer.
     SetUp(Vec<u8>),
-    /// It was turned away and never ran.
+    /// Refused; it never ran.
     NeverRan,
-    /// It failed, or was reset: it may have run.
+    /// Failed or reset; it may have run.
     Failed,
-    /// The front node gave it up, or its connection is gone.
+    /// Given up by the front node, or its connection has ended.
     GivenUp,
 }
 
-/// Something that was seen.
+/// An observed event.
 #[derive(Clone, Debug)]
-pub enum Seen {
-    /// The last byte of a request was written by a client.
-    Asked {
-        /// Its id.
+pub enum Event {
+    /// A client wrote the last byte of a request.
+    RequestSent {
+        /// Session id.
         id: u64,
         /// The front node.
         node: usize,
-        /// The client's connection.
+        /// Number of the client's connection.
         conn: u64,
-        /// The class.
+        /// Index of the class.
         class: usize,
-        /// How long the client waits.
+        /// Patience of the client.
         patience: Micros,
     },
-    /// The client gave the request up, or closed its connection.
+    /// A client gave a request up, or closed its connection.
     GaveUp {
-        /// The request.
+        /// Session id.
         id: u64,
     },
-    /// A whole answer was read.
+    /// A client read a complete answer.
     Answered {
-        /// The request.
+        /// Session id.
         id: u64,
         /// The answer.
         answer: Answer,
     },
-    /// Bytes that no message is made of came on a client's connection.
+    /// A client read bytes that cannot be decoded.
     Unreadable {
-        /// The client's connection.
+        /// Number of the client's connection.
         conn: u64,
     },
-    /// A client's connection was ended by the front node, or by the end of its process.
+    /// A client's connection was closed by the front node or by the end of its process.
     ClosedByNode {
-        /// The connection.
+        /// Number of the connection.
         conn: u64,
     },
-    /// A client closed its connection, or the network cut it: an end that stood on it is told where another one is open.
+    /// A client's connection was closed by the client or reset by a network fault. The front node sends the ends of
+    /// its sessions on another open connection.
     ClosedByClient {
-        /// The connection.
+        /// Number of the connection.
         conn: u64,
     },
-    /// A request that crossed the close of its connection was sent once more, under a new id.
-    SentOnceMore {
-        /// The request that crossed the close.
+    /// A request sent shortly before the close of its connection was sent again, under a new id.
+    RequestResent {
+        /// Id of the original request.
         id: u64,
     },
-    /// The client read that its session is over, or was told to come again.
+    /// A client was told that its session is over or is to be opened again.
     Released {
-        /// The session.
+        /// Session id.
         id: u64,
     },
-    /// A session that plays on was named to the next process of its front node, on this connection.
+    /// A playing session was handed over to the next process of its front node.
     HandedOver {
-        /// The session.
+        /// Session id.
         id: u64,
-        /// The client's connection.
+        /// Number of the connection that was used.
         conn: u64,
     },
-    /// The client ended its session.
+    /// A client ended its session.
     EndedByClient {
-        /// The session.
+        /// Session id.
         id: u64,
     },
-    /// The first byte of a set-up was read by a server that reads at once.
-    Began {
-        /// The request.
+    /// A server that reads without delay read the first byte of a set-up.
+    SetUpBegan {
+        /// Session id.
         id: u64,
         /// The server.
         server: u32,
         /// The front node.
         node: usize,
     },
-    /// A set-up has come whole to a server.
-    Taken {
-        /// Number of the attempt, over the trial.
+    /// A server read a complete set-up.
+    SetUpReceived {
+        /// Number of the attempt, unique in the trial.
         attempt: u64,
-        /// The request.
+        /// Session id.
         id: u64,
         /// The server.
         server: u32,
         /// The front node.
         node: usize,
-        /// The rung that it asks for.
+        /// Requested rung.
         rung: u64,
-        /// The process of the server started then, if it is told as a late start.
+        /// Start of the server's process, if the list states one.
         started: Option<Micros>,
     },
-    /// An attempt has ended.
-    Ended {
+    /// An attempt ended.
+    AttemptEnded {
         /// Number of the attempt.
         attempt: u64,
-        /// How.
+        /// How it ended.
         end: AttemptEnd,
     },
-    /// A session that stood at a server is over there.
-    Over {
-        /// The session.
+    /// A session ended at its server.
+    SessionEnded {
+        /// Session id.
         id: u64,
-        /// Its end was written to the front node on an open connection, by a server that is well.
-        told: bool,
+        /// Whether a healthy server wrote the end to the front node on an open connection.
+        notified: bool,
     },
-    /// A server does not read from now until then: when an attempt was given up there cannot be seen.
-    Unwell {
+    /// A server does not read until then, so ends of attempts there are not observed.
+    ServerUnresponsive {
         /// The server.
         server: u32,
-        /// Until when.
+        /// End of the period.
         until: Micros,
     },
-    /// A process was stopped from now until then.
-    Stopped {
+    /// A process is suspended until then.
+    ProcessSuspended {
         /// The front node.
         node: usize,
-        /// Until when.
+        /// End of the suspension.
         until: Micros,
     },
-    /// A server counts as told to leave, to this front node, from then on.
-    ToldToLeave {
+    /// From this time on, a server counts as announced to this front node as leaving.
+    AnnouncedLeaving {
         /// The server.
         server: u32,
         /// The front node.
         node: usize,
     },
-    /// A server counts as told to be there.
-    ToldReady {
+    /// A server counts as announced to this front node as ready.
+    AnnouncedReady {
         /// The server.
         server: u32,
         /// The front node.
         node: usize,
     },
-    /// A front node was told to end in order.
-    ToldToEnd {
+    /// A front node was told to shut down.
+    ShutdownRequested {
         /// The front node.
         node: usize,
     },
-    /// A front node was killed, at the page's earliest or by a fault.
+    /// A front node was killed, by a fault or at the earliest time that the protocol allows.
     Killed {
         /// The front node.
         node: usize,
     },
-    /// The process of a front node ended by itself, with this code.
+    /// The process of a front node exited by itself.
     Exited {
         /// The front node.
         node: usize,
-        /// Its exit code; none for a signal.
+        /// Its exit code; `None` after a signal.
         code: Option<i32>,
     },
-    /// What a front node holds.
-    Sample {
+    /// Resources that a front node holds.
+    ResourceSample {
         /// The front node.
         node: usize,
-        /// Descriptors.
+        /// Number of descriptors.
         sockets: usize,
         /// Resident memory, MB.
         memory_mb: u64,
     },
-    /// A session still stands at a server that is well, one second after its front node had ended in order.
-    LeftStanding {
-        /// The session.
+    /// A session still plays at a healthy server one second after its front node has shut down in order.
+    SessionOrphaned {
+        /// Session id.
         id: u64,
     },
-    /// The rig itself was late by so much: what it saw then is not sharp.
+    /// The test rig itself was late, so the times of events around this one are inaccurate.
     RigLate {
-        /// How late.
-        by: Micros,
+        /// Delay.
+        delay: Micros,
     },
 }
 
-/// All that was seen in a trial, in order.
+/// All events of a trial, in the order in which they were recorded.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// The promises.
+    /// Terms that the judge checks.
     pub terms: Terms,
-    /// When and what.
-    pub seen: Vec<(Micros, Seen)>,
-    /// When the trial ended.
-    pub ended: Micros,
+    /// Events with their times.
+    pub events: Vec<(Micros, Event)>,
+    /// End of the trial.
+    pub ended_at: Micros,
 }
--- a/crates/soak/src/trial.rs
+++ b/crates/soak/src/trial.rs
@@ -1,111 +1,111 @@
-//! One trial, from its seed to what was broken in it.
+//! One trial, from its seed to the violations.
 
 use std::fs;
 use std::io;
 use std::path::PathBuf;
 
-use crate::judge::{judge, Broken};
+use crate::judge::{judge, Violation};
 use crate::plan::{Overrides, Plan};
-use crate::record::{Answer, Micros, Record, Seen};
-use crate::world::World;
+use crate::record::{Answer, Event, Micros, Record};
+use crate::rig::Rig;
 
-/// What came of a trial.
+/// Result of a trial.
 #[derive(Debug)]
 pub struct Outcome {
     /// The plan.
     pub plan: Plan,
-    /// What was seen.
+    /// The recorded events.
     pub record: Record,
-    /// What was broken.
-    pub broken: Vec<Broken>,
-    /// How late the rig itself was at worst.
+    /// The violations.
+    pub violations: Vec<Violation>,
+    /// Largest delay of the test rig.
     pub rig_late: Micros,
-    /// Logs of the processes, kept where something was broken.
+    /// Log files of the processes; they are removed if there is no violation.
     pub logs: Vec<PathBuf>,
 }
 
-/// How front nodes are started.
+/// How to start front nodes.
 #[derive(Clone, Debug)]
 pub struct Program {
-    /// The executable, which is given `--platform`.
+    /// The executable, started with `--platform`.
     pub path: PathBuf,
-    /// What it logs.
+    /// Log level.
     pub log_level: String,
 }
 
-/// Requests of a trial by their answers.
+/// Number of requests and their answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    /// Written whole.
+pub struct RequestCounts {
+    /// Requests that were sent completely.
     pub asked: usize,
-    /// Answered: served.
+    /// Requests that were served.
     pub served: usize,
-    /// Answered: refused.
+    /// Requests that were refused.
     pub refused: usize,
-    /// Answered: failed.
+    /// Requests that failed.
     pub failed: usize,
-    /// Attempts that came whole to servers.
+    /// Attempts that reached servers.
     pub attempts: usize,
 }
 
-/// A rig that was later than this saw nothing sharply enough for a limit of 50 ms to be judged: the trial is void.
-const RIG_LATE_AT_MOST: Micros = 100_000;
+/// If the test rig was later than this, limits of 50 ms cannot be judged and the trial is void.
+const MAX_RIG_LATE: Micros = 100_000;
 
-/// What is to be said of a trial.
+/// Verdict on a trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// All rules were kept.
-    Kept,
-    /// Some rule was broken.
-    Broken,
-    /// The rig itself was too late: nothing can be said.
+    /// No rule was violated.
+    Passed,
+    /// A rule was violated.
+    Failed,
+    /// The test rig was too late for a verdict.
     Void,
 }
 
 impl Outcome {
-    /// What is to be said of it.
+    /// The verdict.
     pub fn verdict(&self) -> Verdict {
-        match (self.rig_late > RIG_LATE_AT_MOST, self.broken.is_empty()) {
+        match (self.rig_late > MAX_RIG_LATE, self.violations.is_empty()) {
             (true, _) => Verdict::Void,
-            (false, true) => Verdict::Kept,
-            (false, false) => Verdict::Broken,
+            (false, true) => Verdict::Passed,
+            (false, false) => Verdict::Failed,
         }
     }
 
-    /// Requests by their answers.
-    pub fn tally(&self) -> Tally {
-        let mut tally = Tally::default();
-        for (_, seen) in &self.record.seen {
-            match seen {
-                Seen::Asked { .. } => tally.asked += 1,
-                Seen::Answered { answer: Answer::Served(_), .. } => tally.served += 1,
-                Seen::Answered { answer: Answer::Refused, .. } => tally.refused += 1,
-                Seen::Answered { answer: Answer::Failed, .. } => tally.failed += 1,
-                Seen::Taken { .. } => tally.attempts += 1,
+    /// Counts the requests and their answers.
+    pub fn counts(&self) -> RequestCounts {
+        let mut counts = RequestCounts::default();
+        for (_, event) in &self.record.events {
+            match event {
+                Event::RequestSent { .. } => counts.asked += 1,
+                Event::Answered { answer: Answer::Served(_), .. } => counts.served += 1,
+                Event::Answered { answer: Answer::Refused, .. } => counts.refused += 1,
+                Event::Answered { answer: Answer::Failed, .. } => counts.failed += 1,
+                Event::SetUpReceived { .. } => counts.attempts += 1,
                 _ => {}
             }
         }
-        tally
+        counts
     }
 }
 
-/// Plays the trial of a seed with front nodes that are started by this program.
+/// Runs the trial of a seed with front nodes of this program.
 ///
 /// # Errors
-/// No sockets, or the program cannot be started.
+/// Sockets cannot be opened, or the program cannot be started.
 pub fn play(seed: u64, overrides: Overrides, program: &Program) -> io::Result<Outcome> {
     let plan = Plan::drawn(seed, overrides);
-    let world = World::new(plan.clone(), program)?;
-    let logs = world.logs();
-    let record = world.play();
-    let broken = judge(&record);
-    let late = |(_, seen): &(Micros, Seen)| match seen {
-        Seen::RigLate { by } => Some(*by),
+    let rig = Rig::new(plan.clone(), program)?;
+    let logs = rig.logs();
+    let record = rig.play();
+    let violations = judge(&record);
+    let late = |(_, event): &(Micros, Event)| match event {
+        Event::RigLate { delay } => Some(*delay),
         _ => None,
     };
-    let rig_late = record.seen.iter().filter_map(late).max().unwrap_or(0);
-    if broken.is_empty() {
+    let rig_late = record.events.iter().filter_map(late).max().unwrap_or(0);
+    if violations.is_empty() {
         logs.iter().for_each(|log| drop(fs::remove_file(log)));
     }
-    Ok(Outcome { plan, record, broken, rig_late, logs })
+    Ok(Outcome { plan, record, violations, rig_late, logs })
 }
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -1,55 +1,55 @@
-//! The platform's messages and list frames as the peers of a front node write and read them. Written from the protocol's
-//! page; nothing of the front node's own codec is used.
+//! The platform's messages and list frames, encoded and decoded for the peers of a front node. Written from the
+//! protocol documentation, independently of the front node's own codec.
 
-/// Types of message.
+/// Message types.
 pub mod kind {
-    /// A set-up.
+    /// Set-up.
     pub const SET_UP: u8 = 1;
-    /// An answer: the session stands.
+    /// Answer: the session plays.
     pub const ANSWER: u8 = 9;
-    /// A refusal, a give-up or a release.
+    /// Refusal, give-up or release.
     pub const RELEASE: u8 = 12;
-    /// A release was heard.
-    pub const HEARD: u8 = 16;
-    /// A note on a session that stands.
+    /// Acknowledgement of a release.
+    pub const RELEASE_ACK: u8 = 16;
+    /// Note about a playing session.
     pub const NOTE: u8 = 44;
-    /// The session is moved.
+    /// Request to move a session.
     pub const MOVE: u8 = 51;
-    /// A test.
+    /// Test.
     pub const TEST: u8 = 52;
-    /// A test's result.
-    pub const TESTED: u8 = 53;
+    /// Result of a test.
+    pub const TEST_RESULT: u8 = 53;
 }
 
-/// Codes of parameters.
+/// Parameter codes.
 pub mod code {
-    /// The class.
+    /// Class.
     pub const CLASS: u8 = 3;
-    /// How long the sender waits, ms.
-    pub const WAIT: u8 = 6;
-    /// The title.
+    /// Time that the sender waits, ms.
+    pub const WAIT_MS: u8 = 6;
+    /// Title.
     pub const TITLE: u8 = 15;
-    /// Figures of a request.
-    pub const FIGURES: u8 = 18;
-    /// Name of a note.
-    pub const NOTE: u8 = 24;
-    /// A load report.
+    /// Fields of a request.
+    pub const REQUEST_FIELDS: u8 = 18;
+    /// Kind of a note.
+    pub const NOTE_KIND: u8 = 24;
+    /// Load report.
     pub const REPORT: u8 = 30;
-    /// A guess of the length, ms.
-    pub const HINT: u8 = 33;
-    /// The rung.
+    /// Expected session length, ms.
+    pub const LENGTH_HINT_MS: u8 = 33;
+    /// Rung.
     pub const RUNG: u8 = 36;
-    /// Figure of a note.
-    pub const FIGURE: u8 = 39;
-    /// The cause of a release.
+    /// Value of a note.
+    pub const NOTE_VALUE: u8 = 39;
+    /// Cause of a release.
     pub const CAUSE: u8 = 45;
-    /// The description.
+    /// Description.
     pub const DESCRIPTION: u8 = 48;
 }
 
-/// Causes of a release.
+/// Release causes.
 pub mod cause {
-    /// A normal end, or a give-up.
+    /// Normal end, or give-up.
     pub const NORMAL: u8 = 16;
     /// Ended on purpose.
     pub const ON_PURPOSE: u8 = 31;
@@ -57,23 +57,23 @@
     pub const FULL: u8 = 34;
     /// Broken.
     pub const BROKEN: u8 = 41;
-    /// Refused: come later.
-    pub const LATER: u8 = 42;
-    /// An error.
+    /// Refused; retry later.
+    pub const RETRY_LATER: u8 = 42;
+    /// Error.
     pub const ERROR: u8 = 47;
-    /// Moot: it never ran.
-    pub const MOOT: u8 = 102;
+    /// Not sent: it never ran.
+    pub const NOT_SENT: u8 = 102;
 }
 
-const LONGEST: usize = 16 * 1024;
-const HEAD: usize = 11;
+const MAX_MESSAGE_BYTES: usize = 16 * 1024;
+const HEADER_BYTES: usize = 11;
 
-/// One message.
+/// A message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Message {
-    /// Its type.
+    /// Message type.
     pub kind: u8,
-    /// The session that it names.
+    /// Session id.
     pub id: u64,
     /// Code and value of each parameter.
     pub parameters: Vec<(u8, Vec<u8>)>,
@@ -90,7 +90,7 @@
         Message::new(kind::RELEASE, id).with(code::CAUSE, vec![cause])
     }
 
-    /// With one more parameter.
+    /// Adds a parameter.
     pub fn with(mut self, code: u8, value: impl Into<Vec<u8>>) -> Message {
         self.parameters.push((code, value.into()));
         self
@@ -101,17 +101,17 @@
         self.parameters.iter().find(|(other, _)| *other == code).map(|(_, value)| value.as_slice())
     }
 
-    /// The cause, if there is one.
+    /// The cause, if present.
     pub fn cause(&self) -> Option<u8> {
         self.get(code::CAUSE).and_then(|value| value.first().copied())
     }
 
-    /// A parameter that is a whole number.
+    /// A parameter as a decimal integer.
     pub fn number(&self, code: u8) -> Option<u64> {
         std::str::from_utf8(self.get(code)?).ok()?.parse().ok()
     }
 
-    /// Its bytes.
+    /// Encodes the message.
     pub fn bytes(&self) -> Vec<u8> {
         let mut body = vec![self.kind];
         body.extend(self.id.to_be_bytes());
@@ -126,39 +126,39 @@
     }
 }
 
-/// Bytes that no message is made of.
+/// Bytes that are not a valid message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unreadable;
+pub struct DecodeError;
 
-/// Takes bytes in and gives messages out.
+/// Decodes messages from a byte stream.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct Decoder {
     bytes: Vec<u8>,
 }
 
-impl Reader {
-    /// Takes in what was read.
+impl Decoder {
+    /// Appends received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.bytes.extend(bytes);
     }
 
-    /// Whether a message has begun and is not whole.
+    /// Whether there are undecoded bytes.
     pub fn is_partial(&self) -> bool {
         !self.bytes.is_empty()
     }
 
-    /// The next whole message.
+    /// The next complete message.
     ///
     /// # Errors
-    /// The bytes cannot be read.
-    pub fn take(&mut self) -> Result<Option<Message>, Unreadable> {
+    /// The bytes are not a valid message.
+    pub fn next_message(&mut self) -> Result<Option<Message>, DecodeError> {
         let Some(head) = self.bytes.first_chunk::<2>() else { return Ok(None) };
         let size = usize::from(u16::from_be_bytes(*head));
-        if !(HEAD - 2..=LONGEST).contains(&size) {
-            return Err(Unreadable);
+        if !(HEADER_BYTES - 2..=MAX_MESSAGE_BYTES).contains(&size) {
+            return Err(DecodeError);
         }
         let Some(body) = self.bytes.get(2..2 + size) else { return Ok(None) };
-        let message = parse(body).ok_or(Unreadable)?;
+        let message = parse(body).ok_or(DecodeError)?;
         self.bytes.drain(..2 + size);
         Ok(Some(message))
     }
@@ -178,11 +178,11 @@
 /// State of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListState {
-    /// It may be sent set-ups.
+    /// Accepts set-ups.
     Ready,
-    /// It may not be sent anything new.
+    /// Accepts no new sessions.
     Draining,
-    /// It is gone.
+    /// Gone.
     Gone,
 }
 
@@ -191,19 +191,19 @@
 pub struct ListRecord {
     /// The server.
     pub id: u32,
-    /// Where it listens.
+    /// Listening address.
     pub address: std::net::SocketAddrV4,
-    /// Its state.
+    /// State.
     pub state: ListState,
-    /// Its cell.
+    /// Cell.
     pub cell: u16,
-    /// When its process started, Unix ms; 0 long ago.
+    /// Start of its process, Unix ms; 0 if long ago.
     pub started_ms: u64,
 }
 
-/// A frame of the list: nothing new without records, else the whole list or what has changed.
-pub fn list_frame(number: u64, records: &[ListRecord], whole: bool) -> Vec<u8> {
-    let kind = match (records.is_empty(), whole) {
+/// Encodes a list frame: a heartbeat without records, else the full list or changes.
+pub fn list_frame(number: u64, records: &[ListRecord], is_full: bool) -> Vec<u8> {
+    let kind = match (records.is_empty(), is_full) {
         (true, _) => 0,
         (_, true) => 1,
         (_, false) => 2,
