--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -315,7 +315,7 @@
             return;
         }
         self.end_session_for_client(id);
-        self.end_moved(id);
+        self.end_moved_session(id);
         self.send_request(node);
     }
 
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -344,7 +344,7 @@
                     if was_served && late && same_process && self.record.ended_at > deadline {
                         found.push((
                             deadline,
-                            format!("the client of {id:016x} was not notified of its end (front node notified: {notified})"),
+                            format!("the client of {id:016x} got no notice of its end (front node notified: {notified})"),
                         ));
                     }
                 }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -207,7 +207,7 @@
 
 impl Plan {
     /// Draws the plan of a seed.
-    pub fn drawn(seed: u64, overrides: Overrides) -> Plan {
+    pub fn from_seed(seed: u64, overrides: Overrides) -> Plan {
         let mut draws = Draws::new(seed);
         let is_large = draws.chance(30);
         let servers =
--- a/crates/soak/src/rig.rs
+++ b/crates/soak/src/rig.rs
@@ -90,7 +90,7 @@
 pub struct Rig {
     pub(crate) plan: Plan,
     pub(crate) draws: Draws,
-    began: Instant,
+    started: Instant,
     poll: OwnedFd,
     pub(crate) endpoints: BTreeMap<u64, Endpoint>,
     next_token: u64,
@@ -149,7 +149,7 @@
         let draws = Draws::new(plan.seed ^ 0x5eed);
         let mut rig = Rig {
             draws,
-            began: Instant::now(),
+            started: Instant::now(),
             poll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
             endpoints: BTreeMap::new(),
             next_token: 0,
@@ -181,7 +181,7 @@
     /// Runs the plan to its end.
     pub(crate) fn play(mut self) -> Record {
         self.wait_until_ready();
-        self.began = Instant::now();
+        self.started = Instant::now();
         self.events.clear();
         let due: Vec<(Micros, Action)> =
             std::mem::take(&mut self.timers).into_iter().map(|((at, _), action)| (at, action)).collect();
@@ -212,7 +212,7 @@
 
     /// Time since the start of the trial.
     pub(crate) fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
     /// Converts a time of the trial to Unix milliseconds.
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -467,7 +467,7 @@
     }
 
     /// Ends a session that was moved.
-    pub(crate) fn end_moved(&mut self, id: u64) {
+    pub(crate) fn end_moved_session(&mut self, id: u64) {
         let holds = |server: &&Server| server.sessions.contains_key(&id);
         let Some(server) = self.servers.iter().find(holds).map(|server| server.id - 1) else { return };
         let Some(session) = self.servers[server as usize].sessions.remove(&id) else { return };
--- a/crates/soak/src/trial.rs
+++ b/crates/soak/src/trial.rs
@@ -94,7 +94,7 @@
 /// # Errors
 /// Sockets cannot be opened, or the program cannot be started.
 pub fn play(seed: u64, overrides: Overrides, program: &Program) -> io::Result<Outcome> {
-    let plan = Plan::drawn(seed, overrides);
+    let plan = Plan::from_seed(seed, overrides);
     let rig = Rig::new(plan.clone(), program)?;
     let logs = rig.logs();
     let record = rig.play();
