--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
-use salttally_judge::record::{SetUpEnd, What};
+use salttally_judge::record::{Event, SetUpEnd};
 use serde_json::{json, Value};
 
 use crate::fleet::{BoxModel, BoxSession, BoxSpec, BoxState, Fleet, Liveness, SetUpOutcome};
@@ -100,7 +100,7 @@
         let (id, now) = (spec.id, self.0.log.now());
         lock(&self.0.fleet).boxes.insert(id, BoxState::new(spec, cold.then_some(now)));
         self.listen(id, address)?;
-        self.0.log.write(What::BoxStarted { server: id, cold });
+        self.0.log.write(Event::BoxStarted { server: id, cold });
         Ok(())
     }
 
@@ -179,10 +179,10 @@
         if let Some(state) = fleet.boxes.get_mut(&id) {
             state.liveness = liveness;
         }
-        self.0.log.write(What::BoxDied { server: id });
+        self.0.log.write(Event::BoxDied { server: id });
         for ((session, attempt), box_session) in lost {
             if box_session.is_playing {
-                self.0.log.write(What::Ended { server: id, session, attempt });
+                self.0.log.write(Event::Ended { server: id, session, attempt });
             }
         }
         if liveness == Liveness::Dead {
@@ -193,7 +193,7 @@
                 pending.remove(&(id, key.clone()));
                 let (session, attempt) = key;
                 let end = SetUpEnd::Reset;
-                self.0.log.write(What::SetUpEnded { server: id, session, attempt, end });
+                self.0.log.write(Event::SetUpEnded { server: id, session, attempt, end });
             }
         }
     }
@@ -211,7 +211,7 @@
             }
             thread::sleep(Duration::from_millis(5));
         }
-        self.0.log.write(What::BoxStarted { server: id, cold: true });
+        self.0.log.write(Event::BoxStarted { server: id, cold: true });
         Ok(())
     }
 
@@ -306,7 +306,7 @@
                 let rate_kb = body["rate_kb"].as_f64().unwrap_or(0.0);
                 let found = lock(&self.0.fleet).set_rung(id, &key, rung, rate_kb);
                 if found {
-                    self.0.log.write(What::RungSet { server: id, session: key.0, rung });
+                    self.0.log.write(Event::RungSet { server: id, session: key.0, rung });
                 }
                 (if found { 200 } else { 404 }, json!({}))
             }
@@ -315,7 +315,7 @@
                 let now = self.0.log.now();
                 let box_session = lock(&self.0.fleet).release(id, &key, now);
                 if box_session.as_ref().is_some_and(|box_session| box_session.is_playing) {
-                    self.0.log.write(What::Ended { server: id, session: key.0, attempt: key.1 });
+                    self.0.log.write(Event::Ended { server: id, session: key.0, attempt: key.1 });
                 }
                 (if box_session.is_some() { 200 } else { 404 }, json!({}))
             }
@@ -336,7 +336,7 @@
         let key = (text("session"), body["attempt"].as_u64().unwrap_or(0) as u32);
         let rung = body["rung"].as_u64().unwrap_or(0) as usize;
         lock(&self.0.pending).insert((id, key.clone()), ());
-        self.0.log.write(What::SetUpRead {
+        self.0.log.write(Event::SetUpRead {
             server: id,
             front: request.front.clone(),
             session: key.0.clone(),
@@ -377,7 +377,7 @@
             SetUpOutcome::AlreadyReleased => (503, "released", SetUpEnd::Full),
             SetUpOutcome::Failed => (500, "failed", SetUpEnd::Error),
             SetUpOutcome::Overloaded => {
-                self.0.log.write(What::BoxFell { server: id });
+                self.0.log.write(Event::BoxFell { server: id });
                 self.kill(id);
                 return false;
             }
@@ -428,7 +428,7 @@
     fn record_set_up_end(&self, id: u32, key: &SessionKey, end: SetUpEnd) {
         if lock(&self.0.pending).remove(&(id, key.clone())).is_some() {
             let (session, attempt) = key.clone();
-            self.0.log.write(What::SetUpEnded { server: id, session, attempt, end });
+            self.0.log.write(Event::SetUpEnded { server: id, session, attempt, end });
         }
     }
 
@@ -486,7 +486,7 @@
                 thread::sleep(Duration::from_micros(LINK_CHECK_INTERVAL_US));
                 let now = boxes.0.log.now();
                 for (server, share) in lock(&boxes.0.fleet).changed_shares(now) {
-                    boxes.0.log.write(What::Share { server, share });
+                    boxes.0.log.write(Event::Share { server, share });
                 }
                 let notes = boxes.0.notes;
                 if now >= last_short_report + 1_000_000 {
@@ -544,7 +544,7 @@
                     if leave_draw < self.0.notes.leave_probability {
                         if let Some(box_session) = fleet.release(id, &key, now) {
                             let (session, attempt) = key.clone();
-                            self.0.log.write(What::Ended { server: id, session, attempt });
+                            self.0.log.write(Event::Ended { server: id, session, attempt });
                             departed.push((id, key, box_session.front));
                         }
                     }
--- a/crates/standin/src/day.rs
+++ b/crates/standin/src/day.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-use salttally_judge::record::{EffectKind, What};
+use salttally_judge::record::{EffectKind, Event};
 
 use crate::attack::{self, Attackers};
 use crate::boxes::Boxes;
@@ -111,7 +111,7 @@
 
     fn start_on(script: Script, block: Arc<AddressBlock>) -> io::Result<Day> {
         let log = Log::default();
-        log.write(What::Terms(script.terms.clone()));
+        log.write(Event::Terms(script.terms.clone()));
         let (specs, uplinks) = workload::fleet(&script);
         let zones = (0..script.fronts).map(|number| (front_name(number), number % script.zones)).collect();
         let boxes =
@@ -188,7 +188,7 @@
     ) -> io::Result<()> {
         let script = &self.script;
         for number in 0..script.fronts {
-            self.log.write(What::FrontUp { front: front_name(number) });
+            self.log.write(Event::FrontUp { front: front_name(number) });
             fronts.start(number as usize, self.settings(number as usize))?;
         }
         // The clock of the day starts 0.5 s after the fronts have started.
@@ -470,7 +470,7 @@
 
     fn kill_fronts(&self, fronts: &mut dyn FrontController, selected: impl Fn(u32) -> bool) {
         for number in (0..self.script.fronts).filter(|number| selected(*number)) {
-            self.log.write(What::FrontDown { front: front_name(number) });
+            self.log.write(Event::FrontDown { front: front_name(number) });
             fronts.kill(number as usize);
         }
     }
@@ -481,7 +481,7 @@
         selected: impl Fn(u32) -> bool,
     ) -> io::Result<()> {
         for number in (0..self.script.fronts).filter(|number| selected(*number)) {
-            self.log.write(What::FrontUp { front: front_name(number) });
+            self.log.write(Event::FrontUp { front: front_name(number) });
             fronts.start(number as usize, self.settings(number as usize))?;
         }
         Ok(())
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use salttally_judge::record::What;
+use salttally_judge::record::Event;
 use serde_json::{json, Value};
 
 use crate::http;
@@ -161,8 +161,8 @@
                 for entry in latest.values() {
                     let (front, server) = (front.clone(), entry.id);
                     self.0.log.write(match entry.state {
-                        ListState::Ready => What::ReadyTold { front, server },
-                        ListState::Draining | ListState::Gone => What::DrainTold { front, server },
+                        ListState::Ready => Event::ReadyTold { front, server },
+                        ListState::Draining | ListState::Gone => Event::DrainTold { front, server },
                     });
                 }
                 let boxes: Vec<Value> = latest.values().map(|entry| self.entry_json(entry)).collect();
--- a/crates/standin/src/log.rs
+++ b/crates/standin/src/log.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use salttally_judge::record::{self, Line, What};
+use salttally_judge::record::{self, Event, Line};
 
 /// Event log shared by all simulated peers. An event is stamped when [`Log::write`] is called: one that is logged
 /// before its bytes are written is stamped no later than the other side can read them.
@@ -33,10 +33,10 @@
     }
 
     /// Appends an event.
-    pub fn write(&self, what: What) {
+    pub fn write(&self, event: Event) {
         let mut lines = self.lines.lock().unwrap_or_else(PoisonError::into_inner);
         // Taken under the lock, so that events are ordered by time.
-        lines.push(Line { at: self.now(), what });
+        lines.push(Line { at: self.now(), what: event });
     }
 
     /// All events so far.
--- a/crates/standin/src/players.rs
+++ b/crates/standin/src/players.rs
@@ -10,7 +10,7 @@
 
 use rand_core::SeedableRng;
 use rand_pcg::Pcg32;
-use salttally_judge::record::{AnswerKind, What};
+use salttally_judge::record::{AnswerKind, Event};
 use serde_json::{json, Value};
 use tungstenite::client::{client_with_config, ClientRequestBuilder};
 use tungstenite::protocol::WebSocketConfig;
@@ -222,7 +222,7 @@
             params["moved_from"] = Value::from(old.clone());
         }
         let asked = context.log.now();
-        context.log.write(What::Opened {
+        context.log.write(Event::Opened {
             open,
             front: front.clone(),
             viewer: arrival.viewer.clone(),
@@ -233,7 +233,7 @@
             returned: self.returned,
         });
         let Ok(id) = connection.call("session.open", &params) else {
-            context.log.write(What::Cut { open });
+            context.log.write(Event::Cut { open });
             return NextStep::OpenAgain(pause);
         };
         let impatient = uniform(&mut self.rng) < context.viewer_behavior.impatient;
@@ -246,7 +246,7 @@
         let mut other_messages = Vec::new();
         let received = match connection.response(id, context.log.moment(asked + wait), &mut other_messages) {
             Err(ReceiveError::TimedOut) => {
-                context.log.write(What::GaveUp { open });
+                context.log.write(Event::GaveUp { open });
                 if connection.call("session.cancel", &json!({"open": id})).is_err() {
                     return NextStep::Done;
                 }
@@ -257,7 +257,7 @@
         let answer = match received {
             Ok(answer) => answer,
             Err(_) => {
-                context.log.write(What::Cut { open });
+                context.log.write(Event::Cut { open });
                 return NextStep::OpenAgain(pause);
             }
         };
@@ -280,7 +280,7 @@
             Some(-32001) => (AnswerKind::Refused, text(&error["data"]["session"])),
             Some(_) => (AnswerKind::Failed, text(&error["data"]["session"])),
         };
-        context.log.write(What::Answered { open, answer: kind, session: session.clone() });
+        context.log.write(Event::Answered { open, answer: kind, session: session.clone() });
         match kind {
             AnswerKind::Refused => {
                 let hold_off = error["data"]["hold_off_ms"].as_u64().unwrap_or(0) * 1000;
@@ -318,12 +318,12 @@
                     let is_own = message["params"]["session"].as_str() == Some(session);
                     match message["method"].as_str() {
                         Some("session.move") if is_own => {
-                            context.log.write(What::Moved { session: session.to_owned() });
+                            context.log.write(Event::Moved { session: session.to_owned() });
                             self.remaining = self.remaining.saturating_sub(watched_for);
                             return NextStep::Moved(session.to_owned());
                         }
                         Some("session.ended") if is_own => {
-                            context.log.write(What::EndTold { session: session.to_owned() });
+                            context.log.write(Event::EndTold { session: session.to_owned() });
                             self.remaining = self.remaining.saturating_sub(watched_for);
                             return NextStep::OpenAgain(context.viewer_behavior.pause);
                         }
@@ -331,7 +331,7 @@
                     }
                 }
                 Err(ReceiveError::TimedOut) => {
-                    context.log.write(What::Closed { session: session.to_owned() });
+                    context.log.write(Event::Closed { session: session.to_owned() });
                     if let Ok(id) = connection.call("session.close", &json!({"session": session})) {
                         let until = Instant::now() + Duration::from_secs(1);
                         let _ = connection.response(id, until, &mut Vec::new());
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -164,19 +164,21 @@
         let count: u32 = boxes.argument()?;
         boxes.done()?;
         if fronts == 0 || count == 0 || zones == 0 || zones > fronts {
-            return Err(boxes.bad("fronts, boxes and zones must be at least 1, and every zone needs a front"));
+            return Err(
+                boxes.error("fronts, boxes and zones must be at least 1, and every zone needs a front")
+            );
         }
         let titles = root.need("titles")?;
         let title_settings = (titles.argument()?, titles.need("holders")?, titles.or("zipf", 0.8)?);
         titles.done()?;
         if title_settings.0 == 0 || title_settings.1 == 0 || title_settings.1 > count {
-            return Err(titles.bad(
+            return Err(titles.error(
                 "needs at least one title, held by at least 1 cell and by at most as many as there are boxes",
             ));
         }
         let viewers = root.all("viewers").iter().map(viewers).collect::<Read<Vec<_>>>()?;
         if viewers.is_empty() {
-            return Err(root.bad("at least one `viewers` is needed"));
+            return Err(root.error("at least one `viewers` is needed"));
         }
         let viewer_behavior = viewer_behavior(&root)?;
         let leave_probability = root.one("habits")?.map_or(Ok(0.0), |node| node.or("leaves", 0.0))?;
@@ -184,7 +186,7 @@
         let terms = terms(&terms_block, places as u32)?;
         for viewer_class in &viewers {
             if !terms.classes.contains_key(&viewer_class.class) {
-                return Err(root.bad(format!(
+                return Err(root.error(format!(
                     "viewers have class `{}`, which the terms do not define",
                     viewer_class.class
                 )));
@@ -327,7 +329,7 @@
             let attack_kind = |key: &str, default: &str| {
                 let name: String = node.or(key, default.to_owned())?;
                 attack::AttackKind::from_name(&name)
-                    .ok_or_else(|| node.bad(format!("unknown siege `{name}`")))
+                    .ok_or_else(|| node.error(format!("unknown siege `{name}`")))
             };
             let first = attack_kind("first", "slow-handshake")?;
             let second = attack_kind("second", first.name())?;
@@ -336,7 +338,7 @@
         other => {
             let known = "crash, vanish, preempt, errors, reports-late, crowd, zone-loss, zone-cut, deploy, \
                          list-stale, list-drop, front-crash, slow, ageing, siege";
-            return Err(node.bad(format!("`{other}` is not a fault; known: {known}")));
+            return Err(node.error(format!("`{other}` is not a fault; known: {known}")));
         }
     };
     let fault =
