--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -1,5 +1,5 @@
-//! The front's own thread: it feeds the ledger with what the other threads hear, carries out what the ledger
-//! says, and waits until the next of either. It never waits for a peer.
+//! The engine thread: passes messages from the other threads to the ledger, executes its outputs, and waits
+//! for the next message or deadline. It never waits for a peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -21,191 +21,197 @@
 use crate::session_api::core::thread_share::OpenOverhead;
 use crate::session_api::rpc;
 
-/// The engine's state.
+/// State of the engine.
 pub struct Engine {
-    /// The time.
+    /// Clock of the front.
     pub clock: Clock,
     /// Sessions and attempts.
     pub ledger: Ledger<Controller>,
     /// Connections to boxes and their event streams.
     pub boxes: BoxConnections,
     /// Follows the box list.
-    pub list: ListFollower,
-    /// What is told.
+    pub box_list: ListFollower,
+    /// Incoming messages.
     pub inbox: Receiver<EngineMessage>,
-    /// Calls over their sender's share: heard when there is nothing else.
-    pub over: DeferredQueue<ReceivedMessage>,
-    /// How many these are, for those who would add to them.
-    pub waiting: Arc<AtomicUsize>,
-    /// What opens cost beside their calls.
-    pub aftermath: OpenOverhead,
-    /// Who is let in.
-    pub entrance: Arc<Connections>,
-    /// Clients by number.
+    /// Messages from players that have used up their share of this thread, processed when there is nothing
+    /// else to do.
+    pub deferred: DeferredQueue<ReceivedMessage>,
+    /// Number of these messages, shared with the threads that add to them.
+    pub deferred_count: Arc<AtomicUsize>,
+    /// Processing cost of open requests beyond their calls.
+    pub open_overhead: OpenOverhead,
+    /// Admission of player connections.
+    pub connections: Arc<Connections>,
+    /// Clients by id.
     pub clients: BTreeMap<ClientId, ClientSink>,
-    /// Empty between two inputs; kept for its room.
-    pub out: Vec<Output>,
-    /// Likewise: clients of which something was heard or said.
-    pub touched: BTreeSet<ClientId>,
-    /// Where copies of promises are kept, if they are.
+    /// Output buffer; empty between inputs, kept to reuse its memory.
+    pub outputs: Vec<Output>,
+    /// Clients touched by the current input; likewise reused.
+    pub touched_clients: BTreeSet<ClientId>,
+    /// Replication of session records, if enabled.
     pub copies: Option<Copies>,
-    /// Time during which this process was not running.
+    /// Detects suspensions of this process.
     pub pauses: PauseDetector,
 }
 
-/// The front's thread looks around this often at least, so that it knows when it was not running.
-const LOOK_AROUND: Micros = 100_000;
+/// Maximum time between checks of the clock, us, which detect that the process was suspended.
+const MAX_WAIT_US: Micros = 100_000;
 
 impl Engine {
     /// Runs until the front ends.
     pub fn run(mut self) {
-        let mut waits: Vec<Sender<Counts>> = Vec::new();
+        let mut shutdown_replies: Vec<Sender<Counts>> = Vec::new();
         loop {
-            // The ledger looks at its timers with every input, so a flood of messages holds none of them up.
-            let finished = match self.hear() {
-                Err(RecvTimeoutError::Timeout) => self.input(Input::Tick),
-                Err(RecvTimeoutError::Disconnected) | Ok(EngineMessage::Kill) => return self.die(),
+            // The ledger checks its deadlines with every input, so a flood of messages delays none of them.
+            let finished = match self.next_message() {
+                Err(RecvTimeoutError::Timeout) => self.apply_input(Input::Tick),
+                Err(RecvTimeoutError::Disconnected) | Ok(EngineMessage::Kill) => return self.stop_now(),
                 Ok(EngineMessage::ShutDown(done)) => {
-                    waits.push(done);
-                    self.input(Input::ShutDown)
+                    shutdown_replies.push(done);
+                    self.apply_input(Input::ShutDown)
                 }
-                Ok(EngineMessage::Status(to)) => {
-                    let _ = to.send(self.status());
+                Ok(EngineMessage::Status(reply)) => {
+                    let _ = reply.send(self.status());
                     false
                 }
-                Ok(EngineMessage::Attach(client, port)) => {
-                    self.clients.insert(client, port);
+                Ok(EngineMessage::Attach(client, sink)) => {
+                    self.clients.insert(client, sink);
                     false
                 }
-                Ok(EngineMessage::DeferredCalls(taken)) => {
-                    self.over.push(taken.client, taken);
+                Ok(EngineMessage::DeferredCalls(received)) => {
+                    self.deferred.push(received.client, received);
                     false
                 }
-                Ok(EngineMessage::Calls(taken)) => {
-                    let mut all = self.earlier(taken.client);
-                    all.push(taken);
-                    all.into_iter().fold(false, |finished, taken| self.calls(taken) | finished)
+                Ok(EngineMessage::Calls(received)) => {
+                    let mut messages = self.take_deferred(received.client);
+                    messages.push(received);
+                    messages
+                        .into_iter()
+                        .fold(false, |finished, received| self.handle_call_message(received) | finished)
                 }
                 Ok(EngineMessage::Input(input)) => {
-                    let gone = match &input {
+                    let departed = match &input {
                         Input::ClientClosed(client) | Input::ClientLost(client) => Some(*client),
                         _ => None,
                     };
-                    let begun = self.clock.instant_now();
-                    let finished = self.input(input);
-                    self.aftermath.record_cost(self.clock.nanos_since(begun));
-                    if let Some(client) = gone {
+                    let started = self.clock.instant_now();
+                    let finished = self.apply_input(input);
+                    self.open_overhead.record_cost(self.clock.nanos_since(started));
+                    if let Some(client) = departed {
                         self.clients.remove(&client);
-                        // What it asked for and nobody has seen yet was never accepted.
-                        self.earlier(client);
+                        // Its deferred messages were not accepted yet and are dropped.
+                        self.take_deferred(client);
                     }
                     finished
                 }
             };
             if finished {
-                for done in waits {
+                for done in shutdown_replies {
                     let _ = done.send(self.ledger.counts());
                 }
-                return self.die();
+                return self.stop_now();
             }
         }
     }
 
-    /// The next message: those that have their turn first, and none later than what is due.
-    fn hear(&mut self) -> Result<EngineMessage, RecvTimeoutError> {
+    /// Receives the next message: regular messages first, deferred ones only if there are none. Returns at
+    /// the next deadline at the latest.
+    fn next_message(&mut self) -> Result<EngineMessage, RecvTimeoutError> {
         match self.inbox.try_recv() {
-            Ok(msg) => return Ok(msg),
+            Ok(message) => return Ok(message),
             Err(TryRecvError::Disconnected) => return Err(RecvTimeoutError::Disconnected),
             Err(TryRecvError::Empty) => {}
         }
-        if let Some(taken) = self.over.pop() {
-            self.waiting.fetch_sub(1, Ordering::Relaxed);
-            return Ok(EngineMessage::Calls(taken));
+        if let Some(received) = self.deferred.pop() {
+            self.deferred_count.fetch_sub(1, Ordering::Relaxed);
+            return Ok(EngineMessage::Calls(received));
         }
-        let around = self.clock.now() + LOOK_AROUND;
-        let due = self.ledger.next_deadline().map_or(around, |due| due.min(around));
-        self.inbox.recv_deadline(self.clock.instant_at(due))
+        let latest = self.clock.now() + MAX_WAIT_US;
+        let deadline = self.ledger.next_deadline().map_or(latest, |deadline| deadline.min(latest));
+        self.inbox.recv_deadline(self.clock.instant_at(deadline))
     }
 
-    /// What of this player waits for time: it goes ahead of what the player says now.
-    fn earlier(&mut self, client: ClientId) -> Vec<ReceivedMessage> {
-        let earlier = self.over.take_client(client);
-        self.waiting.fetch_sub(earlier.len(), Ordering::Relaxed);
-        earlier
+    /// Removes the deferred messages of this player, which go ahead of its next one.
+    fn take_deferred(&mut self, client: ClientId) -> Vec<ReceivedMessage> {
+        let messages = self.deferred.take_client(client);
+        self.deferred_count.fetch_sub(messages.len(), Ordering::Relaxed);
+        messages
     }
 
-    /// Takes in a player's message and charges what it cost. Returns whether the front is done.
-    fn calls(&mut self, taken: ReceivedMessage) -> bool {
-        let begun = self.clock.instant_now();
-        let (inputs, share) = match self.clients.get_mut(&taken.client) {
-            Some(ClientSink::Socket(socket)) => (socket.take(taken.message), Arc::clone(&socket.share)),
+    /// Handles a player message and charges its sender for the cost. Returns whether the front is done.
+    fn handle_call_message(&mut self, received: ReceivedMessage) -> bool {
+        let started = self.clock.instant_now();
+        let (inputs, share) = match self.clients.get_mut(&received.client) {
+            Some(ClientSink::Socket(socket)) => (socket.accept(received.message), Arc::clone(&socket.share)),
             _ => return false,
         };
         let opens =
             inputs.iter().filter(|input| matches!(input, Input::Open(..) | Input::Reopen(..))).count();
         let mut finished = false;
         for input in inputs {
-            finished |= self.input(input);
+            finished |= self.apply_input(input);
         }
-        let nanos = self.clock.nanos_since(begun).saturating_add(self.aftermath.charge_opens(opens as u64));
-        share.lock().unwrap_or_else(PoisonError::into_inner).settle(taken.charge, nanos);
+        let nanos =
+            self.clock.nanos_since(started).saturating_add(self.open_overhead.charge_opens(opens as u64));
+        share.lock().unwrap_or_else(PoisonError::into_inner).settle(received.charge, nanos);
         finished
     }
 
-    /// Tells the door whether a player holds something, where that has changed.
-    fn note_holds(&mut self, client: ClientId) {
+    /// Tells the admission control whether a client has sessions, if that has changed.
+    fn update_admission(&mut self, client: ClientId) {
         let Some(ClientSink::Socket(socket)) = self.clients.get_mut(&client) else { return };
-        let holds = self.ledger.has_sessions(client);
-        if std::mem::replace(&mut socket.holds, holds) != holds {
-            if holds {
+        let has_sessions = self.ledger.has_sessions(client);
+        if std::mem::replace(&mut socket.has_sessions, has_sessions) != has_sessions {
+            if has_sessions {
                 socket.calls.allow_new_sessions();
             }
-            self.entrance.set_in_use(client, holds);
+            self.connections.set_in_use(client, has_sessions);
         }
     }
 
-    /// Hands one input to the ledger and carries out what it says; returns whether the front is done.
-    fn input(&mut self, input: Input) -> bool {
-        let mut out = std::mem::take(&mut self.out);
-        let mut touched = std::mem::take(&mut self.touched);
+    /// Passes one input to the ledger and executes the outputs. Returns whether the front is done.
+    fn apply_input(&mut self, input: Input) -> bool {
+        let mut outputs = std::mem::take(&mut self.outputs);
+        let mut touched_clients = std::mem::take(&mut self.touched_clients);
         if let Input::Open(client, ..) | Input::Reopen(client, ..) = &input {
-            touched.insert(*client);
+            touched_clients.insert(*client);
         }
         self.ledger.set_lease_time(salttally_accord::edge::now);
-        // Danger: stopped between a look at the clock for pauses and another one for this input, the process would not know
-        // that it was, and take its own sleep for silence of the boxes: all that they play would be lost. So both go by one.
+        // Danger: if the process were suspended between reading the clock for the pause detection and reading
+        // it for the input, it would not notice, and would take its own suspension for silence of the boxes:
+        // all their sessions would be lost. So both use the same reading.
         let now = self.clock.now();
-        if let Some(lost) = self.pauses.check(now) {
-            tracing::warn!(ms = lost / 1000, "this process was not running");
-            self.ledger.handle(now, Input::ProcessResumed, &mut out);
+        if let Some(suspended) = self.pauses.check(now) {
+            tracing::warn!(ms = suspended / 1000, "this process was not running");
+            self.ledger.handle(now, Input::ProcessResumed, &mut outputs);
         }
-        self.pauses.expect_call_at(now + LOOK_AROUND);
-        self.ledger.handle(now, input, &mut out);
+        self.pauses.expect_call_at(now + MAX_WAIT_US);
+        self.ledger.handle(now, input, &mut outputs);
         let mut finished = false;
-        for output in out.drain(..) {
+        for output in outputs.drain(..) {
             if let Output::Answer(client, ..) | Output::Reply(client, ..) | Output::Notify(client, ..) =
                 &output
             {
-                touched.insert(*client);
+                touched_clients.insert(*client);
             }
             match &output {
                 Output::Answer(client, ticket, answer) => self.answer(*client, *ticket, answer),
                 Output::Reply(client, ticket, reply) => self.reply(*client, *ticket, reply),
-                Output::Notify(client, news) => self.tell(*client, news),
+                Output::Notify(client, notification) => self.notify(*client, notification),
                 Output::Dial(conn, server, address) => self.boxes.dial(*conn, *server, *address),
                 Output::Exchange(conn, request) => {
-                    let writ = self.ledger.write_authority(request);
-                    self.boxes.send(*conn, request, writ);
+                    let authority = self.ledger.write_authority(request);
+                    self.boxes.send(*conn, request, authority);
                 }
                 Output::CloseConn(conn) => self.boxes.hang_up(*conn),
                 Output::OpenStream(server, number, address) => {
                     self.boxes.open_event_stream(*server, *number, *address)
                 }
                 Output::CloseStream(_, number) => self.boxes.close_event_stream(*number),
-                Output::FollowList => self.list.follow(),
-                Output::StoreRecord(key, body, waits) => {
+                Output::FollowList => self.box_list.follow(),
+                Output::StoreRecord(key, body, awaited) => {
                     if let Some(copies) = &self.copies {
-                        copies.keep(Arc::clone(key), body.clone(), *waits);
+                        copies.keep(Arc::clone(key), body.clone(), *awaited);
                     }
                 }
                 Output::DeleteRecord(key) => {
@@ -213,14 +219,14 @@
                         copies.end(Arc::clone(key));
                     }
                 }
-                Output::OrphanFound(life) => {
+                Output::OrphanFound(incarnation) => {
                     if let Some(copies) = &self.copies {
-                        copies.found(Arc::clone(life));
+                        copies.found(Arc::clone(incarnation));
                     }
                 }
-                Output::IncarnationChanged(life) => {
+                Output::IncarnationChanged(incarnation) => {
                     if let Some(copies) = &self.copies {
-                        copies.lives(Arc::clone(life));
+                        copies.lives(Arc::clone(incarnation));
                     }
                 }
                 Output::Log(Level::Debug, text) => tracing::debug!("{text}"),
@@ -229,18 +235,18 @@
                 Output::Finished => finished = true,
             }
         }
-        while let Some(client) = touched.pop_first() {
-            self.note_holds(client);
+        while let Some(client) = touched_clients.pop_first() {
+            self.update_admission(client);
         }
-        (self.out, self.touched) = (out, touched);
+        (self.outputs, self.touched_clients) = (outputs, touched_clients);
         finished
     }
 
     fn answer(&mut self, client: ClientId, ticket: Ticket, answer: &Answer) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::open_response(id, answer)),
-            Some(ClientSink::Caller(to)) => {
-                let _ = to.send(CallerMessage::Answer(answer.clone()));
+            Some(ClientSink::Socket(socket)) => socket.answer(ticket, |id| rpc::open_response(id, answer)),
+            Some(ClientSink::Caller(sender)) => {
+                let _ = sender.send(CallerMessage::Answer(answer.clone()));
             }
             None => {}
         }
@@ -248,19 +254,19 @@
 
     fn reply(&mut self, client: ClientId, ticket: Ticket, reply: &Reply) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.answered(ticket, |id| rpc::call_response(id, reply)),
-            Some(ClientSink::Caller(to)) => {
-                let _ = to.send(CallerMessage::Reply(reply.clone()));
+            Some(ClientSink::Socket(socket)) => socket.answer(ticket, |id| rpc::call_response(id, reply)),
+            Some(ClientSink::Caller(sender)) => {
+                let _ = sender.send(CallerMessage::Reply(reply.clone()));
             }
             None => {}
         }
     }
 
-    fn tell(&mut self, client: ClientId, news: &Notification) {
+    fn notify(&mut self, client: ClientId, notification: &Notification) {
         match self.clients.get_mut(&client) {
-            Some(ClientSink::Socket(socket)) => socket.write(&rpc::notification(news)),
-            Some(ClientSink::Caller(to)) => {
-                let _ = to.send(CallerMessage::Notification(news.clone()));
+            Some(ClientSink::Socket(socket)) => socket.write(&rpc::notification(notification)),
+            Some(ClientSink::Caller(sender)) => {
+                let _ = sender.send(CallerMessage::Notification(notification.clone()));
             }
             None => {}
         }
@@ -274,16 +280,16 @@
             playing,
             connections: self.ledger.connections(),
             clients: self.clients.len(),
-            door: self.entrance.counts(),
+            admission: self.connections.counts(),
         }
     }
 
-    /// Closes every socket, with no word to anybody.
-    fn die(mut self) {
+    /// Closes every socket without notifying anybody.
+    fn stop_now(mut self) {
         self.boxes.close_all();
-        self.list.close();
-        for port in std::mem::take(&mut self.clients).into_values() {
-            if let ClientSink::Socket(socket) = port {
+        self.box_list.close();
+        for sink in std::mem::take(&mut self.clients).into_values() {
+            if let ClientSink::Socket(socket) = sink {
                 socket.outbox.close();
             }
         }
