--- a/crates/judge/src/record.rs
+++ b/crates/judge/src/record.rs
@@ -140,7 +140,7 @@
         /// Box id.
         server: u32,
     },
-    /// A cold box was overloaded and crashed.
+    /// A cold box failed from overload.
     BoxFell {
         /// Box id.
         server: u32,
