--- a/crates/accord/src/core/disk.rs
+++ b/crates/accord/src/core/disk.rs
@@ -22,7 +22,7 @@
     /// This front's own number, drawn at the first start on this disk, and how many starts there were.
     Identity(u64, u64),
     /// Begins to vote, among others than before if it did.
-    Vote(Box<Vote>),
+    Voter(Box<VoterState>),
     /// The log from this place on, counted from the vote's begin.
     Log(usize, Vec<Entry>),
     /// The promised ballot.
@@ -38,14 +38,14 @@
 impl Write {
     /// Whether others may be told what follows only once this is flushed. What is only known, and was promised to nobody,
     /// comes again.
-    pub fn promises(&self) -> bool {
+    pub fn needs_flush(&self) -> bool {
         !matches!(self, Write::Decided(_) | Write::History(_))
     }
 }
 
 /// What a voter keeps.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Vote {
+pub struct VoterState {
     /// The voters it belongs to.
     pub voters: Voters,
     /// Its number among them.
@@ -62,11 +62,11 @@
     pub log: Vec<Entry>,
 }
 
-impl Vote {
+impl VoterState {
     /// A vote among the voters of this history. It begins with nothing in its log: what they decided before this one
     /// joined, they tell it.
-    pub fn begin(number: u64, history: &History) -> Vote {
-        Vote {
+    pub fn new(number: u64, history: &History) -> VoterState {
+        VoterState {
             voters: history.voters.clone(),
             number,
             base: history.voters_at,
@@ -84,26 +84,26 @@
     /// Its own number, and how many starts there were.
     pub identity: Option<(u64, u64)>,
     /// Its vote.
-    pub vote: Option<Vote>,
+    pub vote: Option<VoterState>,
     /// The history it followed.
     pub history: Option<Arc<History>>,
 }
 
 impl Image {
     /// One write takes place.
-    pub fn write(&mut self, write: &Write) {
+    pub fn apply(&mut self, write: &Write) {
         match (write, &mut self.vote) {
             (Write::Identity(disk, starts), _) => self.identity = Some((*disk, *starts)),
             (Write::History(history), _) => self.history = Some(Arc::clone(history)),
-            (Write::Vote(vote), _) => self.vote = Some(vote.as_ref().clone()),
-            (write, Some(vote)) => vote.write(write),
+            (Write::Voter(vote), _) => self.vote = Some(vote.as_ref().clone()),
+            (write, Some(vote)) => vote.apply(write),
             (_, None) => {}
         }
     }
 }
 
-impl Vote {
-    fn write(&mut self, write: &Write) {
+impl VoterState {
+    fn apply(&mut self, write: &Write) {
         match write {
             Write::Log(at, entries) => {
                 self.log.truncate(*at);
@@ -112,7 +112,7 @@
             Write::Promise(ballot) => self.promise = Some(*ballot),
             Write::Accepted(ballot) => self.accepted = Some(*ballot),
             Write::Decided(decided) => self.decided = *decided,
-            Write::Identity(..) | Write::Vote(_) | Write::History(_) => {}
+            Write::Identity(..) | Write::Voter(_) | Write::History(_) => {}
         }
     }
 }
@@ -131,7 +131,7 @@
         let mut held = self.hold();
         match &write {
             Write::Accepted(ballot) => held.1 = Some(*ballot),
-            Write::Vote(vote) => held.1 = vote.accepted,
+            Write::Voter(vote) => held.1 = vote.accepted,
             _ => {}
         }
         held.0.push(write);
@@ -150,20 +150,20 @@
 
 /// A vote in memory, as the consensus crate reads and writes it; every change goes into the journal as well.
 #[derive(Debug)]
-pub struct Ledger {
-    vote: Vote,
+pub struct VoterStorage {
+    vote: VoterState,
     journal: Journal,
 }
 
-impl Ledger {
+impl VoterStorage {
     /// Of this vote.
-    pub fn new(vote: Vote, journal: Journal) -> Ledger {
+    pub fn new(vote: VoterState, journal: Journal) -> VoterStorage {
         journal.hold().1 = vote.accepted;
-        Ledger { vote, journal }
+        VoterStorage { vote, journal }
     }
 
     fn write(&mut self, write: Write) {
-        self.vote.write(&write);
+        self.vote.apply(&write);
         self.journal.push(write);
     }
 
@@ -172,7 +172,7 @@
     }
 }
 
-impl Storage<Entry> for Ledger {
+impl Storage<Entry> for VoterStorage {
     fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
         for op in ops {
             match op {
--- a/crates/accord/src/core/history.rs
+++ b/crates/accord/src/core/history.rs
@@ -6,16 +6,16 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::heirs::{Heirs, Succession};
 use super::rules::Rules;
+use super::successors::{SuccessionChange, Successors};
 use super::Name;
 
 /// Versions kept whole, from the latest back; and those that have not begun, however many.
-pub const KEPT: usize = 64;
+pub const VERSIONS_KEPT: usize = 64;
 /// Outcomes of proposals kept.
-const OUTCOMES: usize = 64;
+const OUTCOMES_KEPT: usize = 64;
 /// Versions that may wait to begin at once.
-pub const PENDING: u64 = 16;
+pub const MAX_PENDING_VERSIONS: u64 = 16;
 
 /// What somebody proposes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
@@ -40,7 +40,8 @@
     /// Nobody can act any more on what came before this version.
     Begin(u64),
     /// Heirs of fronts that are no more there: a version of its own, if any of it still holds.
-    Succeed(Vec<Succession>),
+    #[serde(rename = "Succeed")]
+    ChangeSuccessors(Vec<SuccessionChange>),
     /// Others vote from here on, or the same ones on a new log. Danger: the crate (0.2.4) has a sign of its own for this,
     /// and counts it twice after a loss; found by the hunt.
     Voters(Voters),
@@ -105,12 +106,13 @@
     /// What it says.
     pub rules: Arc<Rules>,
     /// It only names heirs; its rules are those of the version before.
-    pub only_heirs: bool,
+    #[serde(rename = "only_heirs")]
+    pub only_successors: bool,
 }
 
 /// What became of a proposal.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub enum Became {
+pub enum ProposalOutcome {
     /// It is this version.
     Version(u64),
     /// It was made from a version that was no longer the latest; this one was.
@@ -136,13 +138,14 @@
     /// Those that are kept.
     pub versions: BTreeMap<u64, Version>,
     /// Outcomes of the latest proposals, by their ids.
-    pub outcomes: VecDeque<(u64, Became)>,
+    pub outcomes: VecDeque<(u64, ProposalOutcome)>,
     /// Who votes.
     pub voters: Voters,
     /// Steps taken when they began to.
     pub voters_at: u64,
     /// Who goes on with whose promises.
-    pub heirs: Arc<Heirs>,
+    #[serde(rename = "heirs")]
+    pub successors: Arc<Successors>,
     /// Digests after the steps that made the kept versions: two histories that share a place and differ there have
     /// parted.
     pub trail: BTreeMap<u64, Digest>,
@@ -150,7 +153,7 @@
 
 impl History {
     /// Takes one step.
-    pub fn take(&mut self, step: &Entry) {
+    pub fn apply(&mut self, step: &Entry) {
         match step {
             Entry::Propose(proposal) => self.propose(proposal),
             Entry::Begin(version) => {
@@ -158,7 +161,7 @@
                     self.begun = self.begun.max(*version);
                 }
             }
-            Entry::Succeed(changes) => self.succeed(changes),
+            Entry::ChangeSuccessors(changes) => self.succeed(changes),
             Entry::Voters(voters) => {
                 if voters.epoch == self.voters.epoch + 1 {
                     self.voters = voters.clone();
@@ -173,36 +176,36 @@
         hasher.update(&postcard::to_allocvec(step).unwrap_or_default());
         self.digest.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
         self.trail.insert(self.position, self.digest);
-        while self.trail.len() > KEPT {
+        while self.trail.len() > VERSIONS_KEPT {
             self.trail.pop_first();
         }
-        while self.versions.len() > KEPT
+        while self.versions.len() > VERSIONS_KEPT
             && self.versions.first_key_value().is_some_and(|(n, _)| *n < self.begun)
         {
             self.versions.pop_first();
         }
     }
 
-    fn succeed(&mut self, changes: &[Succession]) {
+    fn succeed(&mut self, changes: &[SuccessionChange]) {
         // What does not fit now comes again from whoever wants it.
-        let crowded = self.latest - self.begun >= PENDING;
-        if crowded || !changes.iter().any(|change| self.heirs.would(change)) {
+        let crowded = self.latest - self.begun >= MAX_PENDING_VERSIONS;
+        if crowded || !changes.iter().any(|change| self.successors.would_change(change)) {
             return;
         }
         let rules = self.rules(self.latest).unwrap_or_default();
         self.latest += 1;
-        let heirs = Arc::make_mut(&mut self.heirs);
+        let successors = Arc::make_mut(&mut self.successors);
         for change in changes {
-            heirs.take(change, self.latest);
+            successors.apply(change, self.latest);
         }
         self.versions
-            .insert(self.latest, Version { by: "succession".into(), at: 0, rules, only_heirs: true });
+            .insert(self.latest, Version { by: "succession".into(), at: 0, rules, only_successors: true });
     }
 
     /// Whether a proposal made from this version is made from what holds: a version that only names heirs changes no rule.
     fn fits(&self, base: u64) -> bool {
         let kept = base <= self.latest && (base + 1..=self.latest).all(|at| self.versions.contains_key(&at));
-        kept && self.versions.range(base + 1..).all(|(_, version)| version.only_heirs)
+        kept && self.versions.range(base + 1..).all(|(_, version)| version.only_successors)
     }
 
     fn propose(&mut self, proposal: &Proposal) {
@@ -212,23 +215,23 @@
             return;
         }
         let became = if !self.fits(proposal.base) {
-            Became::Late(self.latest)
-        } else if self.latest - self.begun >= PENDING {
-            Became::Crowded
+            ProposalOutcome::Late(self.latest)
+        } else if self.latest - self.begun >= MAX_PENDING_VERSIONS {
+            ProposalOutcome::Crowded
         } else {
             self.latest += 1;
             let Proposal { by, at, rules, .. } = proposal.clone();
-            self.versions.insert(self.latest, Version { by, at, rules, only_heirs: false });
-            Became::Version(self.latest)
+            self.versions.insert(self.latest, Version { by, at, rules, only_successors: false });
+            ProposalOutcome::Version(self.latest)
         };
         self.outcomes.push_back((proposal.id, became));
-        if self.outcomes.len() > OUTCOMES {
+        if self.outcomes.len() > OUTCOMES_KEPT {
             self.outcomes.pop_front();
         }
     }
 
     /// What became of a proposal, if it was agreed on lately.
-    pub fn outcome(&self, id: u64) -> Option<Became> {
+    pub fn outcome(&self, id: u64) -> Option<ProposalOutcome> {
         self.outcomes.iter().find(|(of, _)| *of == id).map(|(_, became)| *became)
     }
 
@@ -250,7 +253,7 @@
     }
 
     /// Whether the two have parted, as far as can be seen: no front may take one for the other.
-    pub fn parted(&self, other: &History) -> bool {
+    pub fn diverged_from(&self, other: &History) -> bool {
         let differ =
             |(at, digest): (&u64, &Digest)| other.trail.get(at).is_some_and(|theirs| theirs != digest);
         self.trail.iter().any(differ)
@@ -259,7 +262,7 @@
 
 /// The latest steps, for fronts that are only a little behind.
 #[derive(Clone, Debug, Default)]
-pub struct Steps {
+pub struct RecentSteps {
     /// Place and digest before the first one.
     before: (u64, Digest),
     steps: VecDeque<Entry>,
@@ -267,19 +270,19 @@
 }
 
 /// Steps kept to be told on.
-const STEPS: usize = 128;
+const STEPS_KEPT: usize = 128;
 
-impl Steps {
+impl RecentSteps {
     /// From here on.
-    pub fn new(history: &History) -> Steps {
-        Steps { before: (history.position, history.digest), ..Steps::default() }
+    pub fn new(history: &History) -> RecentSteps {
+        RecentSteps { before: (history.position, history.digest), ..RecentSteps::default() }
     }
 
     /// One more; the history has taken it.
     pub fn push(&mut self, step: Entry, history: &History) {
         self.steps.push_back(step);
         self.digests.push_back(history.digest);
-        if self.steps.len() > STEPS {
+        if self.steps.len() > STEPS_KEPT {
             self.steps.pop_front();
             let digest = self.digests.pop_front().unwrap_or_default();
             self.before = (self.before.0 + 1, digest);
--- a/crates/accord/src/core/lease.rs
+++ b/crates/accord/src/core/lease.rs
@@ -15,35 +15,39 @@
 
 /// Times, each a setting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
-pub struct Times {
+pub struct LeaseTimes {
     /// A lease lasts so long from the moment it was asked for.
     pub lease: Micros,
     /// A front without one goes on for so long by the meet of all that it knows.
-    pub alone: Micros,
+    #[serde(rename = "alone")]
+    pub grace: Micros,
     /// After that it refuses new sessions; otherwise it goes on so.
-    pub refuse: bool,
+    #[serde(rename = "refuse")]
+    pub refuse_without_lease: bool,
     /// Leases are asked for this often.
-    pub renew: Micros,
+    #[serde(rename = "renew")]
+    pub renew_interval: Micros,
     /// No clock is fast or slow by more than so many parts in a million.
     pub drift_ppm: u64,
     /// From the last look at the lease until the last byte has left the process, at most, while the process runs.
-    pub write: Micros,
+    #[serde(rename = "write")]
+    pub write_delay: Micros,
 }
 
-impl Default for Times {
+impl Default for LeaseTimes {
     fn default() -> Self {
-        Times {
+        LeaseTimes {
             lease: 3_000_000,
-            alone: 1_500_000,
-            refuse: true,
-            renew: 500_000,
+            grace: 1_500_000,
+            refuse_without_lease: true,
+            renew_interval: 500_000,
             drift_ppm: 250,
-            write: 10_000,
+            write_delay: 10_000,
         }
     }
 }
 
-impl Times {
+impl LeaseTimes {
     /// This span of one clock, by another that may be slower: no shorter than that.
     fn widened(&self, span: Micros) -> Micros {
         // (1 + d) / (1 - d) is under 1 + 2d + 3d² for every d under a third.
@@ -52,14 +56,14 @@
 
     /// The stated time: no two fronts act on contradicting rules for longer than this, us. Nothing where a front without
     /// a lease goes on for ever.
-    pub fn stated(&self) -> Option<Micros> {
-        self.refuse.then(|| self.widened(self.lease + self.alone) + self.write)
+    pub fn max_contradiction(&self) -> Option<Micros> {
+        self.refuse_without_lease.then(|| self.widened(self.lease + self.grace) + self.write_delay)
     }
 }
 
 /// A front's side: what it holds.
 #[derive(Clone, Debug, Default)]
-pub struct Held {
+pub struct HeldLease {
     /// Until when each voter's grant holds, by this front's clock.
     grants: BTreeMap<u64, Micros>,
     /// Of which voters.
@@ -68,15 +72,15 @@
     asked: BTreeMap<u64, (u64, Micros)>,
 }
 
-impl Held {
+impl HeldLease {
     /// A question goes out.
-    pub fn asks(&mut self, now: Micros, voter: u64, nonce: u64, times: &Times) {
+    pub fn asks(&mut self, now: Micros, voter: u64, nonce: u64, times: &LeaseTimes) {
         self.asked.retain(|_, (_, sent)| *sent + times.lease > now);
         self.asked.insert(nonce, (voter, now));
     }
 
     /// A grant comes in. It counts from when it was asked for (Gray and Cheriton, 1989, section 2).
-    pub fn granted(&mut self, voter: u64, nonce: u64, times: &Times) {
+    pub fn granted(&mut self, voter: u64, nonce: u64, times: &LeaseTimes) {
         let Some((_, sent)) = self.asked.remove(&nonce).filter(|(of, _)| *of == voter) else { return };
         let until = self.grants.entry(voter).or_default();
         *until = (*until).max(sent + times.lease);
@@ -102,21 +106,21 @@
 
 /// A voter's side: what it has granted.
 #[derive(Clone, Debug)]
-pub struct Granting {
+pub struct GrantedLeases {
     /// Leases may be out that it does not know of, until then: it may have forgotten them, or the voters before gave them.
     unknown: Micros,
     /// Until when each front's grant may hold, by this voter's clock, and the latest version the front had.
     given: BTreeMap<Name, (Micros, u64)>,
 }
 
-impl Granting {
+impl GrantedLeases {
     /// A voter that starts, or that begins to vote among others than before.
-    pub fn new(now: Micros, times: &Times) -> Granting {
-        Granting { unknown: now + times.widened(times.lease), given: BTreeMap::new() }
+    pub fn new(now: Micros, times: &LeaseTimes) -> GrantedLeases {
+        GrantedLeases { unknown: now + times.widened(times.lease), given: BTreeMap::new() }
     }
 
     /// Grants to a front that has all that this voter has, up to this version.
-    pub fn grant(&mut self, now: Micros, to: &Name, version: u64, times: &Times) {
+    pub fn grant(&mut self, now: Micros, to: &Name, version: u64, times: &LeaseTimes) {
         self.given.insert(Name::clone(to), (now + times.widened(times.lease), version));
     }
 
--- a/crates/accord/src/core/mod.rs
+++ b/crates/accord/src/core/mod.rs
@@ -10,12 +10,12 @@
 //! - [`lease`]: how long a front may act on them, and the stated time. [`stand`]: what it acts on.
 //! - [`voter`]: agreement. [`disk`]: what is kept. [`mod@self`]: a front's part in all of it.
 
+pub mod coordination;
 pub mod disk;
-pub mod heirs;
 pub mod history;
 pub mod lease;
 pub mod rules;
-pub mod stand;
+pub mod successors;
 pub mod voter;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,13 +24,13 @@
 use omnipaxos::messages::Message;
 use serde::{Deserialize, Serialize};
 
-use disk::{Image, Journal, Vote, Write};
-use heirs::Succession;
-use history::{Became, Digest, Entry, History, Proposal, Seat, Steps, Voters};
-use lease::{Granting, Held, Times};
+use coordination::CoordinationState;
+use disk::{Image, Journal, VoterState, Write};
+use history::{Digest, Entry, History, Proposal, ProposalOutcome, RecentSteps, Seat, Voters};
+use lease::{GrantedLeases, HeldLease, LeaseTimes};
 use rules::Rules;
-use stand::Stand;
-use voter::{Has, Marks, Order, Voter, TICK};
+use successors::SuccessionChange;
+use voter::{KnownHistory, Order, Voter, VoterProgress, TICK};
 
 /// Microseconds.
 pub type Micros = u64;
@@ -38,29 +38,29 @@
 pub type Name = Arc<str>;
 
 /// Whoever is not yet a voter looks for the others this often.
-const SEEK_EVERY: Micros = 200_000;
+const VOTER_SEARCH_INTERVAL: Micros = 200_000;
 /// A front with a lease asks another one whether there is news this often.
-const FOLLOW_EVERY: Micros = 2_000_000;
+const HISTORY_POLL_INTERVAL: Micros = 2_000_000;
 /// One without, this often.
-const FOLLOW_HURRY: Micros = 250_000;
+const HISTORY_POLL_INTERVAL_WITHOUT_LEASE: Micros = 250_000;
 /// A proposal is sent again after this.
-const PROPOSE_AGAIN: Micros = 400_000;
+const PROPOSAL_RESEND_INTERVAL: Micros = 400_000;
 /// After this, whoever proposed is told that nothing is known of it.
-const PROPOSE_WITHIN: Micros = 10_000_000;
+const PROPOSAL_TIMEOUT: Micros = 10_000_000;
 /// Longest proposal, bytes as it is sent.
-pub const LONGEST_RULES: usize = 64 * 1024;
+pub const MAX_PROPOSAL_BYTES: usize = 64 * 1024;
 
 /// What a front is told of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Own {
+pub struct FrontIdentity {
     /// Its name, the same at each start.
     pub name: Name,
     /// A number drawn for this start: it becomes the disk's if that has none.
-    pub drawn: u64,
+    pub new_disk_id: u64,
     /// The voters of the first start of all; later ones stand in the history.
-    pub voters: Vec<Name>,
+    pub initial_voters: Vec<Name>,
     /// Times.
-    pub times: Times,
+    pub times: LeaseTimes,
 }
 
 /// What fronts say to each other.
@@ -69,41 +69,53 @@
     /// Between voters of these numbers: the crate's own.
     Consensus(u32, Box<Message<Entry>>),
     /// Between voters: how far this one has come.
-    Marks(Marks),
+    #[serde(rename = "Marks")]
+    Progress(VoterProgress),
     /// Who are you? The number comes back.
     Hello(u64),
     /// This front, voting among these if it votes.
-    Here(u64, Option<Voters>),
+    #[serde(rename = "Here")]
+    HelloReply(u64, Option<Voters>),
     /// May I act on what I have? The number comes back.
-    Ask(u64, Has),
+    #[serde(rename = "Ask")]
+    LeaseRequest(u64, KnownHistory),
     /// You may; from the voter of this number.
-    Grant(u64, u64),
+    #[serde(rename = "Grant")]
+    LeaseGrant(u64, u64),
     /// Have you got more than this?
-    Follow(Has),
+    #[serde(rename = "Follow")]
+    HistoryRequest(KnownHistory),
     /// What follows on that place and digest.
     Steps(u64, Digest, Vec<Entry>),
     /// All, for one who is too far behind.
-    Whole(Box<History>),
+    #[serde(rename = "Whole")]
+    Snapshot(Box<History>),
     /// To a voter: somebody proposes this.
     Propose(Proposal),
     /// To a voter: heirs are to change so.
-    Succeed(Vec<Succession>),
+    #[serde(rename = "Succeed")]
+    ChangeSuccessors(Vec<SuccessionChange>),
     /// To a voter: this disk is to vote in place of one of the same name.
-    Replace,
+    #[serde(rename = "Replace")]
+    ReplaceDisk,
 }
 
 impl Body {
     /// Whether agreement or a lease hangs on it: what is said only to be said again does not count.
-    pub fn carries(&self) -> bool {
+    pub fn affects_agreement(&self) -> bool {
         match self {
             Body::Consensus(_, message) => matches!(message.as_ref(), Message::SequencePaxos(_)),
-            Body::Grant(..) | Body::Steps(..) | Body::Whole(_) | Body::Propose(_) | Body::Succeed(_) => true,
-            Body::Marks(_)
+            Body::LeaseGrant(..)
+            | Body::Steps(..)
+            | Body::Snapshot(_)
+            | Body::Propose(_)
+            | Body::ChangeSuccessors(_) => true,
+            Body::Progress(_)
             | Body::Hello(_)
-            | Body::Here(..)
-            | Body::Ask(..)
-            | Body::Follow(_)
-            | Body::Replace => false,
+            | Body::HelloReply(..)
+            | Body::LeaseRequest(..)
+            | Body::HistoryRequest(_)
+            | Body::ReplaceDisk => false,
         }
     }
 }
@@ -129,7 +141,7 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A message.
-    Heard(Box<Envelope>),
+    Received(Box<Envelope>),
     /// Something may be due.
     Tick,
     /// Who is in the view, this front left out.
@@ -137,18 +149,18 @@
     /// An operator proposes, from this version or from the latest here: who, when (us since 1970), what.
     Propose(u64, Option<u64>, String, u64, Rules),
     /// Heirs are to change so; said again by whoever wants it until it is seen.
-    Succeed(Vec<Succession>),
+    ChangeSuccessors(Vec<SuccessionChange>),
     /// An operator wants these voters.
-    Voters(u64, Vec<Name>),
+    ChangeVoters(u64, Vec<Name>),
     /// Nothing can be written any more.
     DiskFailed,
 }
 
 /// What an operator is told.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum OperatorReply {
     /// What became of the proposal.
-    Became(Became),
+    Became(ProposalOutcome),
     /// Nothing is known of it yet: it may still become a version.
     Unknown,
     /// Why it is not even proposed.
@@ -165,17 +177,17 @@
     /// Send this.
     Send(Box<Envelope>),
     /// What this front acts on from now on.
-    Stand(Stand),
+    Coordination(CoordinationState),
     /// The history has gone on: steps, digest, latest version.
-    Took(u64, Digest, u64),
+    HistoryAdvanced(u64, Digest, u64),
     /// A version is known here: its number, and what it says.
     Version(u64, Arc<Rules>),
     /// To the operator of this number.
-    Told(u64, Told),
+    Reply(u64, OperatorReply),
     /// This front votes now, under this number, among voters of this epoch; or no more.
-    Votes(Option<(u64, u32)>),
+    Voting(Option<(u64, u32)>),
     /// That front has another history: one of the two disks is not what it seems.
-    Parted(Name),
+    HistoryDiverged(Name),
 }
 
 /// A proposal that nothing is known of yet.
@@ -199,14 +211,14 @@
 /// A front's part in the agreement.
 #[derive(Debug)]
 pub struct Accord {
-    own: Own,
+    own: FrontIdentity,
     disk: u64,
     start: u64,
     now: Micros,
     history: History,
-    steps: Steps,
-    held: Held,
-    stand: Stand,
+    steps: RecentSteps,
+    held: HeldLease,
+    coordination: CoordinationState,
     journal: Journal,
     voter: Option<Voter>,
     seeking: Seeking,
@@ -229,32 +241,33 @@
 
 impl Accord {
     /// A front that starts on this image. What follows at once is added to `out`.
-    pub fn new(own: Own, image: Image, now: Micros, out: &mut Vec<Output>) -> Accord {
-        let (disk, start) = image.identity.map_or((own.drawn, 1), |(disk, starts)| (disk, starts + 1));
+    pub fn new(own: FrontIdentity, image: Image, now: Micros, out: &mut Vec<Output>) -> Accord {
+        let (disk, start) = image.identity.map_or((own.new_disk_id, 1), |(disk, starts)| (disk, starts + 1));
         let journal = Journal::default();
         // Danger: a disk that says who it is only once it has voted is another disk to those that asked before.
         journal.push(Write::Identity(disk, start));
         let history = image.history.map(|history| history.as_ref().clone()).unwrap_or_default();
-        let stand = Stand {
+        let coordination = CoordinationState {
             begun: 0,
             latest: 0,
-            until: 0,
-            alone: if own.times.refuse { 0 } else { Micros::MAX },
+            lease_until: 0,
+            grace_until: if own.times.refuse_without_lease { 0 } else { Micros::MAX },
             agreed: Arc::default(),
             meet: Arc::default(),
-            heirs: Arc::default(),
+            successors: Arc::default(),
         };
         let vote = image.vote.filter(|vote| vote.voters.epoch >= history.voters.epoch);
-        let voter = vote.and_then(|vote| Voter::start(vote, journal.clone(), Granting::new(now, &own.times)));
+        let voter =
+            vote.and_then(|vote| Voter::start(vote, journal.clone(), GrantedLeases::new(now, &own.times)));
         let mut accord = Accord {
-            steps: Steps::new(&history),
+            steps: RecentSteps::new(&history),
             history,
             own,
             disk,
             start,
             now,
-            held: Held::default(),
-            stand,
+            held: HeldLease::default(),
+            coordination,
             journal,
             voter,
             seeking: Seeking::default(),
@@ -277,12 +290,12 @@
         accord.held.follow(&accord.history.voters);
         accord.tell_versions(0, out);
         if position > 0 {
-            out.push(Output::Took(position, accord.history.digest, accord.history.latest));
+            out.push(Output::HistoryAdvanced(position, accord.history.digest, accord.history.latest));
         }
         if let Some(voter) = &accord.voter {
             let epoch = voter.voters().epoch;
             out.extend(
-                voter.voters().number(&accord.own.name).map(|number| Output::Votes(Some((number, epoch)))),
+                voter.voters().number(&accord.own.name).map(|number| Output::Voting(Some((number, epoch)))),
             );
         }
         accord.handle(now, Input::Tick, out);
@@ -295,8 +308,8 @@
     }
 
     /// What this front acts on.
-    pub fn stand(&self) -> &Stand {
-        &self.stand
+    pub fn coordination(&self) -> &CoordinationState {
+        &self.coordination
     }
 
     /// Its voter, if it votes.
@@ -315,14 +328,14 @@
         self.now = self.now.max(now);
         let mut then = Vec::new();
         match input {
-            Input::Heard(envelope) => self.heard(*envelope, &mut then),
+            Input::Received(envelope) => self.heard(*envelope, &mut then),
             Input::Tick => {}
             Input::View(peers) => self.peers = peers,
             Input::Propose(ticket, base, by, at, rules) => {
                 self.propose(ticket, base, by, at, rules, &mut then)
             }
-            Input::Succeed(changes) => self.succeed(changes, &mut then),
-            Input::Voters(ticket, names) => self.change_voters(ticket, &names, &mut then),
+            Input::ChangeSuccessors(changes) => self.succeed(changes, &mut then),
+            Input::ChangeVoters(ticket, names) => self.change_voters(ticket, &names, &mut then),
             Input::DiskFailed => {
                 self.sick = true;
                 self.stop_voting(&mut then);
@@ -364,7 +377,7 @@
                     voter.hear(*message);
                 }
             }
-            Body::Marks(marks) => {
+            Body::Progress(marks) => {
                 let Some(voter) = &mut self.voter else { return };
                 if let Some(number) = voter.voters().number_of(&Seat { name, disk }) {
                     voter.marks(self.now, number, marks);
@@ -373,15 +386,15 @@
             Body::Hello(nonce) => {
                 let votes = self.voter.as_ref().map(|voter| voter.voters().clone());
                 let known = (self.history.voters.epoch > 0).then(|| self.history.voters.clone());
-                self.send(&name, Body::Here(nonce, votes.or(known)), out);
+                self.send(&name, Body::HelloReply(nonce, votes.or(known)), out);
             }
-            Body::Here(nonce, voters) => self.found(name, disk, nonce, voters, out),
-            Body::Ask(nonce, has) => {
+            Body::HelloReply(nonce, voters) => self.found(name, disk, nonce, voters, out),
+            Body::LeaseRequest(nonce, has) => {
                 self.disks.insert(Name::clone(&name), disk);
                 self.asked(&name, nonce, &has, out);
             }
-            Body::Grant(nonce, number) => self.held.granted(number, nonce, &self.own.times),
-            Body::Follow(has) => self.catch_up(&name, &has, out),
+            Body::LeaseGrant(nonce, number) => self.held.granted(number, nonce, &self.own.times),
+            Body::HistoryRequest(has) => self.catch_up(&name, &has, out),
             Body::Steps(position, digest, steps) => {
                 if position == self.history.position && digest == self.history.digest {
                     steps.into_iter().for_each(|step| self.take(step, out));
@@ -389,15 +402,15 @@
                     self.next_ask = self.next_ask.min(self.now);
                 }
             }
-            Body::Whole(history) => self.whole(&name, *history, out),
+            Body::Snapshot(history) => self.whole(&name, *history, out),
             Body::Propose(proposal) => {
                 let known = self.history.outcome(proposal.id).is_some();
                 if let Some(voter) = self.voter.as_mut().filter(|_| !known) {
                     voter.propose(proposal);
                 }
             }
-            Body::Succeed(changes) => self.succeed_here(changes),
-            Body::Replace => {
+            Body::ChangeSuccessors(changes) => self.succeed_here(changes),
+            Body::ReplaceDisk => {
                 if let Some(voter) = &mut self.voter {
                     voter.replace(Seat { name, disk });
                 }
@@ -406,31 +419,31 @@
     }
 
     /// A front asks for a lease.
-    fn asked(&mut self, name: &Name, nonce: u64, has: &Has, out: &mut Vec<Output>) {
+    fn asked(&mut self, name: &Name, nonce: u64, has: &KnownHistory, out: &mut Vec<Output>) {
         self.catch_up(name, has, out);
         let Some(voter) = &mut self.voter else { return };
         if voter.grant(self.now, name, has, &self.history, &self.own.times) {
             if let Some(number) = voter.voters().number(&self.own.name) {
-                self.send(name, Body::Grant(nonce, number), out);
+                self.send(name, Body::LeaseGrant(nonce, number), out);
             }
         }
     }
 
     /// Tells a front what it lacks.
-    fn catch_up(&mut self, name: &Name, has: &Has, out: &mut Vec<Output>) {
+    fn catch_up(&mut self, name: &Name, has: &KnownHistory, out: &mut Vec<Output>) {
         if has.position >= self.history.position {
             return;
         }
         let body = match self.steps.after(has.position, &has.digest) {
             Some(steps) => Body::Steps(has.position, has.digest, steps),
-            None => Body::Whole(Box::new(self.history.clone())),
+            None => Body::Snapshot(Box::new(self.history.clone())),
         };
         self.send(name, body, out);
     }
 
     fn whole(&mut self, from: &Name, history: History, out: &mut Vec<Output>) {
-        if self.history.parted(&history) {
-            out.push(Output::Parted(Name::clone(from)));
+        if self.history.diverged_from(&history) {
+            out.push(Output::HistoryDiverged(Name::clone(from)));
             return;
         }
         // Danger: a history older than what this front acts on takes a refusal back that others heed.
@@ -443,20 +456,20 @@
     fn replace_history(&mut self, history: History, out: &mut Vec<Output>) {
         let before = self.history.latest;
         self.history = history;
-        self.steps = Steps::new(&self.history);
+        self.steps = RecentSteps::new(&self.history);
         self.tell_versions(before, out);
-        out.push(Output::Took(self.history.position, self.history.digest, self.history.latest));
+        out.push(Output::HistoryAdvanced(self.history.position, self.history.digest, self.history.latest));
         self.revote(out);
     }
 
     fn take(&mut self, step: Entry, out: &mut Vec<Output>) {
         let before = self.history.latest;
         self.pass_on(&step, out);
-        self.history.take(&step);
+        self.history.apply(&step);
         let voters = matches!(step, Entry::Voters(_));
         self.steps.push(step, &self.history);
         self.tell_versions(before, out);
-        out.push(Output::Took(self.history.position, self.history.digest, self.history.latest));
+        out.push(Output::HistoryAdvanced(self.history.position, self.history.digest, self.history.latest));
         if voters {
             self.revote(out);
         }
@@ -483,7 +496,7 @@
 
     fn stop_voting(&mut self, out: &mut Vec<Output>) {
         if self.voter.take().is_some() {
-            out.push(Output::Votes(None));
+            out.push(Output::Voting(None));
         }
     }
 
@@ -501,14 +514,14 @@
         let kept = self.voter.take_if(|voter| same(voter)).map(Voter::into_granting);
         self.stop_voting(out);
         let Some(number) = number.filter(|_| !self.sick) else { return };
-        let vote = Vote::begin(number, &self.history);
+        let vote = VoterState::new(number, &self.history);
         let told = (vote.number, vote.voters.epoch);
         // What the log will say follows on this.
         self.journal.push(Write::History(Arc::new(self.history.clone())));
-        self.journal.push(Write::Vote(Box::new(vote.clone())));
-        let granting = kept.unwrap_or_else(|| Granting::new(self.now, &self.own.times));
+        self.journal.push(Write::Voter(Box::new(vote.clone())));
+        let granting = kept.unwrap_or_else(|| GrantedLeases::new(self.now, &self.own.times));
         self.voter = Voter::start(vote, self.journal.clone(), granting);
-        out.push(Output::Votes(self.voter.as_ref().map(|_| told)));
+        out.push(Output::Voting(self.voter.as_ref().map(|_| told)));
     }
 
     /// A front answers who it is.
@@ -522,7 +535,7 @@
                 self.seeking.empty.clear();
                 self.next_follow = self.now;
                 let has = self.has();
-                self.send(&name, Body::Follow(has), out);
+                self.send(&name, Body::HistoryRequest(has), out);
             }
             None => {
                 self.seeking.empty.insert(name, disk);
@@ -536,20 +549,20 @@
     fn begin_first(&mut self, out: &mut Vec<Output>) {
         let own = (&self.own.name, &self.disk);
         let all: BTreeMap<&Name, &u64> = self.seeking.empty.iter().chain([own]).collect();
-        if !self.own.voters.contains(&self.own.name)
-            || !self.own.voters.iter().all(|name| all.contains_key(name))
+        if !self.own.initial_voters.contains(&self.own.name)
+            || !self.own.initial_voters.iter().all(|name| all.contains_key(name))
         {
             return;
         }
         let seat = |name: &Name| Seat { name: Name::clone(name), disk: *all[name] };
-        let mut seats: Vec<Seat> = self.own.voters.iter().map(seat).collect();
+        let mut seats: Vec<Seat> = self.own.initial_voters.iter().map(seat).collect();
         seats.sort();
         let first = Voters::default().next(&seats);
         self.take(Entry::Voters(first), out);
     }
 
     fn change_voters(&mut self, ticket: u64, names: &[Name], out: &mut Vec<Output>) {
-        let told = |why: &str| Told::Refused(why.to_owned());
+        let told = |why: &str| OperatorReply::Refused(why.to_owned());
         let answer = match &mut self.voter {
             Some(voter) if voter.leads() => {
                 let current = voter.voters();
@@ -568,7 +581,7 @@
                     Some(seats) => {
                         let next = current.next(&seats);
                         if voter.change(&next) {
-                            Told::Asked
+                            OperatorReply::Asked
                         } else {
                             told("the voters are changing already")
                         }
@@ -583,7 +596,7 @@
             }
             None => told("this front is no voter: ask one"),
         };
-        out.push(Output::Told(ticket, answer));
+        out.push(Output::Reply(ticket, answer));
     }
 
     fn take_decided(&mut self, out: &mut Vec<Output>) {
@@ -601,9 +614,9 @@
 
     // ---- What is due ----
 
-    fn has(&self) -> Has {
+    fn has(&self) -> KnownHistory {
         let History { position, digest, latest, voters, .. } = &self.history;
-        Has { epoch: voters.epoch, position: *position, digest: *digest, version: *latest }
+        KnownHistory { epoch: voters.epoch, position: *position, digest: *digest, version: *latest }
     }
 
     fn tick(&mut self, out: &mut Vec<Output>) {
@@ -612,17 +625,18 @@
             voter.tick(self.now, &self.history);
         }
         if self.now >= self.next_ask {
-            self.next_ask = self.now + self.own.times.renew;
+            self.next_ask = self.now + self.own.times.renew_interval;
             self.ask(out);
         }
         if self.now >= self.next_follow {
-            let leased = self.now < self.stand.until;
-            self.next_follow = self.now + if leased { FOLLOW_EVERY } else { FOLLOW_HURRY };
+            let leased = self.now < self.coordination.lease_until;
+            self.next_follow =
+                self.now + if leased { HISTORY_POLL_INTERVAL } else { HISTORY_POLL_INTERVAL_WITHOUT_LEASE };
             self.turn += 1;
             let peer = self.peers.iter().nth(self.turn % self.peers.len().max(1)).cloned();
             if let Some(peer) = peer {
                 let has = self.has();
-                self.send(&peer, Body::Follow(has), out);
+                self.send(&peer, Body::HistoryRequest(has), out);
             }
         }
         self.propose_again(out);
@@ -637,16 +651,17 @@
         if voters.epoch > 0 {
             let lost = voters.number(&self.own.name).is_some();
             if lost && self.now >= self.next_replace {
-                self.next_replace = self.now + 2 * SEEK_EVERY;
+                self.next_replace = self.now + 2 * VOTER_SEARCH_INTERVAL;
                 for name in self.voters() {
-                    self.send(&name, Body::Replace, out);
+                    self.send(&name, Body::ReplaceDisk, out);
                 }
             }
             return;
         }
-        if self.own.voters.contains(&self.own.name) && self.now >= self.seeking.next {
+        if self.own.initial_voters.contains(&self.own.name) && self.now >= self.seeking.next {
             self.nonce += 1;
-            self.seeking = Seeking { nonce: self.nonce, empty: BTreeMap::new(), next: self.now + SEEK_EVERY };
+            self.seeking =
+                Seeking { nonce: self.nonce, empty: BTreeMap::new(), next: self.now + VOTER_SEARCH_INTERVAL };
             for name in self.voters() {
                 self.send(&name, Body::Hello(self.nonce), out);
             }
@@ -656,7 +671,7 @@
     /// The other voters, as far as they are known.
     fn voters(&self) -> Vec<Name> {
         let known: Vec<Name> = match self.history.voters.epoch {
-            0 => self.own.voters.clone(),
+            0 => self.own.initial_voters.clone(),
             _ => self.history.voters.seats.values().map(|seat| Name::clone(&seat.name)).collect(),
         };
         known.into_iter().filter(|name| *name != self.own.name).collect()
@@ -676,7 +691,7 @@
             self.nonce += 1;
             self.held.asks(self.now, number, self.nonce, &self.own.times);
             if name != self.own.name {
-                self.send(&name, Body::Ask(self.nonce, has), out);
+                self.send(&name, Body::LeaseRequest(self.nonce, has), out);
                 continue;
             }
             let Some(voter) = &mut self.voter else { continue };
@@ -686,7 +701,7 @@
         }
         if has.epoch == 0 {
             for name in self.voters() {
-                self.send(&name, Body::Follow(has), out);
+                self.send(&name, Body::HistoryRequest(has), out);
             }
         }
     }
@@ -705,12 +720,12 @@
         self.nonce += 1;
         // No two fronts draw alike: the disk's number is in it.
         let id = self.disk.rotate_left(17) ^ self.nonce.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let rules = Arc::new(rules.normal());
+        let rules = Arc::new(rules.normalized());
         let proposal = Proposal { id, base: base.unwrap_or(self.history.latest), by, at, rules };
         let size = postcard::to_allocvec(&proposal).map_or(usize::MAX, |bytes| bytes.len());
-        if size > LONGEST_RULES {
-            let why = format!("{size} bytes; a proposal has at most {LONGEST_RULES}");
-            out.push(Output::Told(ticket, Told::Refused(why)));
+        if size > MAX_PROPOSAL_BYTES {
+            let why = format!("{size} bytes; a proposal has at most {MAX_PROPOSAL_BYTES}");
+            out.push(Output::Reply(ticket, OperatorReply::Refused(why)));
             return;
         }
         self.open.push(Open { ticket, proposal, since: self.now, next: self.now });
@@ -721,7 +736,7 @@
         let (now, mut due) = (self.now, Vec::new());
         for open in &mut self.open {
             if open.next <= now {
-                open.next = now + PROPOSE_AGAIN;
+                open.next = now + PROPOSAL_RESEND_INTERVAL;
                 due.push(open.proposal.clone());
             }
         }
@@ -740,11 +755,11 @@
         let (history, mut told) = (&self.history, Vec::new());
         self.open.retain(|open| {
             let answer = match history.outcome(open.proposal.id) {
-                Some(became) => Told::Became(became),
-                None if open.since + PROPOSE_WITHIN <= now => Told::Unknown,
+                Some(became) => OperatorReply::Became(became),
+                None if open.since + PROPOSAL_TIMEOUT <= now => OperatorReply::Unknown,
                 None => return true,
             };
-            told.push(Output::Told(open.ticket, answer));
+            told.push(Output::Reply(open.ticket, answer));
             false
         });
         out.append(&mut told);
@@ -752,8 +767,8 @@
 
     // ---- Heirs ----
 
-    fn succeed(&mut self, mut changes: Vec<Succession>, out: &mut Vec<Output>) {
-        changes.retain(|change| self.history.heirs.would(change));
+    fn succeed(&mut self, mut changes: Vec<SuccessionChange>, out: &mut Vec<Output>) {
+        changes.retain(|change| self.history.successors.would_change(change));
         let voters = self.voters();
         if changes.is_empty() || self.voter.is_none() && voters.is_empty() {
             return;
@@ -763,11 +778,11 @@
         }
         self.turn += 1;
         let to = Name::clone(&voters[self.turn % voters.len()]);
-        self.send(&to, Body::Succeed(changes), out);
+        self.send(&to, Body::ChangeSuccessors(changes), out);
     }
 
-    fn succeed_here(&mut self, mut changes: Vec<Succession>) {
-        changes.retain(|change| self.history.heirs.would(change));
+    fn succeed_here(&mut self, mut changes: Vec<SuccessionChange>) {
+        changes.retain(|change| self.history.successors.would_change(change));
         if let Some(voter) = self.voter.as_mut().filter(|_| !changes.is_empty()) {
             voter.succeed(changes);
         }
@@ -800,7 +815,7 @@
         if let Some(marks) = marks {
             self.next_marks = self.now + 2 * TICK;
             for name in self.voters() {
-                self.send(&name, Body::Marks(marks), out);
+                self.send(&name, Body::Progress(marks), out);
             }
         }
     }
@@ -818,24 +833,26 @@
         };
         let times = &self.own.times;
         // Other voters take the lease, and what a front without one may do for a while counts from where it ended.
-        let ends = if until > 0 { until + times.alone } else { 0 };
-        let alone = if times.refuse { self.stand.alone.max(ends) } else { Micros::MAX };
+        let ends = if until > 0 { until + times.grace } else { 0 };
+        let alone =
+            if times.refuse_without_lease { self.coordination.grace_until.max(ends) } else { Micros::MAX };
         let proposed = self.voter.as_ref().map(Voter::proposed).unwrap_or_default();
         let proposed = proposed.iter().chain(self.open.iter().map(|open| &open.proposal));
         let heard: Vec<Arc<Rules>> = proposed.map(|proposal| Arc::clone(&proposal.rules)).collect();
         let changed = (self.history.position, heard.len() as u64);
-        let mut stand = Stand { until, alone, ..self.stand.clone() };
-        if changed.0 + (changed.1 << 48) != self.told || self.stand.latest != self.history.latest {
+        let mut coordination =
+            CoordinationState { lease_until: until, grace_until: alone, ..self.coordination.clone() };
+        if changed.0 + (changed.1 << 48) != self.told || self.coordination.latest != self.history.latest {
             self.told = changed.0 + (changed.1 << 48);
-            (stand.begun, stand.latest) = (self.history.begun, self.history.latest);
+            (coordination.begun, coordination.latest) = (self.history.begun, self.history.latest);
             let agreed = self.history.meet();
-            stand.meet = Arc::new(heard.iter().fold(agreed.clone(), |meet, rules| meet.meet(rules)));
-            stand.agreed = Arc::new(agreed);
-            stand.heirs = Arc::clone(&self.history.heirs);
+            coordination.meet = Arc::new(heard.iter().fold(agreed.clone(), |meet, rules| meet.meet(rules)));
+            coordination.agreed = Arc::new(agreed);
+            coordination.successors = Arc::clone(&self.history.successors);
         }
-        if stand != self.stand {
-            self.stand = stand.clone();
-            out.push(Output::Stand(stand));
+        if coordination != self.coordination {
+            self.coordination = coordination.clone();
+            out.push(Output::Coordination(coordination));
         }
     }
 }
--- a/crates/accord/src/core/rules.rs
+++ b/crates/accord/src/core/rules.rs
@@ -21,7 +21,7 @@
 
 /// Terms of a class. A class that no version names has the [default](Terms::default): all that the front's file says.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Terms {
+pub struct ClassTerms {
     /// New sessions are taken.
     pub open: bool,
     /// Highest rung of new sessions.
@@ -32,15 +32,15 @@
     pub ends: bool,
 }
 
-impl Default for Terms {
+impl Default for ClassTerms {
     fn default() -> Self {
-        Terms { open: true, top_rung: u32::MAX, seats: u32::MAX, ends: false }
+        ClassTerms { open: true, top_rung: u32::MAX, seats: u32::MAX, ends: false }
     }
 }
 
-impl Terms {
-    fn meet(self, other: Terms) -> Terms {
-        Terms {
+impl ClassTerms {
+    fn meet(self, other: ClassTerms) -> ClassTerms {
+        ClassTerms {
             open: self.open && other.open,
             top_rung: self.top_rung.min(other.top_rung),
             seats: self.seats.min(other.seats),
@@ -62,9 +62,10 @@
 /// Whoever is refused.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Who {
+pub enum RefusedParty {
     /// All viewers of a firm: those whose names begin with it and a slash.
-    Firm(String),
+    #[serde(rename = "firm")]
+    Tenant(String),
     /// One viewer.
     Viewer(String),
 }
@@ -83,7 +84,7 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Rules {
     /// Classes by name.
-    pub classes: BTreeMap<String, Terms>,
+    pub classes: BTreeMap<String, ClassTerms>,
     /// Highest rung of the ladder, for all classes.
     pub ladder: Option<u32>,
     /// Limits.
@@ -93,14 +94,14 @@
     /// Cells that take no new sessions.
     pub closed: BTreeSet<u32>,
     /// Who is refused.
-    pub refused: BTreeSet<Who>,
+    pub refused: BTreeSet<RefusedParty>,
     /// Orders to boxes by name.
     pub boxes: BTreeMap<String, Order>,
 }
 
 /// What a viewer asks for, as far as rules look at it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Asked<'a> {
+pub struct SessionRequest<'a> {
     /// Name of the viewer.
     pub viewer: &'a str,
     /// Name of the class.
@@ -116,7 +117,8 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
     /// The viewer or its firm is refused.
-    Who,
+    #[serde(rename = "who")]
+    Party,
     /// The class takes no new sessions.
     Class,
     /// The class has no seat left at this front.
@@ -133,7 +135,7 @@
 
 impl Refusal {
     /// Whether a later try may be served with nothing changed by an operator.
-    pub fn passes(self) -> bool {
+    pub fn is_transient(self) -> bool {
         matches!(self, Refusal::Seats | Refusal::Front | Refusal::Viewer | Refusal::Lease)
     }
 }
@@ -141,7 +143,7 @@
 impl fmt::Display for Refusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Refusal::Who => "this viewer is refused",
+            Refusal::Party => "this viewer is refused",
             Refusal::Class => "this class takes no new sessions",
             Refusal::Seats => "no seat of this class is free here",
             Refusal::Title => "this title is shown nowhere",
@@ -167,8 +169,8 @@
 
 impl Rules {
     /// Entries that say nothing are taken out, so that equal rules are equal.
-    pub fn normal(mut self) -> Rules {
-        self.classes.retain(|_, terms| *terms != Terms::default());
+    pub fn normalized(mut self) -> Rules {
+        self.classes.retain(|_, terms| *terms != ClassTerms::default());
         self.limits.retain(|_, most| *most != u32::MAX);
         self.ladder = self.ladder.filter(|top| *top != u32::MAX);
         self
@@ -200,18 +202,18 @@
             let here = both.boxes.entry(name.clone()).or_insert(*order);
             *here = (*here).max(*order);
         }
-        both.normal()
+        both.normalized()
     }
 
     /// Whether a new session may begin.
     ///
     /// # Errors
     /// Why not: the first reason that an operator would want to hear.
-    pub fn allows(&self, asked: &Asked<'_>) -> Result<(), Refusal> {
-        let firm = asked.viewer.split_once('/').map(|(firm, _)| Who::Firm(firm.to_owned()));
-        let refused = |who: &Who| self.refused.contains(who);
-        if refused(&Who::Viewer(asked.viewer.to_owned())) || firm.as_ref().is_some_and(refused) {
-            return Err(Refusal::Who);
+    pub fn allows(&self, asked: &SessionRequest<'_>) -> Result<(), Refusal> {
+        let firm = asked.viewer.split_once('/').map(|(firm, _)| RefusedParty::Tenant(firm.to_owned()));
+        let refused = |who: &RefusedParty| self.refused.contains(who);
+        if refused(&RefusedParty::Viewer(asked.viewer.to_owned())) || firm.as_ref().is_some_and(refused) {
+            return Err(Refusal::Party);
         }
         let terms = self.terms(asked.class);
         if !terms.open {
@@ -231,7 +233,7 @@
     }
 
     /// Terms of a class.
-    pub fn terms(&self, class: &str) -> Terms {
+    pub fn terms(&self, class: &str) -> ClassTerms {
         self.classes.get(class).copied().unwrap_or_default()
     }
 
@@ -241,20 +243,20 @@
     }
 
     /// Whether a title may be shown from a cell, as far as these rules say.
-    pub fn lies(&self, title: &str, cell: u32) -> bool {
+    pub fn allows_cell(&self, title: &str, cell: u32) -> bool {
         !self.closed.contains(&cell) && self.titles.get(title).is_none_or(|cells| cells.contains(&cell))
     }
 
     /// Whether this allows nothing that the other refuses.
     pub fn tightens(&self, other: &Rules) -> bool {
-        self.meet(other) == self.clone().normal()
+        self.meet(other) == self.clone().normalized()
     }
 
     /// What the later of two versions changes, one line for each name.
     pub fn contradictions(earlier: &Rules, later: &Rules) -> Vec<Contradiction> {
         let mut found = Vec::new();
         let mut one = |kind: &'static str, name: String, part: &dyn Fn(&Rules) -> Rules| {
-            let (a, b) = (part(earlier).normal(), part(later).normal());
+            let (a, b) = (part(earlier).normalized(), part(later).normalized());
             if a != b {
                 let meet = a.meet(&b);
                 found.push(Contradiction { kind, name, tightened: meet != a, loosened: meet != b });
@@ -330,11 +332,11 @@
     }
 }
 
-impl fmt::Display for Who {
+impl fmt::Display for RefusedParty {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Who::Firm(name) => write!(f, "firm {name}"),
-            Who::Viewer(name) => write!(f, "viewer {name}"),
+            RefusedParty::Tenant(name) => write!(f, "firm {name}"),
+            RefusedParty::Viewer(name) => write!(f, "viewer {name}"),
         }
     }
 }
--- a/crates/accord/src/core/tests.rs
+++ b/crates/accord/src/core/tests.rs
@@ -6,17 +6,19 @@
 
 use proptest::prelude::*;
 
-use super::disk::{Image, Vote, Write};
-use super::heirs::{Heir, Succession};
-use super::history::{Became, Entry, History, Proposal, Seat, Steps, Voters, KEPT, PENDING};
-use super::lease::{Granting, Held, Times};
-use super::rules::{Asked, Limit, Order, Rules, Terms, Who};
-use super::stand::{By, Stand};
+use super::coordination::{Basis, CoordinationState};
+use super::disk::{Image, VoterState, Write};
+use super::history::{
+    Entry, History, Proposal, ProposalOutcome, RecentSteps, Seat, Voters, MAX_PENDING_VERSIONS, VERSIONS_KEPT,
+};
+use super::lease::{GrantedLeases, HeldLease, LeaseTimes};
+use super::rules::{ClassTerms, Limit, Order, RefusedParty, Rules, SessionRequest};
+use super::successors::{SuccessionChange, Successor};
 use super::voter::Order as InOrder;
-use super::{Accord, Body, Envelope, Input, Name, Output, Own};
+use super::{Accord, Body, Envelope, FrontIdentity, Input, Name, Output};
 
-fn terms() -> impl Strategy<Value = Terms> {
-    (any::<bool>(), 0..3u32, 0..4u32, any::<bool>()).prop_map(|(open, top_rung, seats, ends)| Terms {
+fn terms() -> impl Strategy<Value = ClassTerms> {
+    (any::<bool>(), 0..3u32, 0..4u32, any::<bool>()).prop_map(|(open, top_rung, seats, ends)| ClassTerms {
         open,
         top_rung,
         seats,
@@ -26,7 +28,7 @@
 
 fn rules() -> impl Strategy<Value = Rules> {
     let name = || prop::sample::select(vec!["a", "b", "c"]).prop_map(str::to_owned);
-    let who = prop_oneof![name().prop_map(Who::Viewer), name().prop_map(Who::Firm)];
+    let who = prop_oneof![name().prop_map(RefusedParty::Viewer), name().prop_map(RefusedParty::Tenant)];
     let limit = prop::sample::select(vec![Limit::SessionsPerFront, Limit::SessionsPerViewer]);
     let order = prop::sample::select(vec![Order::Hold, Order::Drain]);
     let cells = || prop::collection::btree_set(0..4u32, 0..4);
@@ -40,19 +42,19 @@
         prop::collection::btree_map(name(), order, 0..3),
     )
         .prop_map(|(classes, ladder, limits, titles, closed, refused, boxes)| {
-            Rules { classes, ladder, limits, titles, closed, refused, boxes }.normal()
+            Rules { classes, ladder, limits, titles, closed, refused, boxes }.normalized()
         })
 }
 
 /// All that can be asked of the rules above.
-fn asked() -> impl Iterator<Item = Asked<'static>> {
+fn asked() -> impl Iterator<Item = SessionRequest<'static>> {
     let viewers = ["a", "b", "a/x", "b/y", "d"];
     let held = [[0, 0, 0], [2, 1, 1], [3, 3, 3]];
     viewers.into_iter().flat_map(move |viewer| {
         ["a", "b", "d"].into_iter().flat_map(move |class| {
-            ["a", "c", "d"]
-                .into_iter()
-                .flat_map(move |title| held.into_iter().map(move |held| Asked { viewer, class, title, held }))
+            ["a", "c", "d"].into_iter().flat_map(move |title| {
+                held.into_iter().map(move |held| SessionRequest { viewer, class, title, held })
+            })
         })
     })
 }
@@ -66,14 +68,14 @@
             // A title may lie where the other has closed the cell: that only the meet sees.
             prop_assert!(both || meet.allows(&asked).is_err(), "{asked:?}");
             let title = asked.title;
-            let seen = (0..5).any(|cell| meet.lies(title, cell)) || !meet.titles.contains_key(title);
+            let seen = (0..5).any(|cell| meet.allows_cell(title, cell)) || !meet.titles.contains_key(title);
             prop_assert!(!both || !seen || meet.allows(&asked).is_ok(), "{asked:?}");
         }
         for class in ["a", "b", "d"] {
             prop_assert_eq!(meet.top_rung(class), a.top_rung(class).min(b.top_rung(class)));
         }
         for (title, cell) in ["a", "c", "d"].into_iter().flat_map(|title| (0..5).map(move |cell| (title, cell))) {
-            prop_assert_eq!(meet.lies(title, cell), a.lies(title, cell) && b.lies(title, cell));
+            prop_assert_eq!(meet.allows_cell(title, cell), a.allows_cell(title, cell) && b.allows_cell(title, cell));
         }
     }
 
@@ -97,8 +99,8 @@
 
     #[test]
     fn rules_written_by_this_program_are_read_back_as_they_were(a in rules()) {
-        let document = salttally_settings::Document::parse("rules.kdl", &crate::text::write(&a)).unwrap();
-        prop_assert_eq!(crate::text::read(&document).unwrap(), a);
+        let document = salttally_settings::Document::parse("rules.kdl", &crate::rules_kdl::write(&a)).unwrap();
+        prop_assert_eq!(crate::rules_kdl::read(&document).unwrap(), a);
     }
 
     /// Whatever is granted and asked in any order, on clocks that are off by what is stated: once a voter is clear of a
@@ -108,14 +110,14 @@
         steps in prop::collection::vec((0..3usize, 0..1_500_000u64), 1..60),
         drift in prop::collection::vec(-200i64..=200, 4),
     ) {
-        let times = Times::default();
+        let times = LeaseTimes::default();
         let by = |clock: usize, at: u64| at.saturating_add_signed(at as i64 * drift[clock] / 1_000_000) + 7_000_000;
         let names: Vec<Name> = (0..3).map(|front| Name::from(format!("f{front}"))).collect();
         let seat = Seat { name: "v".into(), disk: 1 };
         let voters = Voters { epoch: 1, seats: [(1, seat)].into() };
-        let mut held: Vec<Held> = (0..3).map(|_| Held::default()).collect();
+        let mut held: Vec<HeldLease> = (0..3).map(|_| HeldLease::default()).collect();
         held.iter_mut().for_each(|held| held.follow(&voters));
-        let (mut granting, mut latest, mut has, mut clear) = (Granting::new(by(3, 0), &times), 0, [0; 3], 0);
+        let (mut granting, mut latest, mut has, mut clear) = (GrantedLeases::new(by(3, 0), &times), 0, [0; 3], 0);
         let mut at = 0;
         for (nonce, (front, wait)) in (1..).zip(steps) {
             at += wait;
@@ -139,7 +141,7 @@
 
     #[test]
     fn what_two_fronts_took_in_the_same_steps_is_the_same(kinds in prop::collection::vec(0..4u8, 0..300)) {
-        let (mut one, mut steps) = (History::default(), Steps::new(&History::default()));
+        let (mut one, mut steps) = (History::default(), RecentSteps::new(&History::default()));
         let mut two = History::default();
         for (id, kind) in (0..).zip(kinds) {
             let entry = match kind {
@@ -148,17 +150,17 @@
                 2 => propose(id, one.latest.saturating_sub(1)),
                 _ => propose(id, one.latest),
             };
-            one.take(&entry);
+            one.apply(&entry);
             steps.push(entry, &one);
             if id % 50 == 0 {
                 match steps.after(two.position, &two.digest) {
-                    Some(steps) => steps.iter().for_each(|step| two.take(step)),
+                    Some(steps) => steps.iter().for_each(|step| two.apply(step)),
                     None => two = one.clone(),
                 }
                 prop_assert_eq!(&one, &two);
             }
-            prop_assert!(one.latest - one.begun <= PENDING && one.versions.len() <= KEPT + PENDING as usize);
-            prop_assert!(!one.parted(&two));
+            prop_assert!(one.latest - one.begun <= MAX_PENDING_VERSIONS && one.versions.len() <= VERSIONS_KEPT + MAX_PENDING_VERSIONS as usize);
+            prop_assert!(!one.diverged_from(&two));
         }
     }
 }
@@ -170,9 +172,9 @@
 #[test]
 fn of_two_proposals_at_once_one_wins_and_the_other_is_told_on_what_it_was_based() {
     let mut history = History::default();
-    [propose(7, 0), propose(8, 0), propose(7, 0)].iter().for_each(|entry| history.take(entry));
-    assert_eq!(history.outcome(7), Some(Became::Version(1)), "sent again, it is the same proposal");
-    assert_eq!(history.outcome(8), Some(Became::Late(1)));
+    [propose(7, 0), propose(8, 0), propose(7, 0)].iter().for_each(|entry| history.apply(entry));
+    assert_eq!(history.outcome(7), Some(ProposalOutcome::Version(1)), "sent again, it is the same proposal");
+    assert_eq!(history.outcome(8), Some(ProposalOutcome::Late(1)));
     assert_eq!((history.latest, history.outcomes.len()), (1, 2));
 }
 
@@ -180,37 +182,37 @@
 fn a_hundred_thousand_versions_leave_only_the_latest() {
     let mut history = History::default();
     for version in 1..=100_000 {
-        history.take(&propose(version, version - 1));
-        history.take(&Entry::Begin(version));
+        history.apply(&propose(version, version - 1));
+        history.apply(&Entry::Begin(version));
     }
-    assert_eq!((history.latest, history.begun, history.versions.len()), (100_000, 100_000, KEPT));
+    assert_eq!((history.latest, history.begun, history.versions.len()), (100_000, 100_000, VERSIONS_KEPT));
     assert!(postcard::to_allocvec(&history).unwrap().len() < 8 * 1024);
 }
 
 #[test]
 fn a_loosening_and_a_tightening_proposed_together_refuse_what_either_refuses_until_both_have_begun() {
     let refuse = |names: &[&str]| {
-        let refused = names.iter().map(|name| Who::Viewer((*name).to_owned())).collect();
+        let refused = names.iter().map(|name| RefusedParty::Viewer((*name).to_owned())).collect();
         Arc::new(Rules { refused, ..Rules::default() })
     };
     let mut history = History::default();
     let step = |id, base, rules| Entry::Propose(Proposal { id, base, by: "test".into(), at: 0, rules });
-    history.take(&step(1, 0, refuse(&["a"])));
-    history.take(&Entry::Begin(1));
-    history.take(&step(2, 1, refuse(&[])));
-    history.take(&step(3, 2, refuse(&["b"])));
+    history.apply(&step(1, 0, refuse(&["a"])));
+    history.apply(&Entry::Begin(1));
+    history.apply(&step(2, 1, refuse(&[])));
+    history.apply(&step(3, 2, refuse(&["b"])));
     assert_eq!(history.meet(), *refuse(&["a", "b"]));
-    history.take(&Entry::Begin(3));
+    history.apply(&Entry::Begin(3));
     assert_eq!(history.meet(), *refuse(&["b"]));
 }
 
 #[test]
 fn a_lease_counts_from_when_it_was_asked_for_and_ends_without_a_majority() {
-    let times = Times::default();
+    let times = LeaseTimes::default();
     let seats =
         (1..=3).map(|number| (number, Seat { name: format!("v{number}").into(), disk: number })).collect();
     let voters = Voters { epoch: 1, seats };
-    let mut held = Held::default();
+    let mut held = HeldLease::default();
     held.follow(&voters);
     held.asks(1_000, 1, 10, &times);
     held.asks(2_000, 2, 11, &times);
@@ -235,29 +237,40 @@
 
 #[test]
 fn a_voter_that_has_just_started_is_clear_of_nothing() {
-    let times = Times::default();
-    let mut granting = Granting::new(0, &times);
+    let times = LeaseTimes::default();
+    let mut granting = GrantedLeases::new(0, &times);
     assert_eq!(granting.clear(times.lease, 5), 0, "it may have granted anything before it was started");
     assert_eq!(granting.clear(2 * times.lease, 5), 5);
 }
 
 #[test]
 fn the_stated_time_grows_with_what_it_is_made_of_and_is_none_where_fronts_go_on() {
-    let times = Times::default();
-    let stated = times.stated().unwrap();
-    assert!(stated > times.lease + times.alone && stated < 5_000_000, "{stated}");
-    assert!(Times { drift_ppm: 10_000, ..times }.stated().unwrap() > stated);
-    assert_eq!(Times { refuse: false, ..times }.stated(), None);
+    let times = LeaseTimes::default();
+    let stated = times.max_contradiction().unwrap();
+    assert!(stated > times.lease + times.grace && stated < 5_000_000, "{stated}");
+    assert!(LeaseTimes { drift_ppm: 10_000, ..times }.max_contradiction().unwrap() > stated);
+    assert_eq!(LeaseTimes { refuse_without_lease: false, ..times }.max_contradiction(), None);
 }
 
 #[test]
 fn a_stand_outlives_its_lease_by_the_meet_and_that_by_nothing() {
     let (agreed, meet) =
         (Arc::new(Rules::default()), Arc::new(Rules { ladder: Some(0), ..Rules::default() }));
-    let stand = Stand { begun: 1, latest: 2, until: 100, alone: 150, agreed, meet, heirs: Arc::default() };
-    assert_eq!(stand.acts(99).map(|(by, rules)| (by, rules.ladder)), Ok((By::Lease, None)));
-    assert_eq!(stand.acts(100).map(|(by, rules)| (by, rules.ladder)), Ok((By::Meet, Some(0))));
-    assert!(stand.acts(150).is_err());
+    let coordination = CoordinationState {
+        begun: 1,
+        latest: 2,
+        lease_until: 100,
+        grace_until: 150,
+        agreed,
+        meet,
+        successors: Arc::default(),
+    };
+    assert_eq!(coordination.active_rules(99).map(|(by, rules)| (by, rules.ladder)), Ok((Basis::Lease, None)));
+    assert_eq!(
+        coordination.active_rules(100).map(|(by, rules)| (by, rules.ladder)),
+        Ok((Basis::Meet, Some(0)))
+    );
+    assert!(coordination.active_rules(150).is_err());
 }
 
 #[test]
@@ -269,9 +282,9 @@
     assert!(order.next(&name, 2, 1, 1), "another disk counts for itself");
 }
 
-fn own(name: &str, drawn: u64) -> Own {
+fn own(name: &str, new_disk_id: u64) -> FrontIdentity {
     let voters = ["a", "b", "c"].map(Name::from).to_vec();
-    Own { name: name.into(), drawn, voters, times: Times::default() }
+    FrontIdentity { name: name.into(), new_disk_id, initial_voters: voters, times: LeaseTimes::default() }
 }
 
 /// Lets three voters talk until `until`, with no loss; disks see every write.
@@ -293,7 +306,7 @@
                     continue;
                 };
                 let mut out = Vec::new();
-                accord.handle(now, Input::Heard(Box::new(envelope)), &mut out);
+                accord.handle(now, Input::Received(Box::new(envelope)), &mut out);
                 mail.extend(post(out, image));
             }
         }
@@ -304,7 +317,7 @@
     let mut mail = Vec::new();
     for output in out {
         match output {
-            Output::Write(writes) => writes.iter().for_each(|write| image.write(write)),
+            Output::Write(writes) => writes.iter().for_each(|write| image.apply(write)),
             Output::Send(envelope) => mail.push(*envelope),
             _ => {}
         }
@@ -313,9 +326,9 @@
 }
 
 fn three() -> Vec<(Accord, Image)> {
-    let start = |(name, drawn): (&str, u64)| {
+    let start = |(name, new_disk_id): (&str, u64)| {
         let (mut out, mut image) = (Vec::new(), Image::default());
-        let accord = Accord::new(own(name, drawn), Image::default(), 0, &mut out);
+        let accord = Accord::new(own(name, new_disk_id), Image::default(), 0, &mut out);
         post(out, &mut image);
         (accord, image)
     };
@@ -341,8 +354,11 @@
     let mut fronts: Vec<_> = again.collect();
     assert!(fronts.iter().all(|(accord, _)| accord.history().latest == 1));
     talk(&mut fronts, 9_000_000, 14_000_000);
-    assert!(fronts.iter().all(|(accord, _)| accord.stand().until > 14_000_000), "leases are given again");
-    assert_eq!(*fronts[0].0.stand().agreed, rules);
+    assert!(
+        fronts.iter().all(|(accord, _)| accord.coordination().lease_until > 14_000_000),
+        "leases are given again"
+    );
+    assert_eq!(*fronts[0].0.coordination().agreed, rules);
 }
 
 #[test]
@@ -355,14 +371,14 @@
         disk: 77,
         start: 1,
         sequence,
-        body: Body::Replace,
+        body: Body::ReplaceDisk,
     };
     for sequence in 1..30 {
         let now = 2_000_000 + sequence * 100_000;
         for (accord, image) in &mut fronts {
             let mut out = Vec::new();
             let envelope = Envelope { to: accord.own.name.clone(), ..says(sequence) };
-            accord.handle(now, Input::Heard(Box::new(envelope)), &mut out);
+            accord.handle(now, Input::Received(Box::new(envelope)), &mut out);
             post(out, image);
         }
         talk(&mut fronts, now, now + 100_000);
@@ -375,7 +391,7 @@
         for (accord, image) in &mut fronts {
             let mut out = Vec::new();
             let envelope = Envelope { to: accord.own.name.clone(), ..says(sequence) };
-            accord.handle(now, Input::Heard(Box::new(envelope)), &mut out);
+            accord.handle(now, Input::Received(Box::new(envelope)), &mut out);
             post(out, image);
         }
         talk(&mut fronts, now, now + 100_000);
@@ -394,7 +410,7 @@
     assert!(!out.iter().any(|output| matches!(output, Output::Write(_))));
     talk(&mut fronts, 3_000_000, 9_000_000);
     assert!(fronts[0].0.voter().is_none(), "not until it is started again");
-    assert!(fronts[0].0.stand().until > 9_000_000, "it follows, under the leases of the others");
+    assert!(fronts[0].0.coordination().lease_until > 9_000_000, "it follows, under the leases of the others");
 }
 
 #[test]
@@ -415,28 +431,28 @@
         disk: 77,
         start: 1,
         sequence: history.position,
-        body: Body::Whole(Box::new(history)),
+        body: Body::Snapshot(Box::new(history)),
     };
     let mut out = Vec::new();
-    fronts[0].0.handle(6_000_000, Input::Heard(Box::new(say(old.clone()))), &mut out);
+    fronts[0].0.handle(6_000_000, Input::Received(Box::new(say(old.clone()))), &mut out);
     assert_eq!(*fronts[0].0.history(), before);
     let mut other = old;
-    (0..20).for_each(|id| other.take(&propose(1_000 + id, 0)));
-    fronts[0].0.handle(6_000_000, Input::Heard(Box::new(say(other))), &mut out);
+    (0..20).for_each(|id| other.apply(&propose(1_000 + id, 0)));
+    fronts[0].0.handle(6_000_000, Input::Received(Box::new(say(other))), &mut out);
     assert_eq!(*fronts[0].0.history(), before);
-    assert!(out.iter().any(|output| matches!(output, Output::Parted(_))), "{out:?}");
+    assert!(out.iter().any(|output| matches!(output, Output::HistoryDiverged(_))), "{out:?}");
 }
 
 #[test]
 fn a_proposal_too_long_is_refused_before_anybody_hears_of_it() {
     let mut fronts = three();
-    let refused: BTreeSet<Who> =
-        (0..4_000).map(|at| Who::Viewer(format!("a-viewer-of-a-long-name-{at}"))).collect();
+    let refused: BTreeSet<RefusedParty> =
+        (0..4_000).map(|at| RefusedParty::Viewer(format!("a-viewer-of-a-long-name-{at}"))).collect();
     let mut out = Vec::new();
     let input = Input::Propose(9, None, "x".into(), 0, Rules { refused, ..Rules::default() });
     fronts[0].0.handle(0, input, &mut out);
     assert!(
-        matches!(&out[..], [Output::Told(9, super::Told::Refused(why)), ..] if why.contains("at most")),
+        matches!(&out[..], [Output::Reply(9, super::OperatorReply::Refused(why)), ..] if why.contains("at most")),
         "{out:?}"
     );
 }
@@ -444,81 +460,102 @@
 #[test]
 fn an_image_keeps_what_a_log_writes_and_a_shorter_log_takes_the_rest_away() {
     let mut image = Image::default();
-    image.write(&Write::Vote(Box::new(Vote::begin(1, &History::default()))));
-    image.write(&Write::Log(0, vec![propose(1, 0), propose(2, 0), propose(3, 0)]));
-    image.write(&Write::Log(1, vec![propose(4, 0)]));
+    image.apply(&Write::Voter(Box::new(VoterState::new(1, &History::default()))));
+    image.apply(&Write::Log(0, vec![propose(1, 0), propose(2, 0), propose(3, 0)]));
+    image.apply(&Write::Log(1, vec![propose(4, 0)]));
     assert_eq!(image.vote.unwrap().log, [propose(1, 0), propose(4, 0)]);
 }
 
-fn takes(life: &str, epoch: u64, by: &str) -> Succession {
-    let heir = Heir {
+fn takes(incarnation: &str, epoch: u64, by: &str) -> SuccessionChange {
+    let successor = Successor {
         epoch,
         name: by.into(),
-        life: format!("{by}-1").into(),
-        serves: None,
+        incarnation: format!("{by}-1").into(),
+        client_address: None,
         version: 0,
         settled: false,
     };
-    Succession::Takes(life.into(), heir)
+    SuccessionChange::TakeOver(incarnation.into(), successor)
 }
 
 #[test]
 fn of_two_heirs_at_once_one_takes_the_life_over_and_acts_only_once_the_version_has_begun() {
     let mut history = History::default();
-    history.take(&propose(1, 0));
-    history.take(&Entry::Begin(1));
-    history.take(&Entry::Succeed(vec![takes("a-1", 1, "b")]));
-    history.take(&Entry::Succeed(vec![takes("a-1", 1, "c")]));
+    history.apply(&propose(1, 0));
+    history.apply(&Entry::Begin(1));
+    history.apply(&Entry::ChangeSuccessors(vec![takes("a-1", 1, "b")]));
+    history.apply(&Entry::ChangeSuccessors(vec![takes("a-1", 1, "c")]));
     assert_eq!(
-        (history.latest, history.heirs.of["a-1"].name.as_ref()),
+        (history.latest, history.successors.by_incarnation["a-1"].name.as_ref()),
         (2, "b"),
         "one version, the first one's"
     );
-    let epoch = |history: &History, own| history.heirs.epoch("a-1", own, history.begun);
+    let epoch = |history: &History, own| history.successors.acting_epoch("a-1", own, history.begun);
     assert_eq!((epoch(&history, "b-1"), epoch(&history, "c-1")), (None, None), "not before it has begun");
-    history.take(&Entry::Begin(2));
+    history.apply(&Entry::Begin(2));
     assert_eq!((epoch(&history, "b-1"), epoch(&history, "c-1")), (Some(1), None));
     // Who made a proposal from the version before has missed no rule.
-    history.take(&propose(9, 1));
-    assert_eq!(history.outcome(9), Some(Became::Version(3)));
+    history.apply(&propose(9, 1));
+    assert_eq!(history.outcome(9), Some(ProposalOutcome::Version(3)));
     // The heir is lost too: the next one is known before it acts, and the first acts no more.
-    history.take(&Entry::Succeed(vec![takes("b-1", 1, "c")]));
-    assert_eq!((epoch(&history, "b-1"), history.heirs.reached("a-1")), (None, 2));
-    assert_eq!(history.heirs.last("a-1").map(|heir| heir.name.as_ref()), Some("c"));
+    history.apply(&Entry::ChangeSuccessors(vec![takes("b-1", 1, "c")]));
+    assert_eq!((epoch(&history, "b-1"), history.successors.epoch_of("a-1")), (None, 2));
+    assert_eq!(history.successors.current("a-1").map(|successor| successor.name.as_ref()), Some("c"));
     // What is over stays over, whoever comes back with an old disk.
-    history.take(&Entry::Succeed(vec![Succession::Over("a-1".into(), 2), Succession::Over("b-1".into(), 1)]));
-    assert!(history.heirs.of.contains_key("a-1"), "another epoch ends nothing");
-    assert!(history.heirs.of.contains_key("b-1"), "a life on another's way to its heir is not over");
-    history.take(&Entry::Succeed(vec![Succession::Over("a-1".into(), 1)]));
+    history.apply(&Entry::ChangeSuccessors(vec![
+        SuccessionChange::Ended("a-1".into(), 2),
+        SuccessionChange::Ended("b-1".into(), 1),
+    ]));
+    assert!(history.successors.by_incarnation.contains_key("a-1"), "another epoch ends nothing");
+    assert!(
+        history.successors.by_incarnation.contains_key("b-1"),
+        "a life on another's way to its heir is not over"
+    );
+    history.apply(&Entry::ChangeSuccessors(vec![SuccessionChange::Ended("a-1".into(), 1)]));
     let before = history.latest;
-    history.take(&Entry::Succeed(vec![takes("a-1", 1, "b"), takes("a-1", 3, "b")]));
-    assert_eq!((history.latest, history.heirs.of.contains_key("a-1")), (before, false));
+    history.apply(&Entry::ChangeSuccessors(vec![takes("a-1", 1, "b"), takes("a-1", 3, "b")]));
+    assert_eq!((history.latest, history.successors.by_incarnation.contains_key("a-1")), (before, false));
 }
 
 #[test]
 fn a_front_without_a_lease_acts_for_nobody_not_even_for_itself() {
     let mut history = History::default();
-    history.take(&Entry::Succeed(vec![takes("a-1", 1, "b")]));
-    history.take(&Entry::Begin(1));
+    history.apply(&Entry::ChangeSuccessors(vec![takes("a-1", 1, "b")]));
+    history.apply(&Entry::Begin(1));
     let (agreed, meet) = (Arc::default(), Arc::default());
-    let heirs = Arc::clone(&history.heirs);
-    let stand = Stand { begun: 1, latest: 1, until: 100, alone: 1_000, agreed, meet, heirs };
-    assert_eq!(stand.epoch(99, "b-1", "a-1"), Some(1));
-    assert_eq!(stand.epoch(99, "b-1", "b-1"), Some(0));
-    assert_eq!(stand.epoch(99, "a-1", "a-1"), None, "it is another's now");
-    assert_eq!((stand.epoch(100, "b-1", "a-1"), stand.epoch(100, "b-1", "b-1")), (None, None));
+    let successors = Arc::clone(&history.successors);
+    let coordination = CoordinationState {
+        begun: 1,
+        latest: 1,
+        lease_until: 100,
+        grace_until: 1_000,
+        agreed,
+        meet,
+        successors,
+    };
+    assert_eq!(coordination.acting_epoch(99, "b-1", "a-1"), Some(1));
+    assert_eq!(coordination.acting_epoch(99, "b-1", "b-1"), Some(0));
+    assert_eq!(coordination.acting_epoch(99, "a-1", "a-1"), None, "it is another's now");
+    assert_eq!(
+        (coordination.acting_epoch(100, "b-1", "a-1"), coordination.acting_epoch(100, "b-1", "b-1")),
+        (None, None)
+    );
 }
 
 #[test]
 fn a_settled_life_goes_along_with_its_heir_alone_and_no_heir_is_itself_replaced() {
     let mut history = History::default();
-    history.take(&Entry::Succeed(vec![takes("a-1", 1, "b")]));
-    history.take(&Entry::Succeed(vec![Succession::Settled("a-1".into(), 1)]));
-    history.take(&Entry::Succeed(vec![takes("a-1", 2, "c")]));
-    assert_eq!(history.heirs.last("a-1").unwrap().name.as_ref(), "b", "nobody else has what it promised");
-    history.take(&Entry::Succeed(vec![takes("b-1", 1, "c")]));
-    assert_eq!(history.heirs.last("a-1").unwrap().name.as_ref(), "c");
+    history.apply(&Entry::ChangeSuccessors(vec![takes("a-1", 1, "b")]));
+    history.apply(&Entry::ChangeSuccessors(vec![SuccessionChange::Settled("a-1".into(), 1)]));
+    history.apply(&Entry::ChangeSuccessors(vec![takes("a-1", 2, "c")]));
+    assert_eq!(
+        history.successors.current("a-1").unwrap().name.as_ref(),
+        "b",
+        "nobody else has what it promised"
+    );
+    history.apply(&Entry::ChangeSuccessors(vec![takes("b-1", 1, "c")]));
+    assert_eq!(history.successors.current("a-1").unwrap().name.as_ref(), "c");
     // A word of the front in its old life that was long on its way.
-    history.take(&Entry::Succeed(vec![takes("d-1", 1, "b")]));
-    assert!(history.heirs.last("d-1").is_none());
+    history.apply(&Entry::ChangeSuccessors(vec![takes("d-1", 1, "b")]));
+    assert!(history.successors.current("d-1").is_none());
 }
--- a/crates/accord/src/core/voter.rs
+++ b/crates/accord/src/core/voter.rs
@@ -13,29 +13,29 @@
 use omnipaxos::{ClusterConfig, OmniPaxos, OmniPaxosConfig, ServerConfig};
 use serde::{Deserialize, Serialize};
 
-use super::disk::{Journal, Ledger, Vote};
-use super::heirs::Succession;
+use super::disk::{Journal, VoterState, VoterStorage};
 use super::history::{Digest, Entry, History, Proposal, Seat, Voters};
-use super::lease::{Granting, Times};
+use super::lease::{GrantedLeases, LeaseTimes};
+use super::successors::SuccessionChange;
 use super::{Micros, Name};
 
 /// The consensus crate counts time in ticks of this length.
 pub const TICK: Micros = 50_000;
 /// Ticks after which a voter that did not answer counts as gone: longer than TCP takes to send a lost segment again, or
 /// leaders change at each loss. Measured in trials with 20% loss.
-const ELECTION: u64 = 10;
+const ELECTION_TIMEOUT_TICKS: u64 = 10;
 /// Ticks after which a message that is owed an answer is sent again.
-const RESEND: u64 = 10;
+const RESEND_TIMEOUT_TICKS: u64 = 10;
 /// Whoever is behind another voter's marks for so long has lost a message.
-const BEHIND: Micros = 600_000;
+const LOST_MESSAGE_TIMEOUT: Micros = 600_000;
 /// A voter that was not heard for so long may have lost its disk.
-const SILENT: Micros = 1_000_000;
+const LOST_DISK_TIMEOUT: Micros = 1_000_000;
 /// The voters begin anew, with an empty log, when it has so many entries.
-pub const COMPACT: usize = 256;
+pub const MAX_LOG_ENTRIES: usize = 256;
 
 /// What a voter tells the others each tick.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Marks {
+pub struct VoterProgress {
     /// Of which voters.
     pub epoch: u32,
     /// Entries it has accepted.
@@ -48,7 +48,7 @@
 
 /// What a front has, as it says when it asks for a lease.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Has {
+pub struct KnownHistory {
     /// Of which voters.
     pub epoch: u32,
     /// Steps of the history.
@@ -62,7 +62,7 @@
 /// A voter at work.
 pub struct Voter {
     journal: Journal,
-    paxos: OmniPaxos<Entry, Ledger>,
+    paxos: OmniPaxos<Entry, VoterStorage>,
     voters: Voters,
     number: u64,
     base: u64,
@@ -70,10 +70,10 @@
     taken: usize,
     /// The last of them was other voters.
     ended: bool,
-    granting: Granting,
+    granting: GrantedLeases,
     /// Latest version in its own log.
     logged: u64,
-    marks: BTreeMap<u64, Marks>,
+    marks: BTreeMap<u64, VoterProgress>,
     /// When each of the others was last heard, and when this one began to listen.
     heard: BTreeMap<u64, Micros>,
     since: Option<Micros>,
@@ -95,7 +95,7 @@
 
 impl Voter {
     /// Goes on with this vote; nothing where the voters are too few to agree on anything, or this is none of them.
-    pub fn start(vote: Vote, journal: Journal, granting: Granting) -> Option<Voter> {
+    pub fn start(vote: VoterState, journal: Journal, granting: GrantedLeases) -> Option<Voter> {
         let (voters, number, base) = (vote.voters.clone(), vote.number, vote.base);
         let config = OmniPaxosConfig {
             cluster_config: ClusterConfig {
@@ -105,12 +105,12 @@
             },
             server_config: ServerConfig {
                 pid: number,
-                election_tick_timeout: ELECTION,
-                resend_message_tick_timeout: RESEND,
+                election_tick_timeout: ELECTION_TIMEOUT_TICKS,
+                resend_message_tick_timeout: RESEND_TIMEOUT_TICKS,
                 ..ServerConfig::default()
             },
         };
-        let paxos = config.build(Ledger::new(vote, journal.clone())).ok()?;
+        let paxos = config.build(VoterStorage::new(vote, journal.clone())).ok()?;
         Some(Voter {
             journal,
             paxos,
@@ -131,7 +131,7 @@
     }
 
     /// What it has granted, for the vote that follows.
-    pub fn into_granting(self) -> Granting {
+    pub fn into_granting(self) -> GrantedLeases {
         self.granting
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Marks of another voter.
-    pub fn marks(&mut self, now: Micros, from: u64, marks: Marks) {
+    pub fn marks(&mut self, now: Micros, from: u64, marks: VoterProgress) {
         if !self.voters.seats.contains_key(&from) {
             return;
         }
@@ -198,8 +198,8 @@
     }
 
     /// Heirs are to change so, unless just that is under way.
-    pub fn succeed(&mut self, changes: Vec<Succession>) {
-        let entry = Entry::Succeed(changes);
+    pub fn succeed(&mut self, changes: Vec<SuccessionChange>) {
+        let entry = Entry::ChangeSuccessors(changes);
         if !self.undecided().any(|open| open == entry) {
             let _ = self.paxos.append(entry);
         }
@@ -221,7 +221,14 @@
 
     /// Whether a front that has taken so many steps of the history may act on them. It gets nothing while this voter has
     /// any step more, agreed on or not.
-    pub fn grant(&mut self, now: Micros, to: &Name, has: &Has, history: &History, times: &Times) -> bool {
+    pub fn grant(
+        &mut self,
+        now: Micros,
+        to: &Name,
+        has: &KnownHistory,
+        history: &History,
+        times: &LeaseTimes,
+    ) -> bool {
         // Danger: granted by what was decided alone, a lease begins after a majority has accepted the next version, and
         // lasts on while others act on that.
         let wanted = (self.base + self.paxos.get_accepted_idx() as u64).max(history.position);
@@ -268,7 +275,7 @@
         if self.leads() {
             self.begin(now, history);
             self.replace_lost(now);
-            if self.paxos.get_decided_idx() >= COMPACT {
+            if self.paxos.get_decided_idx() >= MAX_LOG_ENTRIES {
                 let same: Vec<Seat> = self.voters.seats.values().cloned().collect();
                 let next = self.voters.next(&same);
                 self.change(&next);
@@ -287,7 +294,7 @@
         match self.behind {
             _ if here >= there => self.behind = None,
             Some((so_far, since)) if so_far == here => {
-                if since + BEHIND <= now {
+                if since + LOST_MESSAGE_TIMEOUT <= now {
                     self.paxos.reconnected(leader);
                     self.behind = Some((here, now));
                 }
@@ -298,7 +305,7 @@
         let stuck = self.marks.get(&leader).is_some_and(|marks| marks.decided < marks.accepted);
         if self.behind.is_none() && stuck {
             self.behind = Some((here, now));
-        } else if stuck && self.behind.is_some_and(|(_, since)| since + BEHIND <= now) {
+        } else if stuck && self.behind.is_some_and(|(_, since)| since + LOST_MESSAGE_TIMEOUT <= now) {
             self.paxos.reconnected(leader);
             self.behind = Some((here, now));
         }
@@ -324,7 +331,7 @@
         let Some((name, disk)) = self.asks.pop_first() else { return };
         let number = self.voters.number(&name);
         let heard = number.and_then(|number| self.heard.get(&number).copied()).or(self.since);
-        if heard.is_none_or(|heard| heard + SILENT > now) {
+        if heard.is_none_or(|heard| heard + LOST_DISK_TIMEOUT > now) {
             return;
         }
         let seat =
@@ -335,8 +342,8 @@
     }
 
     /// What this voter tells the others.
-    pub fn own_marks(&mut self, now: Micros) -> Marks {
-        Marks {
+    pub fn own_marks(&mut self, now: Micros) -> VoterProgress {
+        VoterProgress {
             epoch: self.voters.epoch,
             accepted: self.paxos.get_accepted_idx() as u64,
             decided: self.paxos.get_decided_idx() as u64,
--- a/crates/accord/src/edge.rs
+++ b/crates/accord/src/edge.rs
@@ -21,28 +21,28 @@
 use serde_json::json;
 use thiserror::Error;
 
-use crate::core::heirs::Succession;
+use crate::core::coordination::CoordinationState;
 use crate::core::rules::Rules;
-use crate::core::stand::Stand;
-use crate::core::{Accord, Envelope, Input, Micros, Name, Output, Own, Told};
-use crate::lines;
+use crate::core::successors::SuccessionChange;
+use crate::core::{Accord, Envelope, FrontIdentity, Input, Micros, Name, OperatorReply, Output};
+use crate::history_log;
+use crate::rules_kdl;
 use crate::settings::Settings;
-use crate::store::{Found, Store, StoreError};
-use crate::text;
+use crate::store::{OpenOutcome, Store, StoreError};
 use crate::wire::{self, Answer, Frame, Question};
 
 /// Stack of the thread.
-const STACK: usize = 512 * 1024;
+const THREAD_STACK_BYTES: usize = 512 * 1024;
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
 /// Read from one connection before the others have their turn, bytes.
-const AT_ONCE: usize = 256 * 1024;
+const READ_BUDGET_BYTES: usize = 256 * 1024;
 /// What may wait to be written to one connection, bytes: a whole history and then some.
-const WAITING: usize = 2 * wire::LONGEST;
+const MAX_WRITE_QUEUE_BYTES: usize = 2 * wire::MAX_FRAME_BYTES;
 /// A connection that takes nothing for so long is given up, and one that does not come about.
-const STUCK: Micros = 2_000_000;
+const CONNECTION_STALL_TIMEOUT: Micros = 2_000_000;
 /// After that a front is called again.
-const CALL_AGAIN: Micros = 200_000;
+const RECONNECT_INTERVAL: Micros = 200_000;
 /// Connections at most.
 const MOST: usize = 4_096;
 
@@ -75,76 +75,76 @@
 
 /// What this front acts on, for whoever is about to write an act.
 #[derive(Clone, Debug)]
-pub struct Authority(Arc<RwLock<Arc<Stand>>>);
+pub struct Coordination(Arc<RwLock<Arc<CoordinationState>>>);
 
-impl Authority {
-    fn new(stand: Stand) -> Authority {
-        Authority(Arc::new(RwLock::new(Arc::new(stand))))
+impl Coordination {
+    fn new(coordination: CoordinationState) -> Coordination {
+        Coordination(Arc::new(RwLock::new(Arc::new(coordination))))
     }
 
-    fn set(&self, stand: Stand) {
-        *self.0.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(stand);
+    fn set(&self, coordination: CoordinationState) {
+        *self.0.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(coordination);
     }
 
     /// What it acts on; until when, it says itself, by [`now`].
-    pub fn stand(&self) -> Arc<Stand> {
+    pub fn current(&self) -> Arc<CoordinationState> {
         Arc::clone(&self.0.read().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-enum Word {
-    Pass(Name, Vec<u8>),
-    Succeed(Vec<Succession>),
-    Known(Vec<Known>),
+enum Command {
+    Relay(Name, Vec<u8>),
+    ChangeSuccessors(Vec<SuccessionChange>),
+    Members(Vec<Known>),
     Keys(KeyRing),
     End,
 }
 
 /// A way to tell the thread something from elsewhere.
 #[derive(Clone)]
-pub struct Teller {
-    words: Sender<Word>,
+pub struct Handle {
+    commands: Sender<Command>,
     waker: Arc<Waker>,
 }
 
-impl Teller {
-    fn tell(&self, word: Word) {
-        let _ = self.words.send(word);
+impl Handle {
+    fn send(&self, command: Command) {
+        let _ = self.commands.send(command);
         let _ = self.waker.wake();
     }
 
     /// Who is known, as membership tells.
-    pub fn known(&self, known: Vec<Known>) {
-        self.tell(Word::Known(known));
+    pub fn update_members(&self, known: Vec<Known>) {
+        self.send(Command::Members(known));
     }
 
     /// Sends bytes of another subsystem to its like at another front, in order with all that goes there; what cannot be
     /// sent is lost without a word.
-    pub fn pass(&self, to: Name, bytes: Vec<u8>) {
-        self.tell(Word::Pass(to, bytes));
+    pub fn relay(&self, to: Name, bytes: Vec<u8>) {
+        self.send(Command::Relay(to, bytes));
     }
 
     /// Asks the voters for these heirs; said again by whoever wants it until it is seen.
-    pub fn succeed(&self, changes: Vec<Succession>) {
-        self.tell(Word::Succeed(changes));
+    pub fn change_successors(&self, changes: Vec<SuccessionChange>) {
+        self.send(Command::ChangeSuccessors(changes));
     }
 }
 
 /// What wants to hear what this front stands on.
-pub type Listener = Box<dyn Fn(Stand) + Send>;
+pub type Listener = Box<dyn Fn(CoordinationState) + Send>;
 
 /// Another subsystem that goes by accord's connections.
-pub struct Beside {
+pub struct Companion {
     /// Takes what its like at another front has passed.
-    pub passed: Box<dyn Fn(Name, Vec<u8>) + Send>,
+    pub on_message: Box<dyn Fn(Name, Vec<u8>) + Send>,
     /// How it stands, for operators.
-    pub shows: Box<dyn Fn() -> String + Send>,
+    pub status: Box<dyn Fn() -> String + Send>,
 }
 
 /// Running accord. Dropped, it ends.
 pub struct Running {
-    teller: Teller,
-    authority: Authority,
+    handle: Handle,
+    shared_coordination: Coordination,
     thread: Option<thread::JoinHandle<()>>,
 }
 
@@ -154,17 +154,17 @@
     /// # Errors
     /// The address cannot be bound, the store cannot be used, the history cannot be written, no thread is to be had.
     pub fn start(settings: &Settings, listener: Option<Listener>) -> Result<Running, StartError> {
-        Running::start_beside(settings, listener, None)
+        Running::start_with_companion(settings, listener, None)
     }
 
     /// The same with another subsystem beside it.
     ///
     /// # Errors
     /// As [`Running::start`].
-    pub fn start_beside(
+    pub fn start_with_companion(
         settings: &Settings,
         listener: Option<Listener>,
-        beside: Option<Beside>,
+        companion: Option<Companion>,
     ) -> Result<Running, StartError> {
         let mut socket = TcpListener::bind(settings.bind).map_err(|e| StartError::Bind(settings.bind, e))?;
         let poll = Poll::new().map_err(StartError::Thread)?;
@@ -172,39 +172,39 @@
         let waker = Arc::new(Waker::new(poll.registry(), WAKER).map_err(StartError::Thread)?);
         let (store, image, found) = Store::open(&settings.store)?;
         match &found {
-            Found::New => tracing::info!("accord: a new store"),
-            Found::Whole => {}
-            Found::SetAside(at, why) => {
+            OpenOutcome::New => tracing::info!("accord: a new store"),
+            OpenOutcome::Intact => {}
+            OpenOutcome::SetAside(at, why) => {
                 tracing::error!(%why, at = %at.display(), "accord: a damaged store was set aside; this is a new disk now");
             }
-            Found::Copied => {
+            OpenOutcome::Copied => {
                 tracing::warn!("accord: the store is not where it was first written: it votes as a new disk");
             }
         }
         let open = |path: &std::path::PathBuf| File::options().create(true).append(true).open(path);
         let history = settings.history.as_ref().map(open).transpose().map_err(StartError::History)?;
-        let own = Own {
+        let own = FrontIdentity {
             name: Name::clone(&settings.name),
-            drawn: drawn(),
-            voters: settings.voters.clone(),
+            new_disk_id: new_disk_id(),
+            initial_voters: settings.voters.clone(),
             times: settings.times,
         };
         let mut out = Vec::new();
         let accord = Accord::new(own, image, now(), &mut out);
-        let authority = Authority::new(accord.stand().clone());
-        let (words, heard) = crossbeam_channel::unbounded();
-        let teller = Teller { words, waker };
-        let work = Work {
+        let shared_coordination = Coordination::new(accord.coordination().clone());
+        let (commands, heard) = crossbeam_channel::unbounded();
+        let handle = Handle { commands, waker };
+        let work = Service {
             accord,
             name: Name::clone(&settings.name),
             settings: settings.clone(),
             store: Some(store),
             history,
-            authority: authority.clone(),
+            shared_coordination: shared_coordination.clone(),
             poll,
             socket,
             listener,
-            beside,
+            companion,
             links: BTreeMap::new(),
             next: 2,
             known: BTreeMap::new(),
@@ -214,35 +214,35 @@
             tickets: BTreeMap::new(),
             ticket: 0,
         };
-        let spawn = |name: &str| thread::Builder::new().name(name.into()).stack_size(STACK);
+        let spawn = |name: &str| thread::Builder::new().name(name.into()).stack_size(THREAD_STACK_BYTES);
         if let Some((every, viewers)) = settings.trial.as_ref().and_then(|trial| trial.acts) {
-            let (authority, name) = (authority.clone(), Name::clone(&settings.name));
+            let (shared_coordination, name) = (shared_coordination.clone(), Name::clone(&settings.name));
             let history = settings.history.as_ref().map(open).transpose().map_err(StartError::History)?;
-            let acts = move || act(&authority, &name, history, every, viewers);
+            let acts = move || act(&shared_coordination, &name, history, every, viewers);
             spawn("acts").spawn(acts).map_err(StartError::Thread)?;
         }
         let thread = spawn("accord").spawn(move || work.run(out, &heard)).map_err(StartError::Thread)?;
-        Ok(Running { teller, authority, thread: Some(thread) })
+        Ok(Running { handle, shared_coordination, thread: Some(thread) })
     }
 
     /// What this front acts on.
-    pub fn authority(&self) -> Authority {
-        self.authority.clone()
+    pub fn coordination(&self) -> Coordination {
+        self.shared_coordination.clone()
     }
 
     /// Whom to tell of views.
-    pub fn teller(&self) -> Teller {
-        self.teller.clone()
+    pub fn handle(&self) -> Handle {
+        self.handle.clone()
     }
 
     /// Other keys from now on.
-    pub fn keys(&self, keys: KeyRing) {
-        self.teller.tell(Word::Keys(keys));
+    pub fn set_keys(&self, keys: KeyRing) {
+        self.handle.send(Command::Keys(keys));
     }
 
     /// Ends it.
-    pub fn end(mut self) {
-        self.teller.tell(Word::End);
+    pub fn shut_down(mut self) {
+        self.handle.send(Command::End);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
@@ -250,7 +250,7 @@
 }
 
 /// A number that no other disk has, in all likelihood.
-pub fn drawn() -> u64 {
+pub fn new_disk_id() -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&unix().to_be_bytes());
     hasher.update(&now().to_be_bytes());
@@ -265,13 +265,19 @@
 }
 
 /// Only in trials: acts as a front does, and writes what it did.
-fn act(authority: &Authority, name: &Name, mut history: Option<File>, every: Micros, viewers: usize) {
+fn act(
+    shared_coordination: &Coordination,
+    name: &Name,
+    mut history: Option<File>,
+    every: Micros,
+    viewers: usize,
+) {
     let mut turn = 0;
     loop {
         thread::sleep(Duration::from_micros(every));
         turn += 1;
         let viewer = format!("v{}", turn % viewers.max(1));
-        let line = lines::act(unix(), name, &authority.stand(), now(), &viewer);
+        let line = history_log::act(unix(), name, &shared_coordination.current(), now(), &viewer);
         if let Some(file) = &mut history {
             let _ = file.write_all(format!("{line}\n").as_bytes());
         }
@@ -279,7 +285,7 @@
 }
 
 /// One connection.
-struct Link {
+struct Connection {
     stream: TcpStream,
     /// Whom this front called by it; nobody, where the other one called.
     called: Option<Name>,
@@ -293,18 +299,18 @@
     stuck: Option<Micros>,
 }
 
-struct Work {
+struct Service {
     accord: Accord,
     name: Name,
     settings: Settings,
     store: Option<Store>,
     history: Option<File>,
-    authority: Authority,
+    shared_coordination: Coordination,
     poll: Poll,
     socket: TcpListener,
     listener: Option<Listener>,
-    beside: Option<Beside>,
-    links: BTreeMap<usize, Link>,
+    companion: Option<Companion>,
+    links: BTreeMap<usize, Connection>,
     next: usize,
     known: BTreeMap<Name, SocketAddr>,
     /// Connections by whom this front called, and by who called last.
@@ -316,25 +322,25 @@
     ticket: u64,
 }
 
-impl Work {
-    fn run(mut self, out: Vec<Output>, words: &Receiver<Word>) {
+impl Service {
+    fn run(mut self, out: Vec<Output>, commands: &Receiver<Command>) {
         if let Some(listener) = &self.listener {
-            listener(self.accord.stand().clone());
+            listener(self.accord.coordination().clone());
         }
         self.carry_out(out);
         let mut events = Events::with_capacity(256);
         loop {
             loop {
-                match words.try_recv() {
-                    Ok(Word::Known(known)) => self.view(known),
-                    Ok(Word::Succeed(changes)) => self.hand(Input::Succeed(changes)),
-                    Ok(Word::Pass(to, bytes)) => {
+                match commands.try_recv() {
+                    Ok(Command::Members(known)) => self.view(known),
+                    Ok(Command::ChangeSuccessors(changes)) => self.hand(Input::ChangeSuccessors(changes)),
+                    Ok(Command::Relay(to, bytes)) => {
                         if let Some(token) = self.way(&to) {
-                            self.put(token, &Frame::Passes(Name::clone(&self.name), bytes));
+                            self.put(token, &Frame::Relayed(Name::clone(&self.name), bytes));
                         }
                     }
-                    Ok(Word::Keys(keys)) => self.settings.keys = keys,
-                    Ok(Word::End) | Err(TryRecvError::Disconnected) => return,
+                    Ok(Command::Keys(keys)) => self.settings.keys = keys,
+                    Ok(Command::End) | Err(TryRecvError::Disconnected) => return,
                     Err(TryRecvError::Empty) => break,
                 }
             }
@@ -412,7 +418,7 @@
         let strange = called.is_none().then(now);
         self.links.insert(
             token,
-            Link { stream, called, open, strange, read: Vec::new(), write: Vec::new(), stuck },
+            Connection { stream, called, open, strange, read: Vec::new(), write: Vec::new(), stuck },
         );
         Some(token)
     }
@@ -426,18 +432,18 @@
         if self.again.get(to).is_some_and(|at| *at > now()) {
             return None;
         }
-        self.again.insert(Name::clone(to), now() + CALL_AGAIN);
+        self.again.insert(Name::clone(to), now() + RECONNECT_INTERVAL);
         let relay = self.settings.trial.as_ref().and_then(|trial| trial.relay);
         let stream = TcpStream::connect(relay.unwrap_or(address)).ok()?;
         let token = self.link(stream, Some(Name::clone(to)), false)?;
         if let (Some(_), SocketAddr::V4(own), SocketAddr::V4(peer)) =
             (relay, self.settings.advertise, address)
         {
-            let ahead = [own, peer].into_iter().flat_map(ahead).collect::<Vec<u8>>();
-            self.links.entry(token).and_modify(|link| link.write = ahead);
+            let relay_prefix = [own, peer].into_iter().flat_map(relay_prefix).collect::<Vec<u8>>();
+            self.links.entry(token).and_modify(|link| link.write = relay_prefix);
         }
         self.to.insert(Name::clone(to), token);
-        self.put(token, &Frame::Opens);
+        self.put(token, &Frame::Hello);
         Some(token)
     }
 
@@ -452,8 +458,8 @@
     /// Connections on which nothing moves.
     fn give_up(&mut self) {
         let now = now();
-        let long = |since: Option<Micros>| since.is_some_and(|since| since + STUCK <= now);
-        let stuck = |link: &Link| long(link.stuck) || long(link.strange);
+        let long = |since: Option<Micros>| since.is_some_and(|since| since + CONNECTION_STALL_TIMEOUT <= now);
+        let stuck = |link: &Connection| long(link.stuck) || long(link.strange);
         let all: Vec<usize> =
             self.links.iter().filter(|(_, link)| stuck(link)).map(|(token, _)| *token).collect();
         all.into_iter().for_each(|token| self.hang(token));
@@ -506,7 +512,7 @@
                 Ok(count) => {
                     link.read.extend_from_slice(&bytes[..count]);
                     took += count;
-                    if took < AT_ONCE {
+                    if took < READ_BUDGET_BYTES {
                         continue;
                     }
                     // The rest is told anew: readiness comes once for each change.
@@ -521,7 +527,8 @@
         }
         loop {
             let Some(link) = self.links.get_mut(&token) else { return };
-            let longest = if link.strange.is_some() { wire::LONGEST_FIRST } else { wire::LONGEST };
+            let longest =
+                if link.strange.is_some() { wire::MAX_FIRST_FRAME_BYTES } else { wire::MAX_FRAME_BYTES };
             match wire::decode(&link.read, &self.settings.keys, longest) {
                 Ok(Some((frame, used))) => {
                     link.strange = None;
@@ -547,18 +554,18 @@
                 if self.links.get(&token).is_some_and(|link| link.called.is_none()) {
                     self.from.insert(Name::clone(&envelope.name), token);
                 }
-                self.hand(Input::Heard(envelope));
+                self.hand(Input::Received(envelope));
             }
-            Frame::Passes(name, bytes) => {
+            Frame::Relayed(name, bytes) => {
                 if self.links.get(&token).is_some_and(|link| link.called.is_none()) {
                     self.from.insert(Name::clone(&name), token);
                 }
-                if let Some(beside) = &self.beside {
-                    (beside.passed)(name, bytes);
+                if let Some(companion) = &self.companion {
+                    (companion.on_message)(name, bytes);
                 }
             }
-            Frame::Asks(count, question) => self.asked(token, count, question),
-            Frame::Opens | Frame::Answers(..) => {}
+            Frame::Question(count, question) => self.asked(token, count, question),
+            Frame::Hello | Frame::Answer(..) => {}
         }
     }
 
@@ -568,7 +575,7 @@
             Err(error) => return tracing::error!(%error, "accord: a message is not sent"),
         };
         let Some(link) = self.links.get_mut(&token) else { return };
-        if link.write.len() + bytes.len() > WAITING {
+        if link.write.len() + bytes.len() > MAX_WRITE_QUEUE_BYTES {
             return self.hang(token);
         }
         link.write.extend(bytes);
@@ -582,26 +589,27 @@
     fn asked(&mut self, token: usize, count: u64, question: Question) {
         let history = self.accord.history();
         let answer: Answer = match question {
-            Question::Show => Ok(self.show().to_string()),
-            Question::Beside => match &self.beside {
-                Some(beside) => Ok((beside.shows)()),
+            Question::Status => Ok(self.show().to_string()),
+            Question::Copies => match &self.companion {
+                Some(companion) => Ok((companion.status)()),
                 None => Err("this front keeps no copies: its settings have no `copies`".into()),
             },
             Question::Version(number) => {
-                let stand = self.accord.stand();
+                let coordination = self.accord.coordination();
                 let (number, rules) = match number {
-                    None => (history.begun, Some(Arc::clone(&stand.agreed))),
+                    None => (history.begun, Some(Arc::clone(&coordination.agreed))),
                     Some(number) => (number, history.rules(number)),
                 };
                 let why = || format!("version {number} is not kept here; `history` tells which are");
-                let said =
-                    |rules: Arc<Rules>| json!({"version": number, "rules": text::write(&rules)}).to_string();
+                let said = |rules: Arc<Rules>| {
+                    json!({"version": number, "rules": rules_kdl::write(&rules)}).to_string()
+                };
                 rules.map(said).ok_or_else(why)
             }
             Question::History => {
                 let one = |(number, version): (&u64, &crate::core::history::Version)| {
                     json!({"version": number, "by": version.by, "at_us": version.at, "begun": *number <= history.begun,
-                        "rules": text::write(&version.rules)})
+                        "rules": rules_kdl::write(&version.rules)})
                 };
                 let all: Vec<serde_json::Value> = history.versions.iter().map(one).collect();
                 Ok(json!({"latest": history.latest, "begun": history.begun, "versions": all}).to_string())
@@ -611,27 +619,27 @@
                 self.tickets.insert(self.ticket, (token, count));
                 return self.hand(Input::Propose(self.ticket, base, by, unix(), *rules));
             }
-            Question::Voters(names) => {
+            Question::ChangeVoters(names) => {
                 self.ticket += 1;
                 self.tickets.insert(self.ticket, (token, count));
-                return self.hand(Input::Voters(self.ticket, names));
+                return self.hand(Input::ChangeVoters(self.ticket, names));
             }
         };
-        self.put(token, &Frame::Answers(count, answer));
+        self.put(token, &Frame::Answer(count, answer));
     }
 
     fn show(&self) -> serde_json::Value {
-        let (history, stand, now) = (self.accord.history(), self.accord.stand(), now());
-        let by = match stand.acts(now) {
-            Ok((crate::core::stand::By::Lease, _)) => "lease",
-            Ok((crate::core::stand::By::Meet, _)) => "meet",
+        let (history, coordination, now) = (self.accord.history(), self.accord.coordination(), now());
+        let by = match coordination.active_rules(now) {
+            Ok((crate::core::coordination::Basis::Lease, _)) => "lease",
+            Ok((crate::core::coordination::Basis::Meet, _)) => "meet",
             Err(_) => "none",
         };
         let voter = self.accord.voter();
         let voters: Vec<String> = history.voters.seats.values().map(|seat| seat.name.to_string()).collect();
         let leader = voter.and_then(|voter| history.voters.seats.get(&voter.leader()?));
         json!({"front": &*self.name, "acts_by": by, "begun": history.begun, "latest": history.latest,
-            "steps": history.position, "lease_ms": stand.until.saturating_sub(now) / 1000,
+            "steps": history.position, "lease_ms": coordination.lease_until.saturating_sub(now) / 1000,
             "epoch": history.voters.epoch, "voters": voters, "votes": voter.is_some(),
             "leader": leader.map(|seat| seat.name.to_string()), "disk": self.store.is_some(),
             "holders": voter.map(|voter| voter.holders().count())})
@@ -647,7 +655,7 @@
 
     fn carry_out(&mut self, out: Vec<Output>) {
         for output in out {
-            if let Some(line) = lines::line(unix(), &self.name, &output) {
+            if let Some(line) = history_log::line(unix(), &self.name, &output) {
                 if let Some(file) = &mut self.history {
                     let _ = file.write_all(format!("{line}\n").as_bytes());
                 }
@@ -663,19 +671,19 @@
                     }
                 }
                 Output::Send(envelope) => self.send(envelope),
-                Output::Stand(stand) => {
+                Output::Coordination(coordination) => {
                     if let Some(listener) = &self.listener {
-                        listener(stand.clone());
+                        listener(coordination.clone());
                     }
-                    self.authority.set(stand);
+                    self.shared_coordination.set(coordination);
                 }
-                Output::Told(ticket, told) => self.told(ticket, &told),
+                Output::Reply(ticket, told) => self.told(ticket, &told),
                 Output::Version(number, _) => tracing::info!(number, "accord: a version is agreed on"),
-                Output::Votes(votes) => tracing::info!(?votes, "accord: votes"),
-                Output::Parted(name) => {
+                Output::Voting(votes) => tracing::info!(?votes, "accord: votes"),
+                Output::HistoryDiverged(name) => {
                     tracing::error!(%name, "accord: that front has another history than this one");
                 }
-                Output::Took(..) => {}
+                Output::HistoryAdvanced(..) => {}
             }
         }
     }
@@ -687,26 +695,26 @@
         }
     }
 
-    fn told(&mut self, ticket: u64, told: &Told) {
+    fn told(&mut self, ticket: u64, told: &OperatorReply) {
         let Some((token, count)) = self.tickets.remove(&ticket) else { return };
-        use crate::core::history::Became;
+        use crate::core::history::ProposalOutcome;
         let answer = match told {
-            Told::Became(Became::Version(number)) => Ok(json!({"version": number}).to_string()),
-            Told::Became(Became::Late(latest)) => Err(format!(
+            OperatorReply::Became(ProposalOutcome::Version(number)) => Ok(json!({"version": number}).to_string()),
+            OperatorReply::Became(ProposalOutcome::Late(latest)) => Err(format!(
                 "not agreed on: version {latest} is the latest, and this was made from another; look at it and propose anew"
             )),
-            Told::Became(Became::Crowded) => Err("too many versions wait to begin already: try again later".into()),
-            Told::Unknown => Err(
+            OperatorReply::Became(ProposalOutcome::Crowded) => Err("too many versions wait to begin already: try again later".into()),
+            OperatorReply::Unknown => Err(
                 "nothing is known of it: the voters do not agree on anything at present, and may yet agree on this".into(),
             ),
-            Told::Refused(why) => Err(why.clone()),
-            Told::Asked => Ok(json!({"asked": true}).to_string()),
+            OperatorReply::Refused(why) => Err(why.clone()),
+            OperatorReply::Asked => Ok(json!({"asked": true}).to_string()),
         };
-        self.put(token, &Frame::Answers(count, answer));
+        self.put(token, &Frame::Answer(count, answer));
     }
 }
 
 /// An address as it stands ahead of what goes by a trial's relay.
-fn ahead(address: SocketAddrV4) -> Vec<u8> {
+fn relay_prefix(address: SocketAddrV4) -> Vec<u8> {
     salttally_members::wire::via::join(address, &[])
 }
--- a/crates/accord/src/lines.rs
+++ b/crates/accord/src/history_log.rs
@@ -3,14 +3,14 @@
 
 use serde_json::{json, Value};
 
-use crate::core::rules::{Asked, Rules, Who};
-use crate::core::stand::{By, Stand};
+use crate::core::coordination::{Basis, CoordinationState};
+use crate::core::rules::{RefusedParty, Rules, SessionRequest};
 use crate::core::{Micros, Output};
 
 fn refuses(rules: &Rules) -> Vec<String> {
-    let viewer = |who: &Who| match who {
-        Who::Viewer(name) => Some(name.clone()),
-        Who::Firm(_) => None,
+    let viewer = |who: &RefusedParty| match who {
+        RefusedParty::Viewer(name) => Some(name.clone()),
+        RefusedParty::Tenant(_) => None,
     };
     rules.refused.iter().filter_map(viewer).collect()
 }
@@ -22,32 +22,32 @@
 /// A line for what the core says, where it is worth one.
 pub fn line(at: Micros, front: &str, output: &Output) -> Option<Value> {
     Some(match output {
-        Output::Took(position, digest, latest) => {
+        Output::HistoryAdvanced(position, digest, latest) => {
             json!({"at": at, "front": front, "took": position, "digest": hex(digest), "latest": latest})
         }
         Output::Version(number, rules) => {
             json!({"at": at, "front": front, "version": number, "refuses": refuses(rules)})
         }
-        Output::Votes(Some((number, epoch))) => {
+        Output::Voting(Some((number, epoch))) => {
             json!({"at": at, "front": front, "votes": number, "epoch": epoch})
         }
-        Output::Votes(None) => json!({"at": at, "front": front, "votes": null}),
-        Output::Parted(name) => json!({"at": at, "front": front, "parted": &**name}),
-        Output::Told(ticket, told) => {
+        Output::Voting(None) => json!({"at": at, "front": front, "votes": null}),
+        Output::HistoryDiverged(name) => json!({"at": at, "front": front, "parted": &**name}),
+        Output::Reply(ticket, told) => {
             json!({"at": at, "front": front, "told": ticket, "what": format!("{told:?}")})
         }
-        Output::Write(_) | Output::Send(_) | Output::Stand(_) => return None,
+        Output::Write(_) | Output::Send(_) | Output::Coordination(_) => return None,
     })
 }
 
 /// A front acts, or does not, on what a viewer asks for now.
-pub fn act(at: Micros, front: &str, stand: &Stand, now: Micros, viewer: &str) -> Value {
-    let asked = Asked { viewer, ..Asked::default() };
-    let by = match stand.acts(now) {
-        Ok((By::Lease, _)) => "lease",
-        Ok((By::Meet, _)) => "meet",
+pub fn act(at: Micros, front: &str, coordination: &CoordinationState, now: Micros, viewer: &str) -> Value {
+    let asked = SessionRequest { viewer, ..SessionRequest::default() };
+    let by = match coordination.active_rules(now) {
+        Ok((Basis::Lease, _)) => "lease",
+        Ok((Basis::Meet, _)) => "meet",
         Err(_) => "none",
     };
-    json!({"at": at, "front": front, "acts": viewer, "allowed": stand.allows(now, &asked).is_ok(), "by": by,
-        "begun": stand.begun, "latest": stand.latest})
+    json!({"at": at, "front": front, "acts": viewer, "allowed": coordination.allows(now, &asked).is_ok(), "by": by,
+        "begun": coordination.begun, "latest": coordination.latest})
 }
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -7,11 +7,11 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod ask;
 pub mod core;
 pub mod edge;
-pub mod lines;
+pub mod history_log;
+pub mod query;
+pub mod rules_kdl;
 pub mod settings;
 pub mod store;
-pub mod text;
 pub mod wire;
--- a/crates/accord/src/ask.rs
+++ b/crates/accord/src/query.rs
@@ -12,7 +12,7 @@
 use crate::wire::{self, BadFrame, Frame, Question};
 
 /// Longer than a proposal waits to be agreed on.
-const WITHIN: Duration = Duration::from_secs(15);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Why there is no answer.
 #[derive(Debug, Error)]
@@ -40,17 +40,17 @@
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(2))
         .map_err(|error| AskError::Connect(to, error))?;
     let silent = |error| AskError::Silent(to, error);
-    stream.set_read_timeout(Some(WITHIN)).map_err(silent)?;
-    let bytes = wire::encode(&Frame::Asks(1, question), &settings.keys)
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).map_err(silent)?;
+    let bytes = wire::encode(&Frame::Question(1, question), &settings.keys)
         .map_err(|error| AskError::Frame(to, error))?;
     stream.write_all(&bytes).map_err(silent)?;
     let (mut heard, mut part) = (Vec::new(), [0; 16 * 1024]);
     loop {
-        if let Some((frame, used)) =
-            wire::decode(&heard, &settings.keys, wire::LONGEST).map_err(|error| AskError::Frame(to, error))?
+        if let Some((frame, used)) = wire::decode(&heard, &settings.keys, wire::MAX_FRAME_BYTES)
+            .map_err(|error| AskError::Frame(to, error))?
         {
             heard.drain(..used);
-            if let Frame::Answers(1, answer) = frame {
+            if let Frame::Answer(1, answer) = frame {
                 return answer.map_err(AskError::Refused);
             }
             continue;
--- a/crates/accord/src/text.rs
+++ b/crates/accord/src/rules_kdl.rs
@@ -4,7 +4,7 @@
 
 use salttally_settings::{Document, Node, Read};
 
-use crate::core::rules::{Limit, Order, Rules, Terms, Who};
+use crate::core::rules::{ClassTerms, Limit, Order, RefusedParty, Rules};
 
 /// Reads a file of rules.
 ///
@@ -16,8 +16,8 @@
     let twice = |node: &Node<'_>, what: &str| node.bad(format!("{what} stands twice"));
     for node in root.all("class") {
         let name: String = node.argument()?;
-        let usual = Terms::default();
-        let terms = Terms {
+        let usual = ClassTerms::default();
+        let terms = ClassTerms {
             open: node.or("open", usual.open)?,
             top_rung: node.or("top-rung", usual.top_rung)?,
             seats: node.or("seats", usual.seats)?,
@@ -62,8 +62,8 @@
     }
     for node in root.all("refuse") {
         let who = match (node.maybe::<String>("firm")?, node.maybe::<String>("viewer")?) {
-            (Some(firm), None) => Who::Firm(firm),
-            (None, Some(viewer)) => Who::Viewer(viewer),
+            (Some(firm), None) => RefusedParty::Tenant(firm),
+            (None, Some(viewer)) => RefusedParty::Viewer(viewer),
             _ => return Err(node.bad("`refuse` wants a firm or a viewer, as refuse firm=\"acme\"")),
         };
         node.done()?;
@@ -84,7 +84,7 @@
         }
     }
     root.done()?;
-    Ok(rules.normal())
+    Ok(rules.normalized())
 }
 
 /// Rules as KDL, one line for each.
@@ -93,7 +93,7 @@
     let mut line = |line: String| {
         let _ = writeln!(text, "{line}");
     };
-    let usual = Terms::default();
+    let usual = ClassTerms::default();
     for (name, terms) in &rules.classes {
         let mut said = format!("class {name:?}");
         if terms.open != usual.open {
@@ -122,8 +122,8 @@
     }
     for who in &rules.refused {
         line(match who {
-            Who::Firm(name) => format!("refuse firm={name:?}"),
-            Who::Viewer(name) => format!("refuse viewer={name:?}"),
+            RefusedParty::Tenant(name) => format!("refuse firm={name:?}"),
+            RefusedParty::Viewer(name) => format!("refuse viewer={name:?}"),
         });
     }
     for (name, order) in &rules.boxes {
--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -7,7 +7,7 @@
 use salttally_members::wire::KeyRing;
 use salttally_settings::{Block, Document, Node, Read};
 
-use crate::core::lease::Times;
+use crate::core::lease::LeaseTimes;
 use crate::core::{Micros, Name};
 
 /// Settings of accord at one front.
@@ -26,7 +26,7 @@
     /// File of the store.
     pub store: PathBuf,
     /// Times of leases.
-    pub times: Times,
+    pub times: LeaseTimes,
     /// Where the history of what happened goes.
     pub history: Option<PathBuf>,
     /// What only trials give.
@@ -75,24 +75,24 @@
 }
 
 fn read(block: &Block<'_>, members: &Members) -> Read<Settings> {
-    let usual = Times::default();
+    let usual = LeaseTimes::default();
     let ms = |name: &str, usual: Micros| -> Read<Micros> {
         Ok(block.or(name, usual / 1000)?.saturating_mul(1000))
     };
     let refuse = match block.one("without-lease")? {
-        None => usual.refuse,
+        None => usual.refuse_without_lease,
         Some(node) => match node.argument::<String>()?.as_str() {
             "refuse" => true,
             "go-on" => false,
             other => return Err(node.bad(format!("`{other}` is unknown here; known: refuse, go-on"))),
         },
     };
-    let times = Times {
+    let times = LeaseTimes {
         lease: ms("lease-ms", usual.lease)?,
-        alone: ms("alone-ms", usual.alone)?,
-        renew: ms("renew-ms", usual.renew)?,
+        grace: ms("alone-ms", usual.grace)?,
+        renew_interval: ms("renew-ms", usual.renew_interval)?,
         drift_ppm: block.or("drift-ppm", usual.drift_ppm)?,
-        refuse,
+        refuse_without_lease: refuse,
         ..usual
     };
     let trial = match block.one("trial")? {
@@ -136,12 +136,12 @@
     if times.lease < 500_000 || times.lease > 3_600_000_000 {
         return Err(at("lease-ms")?.as_ref().unwrap_or(node).bad("`lease-ms` lies from 500 to 3600000"));
     }
-    if times.renew < 20_000 || times.renew * 3 > times.lease {
+    if times.renew_interval < 20_000 || times.renew_interval * 3 > times.lease {
         let reason =
             "`renew-ms` lies from 20 to a third of `lease-ms`: one lost question must not cost the lease";
         return Err(at("renew-ms")?.as_ref().unwrap_or(node).bad(reason));
     }
-    if times.alone > 3_600_000_000 {
+    if times.grace > 3_600_000_000 {
         return Err(at("alone-ms")?.as_ref().unwrap_or(node).bad("`alone-ms` lies from 0 to 3600000"));
     }
     if times.drift_ppm > 100_000 {
--- a/crates/accord/src/store.rs
+++ b/crates/accord/src/store.rs
@@ -18,10 +18,10 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::core::disk::{Image, Vote, Write};
+use crate::core::disk::{Image, VoterState, Write};
 
 /// Number of the form in which things are stored.
-const FORM: u32 = 2;
+const STORE_FORMAT: u32 = 2;
 const HEAD: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("head");
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 
@@ -32,7 +32,9 @@
     #[error("{0} is in use by another process")]
     InUse(String),
     /// A version of this program that is not known here wrote it.
-    #[error("{0} has form {1}, and this program knows form {FORM}: it was written by another version")]
+    #[error(
+        "{0} has form {1}, and this program knows form {STORE_FORMAT}: it was written by another version"
+    )]
     Form(String, u32),
     /// The disk is full, read-only or broken.
     #[error("{0} cannot be written: {1}")]
@@ -44,11 +46,11 @@
 
 /// What was found at the start, beside the image.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum OpenOutcome {
     /// Nothing: a new file.
     New,
     /// All as it was left.
-    Whole,
+    Intact,
     /// A damaged file, set aside under this name; a new one was begun.
     SetAside(PathBuf, String),
     /// A file that is not where it was written first: what it voted with is forgotten, the history stays.
@@ -62,7 +64,7 @@
 }
 
 /// What tells a file from its copies: its number on the disk, and when it was made.
-pub fn place(path: &Path) -> io::Result<(u64, u64)> {
+pub fn file_identity(path: &Path) -> io::Result<(u64, u64)> {
     let about = fs::metadata(path)?;
     let made = about.created().ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
     Ok((about.ino(), made.map_or(0, |since| since.as_nanos() as u64)))
@@ -73,14 +75,14 @@
     ///
     /// # Errors
     /// It is in use, of another form, or cannot be written. One that is damaged is set aside.
-    pub fn open(path: &Path) -> Result<(Store, Image, Found), StoreError> {
+    pub fn open(path: &Path) -> Result<(Store, Image, OpenOutcome), StoreError> {
         let existed = path.exists();
-        match unharmed(path, || Store::read(path)) {
+        match catch_panics(path, || Store::read(path)) {
             Ok((store, image, copied)) => {
                 let found = match (existed, copied) {
-                    (false, _) => Found::New,
-                    (true, true) => Found::Copied,
-                    (true, false) => Found::Whole,
+                    (false, _) => OpenOutcome::New,
+                    (true, true) => OpenOutcome::Copied,
+                    (true, false) => OpenOutcome::Intact,
                 };
                 Ok((store, image, found))
             }
@@ -88,7 +90,7 @@
                 let aside = path.with_extension("damaged");
                 fs::rename(path, &aside).map_err(|error| io_error(path, &error))?;
                 let (store, image, _) = Store::read(path)?;
-                Ok((store, image, Found::SetAside(aside, why)))
+                Ok((store, image, OpenOutcome::SetAside(aside, why)))
             }
             Err(error) => Err(error),
         }
@@ -98,13 +100,13 @@
         let name = path.display().to_string();
         let mut database = Database::create(path).map_err(|error| match error {
             redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse(name.clone()),
-            redb::DatabaseError::Storage(error) => storage(path, &error),
+            redb::DatabaseError::Storage(error) => storage_error(path, &error),
             other => StoreError::Damaged(name.clone(), other.to_string()),
         })?;
         // Danger: a page that has rotted is read as whatever it says, and votes.
         match database.check_integrity() {
             Ok(_) => {}
-            Err(redb::DatabaseError::Storage(error)) => return Err(storage(path, &error)),
+            Err(redb::DatabaseError::Storage(error)) => return Err(storage_error(path, &error)),
             Err(other) => return Err(StoreError::Damaged(name, other.to_string())),
         }
         let store = Store { path: path.to_owned(), database };
@@ -124,7 +126,7 @@
     }
 
     fn load(&self) -> Result<(Image, bool), StoreError> {
-        let place = place(&self.path).map_err(|error| io_error(&self.path, &error))?;
+        let place = file_identity(&self.path).map_err(|error| io_error(&self.path, &error))?;
         let begun = self.database.begin_read().map_err(|error| self.failed(error))?;
         let head = match begun.open_table(HEAD) {
             Ok(head) => head,
@@ -136,7 +138,7 @@
             Err(error) => return Err(self.failed(error)),
         };
         let form: u32 = self.get(&head, "form")?.ok_or_else(|| self.damaged("no form"))?;
-        if form != FORM {
+        if form != STORE_FORMAT {
             return Err(StoreError::Form(self.path.display().to_string(), form));
         }
         let history = self.get(&head, "history")?;
@@ -147,7 +149,7 @@
             return Ok((Image { history, ..Image::default() }, true));
         }
         let identity = self.get(&head, "identity")?;
-        let vote: Option<Vote> = self.get(&head, "vote")?;
+        let vote: Option<VoterState> = self.get(&head, "vote")?;
         let vote = match vote {
             None => None,
             Some(vote) => {
@@ -160,7 +162,7 @@
                     }
                     entries.push(postcard::from_bytes(bytes.value()).map_err(|error| self.damaged(error))?);
                 }
-                Some(Vote {
+                Some(VoterState {
                     promise: self.get(&head, "promise")?,
                     accepted: self.get(&head, "accepted")?,
                     decided: self.get(&head, "decided")?.unwrap_or(0),
@@ -190,7 +192,7 @@
             for key in ["identity", "vote", "promise", "accepted", "decided"] {
                 head.remove(key).map_err(|error| self.failed(error))?;
             }
-            put(&mut head, "form", &FORM).map_err(|error| self.failed(error))?;
+            put(&mut head, "form", &STORE_FORMAT).map_err(|error| self.failed(error))?;
             put(&mut head, "place", &place).map_err(|error| self.failed(error))?;
             let mut log = write.open_table(LOG).map_err(|error| self.failed(error))?;
             log.retain(|_, _| false).map_err(|error| self.failed(error))?;
@@ -203,12 +205,12 @@
     /// # Errors
     /// The disk is full, read-only or broken: nothing that follows may be told.
     pub fn write(&self, writes: &[Write]) -> Result<(), StoreError> {
-        unharmed(&self.path, || self.write_all(writes))
+        catch_panics(&self.path, || self.write_all(writes))
     }
 
     fn write_all(&self, writes: &[Write]) -> Result<(), StoreError> {
         let mut write = self.database.begin_write().map_err(|error| self.failed(error))?;
-        if !writes.iter().any(Write::promises) {
+        if !writes.iter().any(Write::needs_flush) {
             write.set_durability(Durability::None).map_err(|error| self.failed(error))?;
         }
         {
@@ -221,7 +223,7 @@
                     Write::Promise(ballot) => put(&mut head, "promise", ballot),
                     Write::Accepted(ballot) => put(&mut head, "accepted", ballot),
                     Write::Decided(decided) => put(&mut head, "decided", decided),
-                    Write::Vote(vote) => {
+                    Write::Voter(vote) => {
                         for key in ["promise", "accepted", "decided"] {
                             head.remove(key)?;
                         }
@@ -231,7 +233,7 @@
                     Write::Log(from, entries) => {
                         log.retain_in(*from as u64.., |_, _| false)?;
                         for (at, entry) in (*from as u64..).zip(entries) {
-                            log.insert(at, encoded(entry)?.as_slice())?;
+                            log.insert(at, encode(entry)?.as_slice())?;
                         }
                         Ok(())
                     }
@@ -244,7 +246,7 @@
 }
 
 /// What the database does, kept from ending the process. Danger: it panics over some damage that its own look at the pages passes; found by a test that tears files.
-pub fn unharmed<T>(path: &Path, work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+pub fn catch_panics<T>(path: &Path, work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     let damaged = |_| StoreError::Damaged(path.display().to_string(), "a page cannot be read".into());
     catch_unwind(AssertUnwindSafe(work)).unwrap_or_else(|panic| Err(damaged(panic)))
 }
@@ -253,7 +255,7 @@
 ///
 /// # Errors
 /// It cannot be encoded.
-pub fn encoded<T: Serialize>(value: &T) -> Result<Vec<u8>, redb::StorageError> {
+pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, redb::StorageError> {
     postcard::to_allocvec(value).map_err(|error| redb::StorageError::Io(io::Error::other(error.to_string())))
 }
 
@@ -262,7 +264,7 @@
     key: &str,
     value: &T,
 ) -> Result<(), redb::StorageError> {
-    head.insert(key, encoded(value)?.as_slice())?;
+    head.insert(key, encode(value)?.as_slice())?;
     Ok(())
 }
 
@@ -272,7 +274,7 @@
 }
 
 /// What the database said of this file.
-pub fn storage(path: &Path, error: &redb::StorageError) -> StoreError {
+pub fn storage_error(path: &Path, error: &redb::StorageError) -> StoreError {
     match error {
         // A file that is none of the database's is told as one that cannot be read.
         redb::StorageError::Corrupted(why) => StoreError::Damaged(path.display().to_string(), why.clone()),
--- a/crates/accord/src/wire.rs
+++ b/crates/accord/src/wire.rs
@@ -10,20 +10,21 @@
 use crate::core::{Envelope, Name};
 
 /// Longest frame, bytes.
-pub const LONGEST: usize = 8 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 /// Longest first frame of a connection, bytes: an operator's proposal fits. Danger: whoever has no key makes this front
 /// keep megabytes for each connection until it sees that nothing vouches for them.
-pub const LONGEST_FIRST: usize = 128 * 1024;
+pub const MAX_FIRST_FRAME_BYTES: usize = 128 * 1024;
 /// Version of the encoding.
 pub const VERSION: u8 = 1;
 /// Bytes ahead of the content.
-const AHEAD: usize = 5;
+const HEADER_BYTES: usize = 5;
 
 /// What an operator asks.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum Question {
     /// How does this front stand?
-    Show,
+    #[serde(rename = "Show")]
+    Status,
     /// What does a version say? The one that the front acts on, if none is named.
     Version(Option<u64>),
     /// Which versions are kept?
@@ -31,9 +32,11 @@
     /// Propose this, made from that version or from the latest; who asks.
     Propose(Option<u64>, String, Box<Rules>),
     /// Let these vote.
-    Voters(Vec<Name>),
+    #[serde(rename = "Voters")]
+    ChangeVoters(Vec<Name>),
     /// How does the subsystem beside this one stand?
-    Beside,
+    #[serde(rename = "Beside")]
+    Copies,
 }
 
 /// What the operator hears: JSON, or why not.
@@ -43,15 +46,19 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Frame {
     /// The first of a connection between fronts: nothing, under a key.
-    Opens,
+    #[serde(rename = "Opens")]
+    Hello,
     /// Between fronts.
     Peer(Box<Envelope>),
     /// From an operator, in the operator's count.
-    Asks(u64, Question),
+    #[serde(rename = "Asks")]
+    Question(u64, Question),
     /// Between fronts, of another subsystem: from whom.
-    Passes(Name, Vec<u8>),
+    #[serde(rename = "Passes")]
+    Relayed(Name, Vec<u8>),
     /// To an operator.
-    Answers(u64, Answer),
+    #[serde(rename = "Answers")]
+    Answer(u64, Answer),
 }
 
 /// Why a connection is given up.
@@ -78,10 +85,10 @@
 pub fn encode(frame: &Frame, ring: &KeyRing) -> Result<Vec<u8>, BadFrame> {
     let bytes = vec![0, 0, 0, 0, VERSION];
     let mut bytes = postcard::to_extend(frame, bytes).map_err(|_| BadFrame::Unreadable)?;
-    let tag = ring.tag(&bytes[AHEAD - 1..]);
+    let tag = ring.tag(&bytes[HEADER_BYTES - 1..]);
     bytes.extend(tag);
     let length = bytes.len() - 4;
-    if length > LONGEST {
+    if length > MAX_FRAME_BYTES {
         return Err(BadFrame::Length(length));
     }
     bytes[..4].copy_from_slice(&(length as u32).to_be_bytes());
--- a/crates/cli/src/copies.rs
+++ b/crates/cli/src/copies.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use clap::{Args, Subcommand};
-use salttally_accord::ask::ask;
+use salttally_accord::query::ask;
 use salttally_accord::settings::Settings;
 use salttally_accord::wire::Question;
 use salttally_members::settings::Settings as Members;
@@ -37,7 +37,7 @@
 }
 
 fn shown(settings: &Settings) -> Result<Value, Box<dyn Error>> {
-    Ok(serde_json::from_str(&ask(settings, Question::Beside)?)?)
+    Ok(serde_json::from_str(&ask(settings, Question::Copies)?)?)
 }
 
 fn all<'a>(of: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, UNIX_EPOCH};
 
 use clap::{Args, Subcommand};
-use salttally_accord::ask::ask;
 use salttally_accord::core::rules::{Contradiction, Rules as Content};
+use salttally_accord::query::ask;
+use salttally_accord::rules_kdl;
 use salttally_accord::settings::Settings;
-use salttally_accord::text;
 use salttally_accord::wire::Question;
 use salttally_settings::Document;
 use serde_json::Value;
@@ -89,12 +89,12 @@
         let version = |number: Option<u64>| -> Result<(u64, Content), Box<dyn Error>> {
             let said: Value = serde_json::from_str(&ask(&settings, Question::Version(number))?)?;
             let text = said["rules"].as_str().unwrap_or_default().to_owned();
-            let rules = text::read(&Document::parse("version", &text)?)?;
+            let rules = rules_kdl::read(&Document::parse("version", &text)?)?;
             Ok((said["version"].as_u64().unwrap_or(0), rules))
         };
         match &self.what {
             What::Propose { file, base, by, dry_run } => {
-                let rules = text::read(&Document::load(file)?)?;
+                let rules = rules_kdl::read(&Document::load(file)?)?;
                 if *dry_run {
                     let history: Value = serde_json::from_str(&ask(&settings, Question::History)?)?;
                     let latest = history["latest"].as_u64().unwrap_or(0);
@@ -108,11 +108,11 @@
             What::Show { version: number } => {
                 let (number, rules) = version(*number)?;
                 println!("// version {number}");
-                print!("{}", text::write(&rules));
+                print!("{}", rules_kdl::write(&rules));
                 Ok(ExitCode::SUCCESS)
             }
             What::Status => {
-                println!("{}", ask(&settings, Question::Show)?);
+                println!("{}", ask(&settings, Question::Status)?);
                 Ok(ExitCode::SUCCESS)
             }
             What::History => {
@@ -142,21 +142,21 @@
             }
             What::Voters { names } => {
                 let names = names.iter().map(|name| name.as_str().into()).collect();
-                println!("{}", ask(&settings, Question::Voters(names))?);
+                println!("{}", ask(&settings, Question::ChangeVoters(names))?);
                 Ok(ExitCode::SUCCESS)
             }
             What::Check => {
                 let times = &settings.times;
                 println!("{}: holds; voters {}", config.display(), settings.voters.join(" "));
-                match times.stated() {
+                match times.max_contradiction() {
                     Some(stated) => println!(
                         "no two fronts act on contradicting rules for longer than T = {} ms\n  lease {} ms and {} ms \
                          without one, clocks off by {} ppm, {} ms from the last look to the last byte",
                         stated.div_ceil(1000),
                         times.lease / 1000,
-                        times.alone / 1000,
+                        times.grace / 1000,
                         times.drift_ppm,
-                        times.write / 1000
+                        times.write_delay / 1000
                     ),
                     None => println!(
                         "fronts without a lease go on: no time is stated; among fronts with one it is {} ms",
--- a/crates/copies/src/core/owner.rs
+++ b/crates/copies/src/core/owner.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::shelf::{mark, part, Change, Shelf, PARTS};
-use super::{Bytes, Key, Micros, Name, BATCH, RESEND};
+use super::replica::{entry_digest, partition, Change, Replica, PARTITIONS};
+use super::{Micros, Name, RecordBody, RecordKey, BATCH_BYTES, RESEND_TIMEOUT};
 
 /// One front that holds copies of this one's promises.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,14 +37,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owner {
     number: u64,
-    entries: BTreeMap<Key, (u64, Option<Bytes>)>,
-    order: BTreeMap<u64, Key>,
-    digests: [u64; PARTS],
-    stands: usize,
+    entries: BTreeMap<RecordKey, (u64, Option<RecordBody>)>,
+    order: BTreeMap<u64, RecordKey>,
+    digests: [u64; PARTITIONS],
+    live_records: usize,
     /// Those that hold copies.
     pub holders: BTreeMap<Name, Holder>,
     /// Promises that somebody waits for, and until when.
-    waiting: BTreeMap<Key, Micros>,
+    waiting: BTreeMap<RecordKey, Micros>,
 }
 
 impl Owner {
@@ -54,8 +54,8 @@
     }
 
     /// Promises that stand.
-    pub fn stands(&self) -> usize {
-        self.stands
+    pub fn live_records(&self) -> usize {
+        self.live_records
     }
 
     /// Promises that somebody waits for.
@@ -64,27 +64,27 @@
     }
 
     /// Digests of the parts, as a whole shelf has them.
-    pub fn digests(&self) -> [u64; PARTS] {
+    pub fn digests(&self) -> [u64; PARTITIONS] {
         self.digests
     }
 
     #[cfg(test)]
-    pub(crate) fn entries_for_tests(&self) -> BTreeMap<Key, (u64, Option<Bytes>)> {
+    pub(crate) fn entries_for_tests(&self) -> BTreeMap<RecordKey, (u64, Option<RecordBody>)> {
         self.entries.clone()
     }
 
     /// What stands under a key.
-    pub fn get(&self, key: &str) -> Option<&Bytes> {
+    pub fn get(&self, key: &str) -> Option<&RecordBody> {
         self.entries.get(key).and_then(|(_, body)| body.as_ref())
     }
 
     /// Keys under which something stands.
-    pub fn keys(&self) -> impl Iterator<Item = &Key> {
+    pub fn keys(&self) -> impl Iterator<Item = &RecordKey> {
         self.entries.iter().filter(|(_, (_, body))| body.is_some()).map(|(key, _)| key)
     }
 
     /// A change; nothing ends what stands. Returns it with its number.
-    pub fn change(&mut self, key: Key, body: Option<Bytes>) -> Option<Change> {
+    pub fn change(&mut self, key: RecordKey, body: Option<RecordBody>) -> Option<Change> {
         let before = self.entries.get(&key);
         if before.is_none() && body.is_none() {
             return None;
@@ -92,29 +92,29 @@
         if let Some((number, old)) = before {
             self.order.remove(number);
             if let Some(old) = old {
-                self.digests[part(&key)] ^= mark(&key, *number, old);
-                self.stands -= 1;
+                self.digests[partition(&key)] ^= entry_digest(&key, *number, old);
+                self.live_records -= 1;
             }
         }
         self.number += 1;
         if let Some(body) = &body {
-            self.digests[part(&key)] ^= mark(&key, self.number, body);
-            self.stands += 1;
+            self.digests[partition(&key)] ^= entry_digest(&key, self.number, body);
+            self.live_records += 1;
         } else {
             self.waiting.remove(&key);
         }
-        self.order.insert(self.number, Key::clone(&key));
-        self.entries.insert(Key::clone(&key), (self.number, body.clone()));
+        self.order.insert(self.number, RecordKey::clone(&key));
+        self.entries.insert(RecordKey::clone(&key), (self.number, body.clone()));
         Some(Change { key, number: self.number, body })
     }
 
     /// Somebody waits until this is kept, at most so long.
-    pub fn wait(&mut self, key: Key, until: Micros) {
+    pub fn wait(&mut self, key: RecordKey, until: Micros) {
         self.waiting.insert(key, until);
     }
 
     /// Those waited for that are at enough holders now, and those that waited too long.
-    pub fn settled(&mut self, now: Micros, enough: usize) -> (Vec<Key>, Vec<Key>) {
+    pub fn settled(&mut self, now: Micros, enough: usize) -> (Vec<RecordKey>, Vec<RecordKey>) {
         if self.waiting.is_empty() {
             return (Vec::new(), Vec::new());
         }
@@ -127,8 +127,8 @@
         self.waiting.retain(|key, until| {
             let there = entries.get(key).is_some_and(|(number, _)| *number <= sure);
             match () {
-                () if there => kept.push(Key::clone(key)),
-                () if *until <= now => late.push(Key::clone(key)),
+                () if there => kept.push(RecordKey::clone(key)),
+                () if *until <= now => late.push(RecordKey::clone(key)),
                 () => return true,
             }
             false
@@ -167,11 +167,11 @@
 
     /// Ends that everybody has are forgotten.
     fn forget(&mut self, all: u64) {
-        let ended: Vec<(u64, Key)> = self
+        let ended: Vec<(u64, RecordKey)> = self
             .order
             .range(..=all)
             .filter(|(_, key)| self.entries.get(*key).is_some_and(|(_, body)| body.is_none()))
-            .map(|(number, key)| (*number, Key::clone(key)))
+            .map(|(number, key)| (*number, RecordKey::clone(key)))
             .collect();
         for (number, key) in ended {
             self.order.remove(&number);
@@ -181,7 +181,7 @@
 
     /// Ends kept at most while holders are behind; beyond that whoever is so far behind is filled anew.
     pub fn bound(&mut self, most: usize) {
-        let ended = self.entries.len() - self.stands;
+        let ended = self.entries.len() - self.live_records;
         if ended > most {
             let number = self.number;
             self.forget(number);
@@ -194,7 +194,7 @@
     /// What a holder that does not answer was sent is sent again.
     pub fn again(&mut self, now: Micros) {
         for holder in self.holders.values_mut() {
-            if holder.acked < holder.sent && holder.heard + RESEND <= now {
+            if holder.acked < holder.sent && holder.heard + RESEND_TIMEOUT <= now {
                 (holder.sent, holder.heard) = (holder.acked, now);
             }
         }
@@ -213,9 +213,9 @@
         let (mut changes, mut size, mut to) = (Vec::new(), 0, number);
         for (at, key) in self.order.range(from + 1..) {
             let Some((_, body)) = self.entries.get(key) else { continue };
-            let change = Change { key: Key::clone(key), number: *at, body: body.clone() };
+            let change = Change { key: RecordKey::clone(key), number: *at, body: body.clone() };
             size += change.size();
-            if size > BATCH && !changes.is_empty() {
+            if size > BATCH_BYTES && !changes.is_empty() {
                 to = changes.last().map_or(number, |change: &Change| change.number);
                 break;
             }
@@ -226,25 +226,29 @@
     }
 
     /// One part, for a holder whose digest differs.
-    pub fn part(&self, which: usize) -> Vec<Change> {
-        let there = self.entries.iter().filter(|(key, (_, body))| part(key) == which && body.is_some());
+    pub fn partition(&self, which: usize) -> Vec<Change> {
+        let there = self.entries.iter().filter(|(key, (_, body))| partition(key) == which && body.is_some());
         there
-            .map(|(key, (number, body))| Change { key: Key::clone(key), number: *number, body: body.clone() })
+            .map(|(key, (number, body))| Change {
+                key: RecordKey::clone(key),
+                number: *number,
+                body: body.clone(),
+            })
             .collect()
     }
 
     /// Its promises as a shelf that is whole.
-    pub fn shelf(&self, name: &Name, boot: u64) -> Shelf {
-        let mut shelf = Shelf::new(name, boot);
-        shelf.entries = self
+    pub fn replica(&self, name: &Name, boot: u64) -> Replica {
+        let mut replica = Replica::new(name, boot);
+        replica.entries = self
             .entries
             .iter()
             .filter(|(_, (_, body))| body.is_some())
             .map(|(k, v)| (k.clone(), v.clone()))
             .collect();
-        (shelf.head.have, shelf.head.whole) = (self.number, true);
-        shelf.head.group = self.group();
-        shelf
+        (replica.head.applied, replica.head.complete) = (self.number, true);
+        replica.head.holders = self.group();
+        replica
     }
 
     /// Who holds copies.
--- a/crates/copies/src/core/place.rs
+++ b/crates/copies/src/core/placement.rs
@@ -15,7 +15,7 @@
     /// Its zone.
     pub zone: u32,
     /// Promises of others that it holds, as it said last.
-    pub holds: u64,
+    pub records_held: u64,
 }
 
 /// A draw of the pair, from 0 to 1 and neither of both: the same wherever it is made.
@@ -31,13 +31,13 @@
 /// The front that is to hold the next copy of what `owner` promises, beside those that hold one. A zone that nobody of them
 /// is in goes before one where only a holder is, and both before the owner's own.
 pub fn next(owner: &str, zone: u32, holders: &BTreeSet<Name>, all: &[Candidate]) -> Option<Name> {
-    let mean = all.iter().map(|one| one.holds).sum::<u64>() / all.len().max(1) as u64;
+    let mean = all.iter().map(|one| one.records_held).sum::<u64>() / all.len().max(1) as u64;
     let taken: BTreeSet<u32> =
         all.iter().filter(|one| holders.contains(&one.name)).map(|one| one.zone).collect();
     let free = all.iter().filter(|one| &*one.name != owner && !holders.contains(&one.name));
     let score = |one: &Candidate| {
         // Weighted rendezvous: whoever holds twice the mean is drawn half as often.
-        let weight = 1.0 / (1.0 + one.holds as f64 / (mean + 1) as f64);
+        let weight = 1.0 / (1.0 + one.records_held as f64 / (mean + 1) as f64);
         weight / -draw(owner, &one.name).ln()
     };
     let rank = |one: &Candidate| (one.zone != zone, !taken.contains(&one.zone));
--- a/crates/copies/src/core/shelf.rs
+++ b/crates/copies/src/core/replica.rs
@@ -9,20 +9,20 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Bytes, Key, Life, Name};
+use super::{Incarnation, Name, RecordBody, RecordKey};
 
 /// Parts by which two shelves are compared.
-pub const PARTS: usize = 16;
+pub const PARTITIONS: usize = 16;
 
 /// One change: of which key, its number, and what stands now; nothing where it has ended.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Change {
     /// Of what.
-    pub key: Key,
+    pub key: RecordKey,
     /// In the owner's count.
     pub number: u64,
     /// What stands.
-    pub body: Option<Bytes>,
+    pub body: Option<RecordBody>,
 }
 
 impl Change {
@@ -33,12 +33,12 @@
 }
 
 /// Which part a key belongs to.
-pub fn part(key: &str) -> usize {
-    xxh3_64(key.as_bytes()) as usize % PARTS
+pub fn partition(key: &str) -> usize {
+    xxh3_64(key.as_bytes()) as usize % PARTITIONS
 }
 
 /// A number for one entry: equal for equal ones, and for others by accident only.
-pub fn mark(key: &str, number: u64, body: &[u8]) -> u64 {
+pub fn entry_digest(key: &str, number: u64, body: &[u8]) -> u64 {
     let mut bytes = Vec::with_capacity(key.len() + body.len() + 8);
     bytes.extend(number.to_be_bytes());
     bytes.extend(key.as_bytes());
@@ -49,7 +49,7 @@
 
 /// What is known of a shelf beside its entries.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
-pub struct Head {
+pub struct ReplicaHead {
     /// Whose life.
     pub owner: Name,
     /// Which start of that front's process, as membership has it.
@@ -57,43 +57,46 @@
     /// Nothing of an owner before this epoch is taken any more.
     pub epoch: u64,
     /// Changes taken.
-    pub have: u64,
+    #[serde(rename = "have")]
+    pub applied: u64,
     /// See above.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub complete: bool,
     /// Who holds copies of it, as the owner said last.
-    pub group: Vec<Name>,
+    #[serde(rename = "group")]
+    pub holders: Vec<Name>,
 }
 
 /// What a front holds of one life.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Shelf {
+pub struct Replica {
     /// About it.
-    pub head: Head,
+    pub head: ReplicaHead,
     /// What stands, by key; with ends only while it is not whole.
-    pub entries: BTreeMap<Key, (u64, Option<Bytes>)>,
+    pub entries: BTreeMap<RecordKey, (u64, Option<RecordBody>)>,
 }
 
-impl Shelf {
+impl Replica {
     /// An empty one.
-    pub fn new(owner: &Name, boot: u64) -> Shelf {
+    pub fn new(owner: &Name, boot: u64) -> Replica {
         let owner = Name::clone(owner);
-        let head = Head { owner, boot, epoch: 0, have: 0, whole: false, group: Vec::new() };
-        Shelf { head, entries: BTreeMap::new() }
+        let head = ReplicaHead { owner, boot, epoch: 0, applied: 0, complete: false, holders: Vec::new() };
+        Replica { head, entries: BTreeMap::new() }
     }
 
     /// Takes the changes after `from` up to `to`; `whole` tells that nothing between is left out. Returns whether it
     /// could: what came before must be there.
     pub fn put(&mut self, from: u64, to: u64, whole: bool, changes: &[Change]) -> bool {
-        if self.head.have < from || to < self.head.have {
+        if self.head.applied < from || to < self.head.applied {
             return false;
         }
         for change in changes {
             let newer = self.entries.get(&change.key).is_none_or(|(number, _)| *number < change.number);
             if newer {
-                self.entries.insert(Key::clone(&change.key), (change.number, change.body.clone()));
+                self.entries.insert(RecordKey::clone(&change.key), (change.number, change.body.clone()));
             }
         }
-        (self.head.have, self.head.whole) = (to, whole);
+        (self.head.applied, self.head.complete) = (to, whole);
         if whole {
             self.entries.retain(|_, (_, body)| body.is_some());
         }
@@ -101,21 +104,21 @@
     }
 
     /// One part as it stands at the owner, after as many changes. Returns the keys that it had and that are no more.
-    pub fn repair(&mut self, which: usize, changes: &[Change]) -> Vec<Key> {
-        let named = |key: &Key| changes.iter().any(|change| change.key == *key);
-        let wrong: Vec<Key> =
-            self.entries.keys().filter(|key| part(key) == which && !named(key)).cloned().collect();
+    pub fn repair(&mut self, which: usize, changes: &[Change]) -> Vec<RecordKey> {
+        let named = |key: &RecordKey| changes.iter().any(|change| change.key == *key);
+        let wrong: Vec<RecordKey> =
+            self.entries.keys().filter(|key| partition(key) == which && !named(key)).cloned().collect();
         wrong.iter().for_each(|key| drop(self.entries.remove(key)));
         for change in changes {
-            self.entries.insert(Key::clone(&change.key), (change.number, change.body.clone()));
+            self.entries.insert(RecordKey::clone(&change.key), (change.number, change.body.clone()));
         }
         wrong
     }
 
     /// What it holds, as changes.
     pub fn changes(&self) -> Vec<Change> {
-        let one = |(key, (number, body)): (&Key, &(u64, Option<Bytes>))| Change {
-            key: Key::clone(key),
+        let one = |(key, (number, body)): (&RecordKey, &(u64, Option<RecordBody>))| Change {
+            key: RecordKey::clone(key),
             number: *number,
             body: body.clone(),
         };
@@ -123,18 +126,18 @@
     }
 
     /// A digest of each part.
-    pub fn digests(&self) -> [u64; PARTS] {
-        let mut digests = [0; PARTS];
+    pub fn digests(&self) -> [u64; PARTITIONS] {
+        let mut digests = [0; PARTITIONS];
         for (key, (number, body)) in &self.entries {
             if let Some(body) = body {
-                digests[part(key)] ^= mark(key, *number, body);
+                digests[partition(key)] ^= entry_digest(key, *number, body);
             }
         }
         digests
     }
 
     /// What stands, number of entries.
-    pub fn stands(&self) -> usize {
+    pub fn live_records(&self) -> usize {
         self.entries.values().filter(|(_, body)| body.is_some()).count()
     }
 }
@@ -143,17 +146,18 @@
 ///
 /// The whole one that is furthest counts for all up to there; others add what came later. Where none is whole, each adds
 /// what it has.
-pub fn merge(shelves: &[Shelf]) -> BTreeMap<Key, (u64, Bytes)> {
-    let whole = shelves.iter().filter(|shelf| shelf.head.whole).max_by_key(|shelf| shelf.head.have);
-    let sure = whole.map_or(0, |shelf| shelf.head.have);
-    let mut all: BTreeMap<Key, (u64, Option<Bytes>)> =
-        whole.map(|shelf| shelf.entries.clone()).unwrap_or_default();
-    for shelf in shelves {
-        for (key, (number, body)) in &shelf.entries {
+pub fn merge(replicas: &[Replica]) -> BTreeMap<RecordKey, (u64, RecordBody)> {
+    let whole =
+        replicas.iter().filter(|replica| replica.head.complete).max_by_key(|replica| replica.head.applied);
+    let sure = whole.map_or(0, |replica| replica.head.applied);
+    let mut all: BTreeMap<RecordKey, (u64, Option<RecordBody>)> =
+        whole.map(|replica| replica.entries.clone()).unwrap_or_default();
+    for replica in replicas {
+        for (key, (number, body)) in &replica.entries {
             // Danger: a copy that was left behind brings back what ended since.
             let later = *number > sure && all.get(key).is_none_or(|(there, _)| there < number);
             if later {
-                all.insert(Key::clone(key), (*number, body.clone()));
+                all.insert(RecordKey::clone(key), (*number, body.clone()));
             }
         }
     }
@@ -161,4 +165,4 @@
 }
 
 /// What a front holds, by life.
-pub type Shelves = BTreeMap<Life, Shelf>;
+pub type Replicas = BTreeMap<Incarnation, Replica>;
--- a/crates/copies/src/core/tests.rs
+++ b/crates/copies/src/core/tests.rs
@@ -2,33 +2,33 @@
 
 use proptest::prelude::*;
 
-use super::shelf::merge;
+use super::replica::merge;
 use super::*;
 
 fn name(at: usize) -> Name {
     Name::from(format!("f{at}"))
 }
 
-fn key(at: u64) -> Key {
-    Key::from(format!("f0-00000001-{at:010}"))
+fn key(at: u64) -> RecordKey {
+    RecordKey::from(format!("f0-00000001-{at:010}"))
 }
 
-fn bytes(text: &str) -> Bytes {
-    Bytes::from(text.as_bytes())
+fn bytes(text: &str) -> RecordBody {
+    RecordBody::from(text.as_bytes())
 }
 
-fn own(at: usize) -> Own {
-    Own {
+fn own(at: usize) -> FrontIdentity {
+    FrontIdentity {
         name: name(at),
-        life: Life::from(format!("f{at}-00000001")),
+        incarnation: Incarnation::from(format!("f{at}-00000001")),
         zone: at as u32 % 3,
-        serves: None,
-        disk: 70 + at as u64,
+        client_address: None,
+        disk_id: 70 + at as u64,
         copies: 2,
-        enough: 1,
-        too_few: TooFew::GoOn,
-        within: 400_000,
-        most: 1_000,
+        required_copies: 1,
+        too_few: TooFewPolicy::GoOn,
+        store_timeout: 400_000,
+        max_records: 1_000,
     }
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl Fleet {
-    fn new(fronts: Vec<Own>) -> Fleet {
+    fn new(fronts: Vec<FrontIdentity>) -> Fleet {
         let fronts: Vec<Copies> =
             fronts.into_iter().map(|own| Copies::new(own, Image::default(), 0)).collect();
         let mut fleet = Fleet { fronts, now: 0, deaf: BTreeSet::new(), told: Vec::new() };
@@ -66,7 +66,7 @@
             if let Output::Send(to, body) = output {
                 let to: usize = to[1..].parse().unwrap();
                 if !self.deaf.contains(&to) && !self.deaf.contains(&at) {
-                    self.hand(to, Input::Heard(name(at), Box::new(body)));
+                    self.hand(to, Input::Received(name(at), Box::new(body)));
                 }
             } else {
                 self.told.push((at, output));
@@ -87,40 +87,43 @@
     }
 
     fn keep(&mut self, at: u64) {
-        self.hand(0, Input::Keep(key(at), bytes("plays"), true));
+        self.hand(0, Input::PutRecord(key(at), bytes("plays"), true));
         self.hand(0, Input::Tick);
     }
 
     fn kept(&self, at: u64) -> Option<bool> {
         let of = |(_, output): &(usize, Output)| match output {
-            Output::Kept(of, kept) if *of == key(at) => Some(*kept),
+            Output::RecordStored(of, kept) if *of == key(at) => Some(*kept),
             _ => None,
         };
         self.told.iter().find_map(of)
     }
 
     /// All fronts learn of an heir whose version has begun.
-    fn heir(&mut self, life: &str, by: usize) {
-        let heir = Heir {
+    fn successor(&mut self, incarnation: &str, by: usize) {
+        let successor = Successor {
             epoch: 1,
             name: name(by),
-            life: Life::from(format!("f{by}-00000001")),
-            serves: None,
+            incarnation: Incarnation::from(format!("f{by}-00000001")),
+            client_address: None,
             version: 1,
             settled: false,
         };
-        let heirs = Arc::new(Heirs { of: [(Life::from(life), heir)].into(), over: BTreeMap::new() });
+        let successors = Arc::new(Successors {
+            by_incarnation: [(Incarnation::from(incarnation), successor)].into(),
+            ended: BTreeMap::new(),
+        });
         (0..self.fronts.len()).filter(|at| !self.deaf.contains(at)).collect::<Vec<_>>().into_iter().for_each(
             |at| {
-                self.hand(at, Input::Heirs(Arc::clone(&heirs), 1));
+                self.hand(at, Input::Successors(Arc::clone(&successors), 1));
             },
         );
     }
 
-    fn adopted(&self, by: usize) -> BTreeSet<Key> {
+    fn adopted(&self, by: usize) -> BTreeSet<RecordKey> {
         let of = |(at, output): &(usize, Output)| match output {
-            Output::Adopt(_, 1, promises) if *at == by => {
-                Some(promises.iter().map(|(key, _)| Key::clone(key)).collect::<Vec<_>>())
+            Output::TakeOver(_, 1, promises) if *at == by => {
+                Some(promises.iter().map(|(key, _)| RecordKey::clone(key)).collect::<Vec<_>>())
             }
             _ => None,
         };
@@ -131,7 +134,8 @@
 #[test]
 fn a_promise_counts_only_when_so_many_have_it_as_the_settings_say() {
     for enough in [0, 1, 2] {
-        let mut fleet = Fleet::new((0..4).map(|at| Own { enough, ..own(at) }).collect());
+        let mut fleet =
+            Fleet::new((0..4).map(|at| FrontIdentity { required_copies: enough, ..own(at) }).collect());
         let holders = fleet.fronts[0].owner().group();
         assert_eq!(holders.len(), 2);
         for (deaf, holder) in holders.iter().enumerate() {
@@ -154,8 +158,9 @@
 
 #[test]
 fn with_too_few_fronts_it_goes_on_or_refuses_as_the_settings_say() {
-    for (too_few, kept) in [(TooFew::GoOn, true), (TooFew::Refuse, false)] {
-        let mut fleet = Fleet::new((0..2).map(|at| Own { enough: 2, too_few, ..own(at) }).collect());
+    for (too_few, kept) in [(TooFewPolicy::GoOn, true), (TooFewPolicy::Refuse, false)] {
+        let mut fleet =
+            Fleet::new((0..2).map(|at| FrontIdentity { required_copies: 2, too_few, ..own(at) }).collect());
         fleet.keep(1);
         fleet.run(500_000);
         assert_eq!(fleet.kept(1), Some(kept), "{too_few:?}");
@@ -164,14 +169,15 @@
 
 #[test]
 fn copies_go_to_other_zones_and_a_loss_moves_no_copy_that_is_still_there() {
-    let all: Vec<place::Candidate> =
-        (0..30).map(|at| place::Candidate { name: name(at), zone: at as u32 % 3, holds: 0 }).collect();
+    let all: Vec<placement::Candidate> = (0..30)
+        .map(|at| placement::Candidate { name: name(at), zone: at as u32 % 3, records_held: 0 })
+        .collect();
     let mut moved = 0;
     for owner in 0..30 {
-        let group = |all: &[place::Candidate]| {
+        let group = |all: &[placement::Candidate]| {
             let mut group = BTreeSet::new();
             while group.len() < 2 {
-                group.insert(place::next(&name(owner), owner as u32 % 3, &group, all).unwrap());
+                group.insert(placement::next(&name(owner), owner as u32 % 3, &group, all).unwrap());
             }
             group
         };
@@ -179,24 +185,24 @@
         let zones: BTreeSet<usize> =
             before.iter().map(|name| name[1..].parse::<usize>().unwrap() % 3).collect();
         assert!(zones.len() == 2 && !zones.contains(&(owner % 3)), "{before:?}");
-        let fewer: Vec<place::Candidate> = all.iter().filter(|one| &*one.name != "f7").cloned().collect();
+        let fewer: Vec<placement::Candidate> = all.iter().filter(|one| &*one.name != "f7").cloned().collect();
         if owner != 7 {
             moved += before.difference(&group(&fewer)).count();
         }
     }
     assert!(moved <= 8, "{moved} of 58 copies moved when one front of thirty went");
-    let loaded: Vec<place::Candidate> = all
+    let loaded: Vec<placement::Candidate> = all
         .iter()
-        .map(|one| place::Candidate {
-            holds: if one.zone == 1 && &*one.name != "f1" { 900 } else { 0 },
+        .map(|one| placement::Candidate {
+            records_held: if one.zone == 1 && &*one.name != "f1" { 900 } else { 0 },
             ..one.clone()
         })
         .collect();
-    let to_f1 = |all: &[place::Candidate]| {
+    let to_f1 = |all: &[placement::Candidate]| {
         (0..30)
             .filter(|owner| {
                 let holders = [name(2)].into();
-                place::next(&Name::from(format!("x{owner}")), 0, &holders, all) == Some(name(1))
+                placement::next(&Name::from(format!("x{owner}")), 0, &holders, all) == Some(name(1))
             })
             .count()
     };
@@ -208,12 +214,13 @@
     let mut fleet = Fleet::new((0..3).map(own).collect());
     (0..20).for_each(|at| fleet.keep(at));
     let lost = 1;
-    fleet.fronts[lost] = Copies::new(Own { disk: 99, ..own(lost) }, Image::default(), fleet.now);
+    fleet.fronts[lost] = Copies::new(FrontIdentity { disk_id: 99, ..own(lost) }, Image::default(), fleet.now);
     fleet.views(|_| true);
     fleet.hand(lost, Input::Tick);
     fleet.run(2_000_000);
-    let shelf = |at: usize| fleet.fronts[at].shelves.get("f0-00000001").map(|held| held.shelf.stands());
-    assert_eq!((shelf(1), shelf(2)), (Some(20), Some(20)));
+    let replica =
+        |at: usize| fleet.fronts[at].replicas.get("f0-00000001").map(|held| held.replica.live_records());
+    assert_eq!((replica(1), replica(2)), (Some(20), Some(20)));
     let holder = &fleet.fronts[0].owner().holders[&name(lost)];
     assert_eq!((holder.disk, holder.acked), (99, 20));
 }
@@ -222,13 +229,14 @@
 fn a_copy_that_has_rotted_is_found_by_its_digest_and_repaired() {
     let mut fleet = Fleet::new((0..3).map(own).collect());
     (0..30).for_each(|at| fleet.keep(at));
-    let life = Life::from("f0-00000001");
-    let held = fleet.fronts[1].shelves.get_mut(&life).unwrap();
-    held.shelf.entries.remove(&key(3));
-    held.shelf.entries.insert(key(4), (5, Some(bytes("something else"))));
-    held.shelf.entries.insert(key(99), (6, Some(bytes("nobody promised this"))));
+    let incarnation = Incarnation::from("f0-00000001");
+    let held = fleet.fronts[1].replicas.get_mut(&incarnation).unwrap();
+    held.replica.entries.remove(&key(3));
+    held.replica.entries.insert(key(4), (5, Some(bytes("something else"))));
+    held.replica.entries.insert(key(99), (6, Some(bytes("nobody promised this"))));
     fleet.run(1_500_000);
-    let (one, two) = (&fleet.fronts[1].shelves[&life].shelf, &fleet.fronts[2].shelves[&life].shelf);
+    let (one, two) =
+        (&fleet.fronts[1].replicas[&incarnation].replica, &fleet.fronts[2].replicas[&incarnation].replica);
     assert_eq!(one.entries, two.entries);
 }
 
@@ -236,69 +244,70 @@
 fn ended_promises_leave_nothing_behind_at_owner_and_copies() {
     let mut fleet = Fleet::new((0..3).map(own).collect());
     (0..50).for_each(|at| fleet.keep(at));
-    (0..50).for_each(|at| fleet.hand(0, Input::End(key(at))));
+    (0..50).for_each(|at| fleet.hand(0, Input::DeleteRecord(key(at))));
     fleet.run(1_500_000);
-    assert_eq!((fleet.fronts[0].owner().stands(), fleet.fronts[0].owner().keys().count()), (0, 0));
-    assert!((1..3).all(|at| fleet.fronts[at].holds() == 0));
+    assert_eq!((fleet.fronts[0].owner().live_records(), fleet.fronts[0].owner().keys().count()), (0, 0));
+    assert!((1..3).all(|at| fleet.fronts[at].records_held() == 0));
     let kept = format!("{:?}", fleet.fronts[0].owner());
     assert!(kept.len() < 1_000, "{kept}");
 }
 
 #[test]
 fn an_owner_that_was_replaced_is_told_that_nothing_of_it_counts() {
-    let mut fleet = Fleet::new((0..3).map(|at| Own { enough: 2, ..own(at) }).collect());
+    let mut fleet = Fleet::new((0..3).map(|at| FrontIdentity { required_copies: 2, ..own(at) }).collect());
     fleet.keep(1);
     // Cut off from the word of it, not from its copies.
     let holder: usize = fleet.fronts[0].owner().group()[0][1..].parse().unwrap();
-    fleet.hand(holder, Input::Heard(name(2), Box::new(Body::Gather(Life::from("f0-00000001"), 1))));
+    fleet.hand(holder, Input::Received(name(2), Box::new(Body::Gather(Incarnation::from("f0-00000001"), 1))));
     fleet.keep(2);
     assert_eq!(fleet.kept(2), None, "a copy that an heir has asked takes nothing of it any more");
     fleet.run(500_000);
     let word = fleet.told.iter().any(|(at, output)| {
-        *at == 0 && matches!(output, Output::Group(names) if !names.contains(&name(holder)))
+        *at == 0 && matches!(output, Output::HoldersChanged(names) if !names.contains(&name(holder)))
     });
     assert!(word, "it looks for another holder");
 }
 
 #[test]
 fn an_heir_has_all_that_counted_though_one_copy_was_behind_and_one_comes_late() {
-    let mut fleet = Fleet::new((0..5).map(|at| Own { enough: 1, ..own(at) }).collect());
+    let mut fleet = Fleet::new((0..5).map(|at| FrontIdentity { required_copies: 1, ..own(at) }).collect());
     let group: Vec<usize> =
         fleet.fronts[0].owner().group().iter().map(|name| name[1..].parse().unwrap()).collect();
     (0..10).for_each(|at| fleet.keep(at));
     // One holder misses what comes, and an end.
     fleet.deaf.insert(group[0]);
     (10..20).for_each(|at| fleet.keep(at));
-    fleet.hand(0, Input::End(key(3)));
+    fleet.hand(0, Input::DeleteRecord(key(3)));
     fleet.hand(0, Input::Tick);
     assert!((0..20).all(|at| fleet.kept(at) == Some(true)));
     // The owner is lost; the one that has all is away while the heir gathers.
     fleet.deaf = [0, group[1]].into();
     fleet.views(|at| at != 0);
-    let heir = (1..5).find(|at| !group.contains(at)).unwrap();
-    fleet.heir("f0-00000001", heir);
+    let successor = (1..5).find(|at| !group.contains(at)).unwrap();
+    fleet.successor("f0-00000001", successor);
     fleet.run(2_000_000);
-    assert_eq!(fleet.adopted(heir).len(), 10, "what the one that answers has");
+    assert_eq!(fleet.adopted(successor).len(), 10, "what the one that answers has");
     fleet.deaf = [0].into();
-    fleet.heir("f0-00000001", heir);
-    fleet.hand(heir, Input::Tick);
-    let late = Body::Gather(Life::from("f0-00000001"), 1);
-    fleet.hand(group[1], Input::Heard(name(heir), Box::new(late)));
-    let all = fleet.adopted(heir);
+    fleet.successor("f0-00000001", successor);
+    fleet.hand(successor, Input::Tick);
+    let late = Body::Gather(Incarnation::from("f0-00000001"), 1);
+    fleet.hand(group[1], Input::Received(name(successor), Box::new(late)));
+    let all = fleet.adopted(successor);
     assert!((10..20).all(|at| all.contains(&key(at))), "{all:?}");
 }
 
 #[test]
 fn a_front_full_of_copies_says_so_and_another_is_chosen() {
-    let mut fleet =
-        Fleet::new((0..4).map(|at| Own { most: if at == 0 { 1_000 } else { 5 }, ..own(at) }).collect());
+    let mut fleet = Fleet::new(
+        (0..4).map(|at| FrontIdentity { max_records: if at == 0 { 1_000 } else { 5 }, ..own(at) }).collect(),
+    );
     (0..40).for_each(|at| fleet.keep(at));
     fleet.run(3_000_000);
     for at in 1..4 {
-        assert!(fleet.fronts[at].holds() <= 10, "{}", fleet.fronts[at].holds());
+        assert!(fleet.fronts[at].records_held() <= 10, "{}", fleet.fronts[at].records_held());
     }
     // Whoever is full is avoided for a while; the front goes on with as many as there are.
-    fleet.hand(0, Input::Keep(key(99), bytes("plays"), true));
+    fleet.hand(0, Input::PutRecord(key(99), bytes("plays"), true));
     fleet.run(500_000);
     assert!(fleet.kept(99).is_some(), "nobody waits for ever");
 }
@@ -311,11 +320,11 @@
         steps in proptest::collection::vec((0..6u8, 0..12u64), 1..120)
     ) {
         let mut owner = Owner::default();
-        let mut shelves = [Shelf::new(&name(0), 1), Shelf::new(&name(0), 1)];
+        let mut replicas = [Replica::new(&name(0), 1), Replica::new(&name(0), 1)];
         for at in 1..3 {
             owner.begin(0, name(at));
         }
-        let mut ended_at: BTreeMap<Key, u64> = BTreeMap::new();
+        let mut ended_at: BTreeMap<RecordKey, u64> = BTreeMap::new();
         for (now, (what, at)) in (0u64..).zip(steps) {
             let which = (at % 2) as usize;
             match what {
@@ -332,16 +341,16 @@
                 3 | 4 => {
                     if let Some(batch) = owner.batch(now, &name(which + 1)) {
                         if what == 3 {
-                            shelves[which].put(batch.from, batch.to, batch.whole, &batch.changes);
+                            replicas[which].put(batch.from, batch.to, batch.whole, &batch.changes);
                         }
-                        owner.acked(now, &name(which + 1), shelves[which].head.have, 7);
+                        owner.acked(now, &name(which + 1), replicas[which].head.applied, 7);
                     }
                 }
-                _ => owner.again(now + RESEND * now),
+                _ => owner.again(now + RESEND_TIMEOUT * now),
             }
             for which in 0..2 {
                 let acked = owner.holders[&name(which + 1)].acked;
-                let found = merge(&shelves[which..=which]);
+                let found = merge(&replicas[which..=which]);
                 for (key, (number, body)) in &owner.entries_for_tests() {
                     if *number <= acked {
                         let there = found.get(key).map(|(_, body)| body.clone());
@@ -355,8 +364,8 @@
                 }
             }
             // Together they know no less than each, and nothing that the further one knows to be over.
-            let both = merge(&shelves);
-            let further = shelves.iter().filter(|s| s.head.whole).map(|s| s.head.have).max().unwrap_or(0);
+            let both = merge(&replicas);
+            let further = replicas.iter().filter(|s| s.head.complete).map(|s| s.head.applied).max().unwrap_or(0);
             for (key, number) in &ended_at {
                 prop_assert!(*number > further || !both.contains_key(key));
             }
@@ -367,27 +376,27 @@
 #[test]
 fn a_copy_that_is_being_filled_ends_nothing_by_what_it_lacks_yet() {
     let mut owner = Owner::default();
-    let large = Bytes::from(vec![7; BATCH / 3]);
-    (1..=4).for_each(|at| drop(owner.change(key(at), Some(Bytes::clone(&large)))));
-    let mut before = Shelf::new(&name(0), 1);
+    let large = RecordBody::from(vec![7; BATCH_BYTES / 3]);
+    (1..=4).for_each(|at| drop(owner.change(key(at), Some(RecordBody::clone(&large)))));
+    let mut before = Replica::new(&name(0), 1);
     owner.begin(0, name(1));
     while let Some(batch) = owner.batch(0, &name(1)) {
         assert!(before.put(batch.from, batch.to, batch.whole, &batch.changes));
-        owner.acked(0, &name(1), before.head.have, 7);
+        owner.acked(0, &name(1), before.head.applied, 7);
     }
-    assert!(before.head.whole && before.stands() == 4);
+    assert!(before.head.complete && before.live_records() == 4);
     // What stood first changes, so that it comes last to whoever is filled now; and then both fronts are lost.
-    (5..=9).for_each(|at| drop(owner.change(key(at), Some(Bytes::clone(&large)))));
-    owner.change(key(1), Some(Bytes::clone(&large)));
+    (5..=9).for_each(|at| drop(owner.change(key(at), Some(RecordBody::clone(&large)))));
+    owner.change(key(1), Some(RecordBody::clone(&large)));
     owner.begin(0, name(2));
-    let mut filling = Shelf::new(&name(0), 1);
-    while filling.head.have < before.head.have {
-        let part = owner.batch(0, &name(2)).expect("a part");
-        assert!(filling.put(part.from, part.to, part.whole, &part.changes));
-        owner.acked(0, &name(2), filling.head.have, 8);
+    let mut filling = Replica::new(&name(0), 1);
+    while filling.head.applied < before.head.applied {
+        let partition = owner.batch(0, &name(2)).expect("a part");
+        assert!(filling.put(partition.from, partition.to, partition.whole, &partition.changes));
+        owner.acked(0, &name(2), filling.head.applied, 8);
     }
     assert!(
-        filling.head.have >= before.head.have && !filling.entries.contains_key(&key(1)),
+        filling.head.applied >= before.head.applied && !filling.entries.contains_key(&key(1)),
         "{:?}",
         filling.head
     );
@@ -397,31 +406,34 @@
 #[test]
 fn an_heir_waits_for_all_that_may_have_more_before_it_hands_over() {
     let mut fleet = Fleet::new((0..4).map(own).collect());
-    let life = Life::from("f0-00000001");
+    let incarnation = Incarnation::from("f0-00000001");
     fleet.deaf = (0..4).collect();
-    let heir = Heir {
+    let successor = Successor {
         epoch: 1,
         name: name(3),
-        life: Life::from("f3-00000001"),
-        serves: None,
+        incarnation: Incarnation::from("f3-00000001"),
+        client_address: None,
         version: 1,
         settled: false,
     };
-    let heirs = Heirs { of: [(Life::clone(&life), heir)].into(), over: BTreeMap::new() };
-    fleet.hand(3, Input::Heirs(Arc::new(heirs), 1));
+    let successors = Successors {
+        by_incarnation: [(Incarnation::clone(&incarnation), successor)].into(),
+        ended: BTreeMap::new(),
+    };
+    fleet.hand(3, Input::Successors(Arc::new(successors), 1));
     let answer = |at: u64| {
-        let mut shelf = Shelf::new(&name(0), 5);
+        let mut replica = Replica::new(&name(0), 5);
         let changes: Vec<Change> =
             (1..=at).map(|n| Change { key: key(n), number: n, body: Some(bytes("plays")) }).collect();
-        assert!(shelf.put(0, at, true, &changes));
-        Box::new(Body::Gathered(Life::clone(&life), shelf.head, changes, true))
+        assert!(replica.put(0, at, true, &changes));
+        Box::new(Body::Gathered(Incarnation::clone(&incarnation), replica.head, changes, true))
     };
-    fleet.hand(3, Input::Heard(name(1), answer(2)));
-    fleet.hand(3, Input::Heard(name(0), answer(0)));
+    fleet.hand(3, Input::Received(name(1), answer(2)));
+    fleet.hand(3, Input::Received(name(0), answer(0)));
     fleet.now += 60_000;
     fleet.hand(3, Input::Tick);
     assert!(fleet.adopted(3).is_empty(), "one has not answered yet");
-    fleet.hand(3, Input::Heard(name(2), answer(5)));
+    fleet.hand(3, Input::Received(name(2), answer(5)));
     fleet.now += 60_000;
     fleet.hand(3, Input::Tick);
     assert_eq!(fleet.adopted(3).len(), 5);
@@ -431,7 +443,8 @@
 // nothing meanwhile.
 #[test]
 fn a_front_that_was_stopped_keeps_its_holders_and_promises_at_once() {
-    let mut fleet = Fleet::new((0..3).map(|at| Own { too_few: TooFew::Refuse, ..own(at) }).collect());
+    let mut fleet =
+        Fleet::new((0..3).map(|at| FrontIdentity { too_few: TooFewPolicy::Refuse, ..own(at) }).collect());
     let holders = fleet.fronts[0].owner().group();
     fleet.keep(1);
     fleet.deaf.insert(0);
@@ -459,24 +472,26 @@
 // nothing meanwhile.
 #[test]
 fn a_front_that_lives_anew_asks_those_who_refused_the_life_before() {
-    let mut fleet = Fleet::new((0..3).map(|at| Own { too_few: TooFew::Refuse, ..own(at) }).collect());
+    let mut fleet =
+        Fleet::new((0..3).map(|at| FrontIdentity { too_few: TooFewPolicy::Refuse, ..own(at) }).collect());
     fleet.keep(1);
     fleet.deaf.insert(0);
     fleet.run(1_000_000);
-    fleet.heir("f0-00000001", 1);
+    fleet.successor("f0-00000001", 1);
     fleet.run(1_000_000);
     // It goes on before it knows, and is refused.
     fleet.deaf.clear();
     fleet.keep(2);
     fleet.run(1_000_000);
     assert_eq!(fleet.fronts[0].owner().group(), Vec::<Name>::new());
-    fleet.heir("f0-00000001", 1);
-    fleet.hand(0, Input::Lives(Life::from("f0-00000002")));
+    fleet.successor("f0-00000001", 1);
+    fleet.hand(0, Input::IncarnationChanged(Incarnation::from("f0-00000002")));
     fleet.run(1_000_000);
-    let of_new = Key::from("f0-00000002-0000000001");
-    fleet.hand(0, Input::Keep(Key::clone(&of_new), bytes("plays"), true));
+    let of_new = RecordKey::from("f0-00000002-0000000001");
+    fleet.hand(0, Input::PutRecord(RecordKey::clone(&of_new), bytes("plays"), true));
     fleet.run(200_000);
-    let counts =
-        |(at, output): &(usize, Output)| *at == 0 && *output == Output::Kept(Key::clone(&of_new), true);
+    let counts = |(at, output): &(usize, Output)| {
+        *at == 0 && *output == Output::RecordStored(RecordKey::clone(&of_new), true)
+    };
     assert!(fleet.told.iter().any(counts), "{:?}", fleet.fronts[0].owner().group());
 }
