--- a/crates/copies/src/edge.rs
+++ b/crates/copies/src/edge.rs
@@ -9,25 +9,27 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender};
-use salttally_accord::core::heirs::Heir;
-use salttally_accord::core::stand::Stand;
-use salttally_accord::edge::{drawn, now, Teller as Accord};
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_accord::core::successors::Successor;
+use salttally_accord::edge::{new_disk_id, now, Handle as Accord};
 use salttally_accord::store::StoreError;
 use salttally_members::edge::Known;
 use serde_json::json;
 use thiserror::Error;
 
-use crate::core::{Body, Bytes, Copies, Input, Key, Life, Name, Output, Own, Peer};
-use crate::lines;
+use crate::core::{
+    Body, Copies, FrontIdentity, Incarnation, Input, Name, Output, Peer, RecordBody, RecordKey,
+};
+use crate::history_log;
 use crate::settings::Settings;
-use crate::store::{Found, Store};
+use crate::store::{OpenOutcome, Store};
 
 /// Stack of the thread.
-const STACK: usize = 512 * 1024;
+const THREAD_STACK_BYTES: usize = 512 * 1024;
 /// What is shown to operators is made anew this often, us.
-const SHOWN: u64 = 500_000;
+const STATUS_INTERVAL_US: u64 = 500_000;
 /// Words taken before changes go out.
-const AT_ONCE: usize = 512;
+const MAX_COMMANDS_PER_TURN: usize = 512;
 
 /// Why copies do not start.
 #[derive(Debug, Error)]
@@ -45,103 +47,103 @@
 
 /// What the front is told.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
+pub enum Event {
     /// A promise counts, or does not.
-    Kept(Key, bool),
+    RecordStored(RecordKey, bool),
     /// It goes on with these, by this epoch.
-    Adopt(Life, u64, Vec<(Key, Bytes)>),
+    TakeOver(Incarnation, u64, Vec<(RecordKey, RecordBody)>),
     /// Its own life is another's.
-    Replaced(Life, Heir),
+    TakenOver(Incarnation, Successor),
     /// A life that it went on with is another's.
-    Gone(Life),
+    TakeoverSuperseded(Incarnation),
 }
 
 /// What wants to hear that.
-pub type Listener = Box<dyn Fn(Told) + Send>;
+pub type Listener = Box<dyn Fn(Event) + Send>;
 
-enum Word {
+enum Command {
     Core(Input),
-    Passed(Name, Vec<u8>),
-    Known(Vec<Known>),
+    Received(Name, Vec<u8>),
+    Members(Vec<Known>),
     End,
 }
 
 /// A way to tell the thread something from elsewhere; before it starts, too.
 #[derive(Clone, Debug)]
-pub struct Teller {
-    words: Sender<Word>,
+pub struct Handle {
+    commands: Sender<Command>,
     shown: Arc<Mutex<String>>,
 }
 
-impl std::fmt::Debug for Word {
+impl std::fmt::Debug for Command {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("Word")
     }
 }
 
-impl Teller {
-    fn tell(&self, word: Word) {
-        let _ = self.words.send(word);
+impl Handle {
+    fn send(&self, command: Command) {
+        let _ = self.commands.send(command);
     }
 
     /// A promise; whether somebody waits until it counts.
-    pub fn keep(&self, key: Key, body: Vec<u8>, waits: bool) {
-        self.tell(Word::Core(Input::Keep(key, Bytes::from(body), waits)));
+    pub fn put_record(&self, key: RecordKey, body: Vec<u8>, waits: bool) {
+        self.send(Command::Core(Input::PutRecord(key, RecordBody::from(body), waits)));
     }
 
     /// It is no more.
-    pub fn end(&self, key: Key) {
-        self.tell(Word::Core(Input::End(key)));
+    pub fn delete_record(&self, key: RecordKey) {
+        self.send(Command::Core(Input::DeleteRecord(key)));
     }
 
     /// Boxes hold something of an earlier life of the front that nobody has taken over.
-    pub fn found(&self, life: Life) {
-        self.tell(Word::Core(Input::Found(life)));
+    pub fn orphan_found(&self, incarnation: Incarnation) {
+        self.send(Command::Core(Input::OrphanFound(incarnation)));
     }
 
     /// The front lives anew.
-    pub fn lives(&self, life: Life) {
-        self.tell(Word::Core(Input::Lives(life)));
+    pub fn incarnation_changed(&self, incarnation: Incarnation) {
+        self.send(Command::Core(Input::IncarnationChanged(incarnation)));
     }
 
     /// Who is known, as membership tells.
-    pub fn known(&self, known: Vec<Known>) {
-        self.tell(Word::Known(known));
+    pub fn update_members(&self, known: Vec<Known>) {
+        self.send(Command::Members(known));
     }
 
     /// What this front stands on, as accord tells.
-    pub fn stands(&self, stand: &Stand) {
-        self.tell(Word::Core(Input::Heirs(Arc::clone(&stand.heirs), stand.begun)));
+    pub fn update_coordination(&self, coordination: &CoordinationState) {
+        self.send(Command::Core(Input::Successors(Arc::clone(&coordination.successors), coordination.begun)));
     }
 
     /// What came by accord's connections.
-    pub fn passed(&self, from: Name, bytes: Vec<u8>) {
-        self.tell(Word::Passed(from, bytes));
+    pub fn receive(&self, from: Name, bytes: Vec<u8>) {
+        self.send(Command::Received(from, bytes));
     }
 
     /// How things stood a moment ago, as JSON.
-    pub fn shown(&self) -> String {
+    pub fn status(&self) -> String {
         self.shown.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
 /// Where words wait until the thread starts.
-pub struct Line {
-    teller: Teller,
-    words: Receiver<Word>,
+pub struct PendingService {
+    handle: Handle,
+    commands: Receiver<Command>,
 }
 
-impl Default for Line {
-    fn default() -> Line {
-        let (sender, words) = crossbeam_channel::unbounded();
-        Line { teller: Teller { words: sender, shown: Arc::default() }, words }
+impl Default for PendingService {
+    fn default() -> PendingService {
+        let (sender, commands) = crossbeam_channel::unbounded();
+        PendingService { handle: Handle { commands: sender, shown: Arc::default() }, commands }
     }
 }
 
-impl Line {
+impl PendingService {
     /// A way to tell it.
-    pub fn teller(&self) -> Teller {
-        self.teller.clone()
+    pub fn handle(&self) -> Handle {
+        self.handle.clone()
     }
 
     /// Starts the thread, for a front that lives `life`.
@@ -151,18 +153,18 @@
     pub fn start(
         self,
         settings: &Settings,
-        life: Life,
+        incarnation: Incarnation,
         accord: Accord,
         listener: Listener,
     ) -> Result<Running, StartError> {
-        let (store, image, found) = Store::open(&settings.store, settings.flush, drawn())?;
+        let (store, image, found) = Store::open(&settings.store, settings.flush, new_disk_id())?;
         match &found {
-            Found::New => tracing::info!("copies: a new store"),
-            Found::Whole => {}
-            Found::SetAside(at, why) => {
+            OpenOutcome::New => tracing::info!("copies: a new store"),
+            OpenOutcome::Intact => {}
+            OpenOutcome::SetAside(at, why) => {
                 tracing::error!(%why, at = %at.display(), "copies: a damaged store was set aside; this is a new disk now");
             }
-            Found::Copied => {
+            OpenOutcome::Copied => {
                 tracing::warn!(
                     "copies: the store is not where it was first written: it counts as a new disk"
                 );
@@ -170,53 +172,53 @@
         }
         let open = |path: &std::path::PathBuf| File::options().create(true).append(true).open(path);
         let history = settings.history.as_ref().map(open).transpose().map_err(StartError::History)?;
-        let own = Own {
+        let own = FrontIdentity {
             name: Name::clone(&settings.name),
-            life,
+            incarnation,
             zone: settings.zone,
-            serves: settings.serves,
-            disk: store.disk,
+            client_address: settings.client_address,
+            disk_id: store.disk,
             copies: settings.copies,
-            enough: settings.enough,
+            required_copies: settings.enough,
             too_few: settings.too_few,
-            within: settings.within,
-            most: settings.most,
+            store_timeout: settings.within,
+            max_records: settings.most,
         };
-        let work = Work {
+        let work = Service {
             copies: Copies::new(own, image, now()),
             name: Name::clone(&settings.name),
             store: Some(store),
             history,
             accord,
             listener,
-            words: self.words,
-            shown: Arc::clone(&self.teller.shown),
+            commands: self.commands,
+            shown: Arc::clone(&self.handle.shown),
             show_at: 0,
         };
-        let thread = thread::Builder::new().name("copies".into()).stack_size(STACK);
+        let thread = thread::Builder::new().name("copies".into()).stack_size(THREAD_STACK_BYTES);
         let thread = thread.spawn(move || work.run()).map_err(StartError::Thread)?;
-        Ok(Running { teller: self.teller, thread: Some(thread) })
+        Ok(Running { handle: self.handle, thread: Some(thread) })
     }
 }
 
 /// Running copies.
 pub struct Running {
-    teller: Teller,
+    handle: Handle,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Running {
     /// Ends in order: with nothing promised, holders may forget this front's life.
     pub fn leave(mut self) {
-        self.teller.tell(Word::Core(Input::Leave));
-        self.teller.tell(Word::End);
+        self.handle.send(Command::Core(Input::Leave));
+        self.handle.send(Command::End);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-struct Work {
+struct Service {
     copies: Copies,
     name: Name,
     /// Nothing, after it could not be written: then this front acknowledges nothing of others, who choose another holder.
@@ -224,27 +226,27 @@
     history: Option<File>,
     accord: Accord,
     listener: Listener,
-    words: Receiver<Word>,
+    commands: Receiver<Command>,
     shown: Arc<Mutex<String>>,
     show_at: u64,
 }
 
-impl Work {
+impl Service {
     fn run(mut self) {
         loop {
             let wait = self.copies.next_due().saturating_sub(now()).clamp(500, 200_000);
-            let mut word = match self.words.recv_timeout(Duration::from_micros(wait)) {
-                Ok(word) => Some(word),
+            let mut command = match self.commands.recv_timeout(Duration::from_micros(wait)) {
+                Ok(command) => Some(command),
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
             // What has come together goes to the disk, and out, together.
             let (mut out, mut taken, mut ends) = (Vec::new(), 0, false);
-            while let Some(one) = word.take() {
-                ends |= self.word(one, &mut out);
+            while let Some(one) = command.take() {
+                ends |= self.command(one, &mut out);
                 taken += 1;
-                if taken < AT_ONCE && !ends {
-                    word = self.words.try_recv().ok();
+                if taken < MAX_COMMANDS_PER_TURN && !ends {
+                    command = self.commands.try_recv().ok();
                 }
             }
             self.copies.handle(now(), Input::Tick, &mut out);
@@ -256,18 +258,18 @@
         }
     }
 
-    fn word(&mut self, word: Word, out: &mut Vec<Output>) -> bool {
-        match word {
-            Word::Core(input) => self.copies.handle(now(), input, out),
-            Word::Passed(from, bytes) => match postcard::from_bytes::<Body>(&bytes) {
-                Ok(body) => self.copies.handle(now(), Input::Heard(from, Box::new(body)), out),
+    fn command(&mut self, command: Command, out: &mut Vec<Output>) -> bool {
+        match command {
+            Command::Core(input) => self.copies.handle(now(), input, out),
+            Command::Received(from, bytes) => match postcard::from_bytes::<Body>(&bytes) {
+                Ok(body) => self.copies.handle(now(), Input::Received(from, Box::new(body)), out),
                 Err(error) => tracing::warn!(%from, %error, "copies: a message is not used"),
             },
-            Word::Known(known) => {
+            Command::Members(known) => {
                 let (peers, boot) = peers(known, &self.name);
                 self.copies.handle(now(), Input::View(peers, boot), out);
             }
-            Word::End => return true,
+            Command::End => return true,
         }
         false
     }
@@ -275,8 +277,8 @@
     fn carry_out(&mut self, out: Vec<Output>) {
         let mut writes = Vec::new();
         for output in &out {
-            if let Output::Write(part) = output {
-                writes.extend(part.iter().cloned());
+            if let Output::Write(partition) = output {
+                writes.extend(partition.iter().cloned());
             }
         }
         if let Some(store) = self.store.as_ref().filter(|_| !writes.is_empty()) {
@@ -286,7 +288,7 @@
             }
         }
         for output in out {
-            if let Some(line) = lines::line(unix(), &self.name, &output) {
+            if let Some(line) = history_log::line(unix(), &self.name, &output) {
                 if let Some(file) = &mut self.history {
                     let _ = file.write_all(format!("{line}\n").as_bytes());
                 }
@@ -296,22 +298,26 @@
                 // Danger: what is on no disk here is taken for a copy.
                 Output::Send(_, Body::Ack(..)) if self.store.is_none() => {}
                 Output::Send(to, body) => match postcard::to_allocvec(&body) {
-                    Ok(bytes) => self.accord.pass(to, bytes),
+                    Ok(bytes) => self.accord.relay(to, bytes),
                     Err(error) => tracing::error!(%error, "copies: a message is not sent"),
                 },
-                Output::Succeed(changes) => self.accord.succeed(changes),
-                Output::Kept(key, kept) => (self.listener)(Told::Kept(key, kept)),
-                Output::Adopt(life, epoch, promises) => {
-                    tracing::warn!(%life, epoch, sessions = promises.len(), "copies: this front goes on with another's sessions");
-                    (self.listener)(Told::Adopt(life, epoch, promises));
+                Output::ChangeSuccessors(changes) => self.accord.change_successors(changes),
+                Output::RecordStored(key, kept) => (self.listener)(Event::RecordStored(key, kept)),
+                Output::TakeOver(incarnation, epoch, promises) => {
+                    tracing::warn!(life = %incarnation, epoch, sessions = promises.len(), "copies: this front goes on with another's sessions");
+                    (self.listener)(Event::TakeOver(incarnation, epoch, promises));
                 }
-                Output::Replaced(life, heir) => {
-                    tracing::error!(%life, by = %heir.name, "copies: another front goes on with this one's sessions");
-                    (self.listener)(Told::Replaced(life, heir));
+                Output::TakenOver(incarnation, successor) => {
+                    tracing::error!(life = %incarnation, by = %successor.name, "copies: another front goes on with this one's sessions");
+                    (self.listener)(Event::TakenOver(incarnation, successor));
                 }
-                Output::Gone(life) => (self.listener)(Told::Gone(life)),
-                Output::Over(life) => tracing::debug!(%life, "copies: nothing is left of it"),
-                Output::Group(names) => tracing::info!(?names, "copies: held there"),
+                Output::TakeoverSuperseded(incarnation) => {
+                    (self.listener)(Event::TakeoverSuperseded(incarnation))
+                }
+                Output::IncarnationEnded(incarnation) => {
+                    tracing::debug!(life = %incarnation, "copies: nothing is left of it")
+                }
+                Output::HoldersChanged(names) => tracing::info!(?names, "copies: held there"),
             }
         }
     }
@@ -321,26 +327,26 @@
         if self.show_at > now() {
             return;
         }
-        self.show_at = now() + SHOWN;
+        self.show_at = now() + STATUS_INTERVAL_US;
         let owner = self.copies.owner();
         let holder = |(name, holder): (&Name, &crate::core::owner::Holder)| json!({"front": &**name, "has": holder.acked, "filled": holder.filled});
-        let shelf = |(life, shelf): (&Life, &crate::core::shelf::Shelf)| {
-            json!({"life": &**life, "owner": &*shelf.head.owner, "promises": shelf.stands(), "has": shelf.head.have,
-                "whole": shelf.head.whole, "epoch": shelf.head.epoch, "digest": digest(&shelf.digests())})
+        let replica = |(incarnation, replica): (&Incarnation, &crate::core::replica::Replica)| {
+            json!({"life": &**incarnation, "owner": &*replica.head.owner, "promises": replica.live_records(), "has": replica.head.applied,
+                "whole": replica.head.complete, "epoch": replica.head.epoch, "digest": digest(&replica.digests())})
         };
-        let taken = |(life, epoch, settled): (&Life, u64, bool)| json!({"life": &**life, "epoch": epoch, "settled": settled});
-        let shown = json!({"front": &*self.name, "life": &**self.copies.life(), "promises": owner.stands(),
+        let taken = |(incarnation, epoch, settled): (&Incarnation, u64, bool)| json!({"life": &**incarnation, "epoch": epoch, "settled": settled});
+        let shown = json!({"front": &*self.name, "life": &**self.copies.incarnation(), "promises": owner.live_records(),
             "changes": owner.number(), "waits": owner.waits(), "digest": digest(&owner.digests()), "disk": self.store.is_some(),
             "holders": owner.holders.iter().map(holder).collect::<Vec<_>>(),
-            "holds": self.copies.shelves().map(shelf).collect::<Vec<_>>(),
-            "taken_over": self.copies.taken().map(taken).collect::<Vec<_>>()});
+            "holds": self.copies.replicas().map(replica).collect::<Vec<_>>(),
+            "taken_over": self.copies.takeovers().map(taken).collect::<Vec<_>>()});
         *self.shown.lock().unwrap_or_else(PoisonError::into_inner) = shown.to_string();
     }
 }
 
 /// One word for all parts.
 fn digest(parts: &[u64]) -> String {
-    let all = parts.iter().fold(0u64, |all, part| all.rotate_left(7) ^ part);
+    let all = parts.iter().fold(0u64, |all, partition| all.rotate_left(7) ^ partition);
     format!("{all:016x}")
 }
 
--- /dev/null
+++ b/crates/copies/src/history_log.rs
@@ -0,0 +1,30 @@
+//! What happened at one front, as JSON lines: for operators, and for the checker of trials.
+
+use serde_json::{json, Value};
+
+use crate::core::{Micros, Output};
+
+/// A line for what the core says, where it is worth one.
+pub fn line(at: Micros, front: &str, output: &Output) -> Option<Value> {
+    Some(match output {
+        Output::TakeOver(incarnation, epoch, promises) => {
+            let keys: Vec<&str> = promises.iter().map(|(key, _)| &**key).collect();
+            json!({"at": at, "front": front, "adopts": &**incarnation, "epoch": epoch, "sessions": keys})
+        }
+        Output::TakenOver(incarnation, successor) => {
+            json!({"at": at, "front": front, "replaced": &**incarnation, "by": &*successor.name, "epoch": successor.epoch})
+        }
+        Output::TakeoverSuperseded(incarnation) => {
+            json!({"at": at, "front": front, "gave_up": &**incarnation})
+        }
+        Output::IncarnationEnded(incarnation) => json!({"at": at, "front": front, "over": &**incarnation}),
+        Output::HoldersChanged(names) => {
+            let names: Vec<&str> = names.iter().map(|name| &**name).collect();
+            json!({"at": at, "front": front, "copies_at": names})
+        }
+        Output::RecordStored(key, false) => json!({"at": at, "front": front, "not_kept": &**key}),
+        Output::RecordStored(_, true) | Output::Write(_) | Output::Send(..) | Output::ChangeSuccessors(_) => {
+            return None
+        }
+    })
+}
--- a/crates/copies/src/lib.rs
+++ b/crates/copies/src/lib.rs
@@ -6,6 +6,6 @@
 
 pub mod core;
 pub mod edge;
-pub mod lines;
+pub mod history_log;
 pub mod settings;
 pub mod store;
--- a/crates/copies/src/settings.rs
+++ b/crates/copies/src/settings.rs
@@ -6,7 +6,7 @@
 use salttally_members::settings::Settings as Members;
 use salttally_settings::{Block, Document, Node, Read};
 
-use crate::core::{Micros, Name, TooFew};
+use crate::core::{Micros, Name, TooFewPolicy};
 
 /// Settings of copies at one front.
 #[derive(Clone, Debug)]
@@ -16,13 +16,13 @@
     /// Its zone.
     pub zone: u32,
     /// Where players reach it.
-    pub serves: Option<std::net::SocketAddr>,
+    pub client_address: Option<std::net::SocketAddr>,
     /// Fronts that hold a copy.
     pub copies: usize,
     /// So many of them must have a promise before it counts.
     pub enough: usize,
     /// What happens where there are fewer.
-    pub too_few: TooFew,
+    pub too_few: TooFewPolicy,
     /// A promise that does not count after this long is given up, us.
     pub within: Micros,
     /// Promises of others held at most.
@@ -61,10 +61,10 @@
 
 fn read(block: &Block<'_>, members: &Members) -> Read<Settings> {
     let too_few = match block.one("too-few")? {
-        None => TooFew::GoOn,
+        None => TooFewPolicy::GoOn,
         Some(node) => match node.argument::<String>()?.as_str() {
-            "go-on" => TooFew::GoOn,
-            "refuse" => TooFew::Refuse,
+            "go-on" => TooFewPolicy::GoOn,
+            "refuse" => TooFewPolicy::Refuse,
             other => return Err(node.bad(format!("`{other}` is unknown here; known: go-on, refuse"))),
         },
     };
@@ -79,7 +79,7 @@
     Ok(Settings {
         name: Name::clone(&members.name),
         zone: members.zone,
-        serves: members.serves,
+        client_address: members.serves,
         copies: block.or("copies", 2)?,
         enough: block.or("enough", 1)?,
         too_few,
--- a/crates/copies/src/store.rs
+++ b/crates/copies/src/store.rs
@@ -9,24 +9,24 @@
 use std::path::{Path, PathBuf};
 
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, TableDefinition};
-use salttally_accord::store::{encoded, io_error, place, storage, unharmed, StoreError};
+use salttally_accord::store::{catch_panics, encode, file_identity, io_error, storage_error, StoreError};
 
-use crate::core::shelf::{Head, Shelf};
-use crate::core::{Bytes, Image, Key, Life, Write};
+use crate::core::replica::{Replica, ReplicaHead};
+use crate::core::{Image, Incarnation, RecordBody, RecordKey, Write};
 
 /// Number of the form in which things are stored.
-const FORM: u32 = 1;
+const STORE_FORMAT: u32 = 1;
 const ABOUT: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("about");
 const HEADS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("heads");
 const ENTRIES: TableDefinition<'_, (&str, &str), &[u8]> = TableDefinition::new("entries");
 
 /// What was found at the start.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
+pub enum OpenOutcome {
     /// Nothing: a new file.
     New,
     /// All as it was left.
-    Whole,
+    Intact,
     /// A damaged file, set aside under this name; a new one was begun.
     SetAside(PathBuf, String),
     /// A file that is not where it was first written: what it holds stays, and it is another disk.
@@ -47,32 +47,36 @@
     ///
     /// # Errors
     /// It is in use, of another form, or cannot be written. One that is damaged is set aside.
-    pub fn open(path: &Path, flush: bool, drawn: u64) -> Result<(Store, Image, Found), StoreError> {
-        match unharmed(path, || Store::read(path, flush, drawn)) {
+    pub fn open(
+        path: &Path,
+        flush: bool,
+        new_disk_id: u64,
+    ) -> Result<(Store, Image, OpenOutcome), StoreError> {
+        match catch_panics(path, || Store::read(path, flush, new_disk_id)) {
             Err(StoreError::Damaged(_, why)) => {
                 let aside = path.with_extension("damaged");
                 fs::rename(path, &aside).map_err(|error| io_error(path, &error))?;
-                let (store, image, _) = Store::read(path, flush, drawn)?;
-                Ok((store, image, Found::SetAside(aside, why)))
+                let (store, image, _) = Store::read(path, flush, new_disk_id)?;
+                Ok((store, image, OpenOutcome::SetAside(aside, why)))
             }
             other => other,
         }
     }
 
-    fn read(path: &Path, flush: bool, drawn: u64) -> Result<(Store, Image, Found), StoreError> {
+    fn read(path: &Path, flush: bool, new_disk_id: u64) -> Result<(Store, Image, OpenOutcome), StoreError> {
         let name = path.display().to_string();
         let mut database = Database::create(path).map_err(|error| match error {
             redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse(name.clone()),
-            redb::DatabaseError::Storage(error) => storage(path, &error),
+            redb::DatabaseError::Storage(error) => storage_error(path, &error),
             other => StoreError::Damaged(name.clone(), other.to_string()),
         })?;
         match database.check_integrity() {
             Ok(_) => {}
-            Err(redb::DatabaseError::Storage(error)) => return Err(storage(path, &error)),
+            Err(redb::DatabaseError::Storage(error)) => return Err(storage_error(path, &error)),
             Err(other) => return Err(StoreError::Damaged(name, other.to_string())),
         }
-        let mut store = Store { path: path.to_owned(), database, flush, disk: drawn };
-        let (image, found) = store.load(drawn)?;
+        let mut store = Store { path: path.to_owned(), database, flush, disk: new_disk_id };
+        let (image, found) = store.load(new_disk_id)?;
         Ok((store, image, found))
     }
 
@@ -83,8 +87,8 @@
         }
     }
 
-    fn load(&mut self, drawn: u64) -> Result<(Image, Found), StoreError> {
-        let here = place(&self.path).map_err(|error| io_error(&self.path, &error))?;
+    fn load(&mut self, new_disk_id: u64) -> Result<(Image, OpenOutcome), StoreError> {
+        let here = file_identity(&self.path).map_err(|error| io_error(&self.path, &error))?;
         let about: Option<(u32, u64, (u64, u64))> = {
             let begun = self.database.begin_read().map_err(|error| self.failed(error))?;
             match begun.open_table(ABOUT) {
@@ -98,19 +102,19 @@
         };
         let name = || self.path.display().to_string();
         let found = match about {
-            None => Found::New,
-            Some((form, ..)) if form != FORM => return Err(StoreError::Form(name(), form)),
+            None => OpenOutcome::New,
+            Some((form, ..)) if form != STORE_FORMAT => return Err(StoreError::Form(name(), form)),
             Some((_, disk, first)) if first == here => {
                 self.disk = disk;
-                Found::Whole
+                OpenOutcome::Intact
             }
-            Some(_) => Found::Copied,
+            Some(_) => OpenOutcome::Copied,
         };
-        if found != Found::Whole {
+        if found != OpenOutcome::Intact {
             let write = self.database.begin_write().map_err(|error| self.failed(error))?;
             {
                 let mut table = write.open_table(ABOUT).map_err(|error| self.failed(error))?;
-                let bytes = encoded(&(FORM, drawn, here)).map_err(|error| self.failed(error))?;
+                let bytes = encode(&(STORE_FORMAT, new_disk_id, here)).map_err(|error| self.failed(error))?;
                 table.insert("about", bytes.as_slice()).map_err(|error| self.failed(error))?;
                 write.open_table(HEADS).map_err(|error| self.failed(error))?;
                 write.open_table(ENTRIES).map_err(|error| self.failed(error))?;
@@ -131,18 +135,18 @@
         let begun = self.database.begin_read().map_err(|error| self.failed(error))?;
         let heads = begun.open_table(HEADS).map_err(|error| self.failed(error))?;
         for row in heads.iter().map_err(|error| self.failed(error))? {
-            let (life, head) = row.map_err(|error| self.failed(error))?;
-            let head: Head = self.decoded(head.value())?;
-            let shelf = Shelf { head, entries: Default::default() };
-            image.shelves.insert(Life::from(life.value()), shelf);
+            let (incarnation, head) = row.map_err(|error| self.failed(error))?;
+            let head: ReplicaHead = self.decoded(head.value())?;
+            let replica = Replica { head, entries: Default::default() };
+            image.replicas.insert(Incarnation::from(incarnation.value()), replica);
         }
         let entries = begun.open_table(ENTRIES).map_err(|error| self.failed(error))?;
         for row in entries.iter().map_err(|error| self.failed(error))? {
             let (at, entry) = row.map_err(|error| self.failed(error))?;
-            let (life, key) = at.value();
-            let entry: (u64, Option<Bytes>) = self.decoded(entry.value())?;
-            if let Some(shelf) = image.shelves.get_mut(life) {
-                shelf.entries.insert(Key::from(key), entry);
+            let (incarnation, key) = at.value();
+            let entry: (u64, Option<RecordBody>) = self.decoded(entry.value())?;
+            if let Some(replica) = image.replicas.get_mut(incarnation) {
+                replica.entries.insert(RecordKey::from(key), entry);
             }
         }
         Ok(image)
@@ -153,7 +157,7 @@
     /// # Errors
     /// The disk is full, read-only or broken: nothing that follows may be told.
     pub fn write(&self, writes: &[Write]) -> Result<(), StoreError> {
-        unharmed(&self.path, || self.write_all(writes))
+        catch_panics(&self.path, || self.write_all(writes))
     }
 
     fn write_all(&self, writes: &[Write]) -> Result<(), StoreError> {
@@ -167,19 +171,19 @@
             for one in writes {
                 let done: Result<(), redb::StorageError> = (|| {
                     match one {
-                        Write::Head(life, head) => {
-                            heads.insert(&**life, encoded(head)?.as_slice())?;
+                        Write::Head(incarnation, head) => {
+                            heads.insert(&**incarnation, encode(head)?.as_slice())?;
                         }
-                        Write::Entry(life, key, Some(entry)) => {
-                            entries.insert((&**life, &**key), encoded(entry)?.as_slice())?;
+                        Write::Entry(incarnation, key, Some(entry)) => {
+                            entries.insert((&**incarnation, &**key), encode(entry)?.as_slice())?;
                         }
-                        Write::Entry(life, key, None) => {
-                            entries.remove((&**life, &**key))?;
+                        Write::Entry(incarnation, key, None) => {
+                            entries.remove((&**incarnation, &**key))?;
                         }
-                        Write::Drop(life) => {
-                            heads.remove(&**life)?;
-                            let after = format!("{life}\u{0}");
-                            entries.retain_in((&**life, "")..(after.as_str(), ""), |_, _| false)?;
+                        Write::Drop(incarnation) => {
+                            heads.remove(&**incarnation)?;
+                            let after = format!("{incarnation}\u{0}");
+                            entries.retain_in((&**incarnation, "")..(after.as_str(), ""), |_, _| false)?;
                         }
                     }
                     Ok(())
--- a/crates/copies/tests/settings.rs
+++ b/crates/copies/tests/settings.rs
@@ -41,7 +41,7 @@
     assert!(read("").unwrap().is_none());
     let settings = read("copies { store \"c.redb\"; }").unwrap().expect("on");
     assert_eq!((settings.copies, settings.enough, settings.zone, settings.flush), (2, 1, 2, true));
-    assert_eq!(settings.serves, Some("127.0.0.1:7001".parse().unwrap()));
+    assert_eq!(settings.client_address, Some("127.0.0.1:7001".parse().unwrap()));
     let alone = "front \"f1\" { listen \"127.0.0.1:7001\"; }\ncopies { store \"c.redb\"; }";
     let document = Document::parse("front.kdl", alone).unwrap();
     let error = Settings::read(&document, None, None).expect_err("nobody to copy to").to_string();
--- a/crates/copies/tests/store.rs
+++ b/crates/copies/tests/store.rs
@@ -7,9 +7,9 @@
 
 use redb::{Database, TableDefinition};
 use salttally_accord::store::StoreError;
-use salttally_copies::core::shelf::Shelf;
-use salttally_copies::core::{Bytes, Image, Key, Life, Name, Write};
-use salttally_copies::store::{Found, Store};
+use salttally_copies::core::replica::Replica;
+use salttally_copies::core::{Image, Incarnation, Name, RecordBody, RecordKey, Write};
+use salttally_copies::store::{OpenOutcome, Store};
 
 struct Folder(PathBuf);
 
@@ -33,29 +33,29 @@
     }
 }
 
-fn writes(life: &str, from: u64, to: u64) -> Vec<Write> {
-    let life = Life::from(life);
-    let mut head = Shelf::new(&Name::from("f0"), 7).head;
-    (head.have, head.whole) = (to, true);
+fn writes(incarnation: &str, from: u64, to: u64) -> Vec<Write> {
+    let incarnation = Incarnation::from(incarnation);
+    let mut head = Replica::new(&Name::from("f0"), 7).head;
+    (head.applied, head.complete) = (to, true);
     let entry = |number: u64| {
-        let body = Bytes::from(format!("promise {number} {}", "x".repeat(200)).into_bytes());
+        let body = RecordBody::from(format!("promise {number} {}", "x".repeat(200)).into_bytes());
         Write::Entry(
-            Life::clone(&life),
-            Key::from(format!("{life}-{number:010}")),
+            Incarnation::clone(&incarnation),
+            RecordKey::from(format!("{incarnation}-{number:010}")),
             Some((number, Some(body))),
         )
     };
-    (from..=to).map(entry).chain([Write::Head(Life::clone(&life), head)]).collect()
+    (from..=to).map(entry).chain([Write::Head(Incarnation::clone(&incarnation), head)]).collect()
 }
 
 fn image(all: &[Vec<Write>]) -> Image {
     let mut image = Image::default();
-    all.iter().flatten().for_each(|write| image.write(write));
+    all.iter().flatten().for_each(|write| image.apply(write));
     image
 }
 
 fn equal(one: &Image, other: &Image) -> bool {
-    one.shelves == other.shelves
+    one.replicas == other.replicas
 }
 
 #[test]
@@ -64,11 +64,11 @@
     let mut all =
         vec![writes("f0-00000001", 1, 50), writes("f0-000000011", 1, 5), writes("f1-00000002", 1, 20)];
     all.push(vec![
-        Write::Drop(Life::from("f0-00000001")),
-        Write::Entry(Life::from("f1-00000002"), Key::from("f1-00000002-0000000003"), None),
+        Write::Drop(Incarnation::from("f0-00000001")),
+        Write::Entry(Incarnation::from("f1-00000002"), RecordKey::from("f1-00000002-0000000003"), None),
     ]);
     let (store, found_image, found) = Store::open(&folder.file(), true, 41).unwrap();
-    assert_eq!((found, found_image.shelves.len(), store.disk), (Found::New, 0, 41));
+    assert_eq!((found, found_image.replicas.len(), store.disk), (OpenOutcome::New, 0, 41));
     all.iter().for_each(|batch| store.write(batch).unwrap());
     assert!(
         matches!(Store::open(&folder.file(), true, 42), Err(StoreError::InUse(_))),
@@ -76,9 +76,9 @@
     );
     drop(store);
     let (store, again, found) = Store::open(&folder.file(), false, 42).unwrap();
-    assert_eq!((found, store.disk), (Found::Whole, 41), "the number of a disk stays");
+    assert_eq!((found, store.disk), (OpenOutcome::Intact, 41), "the number of a disk stays");
     assert!(equal(&again, &image(&all)));
-    assert!(again.shelves.contains_key("f0-000000011"), "a life whose name goes on is another life");
+    assert!(again.replicas.contains_key("f0-000000011"), "a life whose name goes on is another life");
 }
 
 #[test]
@@ -91,7 +91,7 @@
     let copy = folder.0.join("elsewhere.redb");
     fs::copy(folder.file(), &copy).unwrap();
     let (store, again, found) = Store::open(&copy, true, 42).unwrap();
-    assert_eq!((found, store.disk), (Found::Copied, 42));
+    assert_eq!((found, store.disk), (OpenOutcome::Copied, 42));
     assert!(equal(&again, &image(&all)));
 }
 
@@ -115,11 +115,11 @@
         }
         fs::write(folder.file(), &bytes).unwrap();
         match Store::open(&folder.file(), true, 99) {
-            Ok((_, again, Found::SetAside(to, _))) => {
-                assert!(again.shelves.is_empty() && to.exists(), "nothing is taken from a damaged file");
+            Ok((_, again, OpenOutcome::SetAside(to, _))) => {
+                assert!(again.replicas.is_empty() && to.exists(), "nothing is taken from a damaged file");
                 aside += 1;
             }
-            Ok((_, again, Found::New)) => assert!(again.shelves.is_empty(), "an empty file"),
+            Ok((_, again, OpenOutcome::New)) => assert!(again.replicas.is_empty(), "an empty file"),
             Ok((_, again, _)) => {
                 assert!(equal(&again, &image(&all)), "at {at}");
                 whole += 1;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -9,7 +9,7 @@
 
 use clap::{Parser, ValueEnum};
 use miette::Report;
-use salttally_accord::core::stand::Stand;
+use salttally_accord::core::coordination::CoordinationState;
 use salttally_accord::edge as accord;
 use salttally_accord::settings::Settings as Accord;
 use salttally_copies::edge as copies;
@@ -87,8 +87,8 @@
         Ok(signals) => signals,
         Err(error) => return fail(&format!("no signals: {error}")),
     };
-    let line = among.copies.is_some().then(copies::Line::default);
-    let front = match Front::start_replicated(settings, line.as_ref().map(copies::Line::teller)) {
+    let line = among.copies.is_some().then(copies::PendingService::default);
+    let front = match Front::start_replicated(settings, line.as_ref().map(copies::PendingService::handle)) {
         Ok(front) => front,
         Err(error) => return fail(&error.to_string()),
     };
@@ -135,30 +135,30 @@
     }
 
     /// Starts what the settings have, each told of by the one before: members, accord, copies, the front.
-    fn start(&self, front: Option<&Front>, line: Option<copies::Line>) -> Result<Others, String> {
-        let teller = line.as_ref().map(copies::Line::teller);
+    fn start(&self, front: Option<&Front>, line: Option<copies::PendingService>) -> Result<Others, String> {
+        let teller = line.as_ref().map(copies::PendingService::handle);
         let stands = front.map(|front| {
             let (stands, copies) = (front.coordination_sink(), teller.clone());
-            Box::new(move |stand: Stand| {
+            Box::new(move |stand: CoordinationState| {
                 if let Some(copies) = &copies {
-                    copies.stands(&stand);
+                    copies.update_coordination(&stand);
                 }
                 stands(stand);
             }) as accord::Listener
         });
         let beside = teller.clone().map(|copies| {
-            let shows = copies.clone();
-            let passed = Box::new(move |from, bytes| copies.passed(from, bytes));
-            accord::Beside { passed, shows: Box::new(move || shows.shown()) }
+            let status = copies.clone();
+            let on_message = Box::new(move |from, bytes| copies.receive(from, bytes));
+            accord::Companion { on_message, status: Box::new(move || status.status()) }
         });
-        let start = |settings: &Accord| accord::Running::start_beside(settings, stands, beside);
+        let start = |settings: &Accord| accord::Running::start_with_companion(settings, stands, beside);
         let accord = self.accord.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
         let copies = match (line, front, &accord, &self.copies) {
             (Some(line), Some(front), Some(accord), Some(settings)) => {
                 let started = line.start(
                     settings,
                     front.incarnation(),
-                    accord.teller(),
+                    accord.handle(),
                     Box::new(front.replication_sink()),
                 );
                 Some(started.map_err(|e| e.to_string())?)
@@ -167,15 +167,15 @@
         };
         let others = front.map(Front::peers_sink);
         let listener = accord.as_ref().map(|running| {
-            let running = running.teller();
+            let running = running.handle();
             Box::new(move |known: Vec<Known>| {
                 if let Some(copies) = &teller {
-                    copies.known(known.clone());
+                    copies.update_members(known.clone());
                 }
                 if let Some(others) = &others {
                     others(&known);
                 }
-                running.known(known);
+                running.update_members(known);
             }) as Listener
         });
         let start = |members: &Members| Running::start_heard(members, listener);
@@ -198,7 +198,7 @@
         match Among::read(config) {
             Ok(Among { members: Some(members), .. }) => {
                 if let Some(accord) = &self.accord {
-                    accord.keys(members.keys.clone());
+                    accord.set_keys(members.keys.clone());
                 }
                 running.keys(members.keys);
                 tracing::info!("members: keys read anew");
@@ -214,7 +214,7 @@
             copies.leave();
         }
         if let Some(accord) = self.accord {
-            accord.end();
+            accord.shut_down();
         }
         if let Some(members) = self.members {
             members.leave();
--- a/crates/daemon/tests/accord.rs
+++ b/crates/daemon/tests/accord.rs
@@ -14,12 +14,12 @@
 
 use rig::{head, script, wait};
 use rustix::process::{kill_process, Pid, Signal};
-use salttally_accord::ask::{ask, AskError};
-use salttally_accord::core::disk::{Image, Vote, Write as Change};
+use salttally_accord::core::disk::{Image, VoterState, Write as Change};
 use salttally_accord::core::history::{Entry, History, Proposal};
-use salttally_accord::core::rules::{Rules, Terms, Who};
+use salttally_accord::core::rules::{ClassTerms, RefusedParty, Rules};
+use salttally_accord::query::{ask, AskError};
 use salttally_accord::settings::Settings;
-use salttally_accord::store::{Found, Store, StoreError};
+use salttally_accord::store::{OpenOutcome, Store, StoreError};
 use salttally_accord::wire::Question;
 use salttally_judge::accord::judge;
 use salttally_settings::Document;
@@ -140,7 +140,7 @@
     }
 
     fn status(&self, front: usize) -> Value {
-        let said = ask(&self.settings(front), Question::Show).unwrap_or_default();
+        let said = ask(&self.settings(front), Question::Status).unwrap_or_default();
         serde_json::from_str(&said).unwrap_or_default()
     }
 
@@ -189,7 +189,7 @@
 }
 
 fn refuse(viewer: &str) -> Rules {
-    Rules { refused: [Who::Viewer(viewer.to_owned())].into(), ..Rules::default() }
+    Rules { refused: [RefusedParty::Viewer(viewer.to_owned())].into(), ..Rules::default() }
 }
 
 #[test]
@@ -361,7 +361,8 @@
     fleet.start_by(0, Command::new("sh").args(["-c", script, DAEMON, "--config"]).arg(config));
     (0..3).for_each(|front| fleet.until(front, "a lease", leased));
     let filler = |turn: usize| {
-        let refused = (0..1_000).map(|at| Who::Viewer(format!("a-viewer-with-a-long-name-{turn}-{at}")));
+        let refused =
+            (0..1_000).map(|at| RefusedParty::Viewer(format!("a-viewer-with-a-long-name-{turn}-{at}")));
         Rules { refused: refused.collect(), ..Rules::default() }
     };
     let begun = Instant::now();
@@ -419,7 +420,7 @@
 
 fn entry(id: u64) -> Entry {
     let rules = Rules {
-        classes: [("clip".into(), Terms { open: false, ..Terms::default() })].into(),
+        classes: [("clip".into(), ClassTerms { open: false, ..ClassTerms::default() })].into(),
         ..Rules::default()
     };
     Entry::Propose(Proposal { id, base: id, by: "test".into(), at: 7, rules: rules.into() })
@@ -428,10 +429,10 @@
 /// Writes of a vote, as a core would have them written.
 fn writes() -> Vec<Vec<Change>> {
     let mut history = History::default();
-    history.take(&entry(0));
+    history.apply(&entry(0));
     vec![
         vec![Change::Identity(7, 1)],
-        vec![Change::History(history.clone().into()), Change::Vote(Box::new(Vote::begin(2, &history)))],
+        vec![Change::History(history.clone().into()), Change::Voter(Box::new(VoterState::new(2, &history)))],
         vec![Change::Log(0, vec![entry(1), entry(2), entry(3)])],
         vec![Change::Log(2, vec![entry(9)]), Change::Decided(2)],
         vec![Change::Identity(7, 2)],
@@ -447,7 +448,7 @@
         let (store, found, _) = Store::open(&path).unwrap();
         assert_eq!(found, image, "what was there before");
         store.write(&batch).unwrap();
-        batch.iter().for_each(|write| image.write(write));
+        batch.iter().for_each(|write| image.apply(write));
     }
     assert_eq!(Store::open(&path).unwrap().1, image);
     fs::remove_dir_all(folder).unwrap();
@@ -462,7 +463,7 @@
     for batch in writes() {
         store.write(&batch).unwrap();
         let mut next = images.last().cloned().unwrap();
-        batch.iter().for_each(|write| next.write(write));
+        batch.iter().for_each(|write| next.apply(write));
         images.push(next);
     }
     drop(store);
@@ -482,7 +483,7 @@
         drop(file);
         let (store, image, found) = Store::open(&path).unwrap_or_else(|error| panic!("step {step}: {error}"));
         match found {
-            Found::SetAside(aside_at, _) => {
+            OpenOutcome::SetAside(aside_at, _) => {
                 assert_eq!(image, Image::default());
                 drop(store);
                 fs::rename(aside_at, &path).unwrap();
@@ -509,9 +510,9 @@
     let copy = folder.join("copy.redb");
     fs::copy(&path, &copy).unwrap();
     let (_, image, found) = Store::open(&copy).unwrap();
-    assert_eq!((found, image.identity, image.vote.is_none()), (Found::Copied, None, true));
+    assert_eq!((found, image.identity, image.vote.is_none()), (OpenOutcome::Copied, None, true));
     assert!(image.history.is_some(), "what was agreed on stays known");
-    assert_eq!(Store::open(&path).unwrap().2, Found::Whole, "the original votes on");
+    assert_eq!(Store::open(&path).unwrap().2, OpenOutcome::Intact, "the original votes on");
     fs::remove_dir_all(folder).unwrap();
 }
 
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -14,7 +14,7 @@
 
 use rig::{script, wait};
 use rustix::process::{kill_process, Pid, Signal};
-use salttally_accord::ask::ask;
+use salttally_accord::query::ask;
 use salttally_accord::settings::Settings;
 use salttally_accord::wire::Question;
 use salttally_judge::{judge, Rule};
@@ -161,8 +161,8 @@
         };
         wait(
             30 * SECOND,
-            || said(Question::Show)["acts_by"] == "lease" && holders(&said(Question::Beside)) >= want,
-            || format!("{}\n{}\n{}", said(Question::Show), said(Question::Beside), self.log(front)),
+            || said(Question::Status)["acts_by"] == "lease" && holders(&said(Question::Copies)) >= want,
+            || format!("{}\n{}\n{}", said(Question::Status), said(Question::Copies), self.log(front)),
         );
         let mut line = self.line(front);
         let mut count = 0;
--- a/crates/front/src/core/agreed_rules.rs
+++ b/crates/front/src/core/agreed_rules.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 use salttally::interface::{ServerEntry, ServerId, ServerState, TitleId, ViewerId};
-use salttally_accord::core::heirs::Heirs;
-use salttally_accord::core::rules::{Limit, Order, Refusal, Rules, Who};
-use salttally_accord::core::stand::Stand;
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_accord::core::rules::{Limit, Order, Refusal, RefusedParty, Rules};
+use salttally_accord::core::successors::Successors;
 
 use super::{Micros, OpenRequest};
 
@@ -42,9 +42,9 @@
     fn new(rules: &Rules, names: &SettingsNames) -> Fitted {
         let number = |name: &str| names.viewer.map(|viewer| viewer(name));
         let whos = |firms: bool| {
-            let one = move |who: &Who| match who {
-                Who::Firm(name) if firms => number(name),
-                Who::Viewer(name) if !firms => number(name),
+            let one = move |who: &RefusedParty| match who {
+                RefusedParty::Tenant(name) if firms => number(name),
+                RefusedParty::Viewer(name) if !firms => number(name),
                 _ => None,
             };
             rules.refused.iter().filter_map(one).collect()
@@ -92,7 +92,7 @@
 pub struct AgreedRules {
     names: Arc<SettingsNames>,
     /// Nothing, until the front has been told for the first time.
-    stand: Option<Stand>,
+    stand: Option<CoordinationState>,
     agreed: Fitted,
     meet: Fitted,
     /// The time by the clock of leases.
@@ -112,8 +112,8 @@
     }
 
     /// What the front stands on has changed; returns whether the rules have.
-    pub fn update(&mut self, stand: Stand) -> bool {
-        let same = |old: &Stand| old.agreed == stand.agreed && old.meet == stand.meet;
+    pub fn update(&mut self, stand: CoordinationState) -> bool {
+        let same = |old: &CoordinationState| old.agreed == stand.agreed && old.meet == stand.meet;
         let changed = !self.stand.as_ref().is_some_and(same);
         if changed {
             self.agreed = Fitted::new(&stand.agreed, &self.names);
@@ -125,7 +125,13 @@
 
     /// Until when what may be done now may be done, by the clock of leases, if nothing else is told.
     pub fn valid_until(&self) -> Micros {
-        self.stand.as_ref().map_or(0, |stand| if self.now < stand.until { stand.until } else { stand.alone })
+        self.stand.as_ref().map_or(0, |stand| {
+            if self.now < stand.lease_until {
+                stand.lease_until
+            } else {
+                stand.grace_until
+            }
+        })
     }
 
     /// What rules name, as the settings have it.
@@ -135,18 +141,18 @@
 
     /// The epoch by which a front that lives `own` may act for a life now; nothing if it may not.
     pub fn epoch(&self, own: &str, life: &str) -> Option<u64> {
-        self.stand.as_ref()?.epoch(self.now, own, life)
+        self.stand.as_ref()?.acting_epoch(self.now, own, life)
     }
 
     /// Who goes on with whose promises.
-    pub fn successors(&self) -> Arc<Heirs> {
-        self.stand.as_ref().map(|stand| Arc::clone(&stand.heirs)).unwrap_or_default()
+    pub fn successors(&self) -> Arc<Successors> {
+        self.stand.as_ref().map(|stand| Arc::clone(&stand.successors)).unwrap_or_default()
     }
 
     fn in_force(&self) -> Result<&Fitted, Refusal> {
         match &self.stand {
-            Some(stand) if self.now < stand.until => Ok(&self.agreed),
-            Some(stand) if self.now < stand.alone => Ok(&self.meet),
+            Some(stand) if self.now < stand.lease_until => Ok(&self.agreed),
+            Some(stand) if self.now < stand.grace_until => Ok(&self.meet),
             _ => Err(Refusal::Lease),
         }
     }
@@ -176,7 +182,7 @@
         let fitted = self.in_force()?;
         let firm = opening.tenant.is_some_and(|firm| fitted.firms.contains(&firm));
         if firm || fitted.refused.contains(&opening.viewer) {
-            return Err(Refusal::Who);
+            return Err(Refusal::Party);
         }
         if !fitted.open.get(opening.class).copied().unwrap_or(true) {
             return Err(Refusal::Class);
--- a/crates/front/src/core/ledger/boxes.rs
+++ b/crates/front/src/core/ledger/boxes.rs
@@ -1,6 +1,6 @@
 //! Boxes: the list, the streams, and what each box says it holds.
 
-use salttally_copies::core::{life_of, Life};
+use salttally_copies::core::{incarnation_of, Incarnation};
 
 use super::*;
 use crate::core::session_records::Place;
@@ -153,7 +153,7 @@
     /// waits for its viewer; anything else plays for nobody and is released.
     pub(super) fn resume(&mut self, server: ServerId, held: HeldSession, out: &mut Vec<Output>) {
         let Some(address) = self.streams.address(server) else { return };
-        let life = life_of(&held.session.0).map(Life::from);
+        let life = incarnation_of(&held.session.0).map(Incarnation::from);
         let adopted = life.filter(|life| self.keeping.as_ref().is_some_and(|k| k.epochs.contains_key(life)));
         if let Some(life) = adopted {
             return self.held_of(server, &life, held, out);
--- a/crates/front/src/core/ledger/rule_checks.rs
+++ b/crates/front/src/core/ledger/rule_checks.rs
@@ -45,14 +45,14 @@
     /// When a viewer who is refused may come back: soon where the reason passes by itself.
     pub(super) fn come_back(&self, why: Refusal) -> Micros {
         let most = self.settings.max_hold_off;
-        if why.passes() {
+        if why.is_transient() {
             most.min(COME_BACK)
         } else {
             most
         }
     }
 
-    pub(super) fn stands(&mut self, stand: Stand, out: &mut Vec<Output>) {
+    pub(super) fn stands(&mut self, stand: CoordinationState, out: &mut Vec<Output>) {
         let Some(terms) = &mut self.terms else { return };
         if !terms.update(stand) {
             return;
--- a/crates/front/src/core/ledger/takeover.rs
+++ b/crates/front/src/core/ledger/takeover.rs
@@ -1,6 +1,6 @@
 //! Promises and their copies: what waits until they count, and going on with what another front promised.
 
-use salttally_copies::core::{life_of, of_life, Bytes, Key, Life, Name};
+use salttally_copies::core::{belongs_to, incarnation_of, Incarnation, Name, RecordBody, RecordKey};
 
 use super::*;
 use crate::core::session_records::{self, Keeping, PeerFront, Place, Promise, Waits};
@@ -35,8 +35,8 @@
     }
 
     /// What its own sessions' ids begin with.
-    pub fn incarnation(&self) -> Life {
-        Life::from(format!("{}-{:08x}", self.name, self.boot))
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation::from(format!("{}-{:08x}", self.name, self.boot))
     }
 
     /// By what right a request goes out: until when, by the clock of leases, and by which epoch.
@@ -54,7 +54,7 @@
             | BoxRequest::Release { session, .. } => keeping.epoch(session).or_else(|| {
                 // What is left at a box of a life that is over: no earlier epoch ends it there.
                 let heirs = self.terms.as_ref()?.successors();
-                heirs.over.get(life_of(&session.0)?).map(|(_, epoch)| *epoch)
+                heirs.ended.get(incarnation_of(&session.0)?).map(|(_, epoch)| *epoch)
             }),
             BoxRequest::Claim { epoch, .. } => Some(*epoch),
             BoxRequest::Probe => None,
@@ -65,10 +65,10 @@
     /// Whether an act for this session may be written now. Without copies, always.
     pub(super) fn ours(&self, id: &SessionId) -> bool {
         let (Some(keeping), Some(terms)) = (&self.keeping, &self.terms) else { return true };
-        let Some(life) = life_of(&id.0) else { return false };
+        let Some(life) = incarnation_of(&id.0) else { return false };
         // Of a life of its own that is over nobody else has anything.
         let left = life.rsplit_once('-').is_some_and(|(name, _)| name == self.name)
-            && terms.successors().over.contains_key(life);
+            && terms.successors().ended.contains_key(life);
         terms.epoch(&keeping.own, life).is_some() || self.leased() && left
     }
 
@@ -78,11 +78,11 @@
         terms.epoch(&keeping.own, &keeping.own).is_some()
     }
 
-    pub(super) fn promise(&mut self, key: Key, promise: &Promise, waits: bool) {
+    pub(super) fn promise(&mut self, key: RecordKey, promise: &Promise, waits: bool) {
         self.notes.push(Output::StoreRecord(key, session_records::encode(promise), waits));
     }
 
-    pub(super) fn forget(&mut self, key: Key) {
+    pub(super) fn forget(&mut self, key: RecordKey) {
         if self.keeping.is_some() {
             self.notes.push(Output::DeleteRecord(key));
         }
@@ -166,7 +166,7 @@
     }
 
     /// A promise counts, or does not.
-    pub(super) fn is_kept(&mut self, key: &Key, kept: bool, out: &mut Vec<Output>) {
+    pub(super) fn is_kept(&mut self, key: &RecordKey, kept: bool, out: &mut Vec<Output>) {
         let id = session_records::session(key);
         let Some(waits) = self.keeping.as_mut().and_then(|keeping| keeping.waits.remove(&id)) else { return };
         let out_now = self.sessions.get(&id).and_then(Session::pending_attempt).cloned();
@@ -230,17 +230,17 @@
     /// This front goes on with what another one promised.
     pub(super) fn adopt(
         &mut self,
-        life: &Life,
+        life: &Incarnation,
         epoch: u64,
-        promises: &[(Key, Bytes)],
+        promises: &[(RecordKey, RecordBody)],
         out: &mut Vec<Output>,
     ) {
         if self.ending {
             return;
         }
         let Some(keeping) = &mut self.keeping else { return };
-        keeping.epochs.insert(Life::clone(life), epoch);
-        keeping.adopted.insert(Life::clone(life), self.now);
+        keeping.epochs.insert(Incarnation::clone(life), epoch);
+        keeping.adopted.insert(Incarnation::clone(life), self.now);
         let mut boxes: BTreeMap<ServerId, SocketAddr> = self.boxes.clone();
         for (key, bytes) in promises {
             let id = session_records::session(key);
@@ -332,16 +332,16 @@
     }
 
     /// Asks a box for all that it holds of a life, and has it take nothing of earlier epochs any more.
-    pub(super) fn claim(&mut self, life: &Life, to: (ServerId, SocketAddr), out: &mut Vec<Output>) {
+    pub(super) fn claim(&mut self, life: &Incarnation, to: (ServerId, SocketAddr), out: &mut Vec<Output>) {
         let Some(keeping) = &mut self.keeping else { return };
         let Some(epoch) = keeping.epochs.get(life).copied() else { return };
-        keeping.claims.entry((Life::clone(life), to.0)).or_insert(0);
-        self.ask(to, BoxRequest::Claim { incarnation: Life::clone(life), epoch }, out);
+        keeping.claims.entry((Incarnation::clone(life), to.0)).or_insert(0);
+        self.ask(to, BoxRequest::Claim { incarnation: Incarnation::clone(life), epoch }, out);
     }
 
     /// A box that has just come is asked of all lives that this front goes on with.
     pub(super) fn claim_all(&mut self, to: (ServerId, SocketAddr), out: &mut Vec<Output>) {
-        let lives: Vec<Life> =
+        let lives: Vec<Incarnation> =
             self.keeping.as_ref().map(|keeping| keeping.epochs.keys().cloned().collect()).unwrap_or_default();
         lives.iter().for_each(|life| self.claim(life, to, out));
     }
@@ -350,7 +350,7 @@
     pub(super) fn claimed(
         &mut self,
         server: ServerId,
-        life: &Life,
+        life: &Incarnation,
         epoch: u64,
         end: End,
         out: &mut Vec<Output>,
@@ -359,7 +359,7 @@
         if keeping.epochs.get(life) != Some(&epoch) {
             return;
         }
-        let at = (Life::clone(life), server);
+        let at = (Incarnation::clone(life), server);
         match end {
             End::Exchange(ExchangeEnd::Claimed { held, .. }) => {
                 keeping.claims.remove(&at);
@@ -380,19 +380,19 @@
                     return self.compare_life(server, life, Vec::new(), out);
                 }
                 let pause = CLAIM_PAUSE << (*tries - 1).min(3);
-                self.timers.set(self.now + pause, Deadline::RetryClaim(server, Life::clone(life)));
+                self.timers.set(self.now + pause, Deadline::RetryClaim(server, Incarnation::clone(life)));
             }
         }
     }
 
     /// It is time to ask a box again.
-    pub(super) fn claim_again(&mut self, server: ServerId, life: &Life, out: &mut Vec<Output>) {
+    pub(super) fn claim_again(&mut self, server: ServerId, life: &Incarnation, out: &mut Vec<Output>) {
         let known = self.boxes.get(&server).copied().or_else(|| self.streams.address(server));
         let promised =
             self.sessions.values().filter_map(Session::current_attempt).find(|at| at.server == server);
         let address = known.or_else(|| promised.map(|at| at.address));
         let waits =
-            self.keeping.as_ref().is_some_and(|k| k.claims.contains_key(&(Life::clone(life), server)));
+            self.keeping.as_ref().is_some_and(|k| k.claims.contains_key(&(Incarnation::clone(life), server)));
         match address {
             Some(address) if waits => self.claim(life, (server, address), out),
             Some(_) => {}
@@ -409,11 +409,17 @@
     /// | may have been set up there | it plays | it plays on for its viewer |
     /// | may have been set up there | nothing | it is over, and can't begin any more: the box takes no earlier epoch |
     /// | nothing, or plays elsewhere | it plays | promised to nobody: it waits a while for its viewer, or is released |
-    fn compare_life(&mut self, server: ServerId, life: &Life, held: Vec<HeldSession>, out: &mut Vec<Output>) {
+    fn compare_life(
+        &mut self,
+        server: ServerId,
+        life: &Incarnation,
+        held: Vec<HeldSession>,
+        out: &mut Vec<Output>,
+    ) {
         let named: BTreeMap<SessionId, u32> = held.iter().map(|h| (h.session.clone(), h.attempt)).collect();
         let missing = |id: &SessionId, s: &Session| {
             let there = s.playing().filter(|p| p.attempt.server == server);
-            of_life(&id.0, life) && there.is_some_and(|p| named.get(id) != Some(&p.attempt.wire_number))
+            belongs_to(&id.0, life) && there.is_some_and(|p| named.get(id) != Some(&p.attempt.wire_number))
         };
         let lost: Vec<SessionId> =
             self.sessions.iter().filter(|(id, s)| missing(id, s)).map(|(id, _)| id.clone()).collect();
@@ -436,7 +442,7 @@
         let open: Vec<SessionId> = keeping
             .fates
             .iter()
-            .filter(|(id, (place, _))| place.server == server.0 && of_life(&id.0, life))
+            .filter(|(id, (place, _))| place.server == server.0 && belongs_to(&id.0, life))
             .map(|(id, _)| id.clone())
             .collect();
         for id in open {
@@ -450,7 +456,7 @@
     pub(super) fn held_of(
         &mut self,
         server: ServerId,
-        life: &Life,
+        life: &Incarnation,
         held: HeldSession,
         out: &mut Vec<Output>,
     ) {
@@ -459,7 +465,7 @@
             return;
         };
         let id = held.session.clone();
-        if !of_life(&id.0, life) {
+        if !belongs_to(&id.0, life) {
             return;
         }
         let place = Place { server: server.0, address, attempt: held.attempt };
@@ -498,11 +504,11 @@
     }
 
     /// This front's own life is another's: what it held is there. It lives anew.
-    pub(super) fn replaced(&mut self, life: &Life, out: &mut Vec<Output>) {
+    pub(super) fn replaced(&mut self, life: &Incarnation, out: &mut Vec<Output>) {
         if self.keeping.as_ref().is_none_or(|keeping| keeping.own != *life) {
             return;
         }
-        let lives: Vec<Life> = self
+        let lives: Vec<Incarnation> = self
             .keeping
             .iter()
             .flat_map(|keeping| keeping.epochs.keys().cloned())
@@ -512,15 +518,15 @@
         self.boot = self.boot.wrapping_add(1);
         let own = self.incarnation();
         if let Some(keeping) = &mut self.keeping {
-            keeping.own = Life::clone(&own);
+            keeping.own = Incarnation::clone(&own);
         }
         self.notes.push(Output::IncarnationChanged(own));
     }
 
     /// All sessions of a life are another's: nothing is said to their boxes.
-    pub(super) fn give_up(&mut self, life: &Life, out: &mut Vec<Output>) {
+    pub(super) fn give_up(&mut self, life: &Incarnation, out: &mut Vec<Output>) {
         let theirs: Vec<SessionId> =
-            self.sessions.keys().filter(|id| of_life(&id.0, life)).cloned().collect();
+            self.sessions.keys().filter(|id| belongs_to(&id.0, life)).cloned().collect();
         for id in theirs {
             let Some(session) = self.sessions.get(&id) else { continue };
             let (client, at, owed) =
@@ -551,16 +557,16 @@
                 None => self.events.push_back(Event::ClientLeft(id)),
             }
         }
-        self.releases.retain(|(_, id, _), _| !of_life(&id.0, life));
-        self.moved.retain(|id, _| !of_life(&id.0, life));
+        self.releases.retain(|(_, id, _), _| !belongs_to(&id.0, life));
+        self.moved.retain(|id, _| !belongs_to(&id.0, life));
         if let Some(keeping) = &mut self.keeping {
             keeping.epochs.remove(life);
             keeping.adopted.remove(life);
-            keeping.fates.retain(|id, _| !of_life(&id.0, life));
+            keeping.fates.retain(|id, _| !belongs_to(&id.0, life));
             keeping.claims.retain(|(of, _), _| of != life);
         }
         // Whoever goes on has these promises: to end them here would end them there.
-        self.notes.retain(|note| !matches!(note, Output::DeleteRecord(key) if of_life(key, life)));
+        self.notes.retain(|note| !matches!(note, Output::DeleteRecord(key) if belongs_to(key, life)));
     }
 
     /// Has this front a lease? Without one for long, its players are to look for whoever has.
@@ -588,18 +594,19 @@
 
     /// Who may be asked for a session that is not here.
     pub(super) fn elsewhere(&self, id: &SessionId) -> Reply {
-        let (Some(keeping), Some(terms), Some(life)) = (&self.keeping, &self.terms, life_of(&id.0)) else {
+        let (Some(keeping), Some(terms), Some(life)) = (&self.keeping, &self.terms, incarnation_of(&id.0))
+        else {
             return Reply::Unknown;
         };
         let heirs = terms.successors();
         let wait = Reply::RetryAfter(ASK_AGAIN);
-        if let Some(heir) = heirs.last(life) {
+        if let Some(heir) = heirs.current(life) {
             let here = heir.name.as_ref() == self.name.as_str();
             // Danger: a copy that was stopped comes a moment after the others, and its session was said to be unknown; found by
             // the trial.
             let whole = keeping.adopted.get(life).is_some_and(|at| at + SETTLES <= self.now);
             return match (here, whole) {
-                (false, _) => Reply::AtOtherFront(Name::clone(&heir.name), heir.serves),
+                (false, _) => Reply::AtOtherFront(Name::clone(&heir.name), heir.client_address),
                 // It was here, and is over; without a lease it may be at the next heir's.
                 (true, true) if terms.epoch(&keeping.own, life).is_some() => Reply::Unknown,
                 (true, _) => wait,
@@ -609,7 +616,7 @@
             // Danger: a front that was stopped answers for what is another's; found by the trial. It cannot know.
             return wait;
         }
-        if heirs.over.contains_key(life) || *life == *keeping.own {
+        if heirs.ended.contains_key(life) || *life == *keeping.own {
             return Reply::Unknown;
         }
         let Some((name, _)) = life.rsplit_once('-') else { return Reply::Unknown };
@@ -637,21 +644,22 @@
     /// the fronts agree, nobody has a promise of it, and this front takes it over itself: boxes are asked, and what they
     /// hold waits for its viewers. Danger: it plays for nobody for ever, found by placing a crash at every step.
     pub(super) fn stray(&mut self, server: ServerId, id: SessionId, wire: u32, out: &mut Vec<Output>) {
-        let (Some(keeping), Some(terms), Some(life)) = (&self.keeping, &self.terms, life_of(&id.0)) else {
+        let (Some(keeping), Some(terms), Some(life)) = (&self.keeping, &self.terms, incarnation_of(&id.0))
+        else {
             return;
         };
         let heirs = terms.successors();
-        if heirs.of.contains_key(life) || keeping.epochs.contains_key(life) {
+        if heirs.by_incarnation.contains_key(life) || keeping.epochs.contains_key(life) {
             return;
         }
-        if heirs.over.contains_key(life) {
+        if heirs.ended.contains_key(life) {
             if let Some(address) = self.streams.address(server) {
                 self.release_unknown((server, address), id, wire, out);
             }
             return;
         }
         if self.leased() {
-            self.notes.push(Output::OrphanFound(Life::from(life)));
+            self.notes.push(Output::OrphanFound(Incarnation::from(life)));
         }
         let until = self.now + self.limits.claim_timeout;
         self.timers.set(until, Deadline::OrphanSession(server, id, wire));
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -29,8 +29,8 @@
 
 use salttally::controller::Controller;
 use salttally::interface::*;
-use salttally_accord::core::stand::Stand;
-use salttally_copies::core::{Bytes, Key, Life, Name};
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_copies::core::{Incarnation, Name, RecordBody, RecordKey};
 
 pub use ledger::{Counts, Ledger};
 
@@ -167,15 +167,15 @@
     /// The front is to end: all that is owed is answered, all that plays is released.
     ShutDown,
     /// What this front stands on, by rules that are agreed on.
-    Coordination(Box<Stand>),
+    Coordination(Box<CoordinationState>),
     /// A promise counts, or does not.
-    RecordStored(Key, bool),
+    RecordStored(RecordKey, bool),
     /// This front goes on with what another promised, by this epoch.
-    TakeOver(Life, u64, Vec<(Key, Bytes)>),
+    TakeOver(Incarnation, u64, Vec<(RecordKey, RecordBody)>),
     /// Another front goes on with this one's own life.
-    TakenOver(Life),
+    TakenOver(Incarnation),
     /// Another front goes on with a life that this one went on with.
-    TakeoverSuperseded(Life),
+    TakeoverSuperseded(Incarnation),
     /// Which other fronts there are, or were.
     Peers(BTreeMap<Name, session_records::PeerFront>),
     /// The process was not running for a while, and runs again.
@@ -297,7 +297,7 @@
     /// What is held of a life that this front goes on with; nothing of it is to be taken by earlier epochs any more.
     Claim {
         /// Which life.
-        incarnation: Life,
+        incarnation: Incarnation,
         /// By which epoch.
         epoch: u64,
     },
@@ -432,13 +432,13 @@
     /// Follow the box list.
     FollowList,
     /// Have this promise copied; whether [`Input::RecordStored`] is awaited.
-    StoreRecord(Key, Vec<u8>, bool),
+    StoreRecord(RecordKey, Vec<u8>, bool),
     /// It is no more.
-    DeleteRecord(Key),
+    DeleteRecord(RecordKey),
     /// A box holds sessions of this earlier life of the front, and nobody has taken it over.
-    OrphanFound(Life),
+    OrphanFound(Incarnation),
     /// Sessions' ids begin with this from now on.
-    IncarnationChanged(Life),
+    IncarnationChanged(Incarnation),
     /// A line for the operators' log.
     Log(Level, String),
     /// All that was owed at a shut-down is done.
--- a/crates/front/src/core/session_records.rs
+++ b/crates/front/src/core/session_records.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 use salttally::interface::{Micros, ServerId, SessionId, TitleId, ViewerId};
-use salttally_copies::core::{life_of, Key, Life, Name};
+use salttally_copies::core::{incarnation_of, Incarnation, Name, RecordKey};
 use serde::{Deserialize, Serialize};
 
 use super::agreed_rules::SettingsNames;
@@ -82,11 +82,11 @@
 pub struct Keeping {
     names: Arc<SettingsNames>,
     /// This front's own life.
-    pub own: Life,
+    pub own: Incarnation,
     /// Lives that it goes on with, and by which epoch.
-    pub epochs: BTreeMap<Life, u64>,
+    pub epochs: BTreeMap<Incarnation, u64>,
     /// When it was last handed something of each.
-    pub adopted: BTreeMap<Life, Micros>,
+    pub adopted: BTreeMap<Incarnation, Micros>,
     /// What waits.
     pub waits: BTreeMap<SessionId, Waits>,
     /// Sessions that play for all that is known, until their boxes have said so.
@@ -94,7 +94,7 @@
     /// Set-ups of others of which nothing is known but that they may have run.
     pub fates: BTreeMap<SessionId, (Place, OpenRequest)>,
     /// Boxes that are asked what they hold of a life, and how often in vain.
-    pub claims: BTreeMap<(Life, ServerId), u32>,
+    pub claims: BTreeMap<(Incarnation, ServerId), u32>,
     /// When this front last had a lease.
     pub leased: Micros,
     /// When what is known of other fronts last changed.
@@ -105,7 +105,7 @@
 
 impl Keeping {
     /// Of a front that lives so.
-    pub fn new(names: Arc<SettingsNames>, own: Life) -> Keeping {
+    pub fn new(names: Arc<SettingsNames>, own: Incarnation) -> Keeping {
         Keeping {
             names,
             own,
@@ -123,7 +123,7 @@
 
     /// The epoch that this front has for a session: its own life's is 0; nothing where the session is another's.
     pub fn epoch(&self, id: &SessionId) -> Option<u64> {
-        let life = life_of(&id.0)?;
+        let life = incarnation_of(&id.0)?;
         if *life == *self.own {
             return Some(0);
         }
@@ -165,18 +165,18 @@
 }
 
 /// Key under which a session's own promise stands.
-pub fn key(id: &SessionId) -> Key {
+pub fn key(id: &SessionId) -> RecordKey {
     Arc::clone(&id.0)
 }
 
 /// Key of a release that is owed, one for each attempt.
-pub fn owed(id: &SessionId, wire: u32) -> Key {
-    Key::from(format!("{}/{wire}", id.0))
+pub fn owed(id: &SessionId, wire: u32) -> RecordKey {
+    RecordKey::from(format!("{}/{wire}", id.0))
 }
 
 /// Key of a session that was moved.
-pub fn moved(id: &SessionId) -> Key {
-    Key::from(format!("{}/moved", id.0))
+pub fn moved(id: &SessionId) -> RecordKey {
+    RecordKey::from(format!("{}/moved", id.0))
 }
 
 /// The session of a key.
--- a/crates/front/src/core/tests/kept.rs
+++ b/crates/front/src/core/tests/kept.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use salttally_accord::core::heirs::{Heir, Heirs};
-use salttally_accord::core::stand::Stand;
-use salttally_copies::core::{Bytes, Key, Life};
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_accord::core::successors::{Successor, Successors};
+use salttally_copies::core::{Incarnation, RecordBody, RecordKey};
 
 use super::*;
 use crate::core::agreed_rules::{AgreedRules, SettingsNames};
@@ -14,15 +14,30 @@
 const OWN: &str = "f0-00000001";
 const OTHER: &str = "f1-00000007";
 
-fn stand(until: Micros, heirs: Heirs) -> Input {
+fn stand(until: Micros, heirs: Successors) -> Input {
     let (agreed, meet) = (Arc::default(), Arc::default());
-    let stand = Stand { begun: 9, latest: 9, until, alone: until, agreed, meet, heirs: Arc::new(heirs) };
+    let stand = CoordinationState {
+        begun: 9,
+        latest: 9,
+        lease_until: until,
+        grace_until: until,
+        agreed,
+        meet,
+        successors: Arc::new(heirs),
+    };
     Input::Coordination(Box::new(stand))
 }
 
-fn heirs(life: &str, epoch: u64, by: &str, own: &str) -> Heirs {
-    let heir = Heir { epoch, name: by.into(), life: own.into(), serves: None, version: 9, settled: false };
-    Heirs { of: [(Life::from(life), heir)].into(), over: BTreeMap::new() }
+fn heirs(life: &str, epoch: u64, by: &str, own: &str) -> Successors {
+    let heir = Successor {
+        epoch,
+        name: by.into(),
+        incarnation: own.into(),
+        client_address: None,
+        version: 9,
+        settled: false,
+    };
+    Successors { by_incarnation: [(Incarnation::from(life), heir)].into(), ended: BTreeMap::new() }
 }
 
 impl Stage {
@@ -37,7 +52,7 @@
             ledger: stage.world.ledger.with_rules(AgreedRules::new(names)).with_replication(),
             ..stage.world
         };
-        stage.world.give(stand(LEASE, Heirs::default()));
+        stage.world.give(stand(LEASE, Successors::default()));
         stage
     }
 
@@ -178,12 +193,12 @@
     // Known to be another's: its viewer's close is not carried out here.
     let close = stage.world.give(Input::Close(VIEWER, Ticket(9), id.clone()));
     assert!(matches!(close[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{close:?}");
-    let out = stage.world.give(Input::TakenOver(Life::from(OWN)));
+    let out = stage.world.give(Input::TakenOver(Incarnation::from(OWN)));
     assert!(
         out.contains(&Output::Notify(VIEWER, Notification::Ended(id.clone(), EndReason::TakenOver))),
         "{out:?}"
     );
-    assert!(out.contains(&Output::IncarnationChanged(Life::from("f0-00000002"))), "{out:?}");
+    assert!(out.contains(&Output::IncarnationChanged(Incarnation::from("f0-00000002"))), "{out:?}");
     assert!(!out.iter().any(|o| matches!(o, Output::DeleteRecord(_))), "to end it here would end it there");
     assert!(!stage.released(&id) && stage.world.ledger.session_counts() == (0, 0));
     // A viewer who asks is told who has it; new sessions are of the new life.
@@ -213,7 +228,7 @@
     let out = stage.world.give(Input::Status(ClientId(7), Ticket(2), gone, Some(ViewerId(1))));
     assert!(matches!(out[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{out:?}");
     // With one again, its viewer has it back.
-    stage.world.give(stand(2 * LEASE, Heirs::default()));
+    stage.world.give(stand(2 * LEASE, Successors::default()));
     let out = stage.world.give(Input::Status(ClientId(7), Ticket(3), id, Some(ViewerId(1))));
     assert!(matches!(out[..], [Output::Reply(_, _, Reply::Status { playing: Some(_), .. })]), "{out:?}");
 }
@@ -222,11 +237,13 @@
 fn goes_on(promises: &[(u32, Promise)]) -> (Stage, ConnId) {
     let mut stage = Stage::kept();
     stage.world.give(stand(LEASE, heirs(OTHER, 3, "f0", OWN)));
-    let all: Vec<(Key, Bytes)> = promises
+    let all: Vec<(RecordKey, RecordBody)> = promises
         .iter()
-        .map(|(n, promise)| (session_records::key(&other(*n)), Bytes::from(session_records::encode(promise))))
+        .map(|(n, promise)| {
+            (session_records::key(&other(*n)), RecordBody::from(session_records::encode(promise)))
+        })
         .collect();
-    stage.world.give(Input::TakeOver(Life::from(OTHER), 3, all));
+    stage.world.give(Input::TakeOver(Incarnation::from(OTHER), 3, all));
     stage.dialed();
     let asks = |request: &BoxRequest| matches!(request, BoxRequest::Claim { incarnation: life, epoch: 3 } if &**life == OTHER);
     let asked: Vec<ConnId> =
@@ -295,7 +312,7 @@
     stage.world.give(stand(LEASE, heirs(OTHER, 4, "f2", "f2-00000003")));
     stage.world.exchanges.clear();
     stage.world.dials.clear();
-    stage.world.give(Input::TakeoverSuperseded(Life::from(OTHER)));
+    stage.world.give(Input::TakeoverSuperseded(Incarnation::from(OTHER)));
     assert!(!knows(&stage, 1) && !stage.released(&other(1)));
 }
 
@@ -333,8 +350,9 @@
     assert!(!stage.world.ledger.contains(&other(1)) && stage.released(&other(1)));
     assert!(stage.world.ledger.contains(&other(2)));
     let faults = stage.world.ledger.counts().faults;
-    let bad: Vec<(Key, Bytes)> = vec![(session_records::key(&other(3)), Bytes::from(vec![0xff; 9]))];
-    stage.world.give(Input::TakeOver(Life::from(OTHER), 3, bad));
+    let bad: Vec<(RecordKey, RecordBody)> =
+        vec![(session_records::key(&other(3)), RecordBody::from(vec![0xff; 9]))];
+    stage.world.give(Input::TakeOver(Incarnation::from(OTHER), 3, bad));
     assert_eq!(stage.world.ledger.counts().faults, faults + 1);
 }
 
--- a/crates/front/src/core/tests/terms.rs
+++ b/crates/front/src/core/tests/terms.rs
@@ -1,7 +1,7 @@
 //! A ledger under rules that are agreed on: what is refused, and that authority is looked at where an act is written.
 
-use salttally_accord::core::rules::{Order, Rules, Terms as ClassTerms, Who};
-use salttally_accord::core::stand::Stand;
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_accord::core::rules::{ClassTerms, Order, RefusedParty, Rules};
 
 use super::*;
 use crate::core::agreed_rules::{AgreedRules, SettingsNames};
@@ -17,16 +17,16 @@
 }
 
 fn stand(rules: Rules, until: Micros, alone: Micros) -> Input {
-    let rules = std::sync::Arc::new(rules.normal());
+    let rules = std::sync::Arc::new(rules.normalized());
     let (agreed, meet) = (std::sync::Arc::clone(&rules), rules);
-    Input::Coordination(Box::new(Stand {
+    Input::Coordination(Box::new(CoordinationState {
         begun: 1,
         latest: 1,
-        until,
-        alone,
+        lease_until: until,
+        grace_until: alone,
         agreed,
         meet,
-        heirs: std::sync::Arc::default(),
+        successors: std::sync::Arc::default(),
     }))
 }
 
@@ -64,8 +64,8 @@
     let nowhere = Rules { titles: [("one".to_owned(), [].into())].into(), ..Rules::default() };
     for (rules, is) in [
         (Rules::default(), false),
-        (refused(Who::Viewer("1".into())), true),
-        (refused(Who::Viewer("2".into())), false),
+        (refused(RefusedParty::Viewer("1".into())), true),
+        (refused(RefusedParty::Viewer("2".into())), false),
         (closed("clip", false), true),
         (closed("paid", false), false),
         (nowhere, true),
@@ -80,7 +80,7 @@
             "{rules:?}: {answer:?}"
         );
     }
-    let mut stage = Stage::under(refused(Who::Firm("7".into())));
+    let mut stage = Stage::under(refused(RefusedParty::Tenant("7".into())));
     stage.world.opens.insert((VIEWER, Ticket(50)), None);
     let of_firm = OpenRequest { tenant: Some(ViewerId(7)), ..opening(1, CLIP) };
     stage.world.give(Input::Open(VIEWER, Ticket(50), of_firm));
--- a/crates/front/src/core/timers.rs
+++ b/crates/front/src/core/timers.rs
@@ -4,7 +4,7 @@
 
 use salttally::interface::{Micros, ServerId, SessionId};
 
-use salttally_copies::core::Life;
+use salttally_copies::core::Incarnation;
 
 use super::ConnId;
 
@@ -28,7 +28,7 @@
     /// A release is to be tried again.
     RetryRelease(ServerId, SessionId, u32),
     /// A box is to be asked again what it holds of a life.
-    RetryClaim(ServerId, Life),
+    RetryClaim(ServerId, Incarnation),
     /// The lease is to be looked at.
     CheckLease,
     /// Nobody has taken over a life of which a box named this session.
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -8,7 +8,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TryRecvError};
 use salttally::controller::Controller;
 use salttally::interface::Micros;
-use salttally_copies::edge::Teller as Copies;
+use salttally_copies::edge::Handle as Copies;
 use salttally_members::core::pauses::Pauses;
 
 use crate::box_list::ListFollower;
@@ -205,22 +205,22 @@
                 Output::FollowList => self.list.follow(),
                 Output::StoreRecord(key, body, waits) => {
                     if let Some(copies) = &self.copies {
-                        copies.keep(Arc::clone(key), body.clone(), *waits);
+                        copies.put_record(Arc::clone(key), body.clone(), *waits);
                     }
                 }
                 Output::DeleteRecord(key) => {
                     if let Some(copies) = &self.copies {
-                        copies.end(Arc::clone(key));
+                        copies.delete_record(Arc::clone(key));
                     }
                 }
                 Output::OrphanFound(life) => {
                     if let Some(copies) = &self.copies {
-                        copies.found(Arc::clone(life));
+                        copies.orphan_found(Arc::clone(life));
                     }
                 }
                 Output::IncarnationChanged(life) => {
                     if let Some(copies) = &self.copies {
-                        copies.lives(Arc::clone(life));
+                        copies.incarnation_changed(Arc::clone(life));
                     }
                 }
                 Output::Log(Level::Debug, text) => tracing::debug!("{text}"),
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -11,9 +11,9 @@
 use crossbeam_channel::{Receiver, Sender};
 use salttally::controller::Controller;
 use salttally::interface::{ListKind, Micros, SessionId};
-use salttally_accord::core::stand::Stand;
-use salttally_copies::core::Life;
-use salttally_copies::edge::{Teller as Copies, Told};
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_copies::core::Incarnation;
+use salttally_copies::edge::{Event as CopiesEvent, Handle as Copies};
 use salttally_members::core::pauses::Pauses;
 use salttally_members::edge::Known;
 use thiserror::Error;
@@ -96,7 +96,7 @@
     thread: Option<thread::JoinHandle<()>>,
     recorder: Option<Recorder>,
     seed: u64,
-    life: Life,
+    life: Incarnation,
 }
 
 impl Front {
@@ -181,7 +181,7 @@
     }
 
     /// Whom to tell what this front stands on, where its settings have `accord`.
-    pub fn coordination_sink(&self) -> impl Fn(Stand) + Send + 'static {
+    pub fn coordination_sink(&self) -> impl Fn(CoordinationState) + Send + 'static {
         let engine = self.engine.clone();
         move |stand| {
             let _ = engine.send(EngineMessage::Input(Input::Coordination(Box::new(stand))));
@@ -189,19 +189,19 @@
     }
 
     /// What ids of its sessions begin with, from its start on.
-    pub fn incarnation(&self) -> Life {
-        Life::clone(&self.life)
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation::clone(&self.life)
     }
 
     /// Whom to tell of copies and of what other fronts promised, where its settings have `copies`.
-    pub fn replication_sink(&self) -> impl Fn(Told) + Send + 'static {
+    pub fn replication_sink(&self) -> impl Fn(CopiesEvent) + Send + 'static {
         let engine = self.engine.clone();
         move |told| {
             let input = match told {
-                Told::Kept(key, kept) => Input::RecordStored(key, kept),
-                Told::Adopt(life, epoch, promises) => Input::TakeOver(life, epoch, promises),
-                Told::Replaced(life, _) => Input::TakenOver(life),
-                Told::Gone(life) => Input::TakeoverSuperseded(life),
+                CopiesEvent::RecordStored(key, kept) => Input::RecordStored(key, kept),
+                CopiesEvent::TakeOver(life, epoch, promises) => Input::TakeOver(life, epoch, promises),
+                CopiesEvent::TakenOver(life, _) => Input::TakenOver(life),
+                CopiesEvent::TakeoverSuperseded(life) => Input::TakeoverSuperseded(life),
             };
             let _ = engine.send(EngineMessage::Input(input));
         }
--- a/crates/trial/src/describe.rs
+++ b/crates/trial/src/describe.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use salttally_accord::core::lease::Times;
+use salttally_accord::core::lease::LeaseTimes;
 use salttally_settings::{Block, Document, Node, Read};
 
 use crate::net::Quality;
@@ -64,7 +64,7 @@
     /// Each front acts this often, us.
     pub acts: Micros,
     /// Times of the leases.
-    pub times: Times,
+    pub times: LeaseTimes,
 }
 
 /// One fault.
@@ -256,17 +256,17 @@
 }
 
 fn versions(node: &Node<'_>, fronts: usize) -> Read<Versions> {
-    let usual = Times::default();
+    let usual = LeaseTimes::default();
     let span = |name: &str, usual: Micros| -> Read<Micros> { Ok(node.maybe(name)?.map_or(usual, ms)) };
     let versions = Versions {
         voters: node.or("voters", 3)?,
         every: span("every-ms", 1_000_000)?,
         acts: span("acts-ms", 100_000)?,
-        times: Times {
+        times: LeaseTimes {
             lease: span("lease-ms", usual.lease)?,
-            alone: span("alone-ms", usual.alone)?,
-            renew: span("renew-ms", usual.renew)?,
-            refuse: node.or("refuse", true)?,
+            grace: span("alone-ms", usual.grace)?,
+            renew_interval: span("renew-ms", usual.renew_interval)?,
+            refuse_without_lease: node.or("refuse", true)?,
             ..usual
         },
     };
--- a/crates/trial/src/processes.rs
+++ b/crates/trial/src/processes.rs
@@ -15,8 +15,8 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use rustix::process::{kill_process, Pid, Signal};
-use salttally_accord::ask::ask;
 use salttally_accord::core::rules::Rules;
+use salttally_accord::query::ask;
 use salttally_accord::wire::Question;
 use serde_json::{json, Value};
 
@@ -146,9 +146,9 @@
             voters = names.join(" "),
             store = self.disk(front).join("accord.redb").display().to_string(),
             lease = times.lease / 1000,
-            alone = times.alone / 1000,
-            renew = times.renew / 1000,
-            without = if times.refuse { "refuse" } else { "go-on" },
+            alone = times.grace / 1000,
+            renew = times.renew_interval / 1000,
+            without = if times.refuse_without_lease { "refuse" } else { "go-on" },
             history = self.history(front).display().to_string(),
             relay = self.relay,
             acts = versions.acts / 1000,
--- a/crates/trial/src/versions.rs
+++ b/crates/trial/src/versions.rs
@@ -5,11 +5,11 @@
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
+use salttally_accord::core::coordination::CoordinationState;
 use salttally_accord::core::disk::{Image, Write};
-use salttally_accord::core::rules::{Rules, Who};
-use salttally_accord::core::stand::Stand;
-use salttally_accord::core::{Accord, Envelope, Input, Name, Output, Own};
-use salttally_accord::lines;
+use salttally_accord::core::rules::{RefusedParty, Rules};
+use salttally_accord::core::{Accord, Envelope, FrontIdentity, Input, Name, Output};
+use salttally_accord::history_log;
 use serde_json::json;
 
 use crate::describe::{Trial, Versions};
@@ -32,7 +32,8 @@
 
 /// Rules drawn anew.
 pub fn drawn(rng: &mut impl RngCore) -> Rules {
-    let refused = (0..VIEWERS).filter(|_| rng.next_u32().is_multiple_of(3)).map(|at| Who::Viewer(viewer(at)));
+    let refused =
+        (0..VIEWERS).filter(|_| rng.next_u32().is_multiple_of(3)).map(|at| RefusedParty::Viewer(viewer(at)));
     Rules { refused: refused.collect(), ..Rules::default() }
 }
 
@@ -56,10 +57,10 @@
 impl Disk {
     /// Writes, and flushes if anything of it promises.
     pub fn write(&mut self, writes: Vec<Write>) {
-        let flush = writes.iter().any(Write::promises);
+        let flush = writes.iter().any(Write::needs_flush);
         self.pending.extend(writes);
         if flush {
-            self.pending.drain(..).for_each(|write| self.flushed.write(&write));
+            self.pending.drain(..).for_each(|write| self.flushed.apply(&write));
         }
     }
 }
@@ -67,14 +68,14 @@
 struct Front {
     accord: Option<Accord>,
     disk: Disk,
-    stand: Option<Stand>,
+    stand: Option<CoordinationState>,
     starts: u64,
     stopped: bool,
     waiting: VecDeque<Box<Envelope>>,
     skew: Skew,
 }
 
-/// One crash and one loss, each at a message that [carries](salttally_accord::core::Body::carries) something, counted
+/// One crash and one loss, each at a message that [carries](salttally_accord::core::Body::affects_agreement) something, counted
 /// from the first of the trial.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Struck {
@@ -190,7 +191,7 @@
 /// The first line of the truth, with what is stated of versions.
 pub fn opening(trial: &Trial, versions: &Versions) -> serde_json::Value {
     let mut opening = plan::opening(trial);
-    opening["stated_us"] = json!(versions.times.stated());
+    opening["stated_us"] = json!(versions.times.max_contradiction());
     opening["voters"] = json!(versions.voters);
     opening
 }
@@ -210,7 +211,7 @@
                     (None, _) => {}
                     (Some(_), true) if there.waiting.len() < BUFFER => there.waiting.push_back(envelope),
                     (Some(_), true) => {}
-                    (Some(_), false) => self.hand(front, Input::Heard(envelope), false),
+                    (Some(_), false) => self.hand(front, Input::Received(envelope), false),
                 }
             }
             Event::Asks(front) => {
@@ -218,8 +219,13 @@
                 let viewer = viewer(self.rng.next_u32() as usize % VIEWERS);
                 let there = &self.fronts[front];
                 if let Some(stand) = there.stand.as_ref().filter(|_| !there.stopped) {
-                    let line =
-                        lines::act(self.now, &plan::name(front), stand, there.skew.local(self.now), &viewer);
+                    let line = history_log::act(
+                        self.now,
+                        &plan::name(front),
+                        stand,
+                        there.skew.local(self.now),
+                        &viewer,
+                    );
                     self.out.lines.push(line);
                 }
             }
@@ -257,7 +263,7 @@
             Act::Run(front) => {
                 self.fronts[front].stopped = false;
                 while let Some(envelope) = self.fronts[front].waiting.pop_front() {
-                    self.hand(front, Input::Heard(envelope), false);
+                    self.hand(front, Input::Received(envelope), false);
                 }
                 self.hand(front, Input::Tick, true);
             }
@@ -270,16 +276,16 @@
         let there = &mut self.fronts[front];
         there.starts += 1;
         there.waiting.clear();
-        let own = Own {
+        let own = FrontIdentity {
             name: Name::from(plan::name(front)),
-            drawn,
-            voters: (0..self.versions.voters).map(|front| Name::from(plan::name(front))).collect(),
+            new_disk_id: drawn,
+            initial_voters: (0..self.versions.voters).map(|front| Name::from(plan::name(front))).collect(),
             times: self.versions.times,
         };
         let mut out = Vec::new();
         let local = there.skew.local(self.now);
         let mut accord = Accord::new(own, there.disk.flushed.clone(), local, &mut out);
-        there.stand = Some(accord.stand().clone());
+        there.stand = Some(accord.coordination().clone());
         let others = (0..self.trial.fronts).filter(|other| *other != front);
         let peers: BTreeSet<Name> = others.map(|other| Name::from(plan::name(other))).collect();
         accord.handle(local, Input::View(peers), &mut out);
@@ -304,12 +310,12 @@
 
     fn carry_out(&mut self, front: usize, out: Vec<Output>) {
         for output in out {
-            self.out.lines.extend(lines::line(self.now, &plan::name(front), &output));
+            self.out.lines.extend(history_log::line(self.now, &plan::name(front), &output));
             match output {
                 Output::Write(writes) => self.fronts[front].disk.write(writes),
                 Output::Send(envelope) => {
                     // What comes after all faults is no place for one.
-                    let carries = envelope.body.carries() && self.now < self.calm;
+                    let carries = envelope.body.affects_agreement() && self.now < self.calm;
                     self.out.carried += u64::from(carries);
                     let here = carries.then_some(self.out.carried);
                     if here.is_some() && here == self.struck.kill {
@@ -322,7 +328,7 @@
                         self.send(front, envelope);
                     }
                 }
-                Output::Stand(stand) => self.fronts[front].stand = Some(stand),
+                Output::Coordination(stand) => self.fronts[front].stand = Some(stand),
                 _ => {}
             }
         }
--- a/crates/trial/src/whole.rs
+++ b/crates/trial/src/whole.rs
@@ -10,9 +10,9 @@
 use salttally::controller::Controller;
 use salttally::interface::{ListKind, ServerEntry, ServerId, ServerState, SessionId, ViewerId};
 use salttally_accord::core as accord;
-use salttally_accord::core::lease::Times as Leases;
+use salttally_accord::core::lease::LeaseTimes as Leases;
 use salttally_copies::core as copies;
-use salttally_copies::lines;
+use salttally_copies::history_log;
 use salttally_front::core::agreed_rules::{AgreedRules, SettingsNames};
 use salttally_front::core::session_records::PeerFront;
 use salttally_front::core::{
@@ -245,7 +245,7 @@
     calm: Micros,
     struck: Struck,
     /// What fronts last acknowledged to each other.
-    said: BTreeMap<(usize, usize, copies::Life), u64>,
+    said: BTreeMap<(usize, usize, copies::Incarnation), u64>,
     out: Outcome,
 }
 
@@ -325,8 +325,8 @@
     SocketAddr::from(([127, 2, (server / 250) as u8, (server % 250) as u8 + 1], 7411))
 }
 
-fn life_of(session: &SessionId) -> &str {
-    copies::life_of(&session.0).unwrap_or("")
+fn incarnation_of(session: &SessionId) -> &str {
+    copies::incarnation_of(&session.0).unwrap_or("")
 }
 
 impl World<'_> {
@@ -491,10 +491,10 @@
             node.disk = drawn | 1;
         }
         let mut out = Vec::new();
-        let own = accord::Own {
+        let own = accord::FrontIdentity {
             name: Name::clone(&name),
-            drawn,
-            voters: (0..self.promises.voters).map(|front| Name::from(plan::name(front))).collect(),
+            new_disk_id: drawn,
+            initial_voters: (0..self.promises.voters).map(|front| Name::from(plan::name(front))).collect(),
             times: Leases::default(),
         };
         let accord = accord::Accord::new(own, node.accord_disk.flushed.clone(), local, &mut out);
@@ -507,22 +507,22 @@
         let ledger =
             Ledger::new(controller, settings.decision.clone(), settings.limits.clone(), &name, started);
         let ledger = ledger.with_rules(AgreedRules::new(names)).with_replication();
-        let own = copies::Own {
+        let own = copies::FrontIdentity {
             name: Name::clone(&name),
-            life: ledger.incarnation(),
+            incarnation: ledger.incarnation(),
             zone,
-            serves,
-            disk: node.disk,
+            client_address: serves,
+            disk_id: node.disk,
             copies: self.promises.copies.0,
-            enough: self.promises.copies.1,
-            too_few: copies::TooFew::GoOn,
-            within: 400 * MS,
-            most: 200_000,
+            required_copies: self.promises.copies.1,
+            too_few: copies::TooFewPolicy::GoOn,
+            store_timeout: 400 * MS,
+            max_records: 200_000,
         };
         let copies = copies::Copies::new(own, node.copies_disk.clone(), local);
         node.alive = Some(Alive { members, accord, copies, ledger, due: [Micros::MAX; 4] });
         self.line(json!({"at": self.now, "front": plan::name(front), "starts": boot}));
-        let stand = self.nodes[front].alive.as_ref().map(|alive| alive.accord.stand().clone());
+        let stand = self.nodes[front].alive.as_ref().map(|alive| alive.accord.coordination().clone());
         self.stands(front, stand);
         self.accord_out(front, out);
         self.ledger(front, Input::List(ListKind::Cached, Vec::new()));
@@ -534,9 +534,9 @@
     fn comes(&mut self, front: usize, what: In) {
         match what {
             In::Datagram(from, envelope) => self.members(front, members::Input::Heard(from, envelope)),
-            In::Accord(envelope) => self.accord(front, accord::Input::Heard(envelope)),
+            In::Accord(envelope) => self.accord(front, accord::Input::Received(envelope)),
             In::Passed(from, body) => {
-                self.copies(front, copies::Input::Heard(from, body));
+                self.copies(front, copies::Input::Received(from, body));
                 self.copies(front, copies::Input::Tick);
             }
             In::Ledger(input) => self.ledger(front, *input),
@@ -632,15 +632,15 @@
                         self.streamed(front, other, In::Accord(envelope));
                     }
                 }
-                accord::Output::Stand(stand) => self.stands(front, Some(stand)),
+                accord::Output::Coordination(stand) => self.stands(front, Some(stand)),
                 _ => {}
             }
         }
     }
 
-    fn stands(&mut self, front: usize, stand: Option<accord::stand::Stand>) {
+    fn stands(&mut self, front: usize, stand: Option<accord::coordination::CoordinationState>) {
         let Some(stand) = stand else { return };
-        self.copies(front, copies::Input::Heirs(Arc::clone(&stand.heirs), stand.begun));
+        self.copies(front, copies::Input::Successors(Arc::clone(&stand.successors), stand.begun));
         self.ledger(front, Input::Coordination(Box::new(stand)));
     }
 
@@ -661,10 +661,10 @@
         let due = alive.copies.next_due();
         self.again(front, Which::Copies, Some(due));
         for output in out {
-            self.out.lines.extend(lines::line(self.now, &plan::name(front), &output));
+            self.out.lines.extend(history_log::line(self.now, &plan::name(front), &output));
             match output {
                 copies::Output::Write(writes) => {
-                    writes.iter().for_each(|write| self.nodes[front].copies_disk.write(write));
+                    writes.iter().for_each(|write| self.nodes[front].copies_disk.apply(write));
                 }
                 copies::Output::Send(to, body) => {
                     let Some(other) = self.names.get(&to).copied() else { continue };
@@ -683,14 +683,18 @@
                     }
                     self.streamed(front, other, In::Passed(Name::from(plan::name(front)), Box::new(body)));
                 }
-                copies::Output::Kept(key, kept) => self.ledger(front, Input::RecordStored(key, kept)),
-                copies::Output::Succeed(changes) => self.accord(front, accord::Input::Succeed(changes)),
-                copies::Output::Adopt(life, epoch, promises) => {
+                copies::Output::RecordStored(key, kept) => self.ledger(front, Input::RecordStored(key, kept)),
+                copies::Output::ChangeSuccessors(changes) => {
+                    self.accord(front, accord::Input::ChangeSuccessors(changes))
+                }
+                copies::Output::TakeOver(life, epoch, promises) => {
                     self.ledger(front, Input::TakeOver(life, epoch, promises));
                 }
-                copies::Output::Replaced(life, _) => self.ledger(front, Input::TakenOver(life)),
-                copies::Output::Gone(life) => self.ledger(front, Input::TakeoverSuperseded(life)),
-                copies::Output::Group(_) | copies::Output::Over(_) => {}
+                copies::Output::TakenOver(life, _) => self.ledger(front, Input::TakenOver(life)),
+                copies::Output::TakeoverSuperseded(life) => {
+                    self.ledger(front, Input::TakeoverSuperseded(life))
+                }
+                copies::Output::HoldersChanged(_) | copies::Output::IncarnationEnded(_) => {}
             }
         }
     }
@@ -779,11 +783,11 @@
                     self.hears(front, start, Input::List(ListKind::Complete, lines));
                 }
                 Output::StoreRecord(key, body, waits) => {
-                    notes.push(copies::Input::Keep(key, copies::Bytes::from(body), waits));
+                    notes.push(copies::Input::PutRecord(key, copies::RecordBody::from(body), waits));
                 }
-                Output::DeleteRecord(key) => notes.push(copies::Input::End(key)),
-                Output::OrphanFound(life) => notes.push(copies::Input::Found(life)),
-                Output::IncarnationChanged(life) => notes.push(copies::Input::Lives(life)),
+                Output::DeleteRecord(key) => notes.push(copies::Input::DeleteRecord(key)),
+                Output::OrphanFound(life) => notes.push(copies::Input::OrphanFound(life)),
+                Output::IncarnationChanged(life) => notes.push(copies::Input::IncarnationChanged(life)),
                 Output::Log(..) | Output::Finished => {}
             }
         }
@@ -821,7 +825,7 @@
         let now = self.now;
         let there = &mut self.servers[server as usize];
         let replaced = |session: &SessionId, lives: &BTreeMap<String, u64>| {
-            lives.get(life_of(session)).is_some_and(|there| epoch.unwrap_or(0) < *there)
+            lives.get(incarnation_of(session)).is_some_and(|there| epoch.unwrap_or(0) < *there)
         };
         let answer = match request {
             BoxRequest::SetUp { session, attempt, rung, open_request: opening, .. } => {
@@ -882,14 +886,16 @@
                     let later = *known < epoch;
                     *known = epoch;
                     if later {
-                        there.plays.retain(|(session, _), plays| plays.begun || life_of(session) != &*life);
+                        there
+                            .plays
+                            .retain(|(session, _), plays| plays.begun || incarnation_of(session) != &*life);
                     }
                     for ((session, _), plays) in &mut there.plays {
-                        if life_of(session) == &*life {
+                        if incarnation_of(session) == &*life {
                             plays.front = front;
                         }
                     }
-                    let held = there.held(|_, session| life_of(session) == &*life);
+                    let held = there.held(|_, session| incarnation_of(session) == &*life);
                     let end = ExchangeEnd::Claimed { held, keep_alive: true };
                     return self.hears(front, start, Input::Exchanged(conn, end));
                 }
