--- a/crates/accord/src/core/coordination.rs
+++ b/crates/accord/src/core/coordination.rs
@@ -1,4 +1,4 @@
-//! What a front acts on, and until when: looked at where an act is written, not where it was decided.
+//! What a front may act on, and until when. It is checked when a command is written, not when it was decided.
 
 use std::sync::Arc;
 
@@ -6,39 +6,39 @@
 use super::successors::Successors;
 use super::Micros;
 
-/// By what right a front acts.
+/// On what basis a front acts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// A lease of the voters.
+    /// A lease from the voters.
     Lease,
-    /// None: the meet of all it knows, for a while.
+    /// No lease: the meet of all known rules, during the grace period.
     Meet,
 }
 
-/// What a front acts on. It stands alone: with the time by the same clock it tells all that may be done.
+/// What a front acts on. Together with the time of the same clock, it determines what the front may do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinationState {
     /// The version that has begun.
     pub begun: u64,
-    /// The latest version it knows to be agreed on.
+    /// The latest version known to be agreed on.
     pub latest: u64,
-    /// Its lease holds until then.
+    /// End of the lease.
     pub lease_until: Micros,
-    /// Without one, it takes new sessions until then.
+    /// End of the grace period, during which new sessions are accepted without a lease.
     pub grace_until: Micros,
-    /// What the version that has begun and all later agreed ones allow.
+    /// The meet of the version that has begun and of all later agreed versions.
     pub agreed: Arc<Rules>,
-    /// The same with what is proposed and, for all that is known here, not agreed on.
+    /// The meet of the agreed rules and of all proposals not known to be decided.
     pub meet: Arc<Rules>,
-    /// Who goes on with whose promises, as far as it is agreed on; each heir acts once its version has begun.
+    /// The agreed successors; each acts once its version has begun.
     pub successors: Arc<Successors>,
 }
 
 impl CoordinationState {
-    /// What it may act on now, and by what right.
+    /// The rules that apply now, and on what basis.
     ///
     /// # Errors
-    /// [`Refusal::Lease`]: nothing.
+    /// [`Refusal::Lease`]: neither a lease nor a grace period holds.
     pub fn active_rules(&self, now: Micros) -> Result<(Basis, &Rules), Refusal> {
         match () {
             () if now < self.lease_until => Ok((Basis::Lease, &self.agreed)),
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Whether it may act now for what was promised in `life`, itself living `own`, and by which epoch. Never without a
-    /// lease: who has none cannot know that nobody has taken over.
+    /// The epoch under which the front of incarnation `own` may act now for sessions of `incarnation`; none
+    /// if it may not. Never without a lease: a front without one cannot know whether it was taken over.
     pub fn acting_epoch(&self, now: Micros, own: &str, incarnation: &str) -> Option<u64> {
         if now >= self.lease_until {
             return None;
@@ -62,7 +62,7 @@
     /// Whether a new session may begin now.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why not.
     pub fn allows(&self, now: Micros, asked: &SessionRequest<'_>) -> Result<Basis, Refusal> {
         let (by, rules) = self.active_rules(now)?;
         rules.allows(asked).map(|()| by)
--- a/crates/accord/src/core/disk.rs
+++ b/crates/accord/src/core/disk.rs
@@ -1,5 +1,5 @@
-//! What a front keeps on its disk, as state: the image, and the writes that change it. The edge writes them in one piece
-//! and flushes before anything that follows from them is told.
+//! The persistent state of a front: the image, and the writes that change it. The I/O layer applies each
+//! batch atomically, and flushes it before any later output is carried out.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -10,61 +10,62 @@
 use super::history::{Entry, History, Voters};
 
 impl omnipaxos::storage::Entry for Entry {
-    // Danger: the crate (0.2.4) merges a snapshot of what a voter lacks into its own as if the voter had decided all of
-    // it, and so loses or doubles entries. Found by the hunt. No snapshots, then: a log stays short because its voters
-    // begin anew ([`super::voter::COMPACT`]).
+    // Danger: the crate (0.2.4) merges a snapshot of entries that a voter lacks into its own state as if the
+    // voter had decided all of them, and so loses or duplicates entries. Found by the schedule search. So
+    // there are no snapshots; a log stays short because its voters continue on a new one
+    // ([`super::voter::MAX_LOG_ENTRIES`]).
     type Snapshot = NoSnapshot;
 }
 
 /// One change of the image.
 #[derive(Clone, Debug)]
 pub enum Write {
-    /// This front's own number, drawn at the first start on this disk, and how many starts there were.
+    /// The disk id, drawn at the first start on this disk, and the number of starts.
     Identity(u64, u64),
-    /// Begins to vote, among others than before if it did.
+    /// Starts to vote, or continues with other voters.
     Voter(Box<VoterState>),
-    /// The log from this place on, counted from the vote's begin.
+    /// Replaces the log from this index on, counted from the vote's base.
     Log(usize, Vec<Entry>),
     /// The promised ballot.
     Promise(Ballot),
     /// The ballot of the latest accepted entries.
     Accepted(Ballot),
-    /// Entries decided.
+    /// The number of decided entries.
     Decided(usize),
-    /// The history, as a front has it that only follows, or as a vote begins on it.
+    /// The history of a front that does not vote, or the one that a vote starts from.
     History(Arc<History>),
 }
 
 impl Write {
-    /// Whether others may be told what follows only once this is flushed. What is only known, and was promised to nobody,
-    /// comes again.
+    /// Whether the write has to be flushed before anything that follows from it is sent. State that was only
+    /// received, and that this front acknowledged to nobody, can be received again.
     pub fn needs_flush(&self) -> bool {
         !matches!(self, Write::Decided(_) | Write::History(_))
     }
 }
 
-/// What a voter keeps.
+/// The persistent state of a voter.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct VoterState {
     /// The voters it belongs to.
     pub voters: Voters,
     /// Its number among them.
     pub number: u64,
-    /// Places of the history before the log's first.
+    /// Steps of the history before the first log entry.
     pub base: u64,
-    /// See [`Write`].
+    /// See [`Write::Promise`].
     pub promise: Option<Ballot>,
-    /// See [`Write`].
+    /// See [`Write::Accepted`].
     pub accepted: Option<Ballot>,
-    /// See [`Write`].
+    /// See [`Write::Decided`].
     pub decided: usize,
-    /// Entries since the base.
+    /// Log entries after the base.
     pub log: Vec<Entry>,
 }
 
 impl VoterState {
-    /// A vote among the voters of this history. It begins with nothing in its log: what they decided before this one
-    /// joined, they tell it.
+    /// The state of a new voter among the voters of this history. Its log is empty: the other voters send it
+    /// what they decided before it joined.
     pub fn new(number: u64, history: &History) -> VoterState {
         VoterState {
             voters: history.voters.clone(),
@@ -78,19 +79,19 @@
     }
 }
 
-/// What is on a front's disk.
+/// The contents of a front's disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Image {
-    /// Its own number, and how many starts there were.
+    /// The disk id, and the number of starts.
     pub identity: Option<(u64, u64)>,
-    /// Its vote.
+    /// The state of its voter.
     pub vote: Option<VoterState>,
     /// The history it followed.
     pub history: Option<Arc<History>>,
 }
 
 impl Image {
-    /// One write takes place.
+    /// Applies one write.
     pub fn apply(&mut self, write: &Write) {
         match (write, &mut self.vote) {
             (Write::Identity(disk, starts), _) => self.identity = Some((*disk, *starts)),
@@ -117,7 +118,7 @@
     }
 }
 
-/// Writes that wait to be carried out, in order, and what the vote behind them has come to.
+/// Pending writes, in order, and the accepted ballot after them.
 #[derive(Clone, Debug, Default)]
 pub struct Journal(Arc<Mutex<(Vec<Write>, Option<Ballot>)>>);
 
@@ -126,7 +127,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Adds one.
+    /// Adds a write.
     pub fn push(&self, write: Write) {
         let mut held = self.hold();
         match &write {
@@ -137,18 +138,19 @@
         held.0.push(write);
     }
 
-    /// Takes all.
+    /// Takes all pending writes.
     pub fn take(&self) -> Vec<Write> {
         std::mem::take(&mut self.hold().0)
     }
 
-    /// The ballot in which the vote's log was last brought in line with a leader's.
+    /// The ballot in which the log was last synchronised with a leader's.
     pub fn round(&self) -> Option<Ballot> {
         self.hold().1
     }
 }
 
-/// A vote in memory, as the consensus crate reads and writes it; every change goes into the journal as well.
+/// The voter state in memory, as the consensus crate reads and writes it; every change also goes into the
+/// journal.
 #[derive(Debug)]
 pub struct VoterStorage {
     vote: VoterState,
@@ -156,7 +158,7 @@
 }
 
 impl VoterStorage {
-    /// Of this vote.
+    /// Starts with this state.
     pub fn new(vote: VoterState, journal: Journal) -> VoterStorage {
         journal.hold().1 = vote.accepted;
         VoterStorage { vote, journal }
@@ -210,8 +212,8 @@
     }
 
     fn set_promise(&mut self, ballot: Ballot) -> StorageResult<()> {
-        // Danger: a voter that has never promised anything writes the empty ballot at its start, and counts as one that
-        // recovers at the next.
+        // Danger: a voter that has never promised anything writes the empty ballot at its start, and would
+        // count as recovering at the next start.
         if self.vote.promise != Some(ballot) && ballot != Ballot::default() {
             self.write(Write::Promise(ballot));
         }
--- a/crates/accord/src/core/history.rs
+++ b/crates/accord/src/core/history.rs
@@ -1,5 +1,5 @@
-//! The one history of versions: what the voters agree on, step by step, and what follows from it. Every front that has
-//! taken the same steps has the same history, whoever told it.
+//! The replicated history of versions: the steps that the voters decided, and the state that follows from
+//! them. Fronts that applied the same steps have equal histories, whichever front sent them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -10,63 +10,64 @@
 use super::successors::{SuccessionChange, Successors};
 use super::Name;
 
-/// Versions kept whole, from the latest back; and those that have not begun, however many.
+/// Begun versions kept, counting back from the latest; versions that have not begun are always kept.
 pub const VERSIONS_KEPT: usize = 64;
 /// Outcomes of proposals kept.
 const OUTCOMES_KEPT: usize = 64;
-/// Versions that may wait to begin at once.
+/// Most versions that may wait to begin at once.
 pub const MAX_PENDING_VERSIONS: u64 = 16;
 
-/// What somebody proposes.
+/// A proposal of rules.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Proposal {
-    /// Drawn by whoever proposes it: the same each time it is sent again.
+    /// Drawn by the proposing front; the same each time the proposal is sent again.
     pub id: u64,
-    /// The version that it was made from.
+    /// The version that the proposal was made from.
     pub base: u64,
-    /// Who proposes it, as that person says.
+    /// The author, as stated by the operator.
     pub by: String,
-    /// When, by the clock of the front that was asked, us since 1970.
+    /// When it was proposed, by the clock of the front that was asked, us since 1970.
     pub at: u64,
-    /// What it says.
+    /// The proposed rules.
     pub rules: Arc<Rules>,
 }
 
-/// What voters agree on.
+/// An entry of the consensus log.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum Entry {
-    /// The next version, if nobody was first.
+    /// The next version, unless another proposal from the same base came first.
     Propose(Proposal),
-    /// Nobody can act any more on what came before this version.
+    /// This version begins: no front can act any more on what came before it.
     Begin(u64),
-    /// Heirs of fronts that are no more there: a version of its own, if any of it still holds.
+    /// Changes of successors: a version of its own, if any of the changes still applies.
     #[serde(rename = "Succeed")]
     ChangeSuccessors(Vec<SuccessionChange>),
-    /// Others vote from here on, or the same ones on a new log. Danger: the crate (0.2.4) has a sign of its own for this,
-    /// and counts it twice after a loss; found by the hunt.
+    /// Other voters from here on, or the same ones on a new log. Danger: the crate (0.2.4) has an entry of
+    /// its own for this, and counts it twice after a loss; found by the schedule search.
     Voters(Voters),
 }
 
 /// A voter: its name, and the disk it votes with.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Seat {
-    /// Its name.
+    /// Name of the front.
     pub name: Name,
-    /// Drawn when its disk was first used. Danger: a voter that comes back with an empty disk has forgotten its votes.
+    /// Drawn when the disk was first used. Danger: a voter that comes back with an empty disk has forgotten
+    /// its votes.
     pub disk: u64,
 }
 
-/// The voters of a time. Numbers are never given twice.
+/// The voters of one epoch. Numbers of voters are never reused.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Voters {
-    /// Counts each change of the voters, from 1; 0 is before the first.
+    /// Counts the changes of voters, from 1; 0 is before the first.
     pub epoch: u32,
     /// Voters by number.
     pub seats: BTreeMap<u64, Seat>,
 }
 
 impl Voters {
-    /// How many make a majority.
+    /// Size of a majority.
     pub fn majority(&self) -> usize {
         self.seats.len() / 2 + 1
     }
@@ -76,13 +77,13 @@
         self.seats.iter().find(|(_, seat)| &*seat.name == name).map(|(number, _)| *number)
     }
 
-    /// Number of a voter by its name and its disk.
+    /// Number of a voter by its name and disk.
     pub fn number_of(&self, seat: &Seat) -> Option<u64> {
         self.seats.iter().find(|(_, old)| *old == seat).map(|(number, _)| *number)
     }
 
-    /// The next voters, where these seats are to vote: whoever stays keeps its number, whoever is new, by name or by
-    /// disk, gets one that nobody had.
+    /// The next voters, with these seats: a voter that stays keeps its number; one with a new name or disk
+    /// gets an unused number.
     pub fn next(&self, wanted: &[Seat]) -> Voters {
         let mut fresh = self.seats.keys().max().copied().unwrap_or(0);
         let seats = wanted.iter().map(|seat| {
@@ -101,58 +102,58 @@
 pub struct Version {
     /// Who proposed it.
     pub by: String,
-    /// When, us since 1970.
+    /// When it was proposed, us since 1970.
     pub at: u64,
-    /// What it says.
+    /// Its rules.
     pub rules: Arc<Rules>,
-    /// It only names heirs; its rules are those of the version before.
+    /// It only changes successors; its rules are those of the version before.
     #[serde(rename = "only_heirs")]
     pub only_successors: bool,
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal. The variant names are part of the history log.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum ProposalOutcome {
-    /// It is this version.
+    /// It became this version.
     Version(u64),
     /// It was made from a version that was no longer the latest; this one was.
     Late(u64),
-    /// Too many versions wait to begin already.
+    /// Too many versions are already waiting to begin.
     Crowded,
 }
 
-/// First bytes of a BLAKE3 hash over all steps so far.
+/// The first bytes of a BLAKE3 hash over all steps so far.
 pub type Digest = [u8; 16];
 
-/// The history as a front has it.
+/// The history known to a front.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct History {
-    /// Steps taken.
+    /// Number of steps applied.
     pub position: u64,
-    /// Of these steps.
+    /// Digest of those steps.
     pub digest: Digest,
-    /// The latest version that has begun; 0 is the front's own file.
+    /// The latest version that has begun; 0 is the front's own settings file.
     pub begun: u64,
     /// The latest version.
     pub latest: u64,
-    /// Those that are kept.
+    /// The versions that are kept.
     pub versions: BTreeMap<u64, Version>,
-    /// Outcomes of the latest proposals, by their ids.
+    /// Outcomes of the latest proposals, by proposal id.
     pub outcomes: VecDeque<(u64, ProposalOutcome)>,
-    /// Who votes.
+    /// The current voters.
     pub voters: Voters,
-    /// Steps taken when they began to.
+    /// Number of steps applied when those voters took over.
     pub voters_at: u64,
-    /// Who goes on with whose promises.
+    /// Successors of lost fronts.
     #[serde(rename = "heirs")]
     pub successors: Arc<Successors>,
-    /// Digests after the steps that made the kept versions: two histories that share a place and differ there have
-    /// parted.
+    /// Digests by position, for the latest steps: two histories with different digests at a shared position
+    /// have diverged.
     pub trail: BTreeMap<u64, Digest>,
 }
 
 impl History {
-    /// Takes one step.
+    /// Applies one step.
     pub fn apply(&mut self, step: &Entry) {
         match step {
             Entry::Propose(proposal) => self.propose(proposal),
@@ -172,7 +173,7 @@
         self.position += 1;
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.digest);
-        // What cannot be encoded was never sent, so nobody can have agreed on it.
+        // An entry that cannot be encoded was never sent, so it cannot have been decided.
         hasher.update(&postcard::to_allocvec(step).unwrap_or_default());
         self.digest.copy_from_slice(&hasher.finalize().as_bytes()[..16]);
         self.trail.insert(self.position, self.digest);
@@ -187,7 +188,7 @@
     }
 
     fn succeed(&mut self, changes: &[SuccessionChange]) {
-        // What does not fit now comes again from whoever wants it.
+        // The requesting front repeats changes that do not apply now.
         let crowded = self.latest - self.begun >= MAX_PENDING_VERSIONS;
         if crowded || !changes.iter().any(|change| self.successors.would_change(change)) {
             return;
@@ -202,15 +203,16 @@
             .insert(self.latest, Version { by: "succession".into(), at: 0, rules, only_successors: true });
     }
 
-    /// Whether a proposal made from this version is made from what holds: a version that only names heirs changes no rule.
+    /// Whether a proposal made from this version is made from the rules in force: versions that only change
+    /// successors change no rule.
     fn fits(&self, base: u64) -> bool {
         let kept = base <= self.latest && (base + 1..=self.latest).all(|at| self.versions.contains_key(&at));
         kept && self.versions.range(base + 1..).all(|(_, version)| version.only_successors)
     }
 
     fn propose(&mut self, proposal: &Proposal) {
-        // Danger: a proposal sent again because its answer was lost becomes two versions, or is told that it lost
-        // against itself.
+        // Danger: a proposal that is sent again because its answer was lost would become two versions, or
+        // would be refused as outdated by itself.
         if self.outcome(proposal.id).is_some() {
             return;
         }
@@ -230,12 +232,12 @@
         }
     }
 
-    /// What became of a proposal, if it was agreed on lately.
+    /// The outcome of a proposal, if it was decided recently.
     pub fn outcome(&self, id: u64) -> Option<ProposalOutcome> {
         self.outcomes.iter().find(|(of, _)| *of == id).map(|(_, became)| *became)
     }
 
-    /// What a version says; the empty rules for 0.
+    /// The rules of a version; empty rules for 0.
     pub fn rules(&self, version: u64) -> Option<Arc<Rules>> {
         match version {
             0 => Some(Arc::default()),
@@ -243,7 +245,7 @@
         }
     }
 
-    /// What the version that has begun and all later ones allow together.
+    /// The meet of the version that has begun and of all later ones.
     pub fn meet(&self) -> Rules {
         let mut meet = self.rules(self.begun).unwrap_or_default().as_ref().clone();
         for (_, version) in self.versions.range(self.begun + 1..) {
@@ -252,7 +254,7 @@
         meet
     }
 
-    /// Whether the two have parted, as far as can be seen: no front may take one for the other.
+    /// Whether the two histories are known to have diverged; such a history must not replace the other.
     pub fn diverged_from(&self, other: &History) -> bool {
         let differ =
             |(at, digest): (&u64, &Digest)| other.trail.get(at).is_some_and(|theirs| theirs != digest);
@@ -263,22 +265,22 @@
 /// The latest steps, for fronts that are only a little behind.
 #[derive(Clone, Debug, Default)]
 pub struct RecentSteps {
-    /// Place and digest before the first one.
+    /// Position and digest before the first kept step.
     before: (u64, Digest),
     steps: VecDeque<Entry>,
     digests: VecDeque<Digest>,
 }
 
-/// Steps kept to be told on.
+/// Number of steps kept.
 const STEPS_KEPT: usize = 128;
 
 impl RecentSteps {
-    /// From here on.
+    /// Starts at the end of this history.
     pub fn new(history: &History) -> RecentSteps {
         RecentSteps { before: (history.position, history.digest), ..RecentSteps::default() }
     }
 
-    /// One more; the history has taken it.
+    /// Adds a step that the history has already applied.
     pub fn push(&mut self, step: Entry, history: &History) {
         self.steps.push_back(step);
         self.digests.push_back(history.digest);
@@ -289,8 +291,7 @@
         }
     }
 
-    /// The steps after a place that was reached with this digest; nothing where they are not kept or the digest is
-    /// another.
+    /// The steps after a position with this digest; none if they are no longer kept or the digest differs.
     pub fn after(&self, position: u64, digest: &Digest) -> Option<Vec<Entry>> {
         let skip = position.checked_sub(self.before.0)? as usize;
         let here = match skip {
--- a/crates/accord/src/core/lease.rs
+++ b/crates/accord/src/core/lease.rs
@@ -1,10 +1,11 @@
-//! Leases: how long a front may act on what it knows, and from when nobody acts any more on what came before.
+//! Leases: how long a front may act on its history, and the bound after which no front acts on earlier rules.
 //!
-//! A front asks every voter; a lease holds while grants of a majority hold. A voter grants nothing to a front that lacks
-//! any step in the voter's own log, agreed on or not. So once a majority has a step, no lease of a front without it can
-//! begin, and the last one ends within its length: that is the whole proof, `docs/design/accord.md` writes it out.
+//! A front asks every voter; the lease holds while the grants of a majority hold. A voter grants nothing to a
+//! front that lacks any step of the voter's own log, decided or not. So once a majority has a step, no lease
+//! of a front without it can begin, and the last one ends within the length of a lease.
+//! `docs/design/accord.md` has the proof.
 //!
-//! Time counts by clocks that only go forward and are off by at most [`Times::drift_ppm`].
+//! Times are of monotonic clocks whose rates are off by at most [`LeaseTimes::drift_ppm`].
 
 use std::collections::BTreeMap;
 
@@ -13,23 +14,24 @@
 use super::history::{Seat, Voters};
 use super::{Micros, Name};
 
-/// Times, each a setting.
+/// Lease times, from the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct LeaseTimes {
-    /// A lease lasts so long from the moment it was asked for.
+    /// Length of a lease, counted from the request.
     pub lease: Micros,
-    /// A front without one goes on for so long by the meet of all that it knows.
+    /// Grace period after the lease, during which a front applies the meet of all known rules.
     #[serde(rename = "alone")]
     pub grace: Micros,
-    /// After that it refuses new sessions; otherwise it goes on so.
+    /// After the grace period the front refuses new sessions; otherwise it continues without limit.
     #[serde(rename = "refuse")]
     pub refuse_without_lease: bool,
-    /// Leases are asked for this often.
+    /// Interval of lease requests.
     #[serde(rename = "renew")]
     pub renew_interval: Micros,
-    /// No clock is fast or slow by more than so many parts in a million.
+    /// Largest rate error of a clock, in parts per million.
     pub drift_ppm: u64,
-    /// From the last look at the lease until the last byte has left the process, at most, while the process runs.
+    /// Longest delay from the check of the lease until the last byte has left the process, while the process
+    /// runs.
     #[serde(rename = "write")]
     pub write_delay: Micros,
 }
@@ -48,46 +50,46 @@
 }
 
 impl LeaseTimes {
-    /// This span of one clock, by another that may be slower: no shorter than that.
+    /// Converts a duration of one clock to an upper bound on another clock that may be slower.
     fn widened(&self, span: Micros) -> Micros {
         // (1 + d) / (1 - d) is under 1 + 2d + 3d² for every d under a third.
         span + span * (2 * self.drift_ppm + 1) / 1_000_000 + 1
     }
 
-    /// The stated time: no two fronts act on contradicting rules for longer than this, us. Nothing where a front without
-    /// a lease goes on for ever.
+    /// The longest time during which two fronts may act on contradicting rules, us. None if fronts without a
+    /// lease continue without limit.
     pub fn max_contradiction(&self) -> Option<Micros> {
         self.refuse_without_lease.then(|| self.widened(self.lease + self.grace) + self.write_delay)
     }
 }
 
-/// A front's side: what it holds.
+/// A front's side of the lease: the grants that it holds.
 #[derive(Clone, Debug, Default)]
 pub struct HeldLease {
-    /// Until when each voter's grant holds, by this front's clock.
+    /// End of each voter's grant, by this front's clock.
     grants: BTreeMap<u64, Micros>,
-    /// Of which voters.
+    /// The voters that these grants are from.
     seats: BTreeMap<u64, Seat>,
-    /// Questions under way: number, voter, when it was sent.
+    /// Requests in flight: nonce, voter, and when the request was sent.
     asked: BTreeMap<u64, (u64, Micros)>,
 }
 
 impl HeldLease {
-    /// A question goes out.
+    /// Records a request to a voter.
     pub fn asks(&mut self, now: Micros, voter: u64, nonce: u64, times: &LeaseTimes) {
         self.asked.retain(|_, (_, sent)| *sent + times.lease > now);
         self.asked.insert(nonce, (voter, now));
     }
 
-    /// A grant comes in. It counts from when it was asked for (Gray and Cheriton, 1989, section 2).
+    /// Records a grant. It counts from when it was requested (Gray and Cheriton, 1989, section 2).
     pub fn granted(&mut self, voter: u64, nonce: u64, times: &LeaseTimes) {
         let Some((_, sent)) = self.asked.remove(&nonce).filter(|(of, _)| *of == voter) else { return };
         let until = self.grants.entry(voter).or_default();
         *until = (*until).max(sent + times.lease);
     }
 
-    /// Other voters: what the former ones granted, or are asked for, counts no more. The same ones under a new epoch have
-    /// not forgotten what they granted.
+    /// Follows a change of voters: grants and requests of other voters no longer count. The same voters under
+    /// a new epoch still remember what they granted.
     pub fn follow(&mut self, voters: &Voters) {
         if self.seats != voters.seats {
             self.seats.clone_from(&voters.seats);
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Until when a majority's grants hold.
+    /// The time until which a majority's grants hold.
     pub fn until(&self, majority: usize) -> Micros {
         let mut all: Vec<Micros> = self.grants.values().copied().collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
@@ -104,27 +106,29 @@
     }
 }
 
-/// A voter's side: what it has granted.
+/// A voter's side of leases: the grants that it has given.
 #[derive(Clone, Debug)]
 pub struct GrantedLeases {
-    /// Leases may be out that it does not know of, until then: it may have forgotten them, or the voters before gave them.
+    /// Until this time, leases may be held that this voter does not know of: it may have lost its memory of
+    /// them, or earlier voters granted them.
     unknown: Micros,
-    /// Until when each front's grant may hold, by this voter's clock, and the latest version the front had.
+    /// The end of each front's grant, by this voter's clock, and the latest version that the front had.
     given: BTreeMap<Name, (Micros, u64)>,
 }
 
 impl GrantedLeases {
-    /// A voter that starts, or that begins to vote among others than before.
+    /// For a voter that starts, or that joins other voters.
     pub fn new(now: Micros, times: &LeaseTimes) -> GrantedLeases {
         GrantedLeases { unknown: now + times.widened(times.lease), given: BTreeMap::new() }
     }
 
-    /// Grants to a front that has all that this voter has, up to this version.
+    /// Records a grant to a front that has everything this voter has, up to this version.
     pub fn grant(&mut self, now: Micros, to: &Name, version: u64, times: &LeaseTimes) {
         self.given.insert(Name::clone(to), (now + times.widened(times.lease), version));
     }
 
-    /// The version up to which no front acts on less by a lease of this voter. For each version this stays so once it is.
+    /// The version below which no front holds a lease of this voter. For a given version this remains true
+    /// once it is reached.
     pub fn clear(&mut self, now: Micros, latest: u64) -> u64 {
         if now < self.unknown {
             return 0;
@@ -133,7 +137,7 @@
         self.given.values().map(|(_, version)| *version).min().unwrap_or(latest).min(latest)
     }
 
-    /// Fronts that hold a grant, and the version they have.
+    /// Fronts that hold a grant, with the version they have.
     pub fn holders(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.given.iter().map(|(name, (_, version))| (name, *version))
     }
--- a/crates/accord/src/core/mod.rs
+++ b/crates/accord/src/core/mod.rs
@@ -1,14 +1,16 @@
-//! Versions of rules that fronts agree on, as state, with no I/O, clock or thread: told what comes, it answers with what
-//! is to be written to disk, sent and told.
+//! The state machine by which fronts agree on rule versions, without I/O, clock or threads: it takes inputs
+//! and returns writes, messages and notifications.
 //!
-//! [`Accord::handle`] takes the time (of a clock that only goes forward, of this process alone) and one [`Input`];
-//! [`Accord::next_due`] tells when it must be called again. What an [`Output::Write`] holds is on the disk, flushed,
-//! before anything after it is carried out.
+//! [`Accord::handle`] takes the time (of a monotonic clock, local to this process) and one [`Input`];
+//! [`Accord::next_due`] returns when it has to be called again. The contents of an [`Output::Write`] are on
+//! disk, and flushed where needed, before any later output is carried out.
 //!
-//! - [`rules`]: what versions say and mean to each other. [`history`]: the steps that made them.
-//! - [`heirs`]: who goes on with the promises of a front that is no more there.
-//! - [`lease`]: how long a front may act on them, and the stated time. [`stand`]: what it acts on.
-//! - [`voter`]: agreement. [`disk`]: what is kept. [`mod@self`]: a front's part in all of it.
+//! - [`rules`]: the content of versions and how two versions relate. [`history`]: the agreed steps that
+//! created them.
+//! - [`successors`]: which front takes over the sessions of a lost one.
+//! - [`lease`]: how long a front may act on the history, and the bound on contradictions. [`coordination`]:
+//! what a front acts on.
+//! - [`voter`]: consensus. [`disk`]: persistent state. [`mod@self`]: one front's part in all of these.
 
 pub mod coordination;
 pub mod disk;
@@ -32,76 +34,77 @@
 use successors::SuccessionChange;
 use voter::{KnownHistory, Order, Voter, VoterProgress, TICK};
 
-/// Microseconds.
+/// Time or duration, us.
 pub type Micros = u64;
-/// A front's name.
+/// Name of a front.
 pub type Name = Arc<str>;
 
-/// Whoever is not yet a voter looks for the others this often.
+/// How often a front that is not yet a voter looks for the other voters.
 const VOTER_SEARCH_INTERVAL: Micros = 200_000;
-/// A front with a lease asks another one whether there is news this often.
+/// How often a front with a lease asks another front for new history steps.
 const HISTORY_POLL_INTERVAL: Micros = 2_000_000;
-/// One without, this often.
+/// How often a front without a lease asks another front for new history steps.
 const HISTORY_POLL_INTERVAL_WITHOUT_LEASE: Micros = 250_000;
-/// A proposal is sent again after this.
+/// An undecided proposal is sent again after this time.
 const PROPOSAL_RESEND_INTERVAL: Micros = 400_000;
-/// After this, whoever proposed is told that nothing is known of it.
+/// The operator is told that the outcome is unknown after this time.
 const PROPOSAL_TIMEOUT: Micros = 10_000_000;
-/// Longest proposal, bytes as it is sent.
+/// Largest proposal, in encoded bytes.
 pub const MAX_PROPOSAL_BYTES: usize = 64 * 1024;
 
-/// What a front is told of itself.
+/// What identifies this front, and its settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FrontIdentity {
-    /// Its name, the same at each start.
+    /// Name of the front, the same at each start.
     pub name: Name,
-    /// A number drawn for this start: it becomes the disk's if that has none.
+    /// Random number drawn for this start; it becomes the disk id if the disk has none.
     pub new_disk_id: u64,
-    /// The voters of the first start of all; later ones stand in the history.
+    /// Voters of the first start of the fleet; later ones are in the history.
     pub initial_voters: Vec<Name>,
-    /// Times.
+    /// Lease times.
     pub times: LeaseTimes,
 }
 
-/// What fronts say to each other.
+/// Contents of messages between fronts.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Body {
-    /// Between voters of these numbers: the crate's own.
+    /// Between the voters of this epoch: a message of the consensus crate.
     Consensus(u32, Box<Message<Entry>>),
-    /// Between voters: how far this one has come.
+    /// Between voters: the sender's progress.
     #[serde(rename = "Marks")]
     Progress(VoterProgress),
-    /// Who are you? The number comes back.
+    /// Asks a front for its voters; the nonce is returned in the reply.
     Hello(u64),
-    /// This front, voting among these if it votes.
+    /// Reply to `Hello`: the nonce, and the voters that the front votes among or knows, if any.
     #[serde(rename = "Here")]
     HelloReply(u64, Option<Voters>),
-    /// May I act on what I have? The number comes back.
+    /// Asks a voter for a lease, with the history known to the sender; the nonce is returned in the grant.
     #[serde(rename = "Ask")]
     LeaseRequest(u64, KnownHistory),
-    /// You may; from the voter of this number.
+    /// Grants the lease asked for with this nonce; from the voter of this number.
     #[serde(rename = "Grant")]
     LeaseGrant(u64, u64),
-    /// Have you got more than this?
+    /// Asks for the history after this position.
     #[serde(rename = "Follow")]
     HistoryRequest(KnownHistory),
-    /// What follows on that place and digest.
+    /// The history steps that follow this position and digest.
     Steps(u64, Digest, Vec<Entry>),
-    /// All, for one who is too far behind.
+    /// The whole history, for a front that is too far behind for single steps.
     #[serde(rename = "Whole")]
     Snapshot(Box<History>),
-    /// To a voter: somebody proposes this.
+    /// To a voter: a proposal to append.
     Propose(Proposal),
-    /// To a voter: heirs are to change so.
+    /// To a voter: changes of successors to append.
     #[serde(rename = "Succeed")]
     ChangeSuccessors(Vec<SuccessionChange>),
-    /// To a voter: this disk is to vote in place of one of the same name.
+    /// To a voter: the sender's disk asks to replace the lost disk of the voter of the same name.
     #[serde(rename = "Replace")]
     ReplaceDisk,
 }
 
 impl Body {
-    /// Whether agreement or a lease hangs on it: what is said only to be said again does not count.
+    /// Whether consensus or a lease depends on this message; messages that are repeated regularly do not
+    /// count.
     pub fn affects_agreement(&self) -> bool {
         match self {
             Body::Consensus(_, message) => matches!(message.as_ref(), Message::SequencePaxos(_)),
@@ -120,77 +123,79 @@
     }
 }
 
-/// A message, but for what authenticates it.
+/// A message without its authentication tag.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Envelope {
-    /// Who says it.
+    /// Sender.
     pub name: Name,
-    /// To whom.
+    /// Recipient.
     pub to: Name,
-    /// From which disk, in which start of it.
+    /// Id of the sender's disk.
     pub disk: u64,
-    /// See `disk`.
+    /// Number of the sender's start on that disk.
     pub start: u64,
-    /// Count of messages of this start.
+    /// Number of the message within that start.
     pub sequence: u64,
-    /// What it says.
+    /// Content.
     pub body: Body,
 }
 
-/// What a front hears.
+/// Inputs of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message.
+    /// A message arrived.
     Received(Box<Envelope>),
-    /// Something may be due.
+    /// Time has passed.
     Tick,
-    /// Who is in the view, this front left out.
+    /// The fronts in the membership view, without this one.
     View(BTreeSet<Name>),
-    /// An operator proposes, from this version or from the latest here: who, when (us since 1970), what.
+    /// An operator proposes rules: ticket, base version (the latest if none), author, time (us since 1970),
+    /// rules.
     Propose(u64, Option<u64>, String, u64, Rules),
-    /// Heirs are to change so; said again by whoever wants it until it is seen.
+    /// Changes of successors to be agreed on; the caller repeats the request until the history contains them.
     ChangeSuccessors(Vec<SuccessionChange>),
-    /// An operator wants these voters.
+    /// An operator requests these voters; with the ticket.
     ChangeVoters(u64, Vec<Name>),
-    /// Nothing can be written any more.
+    /// The store can no longer be written.
     DiskFailed,
 }
 
-/// What an operator is told.
+/// Reply to an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OperatorReply {
-    /// What became of the proposal.
+    /// The outcome of the proposal. The name is part of the history log.
     Became(ProposalOutcome),
-    /// Nothing is known of it yet: it may still become a version.
+    /// The outcome is not known yet: the proposal may still become a version.
     Unknown,
-    /// Why it is not even proposed.
+    /// The request was not proposed, with the reason.
     Refused(String),
-    /// The voters are asked to change.
+    /// The change of voters was proposed.
     Asked,
 }
 
-/// What the edge is to do, and what is worth knowing.
+/// Effects to be carried out, and notifications.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Write these in one piece; if any of them [promises](Write::promises), flush.
+    /// Write these atomically; flush if any of them [needs it](Write::needs_flush).
     Write(Vec<Write>),
-    /// Send this.
+    /// Send this message.
     Send(Box<Envelope>),
-    /// What this front acts on from now on.
+    /// The state that this front acts on from now on.
     Coordination(CoordinationState),
-    /// The history has gone on: steps, digest, latest version.
+    /// The history has advanced: steps, digest, latest version.
     HistoryAdvanced(u64, Digest, u64),
-    /// A version is known here: its number, and what it says.
+    /// A version became known: its number and rules.
     Version(u64, Arc<Rules>),
-    /// To the operator of this number.
+    /// Reply to the operator with this ticket.
     Reply(u64, OperatorReply),
-    /// This front votes now, under this number, among voters of this epoch; or no more.
+    /// This front votes from now on, with this number and among the voters of this epoch; or it stopped
+    /// voting.
     Voting(Option<(u64, u32)>),
-    /// That front has another history: one of the two disks is not what it seems.
+    /// That front has a history that contradicts this one: one of the two disks was copied or altered.
     HistoryDiverged(Name),
 }
 
-/// A proposal that nothing is known of yet.
+/// A proposal whose outcome is not known yet.
 #[derive(Clone, Debug)]
 struct Open {
     ticket: u64,
@@ -199,16 +204,16 @@
     next: Micros,
 }
 
-/// Looking for the other voters of the first start.
+/// Search for the other voters at the first start of the fleet.
 #[derive(Clone, Debug, Default)]
 struct Seeking {
     nonce: u64,
-    /// Disks of those that vote as little as this one.
+    /// Disk ids of the fronts that do not vote yet either.
     empty: BTreeMap<Name, u64>,
     next: Micros,
 }
 
-/// A front's part in the agreement.
+/// One front's part in the agreement.
 #[derive(Debug)]
 pub struct Accord {
     own: FrontIdentity,
@@ -227,7 +232,7 @@
     sequence: u64,
     nonce: u64,
     peers: BTreeSet<Name>,
-    /// Disks of fronts that have asked for leases lately.
+    /// Disk ids of the fronts that have asked for a lease since this front started.
     disks: BTreeMap<Name, u64>,
     open: Vec<Open>,
     told: u64,
@@ -240,11 +245,12 @@
 }
 
 impl Accord {
-    /// A front that starts on this image. What follows at once is added to `out`.
+    /// Starts a front on this image. Outputs are added to `out`.
     pub fn new(own: FrontIdentity, image: Image, now: Micros, out: &mut Vec<Output>) -> Accord {
         let (disk, start) = image.identity.map_or((own.new_disk_id, 1), |(disk, starts)| (disk, starts + 1));
         let journal = Journal::default();
-        // Danger: a disk that says who it is only once it has voted is another disk to those that asked before.
+        // Danger: a front that announces its disk id only after it has voted appears as a different disk to
+        // those that asked before. The id is therefore written first.
         journal.push(Write::Identity(disk, start));
         let history = image.history.map(|history| history.as_ref().clone()).unwrap_or_default();
         let coordination = CoordinationState {
@@ -302,28 +308,28 @@
         accord
     }
 
-    /// The history as it is known here.
+    /// The history known to this front.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// What this front acts on.
+    /// The state that this front acts on.
     pub fn coordination(&self) -> &CoordinationState {
         &self.coordination
     }
 
-    /// Its voter, if it votes.
+    /// The voter of this front, if it votes.
     pub fn voter(&self) -> Option<&Voter> {
         self.voter.as_ref()
     }
 
-    /// When it must be called again.
+    /// When [`Accord::handle`] has to be called again.
     pub fn next_due(&self) -> Micros {
         let voter = self.voter.as_ref().map_or(Micros::MAX, Voter::next_due);
         voter.min(self.next_ask).min(self.next_follow).max(self.now + 1).min(self.now + TICK * 4)
     }
 
-    /// Takes in one input; what follows is added to `out`, in order.
+    /// Processes one input; outputs are added to `out`, in order.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         let mut then = Vec::new();
@@ -355,7 +361,7 @@
         out.append(&mut then);
     }
 
-    // ---- What comes ----
+    // ---- Messages ----
 
     fn heard(&mut self, envelope: Envelope, out: &mut Vec<Output>) {
         let Envelope { name, to, disk, start, sequence, body } = envelope;
@@ -367,7 +373,7 @@
                 let Some(voter) = self.voter.as_mut().filter(|voter| voter.voters().epoch == epoch) else {
                     return;
                 };
-                // Danger: a disk that took another's name speaks for a vote that it has never cast.
+                // Danger: a disk that took over another's name would speak for votes that it never cast.
                 let seat = Seat { name, disk };
                 let sender = match message.as_ref() {
                     Message::SequencePaxos(paxos) => paxos.from,
@@ -398,7 +404,8 @@
             Body::Steps(position, digest, steps) => {
                 if position == self.history.position && digest == self.history.digest {
                     steps.into_iter().for_each(|step| self.take(step, out));
-                    // The lease waits for nothing but this.
+                    // A lease is refused to a front that lacks steps, so it asks again as soon as it has
+                    // them.
                     self.next_ask = self.next_ask.min(self.now);
                 }
             }
@@ -418,7 +425,7 @@
         }
     }
 
-    /// A front asks for a lease.
+    /// Answers a request for a lease.
     fn asked(&mut self, name: &Name, nonce: u64, has: &KnownHistory, out: &mut Vec<Output>) {
         self.catch_up(name, has, out);
         let Some(voter) = &mut self.voter else { return };
@@ -429,7 +436,7 @@
         }
     }
 
-    /// Tells a front what it lacks.
+    /// Sends a front the part of the history that it lacks.
     fn catch_up(&mut self, name: &Name, has: &KnownHistory, out: &mut Vec<Output>) {
         if has.position >= self.history.position {
             return;
@@ -446,7 +453,7 @@
             out.push(Output::HistoryDiverged(Name::clone(from)));
             return;
         }
-        // Danger: a history older than what this front acts on takes a refusal back that others heed.
+        // Danger: an older history would revoke a refusal that other fronts already apply.
         if history.position > self.history.position {
             self.replace_history(history, out);
             self.next_ask = self.next_ask.min(self.now);
@@ -475,7 +482,7 @@
         }
     }
 
-    /// The leader tells a step at once to those that would hear of it when they ask next.
+    /// The leader sends a new step to the holders of leases at once, before they ask.
     fn pass_on(&mut self, step: &Entry, out: &mut Vec<Output>) {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.leads()) else { return };
         let others = voter.holders().map(|(name, _)| name).filter(|name| **name != self.own.name);
@@ -500,7 +507,7 @@
         }
     }
 
-    /// The history has other voters than before: this front votes among them, or no more.
+    /// Starts or stops voting after the history has changed the voters.
     fn revote(&mut self, out: &mut Vec<Output>) {
         let voters = &self.history.voters;
         self.held.follow(voters);
@@ -509,14 +516,15 @@
         }
         let own = Seat { name: Name::clone(&self.own.name), disk: self.disk };
         let number = voters.number_of(&own);
-        // The same voters go on, each with what it has granted; among others, it may be the only one that knows.
+        // If the voters stay the same, their granted leases are kept; with other voters, this voter may be
+        // the only one that knows of them.
         let same = |voter: &Voter| voter.voters().seats == self.history.voters.seats;
         let kept = self.voter.take_if(|voter| same(voter)).map(Voter::into_granting);
         self.stop_voting(out);
         let Some(number) = number.filter(|_| !self.sick) else { return };
         let vote = VoterState::new(number, &self.history);
         let told = (vote.number, vote.voters.epoch);
-        // What the log will say follows on this.
+        // The log that starts here continues this history.
         self.journal.push(Write::History(Arc::new(self.history.clone())));
         self.journal.push(Write::Voter(Box::new(vote.clone())));
         let granting = kept.unwrap_or_else(|| GrantedLeases::new(self.now, &self.own.times));
@@ -524,13 +532,13 @@
         out.push(Output::Voting(self.voter.as_ref().map(|_| told)));
     }
 
-    /// A front answers who it is.
+    /// Handles the reply of a front to `Hello`.
     fn found(&mut self, name: Name, disk: u64, nonce: u64, voters: Option<Voters>, out: &mut Vec<Output>) {
         if nonce != self.seeking.nonce || self.voter.is_some() || self.history.voters.epoch > 0 {
             return;
         }
         match voters {
-            // Its history comes by itself, and tells whether this disk is to vote.
+            // The front sends its history on request; the history tells whether this disk votes.
             Some(_) => {
                 self.seeking.empty.clear();
                 self.next_follow = self.now;
@@ -544,8 +552,8 @@
         }
     }
 
-    /// All voters of the settings are there, and none of them has ever voted: only then does the first vote begin.
-    /// Danger: with fewer, the one that is missing may hold a history that these begin a second time.
+    /// Starts the first vote once all voters of the settings have answered and none of them has voted before.
+    /// Danger: if one is missing, it may hold a history that the others would start a second time.
     fn begin_first(&mut self, out: &mut Vec<Output>) {
         let own = (&self.own.name, &self.disk);
         let all: BTreeMap<&Name, &u64> = self.seeking.empty.iter().chain([own]).collect();
@@ -602,7 +610,7 @@
     fn take_decided(&mut self, out: &mut Vec<Output>) {
         let Some(voter) = &mut self.voter else { return };
         for (at, step) in voter.decided() {
-            // What is known from others already is passed over.
+            // Steps already received from other fronts are skipped.
             if at == self.history.position {
                 self.take(step, out);
             }
@@ -612,7 +620,7 @@
         }
     }
 
-    // ---- What is due ----
+    // ---- Timers ----
 
     fn has(&self) -> KnownHistory {
         let History { position, digest, latest, voters, .. } = &self.history;
@@ -668,7 +676,7 @@
         }
     }
 
-    /// The other voters, as far as they are known.
+    /// The known voters, without this front.
     fn voters(&self) -> Vec<Name> {
         let known: Vec<Name> = match self.history.voters.epoch {
             0 => self.own.initial_voters.clone(),
@@ -677,7 +685,7 @@
         known.into_iter().filter(|name| *name != self.own.name).collect()
     }
 
-    /// Asks every voter for a lease, itself among them.
+    /// Asks every voter for a lease, including this front's own.
     fn ask(&mut self, out: &mut Vec<Output>) {
         let has = self.has();
         let seats: Vec<(u64, Name)> = self
@@ -718,7 +726,7 @@
         out: &mut Vec<Output>,
     ) {
         self.nonce += 1;
-        // No two fronts draw alike: the disk's number is in it.
+        // Unique across fronts, because it contains the disk id.
         let id = self.disk.rotate_left(17) ^ self.nonce.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let rules = Arc::new(rules.normalized());
         let proposal = Proposal { id, base: base.unwrap_or(self.history.latest), by, at, rules };
@@ -765,7 +773,7 @@
         out.append(&mut told);
     }
 
-    // ---- Heirs ----
+    // ---- Successors ----
 
     fn succeed(&mut self, mut changes: Vec<SuccessionChange>, out: &mut Vec<Output>) {
         changes.retain(|change| self.history.successors.would_change(change));
@@ -788,7 +796,7 @@
         }
     }
 
-    // ---- What follows ----
+    // ---- Outputs ----
 
     fn send(&mut self, to: &Name, body: Body, out: &mut Vec<Output>) {
         self.sequence += 1;
@@ -797,7 +805,7 @@
         out.push(Output::Send(Box::new(Envelope { name, to, disk, start, sequence, body })));
     }
 
-    /// What the voter has to say.
+    /// Sends the messages of the voter, and its progress.
     fn say(&mut self, out: &mut Vec<Output>) {
         let Some(voter) = &mut self.voter else { return };
         let epoch = voter.voters().epoch;
@@ -820,9 +828,9 @@
         }
     }
 
-    /// What this front acts on, told where it has changed.
+    /// Updates the coordination state, and reports it if it has changed.
     fn settle(&mut self, out: &mut Vec<Output>) {
-        // A voter's own history is in its log.
+        // A voter's history is in its log.
         if self.voter.is_none() && self.history.position > self.wrote {
             self.wrote = self.history.position;
             self.journal.push(Write::History(Arc::new(self.history.clone())));
@@ -832,7 +840,7 @@
             _ => self.held.until(self.history.voters.majority()),
         };
         let times = &self.own.times;
-        // Other voters take the lease, and what a front without one may do for a while counts from where it ended.
+        // A change of voters clears the lease; the grace period counts from the end of that lease.
         let ends = if until > 0 { until + times.grace } else { 0 };
         let alone =
             if times.refuse_without_lease { self.coordination.grace_until.max(ends) } else { Micros::MAX };
--- a/crates/accord/src/core/rules.rs
+++ b/crates/accord/src/core/rules.rs
@@ -1,34 +1,35 @@
-//! What a version says, and what two versions mean to each other: pure functions, no state.
+//! The content of a version, and how two versions relate: pure functions without state.
 //!
-//! Rules only take away from what a front's own file allows. They form a meet-semilattice: [`Rules::meet`] allows exactly
-//! what both allow, the empty rules allow everything, and a version [`tightens`](Rules::tightens) another where it is
-//! their meet. Each kind has its own order:
+//! Rules only restrict what a front's own settings file allows. They form a meet-semilattice: [`Rules::meet`]
+//! allows exactly what both allow, the empty rules allow everything, and a version
+//! [`tightens`](Rules::tightens) another if it equals their meet. Each kind of rule has its own order:
 //!
-//! | kind | what two versions contradict in | stricter |
+//! | kind | what two versions may differ in | stricter |
 //! |---|---|---|
 //! | class | whether it is open, its top rung, its seats, whether its sessions end | closed, lower, fewer, end |
 //! | ladder | the highest rung | lower |
 //! | limit | the number | lower |
-//! | title | the cells where it lies | fewer cells |
+//! | title | the cells that may serve it | fewer cells |
 //! | cell | whether it is closed | closed |
-//! | refused | whether a firm or viewer is refused | refused |
-//! | box | what an operator orders | drain, then hold, then nothing |
+//! | refused | whether a tenant or viewer is refused | refused |
+//! | box | the operator's order | drain, then hold, then no order |
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Terms of a class. A class that no version names has the [default](Terms::default): all that the front's file says.
+/// Terms of a class. A class that no version names has the [default](ClassTerms::default): everything the
+/// front's settings file allows.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ClassTerms {
-    /// New sessions are taken.
+    /// New sessions are accepted.
     pub open: bool,
     /// Highest rung of new sessions.
     pub top_rung: u32,
-    /// Sessions of the class at one front at most.
+    /// Most sessions of the class at one front.
     pub seats: u32,
-    /// What plays is ended once the class is not open; otherwise it stays.
+    /// Playing sessions are ended when the class is not open; otherwise they continue.
     pub ends: bool,
 }
 
@@ -49,38 +50,38 @@
     }
 }
 
-/// Limits that a front heeds.
+/// Limits that a front applies.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Limit {
-    /// Sessions at one front.
+    /// Most sessions at one front.
     SessionsPerFront,
-    /// Sessions of one viewer at one front.
+    /// Most sessions of one viewer at one front.
     SessionsPerViewer,
 }
 
-/// Whoever is refused.
+/// A refused tenant or viewer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RefusedParty {
-    /// All viewers of a firm: those whose names begin with it and a slash.
+    /// All viewers of a tenant: those whose names begin with its name and a slash.
     #[serde(rename = "firm")]
     Tenant(String),
     /// One viewer.
     Viewer(String),
 }
 
-/// What an operator orders of a box, whatever the list says.
+/// An operator's order for a box; it overrides the box list.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Order {
-    /// No new sessions; what plays there stays.
+    /// No new sessions; playing ones continue.
     Hold,
-    /// As if the list said that it drains.
+    /// The box drains, as if the box list said so.
     Drain,
 }
 
-/// One version's rules.
+/// The rules of one version.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Rules {
     /// Classes by name.
@@ -89,17 +90,18 @@
     pub ladder: Option<u32>,
     /// Limits.
     pub limits: BTreeMap<Limit, u32>,
-    /// Cells where a title lies, of those that the front's file has for it; none: it is shown nowhere.
+    /// Cells that may serve a title, among those that the front's settings file has for it; with no cell, the
+    /// title is not served.
     pub titles: BTreeMap<String, BTreeSet<u32>>,
-    /// Cells that take no new sessions.
+    /// Cells that accept no new sessions.
     pub closed: BTreeSet<u32>,
-    /// Who is refused.
+    /// Refused tenants and viewers.
     pub refused: BTreeSet<RefusedParty>,
-    /// Orders to boxes by name.
+    /// Orders for boxes, by name.
     pub boxes: BTreeMap<String, Order>,
 }
 
-/// What a viewer asks for, as far as rules look at it.
+/// The parts of a session request that rules look at.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionRequest<'a> {
     /// Name of the viewer.
@@ -108,33 +110,33 @@
     pub class: &'a str,
     /// Name of the title.
     pub title: &'a str,
-    /// Sessions held at this front: of all, of the class, of the viewer.
+    /// Sessions at this front: in all, of the class, of the viewer.
     pub held: [u32; 3],
 }
 
-/// Why something is refused.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The viewer or its firm is refused.
+    /// The viewer or its tenant is refused.
     #[serde(rename = "who")]
     Party,
-    /// The class takes no new sessions.
+    /// The class accepts no new sessions.
     Class,
     /// The class has no seat left at this front.
     Seats,
-    /// The title is shown nowhere.
+    /// No cell may serve the title.
     Title,
-    /// This front holds as many sessions as it may.
+    /// This front is at its limit of sessions.
     Front,
-    /// The viewer has as many sessions as it may.
+    /// The viewer is at its limit of sessions.
     Viewer,
-    /// The front has no lease, and has been without for too long.
+    /// The front has no lease, and its grace period is over.
     Lease,
 }
 
 impl Refusal {
-    /// Whether a later try may be served with nothing changed by an operator.
+    /// Whether a later attempt may succeed without an operator changing anything.
     pub fn is_transient(self) -> bool {
         matches!(self, Refusal::Seats | Refusal::Front | Refusal::Viewer | Refusal::Lease)
     }
@@ -154,21 +156,21 @@
     }
 }
 
-/// One thing that two versions contradict each other in.
+/// One rule in which two versions contradict each other.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Contradiction {
-    /// What kind of rule.
+    /// Kind of rule.
     pub kind: &'static str,
-    /// Of what name.
+    /// Name that the rule applies to.
     pub name: String,
-    /// The later version refuses what the earlier one allows.
+    /// The later version refuses something that the earlier one allows.
     pub tightened: bool,
-    /// The later version allows what the earlier one refuses.
+    /// The later version allows something that the earlier one refuses.
     pub loosened: bool,
 }
 
 impl Rules {
-    /// Entries that say nothing are taken out, so that equal rules are equal.
+    /// Removes entries without effect, so that equivalent rules compare equal.
     pub fn normalized(mut self) -> Rules {
         self.classes.retain(|_, terms| *terms != ClassTerms::default());
         self.limits.retain(|_, most| *most != u32::MAX);
@@ -176,7 +178,7 @@
         self
     }
 
-    /// What both allow, and nothing else.
+    /// The rules that allow exactly what both allow.
     pub fn meet(&self, other: &Rules) -> Rules {
         let mut both = self.clone();
         for (name, terms) in &other.classes {
@@ -208,7 +210,7 @@
     /// Whether a new session may begin.
     ///
     /// # Errors
-    /// Why not: the first reason that an operator would want to hear.
+    /// The first reason against it, in the order most useful to an operator.
     pub fn allows(&self, asked: &SessionRequest<'_>) -> Result<(), Refusal> {
         let firm = asked.viewer.split_once('/').map(|(firm, _)| RefusedParty::Tenant(firm.to_owned()));
         let refused = |who: &RefusedParty| self.refused.contains(who);
@@ -242,17 +244,17 @@
         self.terms(class).top_rung.min(self.ladder.unwrap_or(u32::MAX))
     }
 
-    /// Whether a title may be shown from a cell, as far as these rules say.
+    /// Whether these rules allow a title to be served from a cell.
     pub fn allows_cell(&self, title: &str, cell: u32) -> bool {
         !self.closed.contains(&cell) && self.titles.get(title).is_none_or(|cells| cells.contains(&cell))
     }
 
-    /// Whether this allows nothing that the other refuses.
+    /// Whether these rules allow nothing that the other rules refuse.
     pub fn tightens(&self, other: &Rules) -> bool {
         self.meet(other) == self.clone().normalized()
     }
 
-    /// What the later of two versions changes, one line for each name.
+    /// What the later of two versions changes, one entry for each name.
     pub fn contradictions(earlier: &Rules, later: &Rules) -> Vec<Contradiction> {
         let mut found = Vec::new();
         let mut one = |kind: &'static str, name: String, part: &dyn Fn(&Rules) -> Rules| {
@@ -317,7 +319,7 @@
 }
 
 impl Limit {
-    /// Its name in settings.
+    /// Name of the limit in settings.
     pub fn name(self) -> &'static str {
         match self {
             Limit::SessionsPerFront => "sessions-per-front",
--- a/crates/accord/src/core/successors.rs
+++ b/crates/accord/src/core/successors.rs
@@ -1,8 +1,10 @@
-//! Who goes on with what a front promised that is no more there: one heir for each life, by epochs that only grow.
+//! Which front takes over the sessions of a lost one: one successor for each incarnation, ordered by
+//! increasing epochs.
 //!
-//! A life is one start of a front. Taking one over is a version of its own, with the rules of the version before: it begins
-//! as any version does, when no front acts by a lease without it. So the front that lived that life, only stopped or cut
-//! off, has heard of its heir before the heir's first act, or acts no more for want of a lease.
+//! An incarnation is one start of a front. Taking one over is a version of its own, with unchanged rules, and
+//! begins like any version: once no front can hold a lease without it. So a front of that incarnation that
+//! was only suspended or partitioned has either learned of its successor before the successor first acts, or
+//! has lost its lease and no longer acts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,60 +14,61 @@
 
 use super::Name;
 
-/// One start of a front: what the ids of its sessions begin with.
+/// One start of a front; the ids of its sessions begin with this name.
 pub type Incarnation = Arc<str>;
 
-/// Lives known at most that have heirs, and lives remembered to be over. Danger: without a bound the history grows with
-/// every restart.
+/// Most incarnations with successors that are kept, and most ended ones. Danger: without a bound the history
+/// grows with every restart.
 pub const MAX_INCARNATIONS: usize = 4_096;
 
-/// Whoever goes on with a life.
+/// The front that took over an incarnation.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Successor {
-    /// Counts the heirs of this life, from 1; 0 is the front itself.
+    /// Number of the successor for this incarnation, from 1; 0 is the front itself.
     pub epoch: u64,
-    /// Name of the heir.
+    /// Name of the front that took over.
     pub name: Name,
-    /// Its own life.
+    /// Its own incarnation.
     #[serde(rename = "life")]
     pub incarnation: Incarnation,
-    /// Where players reach it.
+    /// Address at which clients reach it.
     #[serde(rename = "serves")]
     pub client_address: Option<SocketAddr>,
-    /// The version that made it the heir: it acts once that has begun.
+    /// The version that made it the successor; it acts once that version has begun.
     pub version: u64,
-    /// All that was promised lies with the heir's own promises now.
+    /// All durable session records of the incarnation are now replicated with the successor's own.
     pub settled: bool,
 }
 
-/// A change of heirs.
+/// A change of successors.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum SuccessionChange {
-    /// A front takes a life over, as the heir after all before, and with it all that this life had taken over; its version
-    /// is filled in here, and its epoch is one more than the life had come to.
+    /// A front takes over an incarnation, after all earlier successors, together with everything that the
+    /// incarnation had taken over. The version is filled in when the change is applied; the epoch is one more
+    /// than the current epoch of the incarnation.
     #[serde(rename = "Takes")]
     TakeOver(Incarnation, Successor),
-    /// The heir of this epoch has it all.
+    /// The successor of this epoch has replicated all records.
     Settled(Incarnation, u64),
-    /// Nothing is left of it, with the heir of this epoch.
+    /// No session of the incarnation is left; from the successor of this epoch.
     #[serde(rename = "Over")]
     Ended(Incarnation, u64),
 }
 
-/// Heirs by the lives they go on with.
+/// Successors by incarnation.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Successors {
-    /// Lives that have one.
+    /// Incarnations that have a successor.
     #[serde(rename = "of")]
     pub by_incarnation: BTreeMap<Incarnation, Successor>,
-    /// Lives of which nothing is left: the version that said so, and the epoch that each had come to. Danger: a front that
-    /// comes back with an old disk finds promises on it that were kept long ago.
+    /// Incarnations without sessions left: the version that ended each, and the epoch it had reached. Danger:
+    /// a front that returns with an old disk finds records on it that ended long ago.
     #[serde(rename = "over")]
     pub ended: BTreeMap<Incarnation, (u64, u64)>,
 }
 
 impl Successors {
-    /// Whether this would change anything.
+    /// Whether applying the change would alter anything.
     pub fn would_change(&self, change: &SuccessionChange) -> bool {
         match change {
             SuccessionChange::TakeOver(incarnation, successor) => {
@@ -73,8 +76,9 @@
                     || self.by_incarnation.len() < MAX_INCARNATIONS;
                 let loops = *incarnation == successor.incarnation
                     || self.chain(&successor.incarnation).any(|one| one.incarnation == *incarnation);
-                // Danger, both found by the trial: what is settled lies with its heir alone, and goes along with that one only;
-                // and a proposal that was long on its way names an heir that has one itself by now.
+                // Danger, both found in trials: the records of a settled incarnation are only with its
+                // successor, so only that one can pass them on; and a delayed proposal can name a successor
+                // that was itself replaced in the meantime.
                 let settled = self.by_incarnation.get(incarnation).is_some_and(|successor| successor.settled);
                 let fits = successor.epoch == self.epoch_of(incarnation) + 1 && !loops && !settled;
                 fits && room
@@ -85,7 +89,7 @@
                 .by_incarnation
                 .get(incarnation)
                 .is_some_and(|successor| successor.epoch == *epoch && !successor.settled),
-            // Danger: what went along with this life has no way to its heir any more.
+            // Danger: incarnations taken over by this one would lose the chain to their successor.
             SuccessionChange::Ended(incarnation, epoch) => {
                 let through =
                     self.by_incarnation.values().any(|successor| successor.incarnation == *incarnation);
@@ -95,8 +99,8 @@
         }
     }
 
-    /// Takes a change in that is part of this version; returns whether anything changed. Of two fronts that take one life
-    /// over at once, the second finds that its epoch is taken.
+    /// Applies a change that is part of this version; returns whether anything changed. If two fronts take
+    /// over one incarnation at once, the second finds its epoch already taken.
     pub fn apply(&mut self, change: &SuccessionChange, version: u64) -> bool {
         if !self.would_change(change) {
             return false;
@@ -127,7 +131,7 @@
         true
     }
 
-    /// The heir of a life, that heir's own, and so on.
+    /// The successor of an incarnation, the successor of that one, and so on.
     pub fn chain<'a>(&'a self, incarnation: &str) -> impl Iterator<Item = &'a Successor> {
         let mut next = self.by_incarnation.get(incarnation);
         std::iter::from_fn(move || {
@@ -137,23 +141,26 @@
         })
     }
 
-    /// Who has what a life promised, through heirs that have heirs themselves; nothing while the life is its own.
+    /// The front that is responsible for the sessions of an incarnation now, following successors that were
+    /// replaced themselves; none if the incarnation was not taken over.
     pub fn current(&self, incarnation: &str) -> Option<&Successor> {
         self.chain(incarnation).last()
     }
 
-    /// The epoch that a life has come to. Danger: what a life had taken over is nobody's after its own loss, found by the
-    /// trial: it goes along, and each change of an heir on the way makes its epoch grow.
+    /// The current epoch of an incarnation: the sum along its chain of successors. Danger, found in trials:
+    /// when a front that had taken over an incarnation is lost, that incarnation has to pass on with it; so
+    /// each new successor along the chain raises the epoch.
     pub fn epoch_of(&self, incarnation: &str) -> u64 {
         self.chain(incarnation).map(|successor| successor.epoch).sum()
     }
 
-    /// Whether this life is over for the front that lived it.
+    /// Whether the front of this incarnation no longer acts: it was taken over or has ended.
     pub fn is_superseded(&self, incarnation: &str) -> bool {
         self.by_incarnation.contains_key(incarnation) || self.ended.contains_key(incarnation)
     }
 
-    /// The epoch by which a front in this life may act for another once `begun` has begun; nothing if it may not.
+    /// The epoch under which the front of incarnation `own` may act for another once version `begun` has
+    /// begun; none if it may not.
     pub fn acting_epoch(&self, incarnation: &str, own: &str, begun: u64) -> Option<u64> {
         let began = self.chain(incarnation).all(|successor| successor.version <= begun);
         (began && *self.current(incarnation)?.incarnation == *own && !self.is_superseded(own))
--- a/crates/accord/src/core/tests.rs
+++ b/crates/accord/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! Kinds of rules, leases, disks and the history: what single parts must hold. Fleets of them are tried in
+//! Unit tests of rules, leases, persistent state and the history. Whole fleets are tested in
 //! `crates/trial/tests/versions.rs`.
 
 use std::collections::BTreeSet;
@@ -46,7 +46,7 @@
         })
 }
 
-/// All that can be asked of the rules above.
+/// Requests that cover all names used in the rules above.
 fn asked() -> impl Iterator<Item = SessionRequest<'static>> {
     let viewers = ["a", "b", "a/x", "b/y", "d"];
     let held = [[0, 0, 0], [2, 1, 1], [3, 3, 3]];
@@ -65,7 +65,7 @@
         let meet = a.meet(&b);
         for asked in asked() {
             let both = a.allows(&asked).is_ok() && b.allows(&asked).is_ok();
-            // A title may lie where the other has closed the cell: that only the meet sees.
+            // A title may only be in cells that the other rules close; only the meet refuses it then.
             prop_assert!(both || meet.allows(&asked).is_err(), "{asked:?}");
             let title = asked.title;
             let seen = (0..5).any(|cell| meet.allows_cell(title, cell)) || !meet.titles.contains_key(title);
@@ -103,8 +103,8 @@
         prop_assert_eq!(crate::rules_kdl::read(&document).unwrap(), a);
     }
 
-    /// Whatever is granted and asked in any order, on clocks that are off by what is stated: once a voter is clear of a
-    /// version, no front holds a grant of it for less.
+    /// For any order of requests and grants, with clock rates off by at most the stated bound: once a voter
+    /// reports a version as clear, no front holds a grant of it for a lower one.
     #[test]
     fn a_voter_that_is_clear_is_held_to_nothing(
         steps in prop::collection::vec((0..3usize, 0..1_500_000u64), 1..60),
@@ -124,7 +124,7 @@
             latest += u64::from(wait % 5 == 0);
             has[front] = if wait % 3 == 0 { latest } else { has[front] };
             held[front].asks(by(front, at), 1, nonce, &times);
-            // The grant takes its time on the way.
+            // Time for the grant to arrive.
             let granted = at + wait % 7_000;
             if has[front] >= latest {
                 granting.grant(by(3, granted), &names[front], has[front], &times);
@@ -223,12 +223,12 @@
     held.asks(2_000, 2, 12, &times);
     held.granted(2, 12, &times);
     assert_eq!(held.until(2), 1_000 + times.lease);
-    // A front that wakes: what it asked before it slept has been granted long ago.
+    // A front that wakes up: the grant for a request from before its suspension is too old to count.
     held.asks(3_000, 3, 13, &times);
     held.asks(60_000_000, 3, 14, &times);
     held.granted(3, 13, &times);
     assert_eq!(held.until(2), 1_000 + times.lease);
-    // Other voters: nothing counts any more. The same ones: all does.
+    // With other voters, no grant counts any more; with the same ones under a new epoch, all do.
     held.follow(&Voters { epoch: 2, ..voters.clone() });
     assert_eq!(held.until(2), 1_000 + times.lease);
     held.follow(&Voters { epoch: 3, seats: voters.seats.into_iter().skip(1).collect() });
@@ -287,7 +287,7 @@
     FrontIdentity { name: name.into(), new_disk_id, initial_voters: voters, times: LeaseTimes::default() }
 }
 
-/// Lets three voters talk until `until`, with no loss; disks see every write.
+/// Delivers messages among three voters until `until`, without loss; images receive every write.
 fn talk(fronts: &mut [(Accord, Image)], from: u64, until: u64) {
     let mut now = from;
     while now < until {
@@ -384,7 +384,7 @@
         talk(&mut fronts, now, now + 100_000);
     }
     assert_eq!(fronts[0].0.history().voters.epoch, 1);
-    // It falls silent: now the other disk is let in.
+    // The first process goes silent: the other disk is accepted.
     fronts.remove(1);
     for sequence in 30..60 {
         let now = 2_000_000 + sequence * 100_000;
@@ -494,14 +494,14 @@
     assert_eq!((epoch(&history, "b-1"), epoch(&history, "c-1")), (None, None), "not before it has begun");
     history.apply(&Entry::Begin(2));
     assert_eq!((epoch(&history, "b-1"), epoch(&history, "c-1")), (Some(1), None));
-    // Who made a proposal from the version before has missed no rule.
+    // A proposal from the version before missed no rule.
     history.apply(&propose(9, 1));
     assert_eq!(history.outcome(9), Some(ProposalOutcome::Version(3)));
-    // The heir is lost too: the next one is known before it acts, and the first acts no more.
+    // The successor is lost too: the next one is known before it acts, and the first acts no more.
     history.apply(&Entry::ChangeSuccessors(vec![takes("b-1", 1, "c")]));
     assert_eq!((epoch(&history, "b-1"), history.successors.epoch_of("a-1")), (None, 2));
     assert_eq!(history.successors.current("a-1").map(|successor| successor.name.as_ref()), Some("c"));
-    // What is over stays over, whoever comes back with an old disk.
+    // An ended incarnation stays ended, even if a front returns with an old disk.
     history.apply(&Entry::ChangeSuccessors(vec![
         SuccessionChange::Ended("a-1".into(), 2),
         SuccessionChange::Ended("b-1".into(), 1),
@@ -555,7 +555,7 @@
     );
     history.apply(&Entry::ChangeSuccessors(vec![takes("b-1", 1, "c")]));
     assert_eq!(history.successors.current("a-1").unwrap().name.as_ref(), "c");
-    // A word of the front in its old life that was long on its way.
+    // A delayed proposal of a front for an incarnation that is itself superseded.
     history.apply(&Entry::ChangeSuccessors(vec![takes("d-1", 1, "b")]));
     assert!(history.successors.current("d-1").is_none());
 }
--- a/crates/accord/src/core/voter.rs
+++ b/crates/accord/src/core/voter.rs
@@ -1,9 +1,9 @@
-//! One voter: the consensus crate with its log, and what a voter does besides: it grants leases, tells when a version may
-//! begin, and replaces a voter whose disk is lost.
+//! One voter: the consensus crate with its log, and what a voter does besides. It grants leases, determines
+//! when a version may begin, and replaces a voter whose disk is lost.
 //!
-//! Omni-Paxos (Ng, Haridi, Carbone, EuroSys 2023) elects whoever is connected with a majority, so that a leader that hears
-//! all and is heard by few is given up. It wants links that keep order and tell when they lose something; ours keep order
-//! ([`Order`]) and don't tell, so voters compare their [`Marks`].
+//! Omni-Paxos (Ng, Haridi, Carbone, EuroSys 2023) elects a leader that is connected to a majority, and
+//! replaces a leader that receives from all but reaches few. It requires links that keep order and report
+//! losses. Ours keep order ([`Order`]) but do not report losses, so voters compare their [`VoterProgress`].
 
 use std::collections::BTreeMap;
 
@@ -19,68 +19,68 @@
 use super::successors::SuccessionChange;
 use super::{Micros, Name};
 
-/// The consensus crate counts time in ticks of this length.
+/// Length of a tick of the consensus crate, us.
 pub const TICK: Micros = 50_000;
-/// Ticks after which a voter that did not answer counts as gone: longer than TCP takes to send a lost segment again, or
-/// leaders change at each loss. Measured in trials with 20% loss.
+/// Ticks without an answer after which a voter counts as failed. Longer than a TCP retransmission: with a
+/// shorter timeout the leader changed at each lost segment in trials with 20% loss.
 const ELECTION_TIMEOUT_TICKS: u64 = 10;
-/// Ticks after which a message that is owed an answer is sent again.
+/// Ticks after which a message without its answer is sent again.
 const RESEND_TIMEOUT_TICKS: u64 = 10;
-/// Whoever is behind another voter's marks for so long has lost a message.
+/// A voter that stays behind another voter's progress for this long has lost a message.
 const LOST_MESSAGE_TIMEOUT: Micros = 600_000;
-/// A voter that was not heard for so long may have lost its disk.
+/// A voter that was silent for this long may have lost its disk.
 const LOST_DISK_TIMEOUT: Micros = 1_000_000;
-/// The voters begin anew, with an empty log, when it has so many entries.
+/// The voters continue on a new, empty log when theirs has this many entries.
 pub const MAX_LOG_ENTRIES: usize = 256;
 
-/// What a voter tells the others each tick.
+/// The progress that a voter reports to the others.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, Serialize)]
 pub struct VoterProgress {
-    /// Of which voters.
+    /// Epoch of the voters.
     pub epoch: u32,
-    /// Entries it has accepted.
+    /// Entries accepted.
     pub accepted: u64,
-    /// Entries it knows to be decided.
+    /// Entries known to be decided.
     pub decided: u64,
-    /// No front acts on less than this version by a lease of this voter.
+    /// No lease of this voter is held by a front with a version lower than this.
     pub clear: u64,
 }
 
-/// What a front has, as it says when it asks for a lease.
+/// The history known to a front, sent with a request for a lease.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct KnownHistory {
-    /// Of which voters.
+    /// Epoch of the voters.
     pub epoch: u32,
     /// Steps of the history.
     pub position: u64,
-    /// Digest of these.
+    /// Digest of those steps.
     pub digest: Digest,
     /// Latest version.
     pub version: u64,
 }
 
-/// A voter at work.
+/// A running voter.
 pub struct Voter {
     journal: Journal,
     paxos: OmniPaxos<Entry, VoterStorage>,
     voters: Voters,
     number: u64,
     base: u64,
-    /// Entries of this vote that were handed out.
+    /// Log entries returned by [`Voter::decided`].
     taken: usize,
-    /// The last of them was other voters.
+    /// The last returned entry was a change of voters.
     ended: bool,
     granting: GrantedLeases,
     /// Latest version in its own log.
     logged: u64,
     marks: BTreeMap<u64, VoterProgress>,
-    /// When each of the others was last heard, and when this one began to listen.
+    /// When each other voter was last heard, and when this one started to listen.
     heard: BTreeMap<u64, Micros>,
     since: Option<Micros>,
-    /// How far it has come, and since when it has been behind others.
+    /// The progress at the time when this voter fell behind, and that time.
     behind: Option<(u64, Micros)>,
     next_tick: Micros,
-    /// Disks that ask to vote in place of another of the same name.
+    /// Disks that ask to replace the disk of the voter of the same name.
     asks: BTreeMap<Name, u64>,
 }
 
@@ -94,7 +94,8 @@
 }
 
 impl Voter {
-    /// Goes on with this vote; nothing where the voters are too few to agree on anything, or this is none of them.
+    /// Starts with this stored state; none if the voters are too few for consensus, or this front is not one
+    /// of them.
     pub fn start(vote: VoterState, journal: Journal, granting: GrantedLeases) -> Option<Voter> {
         let (voters, number, base) = (vote.voters.clone(), vote.number, vote.base);
         let config = OmniPaxosConfig {
@@ -130,32 +131,32 @@
         })
     }
 
-    /// What it has granted, for the vote that follows.
+    /// Its granted leases, for the next voter of this front.
     pub fn into_granting(self) -> GrantedLeases {
         self.granting
     }
 
-    /// Its voters.
+    /// The voters that it belongs to.
     pub fn voters(&self) -> &Voters {
         &self.voters
     }
 
-    /// When it must be called again.
+    /// When [`Voter::tick`] has to be called again.
     pub fn next_due(&self) -> Micros {
         self.next_tick
     }
 
-    /// Whether it leads.
+    /// Whether this voter is the leader.
     pub fn leads(&self) -> bool {
         self.paxos.get_current_leader() == Some((self.number, true))
     }
 
-    /// Number of the leader, as far as it knows.
+    /// Number of the leader, as far as known.
     pub fn leader(&self) -> Option<u64> {
         self.paxos.get_current_leader().map(|(number, _)| number)
     }
 
-    /// A message of another voter.
+    /// Handles a consensus message of another voter.
     pub fn hear(&mut self, message: Message<Entry>) {
         if self.stale(&message) {
             return;
@@ -163,10 +164,10 @@
         self.paxos.handle_incoming(message);
     }
 
-    /// Whether this would take back what this voter has acknowledged. Danger: the crate (0.2.4) answers a promise that is
-    /// sent again with one more synchronisation; the later of two finds the voter further on in the same ballot and, taken
-    /// for new after one more prepare, cuts off entries that already count towards a majority. Found by the hunt. Within
-    /// one ballot a log only grows.
+    /// Whether the message would revoke entries that this voter has acknowledged. Danger: the crate (0.2.4)
+    /// answers a repeated promise with another synchronisation. The later of the two finds the voter further
+    /// on in the same ballot and, if it is taken for new after another prepare, truncates entries that
+    /// already count towards a majority. Found by the schedule search. Within one ballot a log only grows.
     fn stale(&self, message: &Message<Entry>) -> bool {
         let Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::AcceptSync(sync), .. }) = message else {
             return false;
@@ -177,7 +178,7 @@
         shorter || log.sync_idx < self.paxos.get_decided_idx()
     }
 
-    /// Marks of another voter.
+    /// Records the progress of another voter.
     pub fn marks(&mut self, now: Micros, from: u64, marks: VoterProgress) {
         if !self.voters.seats.contains_key(&from) {
             return;
@@ -188,16 +189,16 @@
         }
     }
 
-    /// A proposal, of this front or another; agreed on sooner or later, if voters are left that can.
+    /// Appends a proposal, of this front or another; it is decided once a majority of voters can communicate.
     pub fn propose(&mut self, proposal: Proposal) {
         if self.proposed().iter().any(|open| open.id == proposal.id) {
             return;
         }
-        // Refused only while the voters change; whoever proposes tries again.
+        // Refused only while the voters change; the proposer tries again.
         let _ = self.paxos.append(Entry::Propose(proposal));
     }
 
-    /// Heirs are to change so, unless just that is under way.
+    /// Appends changes of successors, unless the same changes are already in the undecided log.
     pub fn succeed(&mut self, changes: Vec<SuccessionChange>) {
         let entry = Entry::ChangeSuccessors(changes);
         if !self.undecided().any(|open| open == entry) {
@@ -205,13 +206,13 @@
         }
     }
 
-    /// Other voters are wanted.
+    /// Appends a change of voters; returns whether it was accepted.
     pub fn change(&mut self, next: &Voters) -> bool {
         let changing = self.undecided().any(|entry| matches!(entry, Entry::Voters(_)));
         !changing && self.paxos.append(Entry::Voters(next.clone())).is_ok()
     }
 
-    /// A disk asks to vote under the name of one of the voters.
+    /// Records that a disk asks to vote under the name of one of the voters.
     pub fn replace(&mut self, seat: Seat) {
         let known = self.voters.seats.values().find(|old| old.name == seat.name);
         if known.is_some_and(|old| old.disk != seat.disk) {
@@ -219,8 +220,8 @@
         }
     }
 
-    /// Whether a front that has taken so many steps of the history may act on them. It gets nothing while this voter has
-    /// any step more, agreed on or not.
+    /// Grants a lease to a front that has every step in this voter's log, decided or not; returns whether it
+    /// did.
     pub fn grant(
         &mut self,
         now: Micros,
@@ -229,8 +230,8 @@
         history: &History,
         times: &LeaseTimes,
     ) -> bool {
-        // Danger: granted by what was decided alone, a lease begins after a majority has accepted the next version, and
-        // lasts on while others act on that.
+        // Danger: if only decided steps were required, a lease could begin after a majority has accepted the
+        // next version, and would continue while other fronts act on that version.
         let wanted = (self.base + self.paxos.get_accepted_idx() as u64).max(history.position);
         let granted = has.epoch == self.voters.epoch && has.position >= wanted;
         if granted {
@@ -239,12 +240,12 @@
         granted
     }
 
-    /// Fronts that hold a grant, and the version they have.
+    /// Fronts that hold a grant, with the version they have.
     pub fn holders(&self) -> impl Iterator<Item = (&Name, u64)> {
         self.granting.holders()
     }
 
-    /// Proposals in the log that are not decided yet, for all that is known here.
+    /// Proposals in the log that are not known to be decided.
     pub fn proposed(&self) -> Vec<Proposal> {
         let proposal = |entry| match entry {
             Entry::Propose(proposal) => Some(proposal),
@@ -262,13 +263,14 @@
         open.into_iter().filter_map(entry)
     }
 
-    /// Time has passed: elections, what was lost on the way, and what the leader has to begin.
+    /// Handles elections, lost messages, and the duties of the leader.
     pub fn tick(&mut self, now: Micros, history: &History) {
         if now < self.next_tick {
             return;
         }
         self.since.get_or_insert(now);
-        // Danger: a process that was stopped makes up for all ticks at once, and takes everybody for gone.
+        // Danger: a process that was suspended would process all missed ticks at once and count every other
+        // voter as failed. So missed ticks are skipped.
         self.next_tick = now + TICK;
         self.paxos.tick();
         self.catch_up(now);
@@ -283,7 +285,8 @@
         }
     }
 
-    /// A message was lost where another voter has more than this one for a while; the crate is told as it wants to be.
+    /// Requests a resynchronisation when the leader's progress has been ahead of this voter's for too long,
+    /// which means that a message was lost.
     fn catch_up(&mut self, now: Micros) {
         let Some(leader) = self.leader().filter(|leader| *leader != self.number) else {
             self.behind = None;
@@ -301,7 +304,8 @@
             }
             _ => self.behind = Some((here, now)),
         }
-        // Danger: the word that all have accepted is lost on its way to the leader, which waits for it for ever.
+        // Danger: if the message that all have accepted is lost on its way to the leader, the leader waits
+        // for it without limit.
         let stuck = self.marks.get(&leader).is_some_and(|marks| marks.decided < marks.accepted);
         if self.behind.is_none() && stuck {
             self.behind = Some((here, now));
@@ -311,7 +315,8 @@
         }
     }
 
-    /// Begins what a majority is clear of: each lease needs one of these voters, and none of them gave one for less.
+    /// Begins the latest version for which a majority of voters has no lease with a lower version: each lease
+    /// needs one of these voters, and none of them has granted one for less.
     fn begin(&mut self, now: Micros, history: &History) {
         let own = self.granting.clear(now, self.logged);
         let others =
@@ -325,8 +330,9 @@
         }
     }
 
-    /// Lets a voter's new disk vote in place of the lost one, under a number that nobody had. Danger: two processes run
-    /// under one name, and each in turn takes the other's vote: a disk that still speaks is not lost.
+    /// Lets a voter's new disk vote in place of the lost one, under an unused number. Danger: two processes
+    /// under one name would take the vote from each other in turn; a disk that was heard recently is not
+    /// lost.
     fn replace_lost(&mut self, now: Micros) {
         let Some((name, disk)) = self.asks.pop_first() else { return };
         let number = self.voters.number(&name);
@@ -341,7 +347,7 @@
         self.change(&next);
     }
 
-    /// What this voter tells the others.
+    /// The progress that this voter reports.
     pub fn own_marks(&mut self, now: Micros) -> VoterProgress {
         VoterProgress {
             epoch: self.voters.epoch,
@@ -351,15 +357,15 @@
         }
     }
 
-    /// Messages to other voters.
+    /// Takes the messages to other voters.
     pub fn say(&mut self) -> Vec<(u64, Message<Entry>)> {
         let mut out = Vec::new();
         self.paxos.take_outgoing_messages(&mut out);
         out.into_iter().map(|message| (message.get_receiver(), message)).collect()
     }
 
-    /// The steps that have been decided since, each with its place. What follows on a change of the voters is nobody's:
-    /// whoever proposed it proposes it to the next ones.
+    /// Returns the newly decided steps, each with its position. Entries after a change of voters are void:
+    /// their proposers send them to the next voters.
     pub fn decided(&mut self) -> Vec<(u64, Entry)> {
         if self.ended {
             return Vec::new();
@@ -378,29 +384,32 @@
         out
     }
 
-    /// The history has taken all that this log has, and ends in this version. Danger: what is known from others and not
-    /// in this log is forgotten with the process, and a voter that was clear of it would grant to fronts without it.
+    /// Records the latest version in the log, if the history has no step beyond the log. Danger: steps
+    /// received from others and not in this log are lost with the process; a voter that counted them would
+    /// then grant leases to fronts without them.
     pub fn logged(&mut self, history: &History) {
         if self.position() >= history.position {
             self.logged = history.latest;
         }
     }
 
-    /// Place in the history that all it has handed out leads to.
+    /// Position in the history after all returned entries.
     pub fn position(&self) -> u64 {
         self.base + self.taken as u64
     }
 }
 
-/// Messages of another front's starts, in order: what is older than what was heard is dropped. Danger: the consensus
-/// crate, told an old synchronisation of the same ballot again, cuts off entries that it has acknowledged since.
+/// Keeps messages in order: a message older than the last one received is dropped. Danger: the consensus
+/// crate, given an old synchronisation of the same ballot again, truncates entries that it has acknowledged
+/// since.
 #[derive(Clone, Debug, Default)]
 pub struct Order {
     heard: BTreeMap<(Name, u64), (u64, u64)>,
 }
 
 impl Order {
-    /// Whether this comes after all that was heard from this disk: in a later start, or later in the same.
+    /// Whether the message is newer than all received from this disk: from a later start, or later in the
+    /// same start.
     pub fn next(&mut self, name: &Name, disk: u64, start: u64, sequence: u64) -> bool {
         let last = self.heard.entry((Name::clone(name), disk)).or_default();
         let newer = (start, sequence) > *last;
--- a/crates/accord/src/edge.rs
+++ b/crates/accord/src/edge.rs
@@ -1,8 +1,9 @@
-//! The one thread of accord: it reads frames, hands them to [`Accord`], writes to the store, and sends what follows. It
-//! waits for nobody and holds no rule.
+//! The accord thread: reads frames, passes them to [`Accord`], writes to the store and sends the resulting
+//! messages. It never blocks on a peer and makes no decisions.
 //!
-//! Each front keeps one connection to each front that it speaks to, and answers on the other's own where it does not know
-//! the way. What cannot be sent is dropped with its connection: the core says it again.
+//! Each front opens one connection to each front that it sends to; if it does not know the address, it uses
+//! the peer's own connection. Messages that cannot be sent are dropped with their connection: the core
+//! repeats them.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -31,22 +32,22 @@
 use crate::store::{OpenOutcome, Store, StoreError};
 use crate::wire::{self, Answer, Frame, Question};
 
-/// Stack of the thread.
+/// Stack size of the thread.
 const THREAD_STACK_BYTES: usize = 512 * 1024;
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
-/// Read from one connection before the others have their turn, bytes.
+/// Bytes read from one connection before other connections are served.
 const READ_BUDGET_BYTES: usize = 256 * 1024;
-/// What may wait to be written to one connection, bytes: a whole history and then some.
+/// Most bytes queued for one connection: a whole history and further messages.
 const MAX_WRITE_QUEUE_BYTES: usize = 2 * wire::MAX_FRAME_BYTES;
-/// A connection that takes nothing for so long is given up, and one that does not come about.
+/// A connection that takes no data, or is not established, for this long is closed.
 const CONNECTION_STALL_TIMEOUT: Micros = 2_000_000;
-/// After that a front is called again.
+/// Least time between two attempts to connect to a front.
 const RECONNECT_INTERVAL: Micros = 200_000;
-/// Connections at most.
+/// Most connections at once.
 const MOST: usize = 4_096;
 
-/// Why accord does not start.
+/// Why accord failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address cannot be bound.
@@ -55,15 +56,15 @@
     /// The store cannot be used.
     #[error("accord: store: {0}")]
     Store(#[from] StoreError),
-    /// The history cannot be written.
+    /// The history log cannot be opened.
     #[error("accord: history: {0}")]
     History(io::Error),
-    /// No thread to be had.
+    /// The thread or its poll cannot be created.
     #[error("accord: no thread: {0}")]
     Thread(io::Error),
 }
 
-/// A clock that only goes forward, also while the machine sleeps.
+/// Microseconds of a monotonic clock that also counts while the machine is suspended.
 pub fn now() -> Micros {
     let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     at.tv_sec as u64 * 1_000_000 + at.tv_nsec as u64 / 1_000
@@ -73,7 +74,7 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// What this front acts on, for whoever is about to write an act.
+/// Shared access to the coordination state, for code that is about to write a command.
 #[derive(Clone, Debug)]
 pub struct Coordination(Arc<RwLock<Arc<CoordinationState>>>);
 
@@ -86,7 +87,7 @@
         *self.0.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(coordination);
     }
 
-    /// What it acts on; until when, it says itself, by [`now`].
+    /// The current state. Its times are those of [`now`].
     pub fn current(&self) -> Arc<CoordinationState> {
         Arc::clone(&self.0.read().unwrap_or_else(PoisonError::into_inner))
     }
@@ -100,7 +101,7 @@
     End,
 }
 
-/// A way to tell the thread something from elsewhere.
+/// Sends commands to the thread from other threads.
 #[derive(Clone)]
 pub struct Handle {
     commands: Sender<Command>,
@@ -113,35 +114,36 @@
         let _ = self.waker.wake();
     }
 
-    /// Who is known, as membership tells.
+    /// Updates the known fronts, as membership reports them.
     pub fn update_members(&self, known: Vec<Known>) {
         self.send(Command::Members(known));
     }
 
-    /// Sends bytes of another subsystem to its like at another front, in order with all that goes there; what cannot be
-    /// sent is lost without a word.
+    /// Relays bytes of another subsystem to the same subsystem at another front, in order with all other
+    /// messages to it. Bytes that cannot be sent are dropped silently.
     pub fn relay(&self, to: Name, bytes: Vec<u8>) {
         self.send(Command::Relay(to, bytes));
     }
 
-    /// Asks the voters for these heirs; said again by whoever wants it until it is seen.
+    /// Asks the voters for changes of successors; the caller repeats the request until the history contains
+    /// them.
     pub fn change_successors(&self, changes: Vec<SuccessionChange>) {
         self.send(Command::ChangeSuccessors(changes));
     }
 }
 
-/// What wants to hear what this front stands on.
+/// Called with the coordination state when it changes.
 pub type Listener = Box<dyn Fn(CoordinationState) + Send>;
 
-/// Another subsystem that goes by accord's connections.
+/// Another subsystem that uses accord's connections.
 pub struct Companion {
-    /// Takes what its like at another front has passed.
+    /// Called with bytes relayed from the same subsystem at another front.
     pub on_message: Box<dyn Fn(Name, Vec<u8>) + Send>,
-    /// How it stands, for operators.
+    /// Returns its status as JSON, for operators.
     pub status: Box<dyn Fn() -> String + Send>,
 }
 
-/// Running accord. Dropped, it ends.
+/// The running accord thread. Call [`Running::shut_down`] to end it.
 pub struct Running {
     handle: Handle,
     shared_coordination: Coordination,
@@ -149,15 +151,16 @@
 }
 
 impl Running {
-    /// Starts it; `listener` is told what this front stands on, at first and whenever that changes.
+    /// Starts accord; `listener` is called with the coordination state, at first and whenever it changes.
     ///
     /// # Errors
-    /// The address cannot be bound, the store cannot be used, the history cannot be written, no thread is to be had.
+    /// The address cannot be bound, the store cannot be used, the history log cannot be opened, or the thread
+    /// cannot be created.
     pub fn start(settings: &Settings, listener: Option<Listener>) -> Result<Running, StartError> {
         Running::start_with_companion(settings, listener, None)
     }
 
-    /// The same with another subsystem beside it.
+    /// Like [`Running::start`], with a subsystem that uses accord's connections.
     ///
     /// # Errors
     /// As [`Running::start`].
@@ -225,22 +228,22 @@
         Ok(Running { handle, shared_coordination, thread: Some(thread) })
     }
 
-    /// What this front acts on.
+    /// Shared access to the coordination state.
     pub fn coordination(&self) -> Coordination {
         self.shared_coordination.clone()
     }
 
-    /// Whom to tell of views.
+    /// A handle for sending commands.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Other keys from now on.
+    /// Replaces the key ring.
     pub fn set_keys(&self, keys: KeyRing) {
         self.handle.send(Command::Keys(keys));
     }
 
-    /// Ends it.
+    /// Ends the thread and waits for it.
     pub fn shut_down(mut self) {
         self.handle.send(Command::End);
         if let Some(thread) = self.thread.take() {
@@ -249,7 +252,7 @@
     }
 }
 
-/// A number that no other disk has, in all likelihood.
+/// A random number for a new disk; a collision is very unlikely.
 pub fn new_disk_id() -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&unix().to_be_bytes());
@@ -264,7 +267,7 @@
     u64::from_be_bytes(std::array::from_fn(|at| bytes.as_bytes()[at]))
 }
 
-/// Only in trials: acts as a front does, and writes what it did.
+/// Only in trials: acts as a front would, and writes what it did to the history log.
 fn act(
     shared_coordination: &Coordination,
     name: &Name,
@@ -284,18 +287,18 @@
     }
 }
 
-/// One connection.
+/// A connection.
 struct Connection {
     stream: TcpStream,
-    /// Whom this front called by it; nobody, where the other one called.
+    /// The front that this one connected to; none for an accepted connection.
     called: Option<Name>,
-    /// Whether it has come about.
+    /// Whether it is established.
     open: bool,
-    /// Since when nothing of it was vouched for; nothing once something was.
+    /// Until the first authenticated frame of an accepted connection: since when it has been open.
     strange: Option<Micros>,
     read: Vec<u8>,
     write: Vec<u8>,
-    /// Since when nothing was taken of what waits.
+    /// Since when none of the queued bytes were taken.
     stuck: Option<Micros>,
 }
 
@@ -313,11 +316,11 @@
     links: BTreeMap<usize, Connection>,
     next: usize,
     known: BTreeMap<Name, SocketAddr>,
-    /// Connections by whom this front called, and by who called last.
+    /// Connections by the front that was connected to, and by the front that connected last.
     to: BTreeMap<Name, usize>,
     from: BTreeMap<Name, usize>,
     again: BTreeMap<Name, Micros>,
-    /// Operators that wait: the connection, and the operator's own count.
+    /// Operators waiting for a reply: the connection, and the operator's request number.
     tickets: BTreeMap<u64, (usize, u64)>,
     ticket: u64,
 }
@@ -383,7 +386,7 @@
             let moved =
                 self.known.insert(Name::clone(&one.name), one.address).is_some_and(|old| old != one.address);
             if moved {
-                // Danger: what is said to a front goes on to whoever has its old address.
+                // Danger: messages to a front would go on to whichever process has its old address.
                 if let Some(token) = self.to.remove(&one.name) {
                     self.hang(token);
                 }
@@ -423,7 +426,7 @@
         Some(token)
     }
 
-    /// The connection by which this front speaks to another, called if need be.
+    /// The connection for messages to a front; opened if needed.
     fn way(&mut self, to: &Name) -> Option<usize> {
         if let Some(token) = self.to.get(to) {
             return Some(*token);
@@ -455,7 +458,7 @@
         self.tickets.retain(|_, (at, _)| *at != token);
     }
 
-    /// Connections on which nothing moves.
+    /// Closes connections that have made no progress for too long.
     fn give_up(&mut self) {
         let now = now();
         let long = |since: Option<Micros>| since.is_some_and(|since| since + CONNECTION_STALL_TIMEOUT <= now);
@@ -471,7 +474,8 @@
             match link.stream.peer_addr() {
                 Ok(_) => link.open = true,
                 Err(error) if error.kind() == ErrorKind::NotConnected => {
-                    // Not yet, or never: it tells by closing, or is given up.
+                    // Not established yet: a failed connection is reported by an error, or closed after the
+                    // timeout.
                     if link.stream.take_error().ok().flatten().is_some() {
                         self.hang(token);
                     }
@@ -515,7 +519,8 @@
                     if took < READ_BUDGET_BYTES {
                         continue;
                     }
-                    // The rest is told anew: readiness comes once for each change.
+                    // Reregisters, so that the remaining bytes are reported: readiness is reported once for
+                    // each change.
                     let both = Interest::READABLE | Interest::WRITABLE;
                     let _ = self.poll.registry().reregister(&mut link.stream, Token(token), both);
                 }
@@ -666,7 +671,7 @@
                     if let Err(error) = store.write(&writes) {
                         tracing::error!(%error, "accord: nothing can be kept: this front does not vote until it is started again");
                         self.store = None;
-                        // Danger: what follows in this very list promises what is on no disk.
+                        // Danger: later outputs of this list would announce state that is on no disk.
                         return self.hand(Input::DiskFailed);
                     }
                 }
@@ -714,7 +719,7 @@
     }
 }
 
-/// An address as it stands ahead of what goes by a trial's relay.
+/// The address header that precedes data sent through a trial's relay.
 fn relay_prefix(address: SocketAddrV4) -> Vec<u8> {
     salttally_members::wire::via::join(address, &[])
 }
--- a/crates/accord/src/history_log.rs
+++ b/crates/accord/src/history_log.rs
@@ -1,5 +1,5 @@
-//! What happened at one front, as JSON lines: for operators, and for the checker of trials, which reads those of all
-//! fronts. Times are microseconds of whoever writes.
+//! Events of one front as JSON lines, for operators and for the trial checker, which reads those of all
+//! fronts. Times are microseconds by the writing front's clock.
 
 use serde_json::{json, Value};
 
@@ -19,7 +19,7 @@
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// A line for what the core says, where it is worth one.
+/// The line for an output, if it is logged.
 pub fn line(at: Micros, front: &str, output: &Output) -> Option<Value> {
     Some(match output {
         Output::HistoryAdvanced(position, digest, latest) => {
@@ -40,7 +40,7 @@
     })
 }
 
-/// A front acts, or does not, on what a viewer asks for now.
+/// The line for a front that acts, or refuses to act, on a viewer's request now.
 pub fn act(at: Micros, front: &str, coordination: &CoordinationState, now: Micros, viewer: &str) -> Value {
     let asked = SessionRequest { viewer, ..SessionRequest::default() };
     let by = match coordination.active_rules(now) {
--- a/crates/accord/src/lib.rs
+++ b/crates/accord/src/lib.rs
@@ -1,9 +1,11 @@
-//! Versions of rules that session fronts agree on: one history, and a lease under which each front acts on it.
+//! Agreement among session fronts on rule versions: a replicated history, and a lease under which each front
+//! applies it.
 //!
-//! `docs/design/accord.md` tells the ways weighed and proves the stated time, `docs/operate/rules.md` how to run it.
+//! `docs/design/accord.md` compares the alternatives and proves the bound on contradicting rules;
+//! `docs/operate/rules.md` describes operation.
 //!
-//! - [`core`]: all that is decided and kept, with no I/O; read it first.
-//! - [`lines`]: what happened, as JSON lines.
+//! - [`core`]: all decisions and state, without I/O; read it first.
+//! - [`history_log`]: events as JSON lines.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/accord/src/query.rs
+++ b/crates/accord/src/query.rs
@@ -1,5 +1,5 @@
-//! An operator's question to a running front, over a connection of its own and under the front's keys: whoever may ask is
-//! whoever has the settings.
+//! An operator's query to a running front, over its own connection and authenticated by the front's keys:
+//! whoever can read the settings may ask.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::io::{self, Read, Write};
@@ -11,30 +11,30 @@
 use crate::settings::Settings;
 use crate::wire::{self, BadFrame, Frame, Question};
 
-/// Longer than a proposal waits to be agreed on.
+/// Longer than the timeout of a proposal.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why there is no answer.
+/// Why a query failed.
 #[derive(Debug, Error)]
 pub enum AskError {
-    /// Nobody there.
+    /// The front cannot be reached.
     #[error("cannot ask {0}: {1}")]
     Connect(SocketAddr, io::Error),
-    /// It hangs up, or says nothing in time.
+    /// The front closed the connection or did not answer in time.
     #[error("{0} does not answer: it has other keys, or stands still ({1})")]
     Silent(SocketAddr, io::Error),
-    /// What it says cannot be used.
+    /// The answer cannot be decoded.
     #[error("{0}: {1}")]
     Frame(SocketAddr, BadFrame),
-    /// It answers that it can't, and why.
+    /// The front refused, with the reason.
     #[error("{0}")]
     Refused(String),
 }
 
-/// Asks the front of these settings; the answer is JSON.
+/// Sends a query to the front of these settings; the answer is JSON.
 ///
 /// # Errors
-/// It does not answer, or refuses.
+/// The front did not answer, or refused.
 pub fn ask(settings: &Settings, question: Question) -> Result<String, AskError> {
     let to = settings.bind;
     let mut stream = TcpStream::connect_timeout(&to, Duration::from_secs(2))
--- a/crates/accord/src/rules_kdl.rs
+++ b/crates/accord/src/rules_kdl.rs
@@ -1,4 +1,4 @@
-//! Rules as operators write them, in KDL; and back.
+//! Rules in KDL, as operators write them: parser and formatter.
 
 use std::fmt::Write as _;
 
@@ -6,10 +6,10 @@
 
 use crate::core::rules::{ClassTerms, Limit, Order, RefusedParty, Rules};
 
-/// Reads a file of rules.
+/// Parses a rules file.
 ///
 /// # Errors
-/// What cannot hold, with file, line and reason.
+/// Invalid rules, with file, line and reason.
 pub fn read(document: &Document) -> Read<Rules> {
     let root = document.root();
     let mut rules = Rules::default();
@@ -87,7 +87,7 @@
     Ok(rules.normalized())
 }
 
-/// Rules as KDL, one line for each.
+/// Formats rules as KDL, one line for each.
 pub fn write(rules: &Rules) -> String {
     let mut text = String::new();
     let mut line = |line: String| {
--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -1,4 +1,4 @@
-//! The block `accord { }` of a front's settings, checked before anything starts.
+//! The block `accord { }` of a front's settings, validated before anything starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,53 +10,53 @@
 use crate::core::lease::LeaseTimes;
 use crate::core::{Micros, Name};
 
-/// Settings of accord at one front.
+/// Accord settings of one front.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The front's name, as membership has it.
+    /// Name of the front, from `members`.
     pub name: Name,
-    /// Where it listens, TCP: the address of membership.
+    /// TCP address to listen on, from `members`.
     pub bind: SocketAddr,
-    /// Where others reach it.
+    /// Address at which other fronts reach it.
     pub advertise: SocketAddr,
-    /// Keys, those of membership.
+    /// Key ring, from `members`.
     pub keys: KeyRing,
     /// Voters of the first start.
     pub voters: Vec<Name>,
-    /// File of the store.
+    /// Path of the store.
     pub store: PathBuf,
-    /// Times of leases.
+    /// Lease times.
     pub times: LeaseTimes,
-    /// Where the history of what happened goes.
+    /// Path of the history log.
     pub history: Option<PathBuf>,
-    /// What only trials give.
+    /// Settings for trials only.
     pub trial: Option<Trial>,
 }
 
-/// What only trials give.
+/// Settings for trials only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trial {
-    /// A relay by which all connections to other fronts go.
+    /// A relay for all connections to other fronts.
     pub relay: Option<SocketAddr>,
-    /// The process acts this often for a viewer drawn from so many, and writes it to its history.
+    /// Interval, us, at which the process acts for one of this many viewers and logs it.
     pub acts: Option<(Micros, usize)>,
 }
 
 impl Settings {
-    /// The block of a file, if it has one.
+    /// Reads the block of a file, if it has one.
     ///
     /// # Errors
-    /// What cannot hold, with file, line and reason.
+    /// Invalid settings, with file, line and reason.
     pub fn load(path: &Path) -> Read<Option<Settings>> {
         let document = Document::load(path)?;
         let members = Members::read(&document)?;
         Settings::read(&document, members.as_ref())
     }
 
-    /// The block, if the document has one; membership must be on.
+    /// Reads the block, if the document has one; it requires `members`.
     ///
     /// # Errors
-    /// What cannot hold, with file, line and reason.
+    /// Invalid settings, with file, line and reason.
     pub fn read(document: &Document, members: Option<&Members>) -> Read<Option<Settings>> {
         let root = document.root();
         let Some(node) = root.one("accord")? else { return Ok(None) };
--- a/crates/accord/src/store.rs
+++ b/crates/accord/src/store.rs
@@ -1,9 +1,9 @@
-//! The store of one front: a file of the embedded database `redb`, which keeps checksums of its pages and commits in one
-//! piece.
+//! The store of one front: a file of the embedded database `redb`, which keeps checksums of its pages and
+//! commits atomically.
 //!
-//! What it promises after a crash: all writes of a batch are there or none; a batch that [promises](Write::promises) is
-//! there once [`Store::write`] has returned. A file that is torn, foreign, damaged or copied is never voted from: it is set
-//! aside or counts as a new disk.
+//! Guarantees after a crash: all writes of a batch are present or none; a batch that [needs a
+//! flush](Write::needs_flush) is present once [`Store::write`] has returned. A truncated, foreign, damaged or
+//! copied file is never used to vote: it is set aside, or counts as a new disk.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::fs;
@@ -20,18 +20,18 @@
 
 use crate::core::disk::{Image, VoterState, Write};
 
-/// Number of the form in which things are stored.
+/// Version of the storage format.
 const STORE_FORMAT: u32 = 2;
 const HEAD: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("head");
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 
-/// Why nothing can be kept.
+/// Why the store cannot be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Another process has the file open.
     #[error("{0} is in use by another process")]
     InUse(String),
-    /// A version of this program that is not known here wrote it.
+    /// The file was written by a version of this program with another format.
     #[error(
         "{0} has form {1}, and this program knows form {STORE_FORMAT}: it was written by another version"
     )]
@@ -39,21 +39,21 @@
     /// The disk is full, read-only or broken.
     #[error("{0} cannot be written: {1}")]
     Io(String, String),
-    /// Its pages do not hold what they should.
+    /// The file is damaged.
     #[error("{0} is damaged: {1}")]
     Damaged(String, String),
 }
 
-/// What was found at the start, beside the image.
+/// What opening the store found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenOutcome {
-    /// Nothing: a new file.
+    /// No file: a new one was created.
     New,
-    /// All as it was left.
+    /// The file as it was left.
     Intact,
-    /// A damaged file, set aside under this name; a new one was begun.
+    /// A damaged file, renamed to this path; a new one was created.
     SetAside(PathBuf, String),
-    /// A file that is not where it was written first: what it voted with is forgotten, the history stays.
+    /// A file that was copied or moved: its votes are discarded, the history is kept.
     Copied,
 }
 
@@ -63,7 +63,7 @@
     database: Database,
 }
 
-/// What tells a file from its copies: its number on the disk, and when it was made.
+/// Identity of a file, which differs for its copies: inode number and creation time.
 pub fn file_identity(path: &Path) -> io::Result<(u64, u64)> {
     let about = fs::metadata(path)?;
     let made = about.created().ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
@@ -71,10 +71,10 @@
 }
 
 impl Store {
-    /// Opens the file, or begins it.
+    /// Opens the file, or creates it. A damaged file is set aside.
     ///
     /// # Errors
-    /// It is in use, of another form, or cannot be written. One that is damaged is set aside.
+    /// The file is in use, has another format, or cannot be written.
     pub fn open(path: &Path) -> Result<(Store, Image, OpenOutcome), StoreError> {
         let existed = path.exists();
         match catch_panics(path, || Store::read(path)) {
@@ -103,7 +103,7 @@
             redb::DatabaseError::Storage(error) => storage_error(path, &error),
             other => StoreError::Damaged(name.clone(), other.to_string()),
         })?;
-        // Danger: a page that has rotted is read as whatever it says, and votes.
+        // Danger: a damaged page would otherwise be read as valid state, and used to vote.
         match database.check_integrity() {
             Ok(_) => {}
             Err(redb::DatabaseError::Storage(error)) => return Err(storage_error(path, &error)),
@@ -143,7 +143,7 @@
         }
         let history = self.get(&head, "history")?;
         if self.get(&head, "place")? != Some(place) {
-            // Danger: the original may vote on, or has voted on since; a copy knows nothing of it.
+            // Danger: the original may still vote, or may have voted since; a copy does not know of it.
             drop((head, begun));
             self.begin(place)?;
             return Ok((Image { history, ..Image::default() }, true));
@@ -184,7 +184,7 @@
         value.map(|value| read(value.value())).transpose()
     }
 
-    /// A file that nothing is known from but, maybe, the history.
+    /// Initialises the file; an existing history is kept.
     fn begin(&self, place: (u64, u64)) -> Result<(), StoreError> {
         let write = self.database.begin_write().map_err(|error| self.failed(error))?;
         {
@@ -200,10 +200,10 @@
         write.commit().map_err(|error| self.failed(error))
     }
 
-    /// Writes all of these or none; flushed when this returns, if any of them promises something.
+    /// Writes all of these or none; flushed on return if any of them needs it.
     ///
     /// # Errors
-    /// The disk is full, read-only or broken: nothing that follows may be told.
+    /// The disk is full, read-only or broken: outputs that depend on the writes must not be carried out.
     pub fn write(&self, writes: &[Write]) -> Result<(), StoreError> {
         catch_panics(&self.path, || self.write_all(writes))
     }
@@ -245,16 +245,17 @@
     }
 }
 
-/// What the database does, kept from ending the process. Danger: it panics over some damage that its own look at the pages passes; found by a test that tears files.
+/// Runs database code and turns panics into errors. Danger: the database panics on some damage that its own
+/// integrity check accepts; found by a test that truncates files.
 pub fn catch_panics<T>(path: &Path, work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     let damaged = |_| StoreError::Damaged(path.display().to_string(), "a page cannot be read".into());
     catch_unwind(AssertUnwindSafe(work)).unwrap_or_else(|panic| Err(damaged(panic)))
 }
 
-/// The form in which things are stored.
+/// Encodes a value for storage.
 ///
 /// # Errors
-/// It cannot be encoded.
+/// The value cannot be encoded.
 pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, redb::StorageError> {
     postcard::to_allocvec(value).map_err(|error| redb::StorageError::Io(io::Error::other(error.to_string())))
 }
@@ -268,15 +269,15 @@
     Ok(())
 }
 
-/// What the file system said of this file.
+/// Converts an error of the file system.
 pub fn io_error(path: &Path, error: &io::Error) -> StoreError {
     StoreError::Io(path.display().to_string(), error.to_string())
 }
 
-/// What the database said of this file.
+/// Converts an error of the database.
 pub fn storage_error(path: &Path, error: &redb::StorageError) -> StoreError {
     match error {
-        // A file that is none of the database's is told as one that cannot be read.
+        // A file that is not of this database is reported as one that cannot be read.
         redb::StorageError::Corrupted(why) => StoreError::Damaged(path.display().to_string(), why.clone()),
         redb::StorageError::Io(error) if error.kind() == io::ErrorKind::InvalidData => {
             StoreError::Damaged(path.display().to_string(), error.to_string())
--- a/crates/accord/src/wire.rs
+++ b/crates/accord/src/wire.rs
@@ -1,6 +1,6 @@
-//! Frames between fronts, and between an operator and a front: four bytes of length, one of version, the content in
-//! postcard's encoding, and what authenticates all of it but the length, under the key ring of membership. Nothing that a
-//! key does not vouch for is decoded.
+//! Frames between fronts, and between an operator and a front: four bytes of length, one of version, the
+//! postcard-encoded content, and a tag that authenticates everything but the length under membership's key
+//! ring. A frame is decoded only after a key has authenticated it.
 
 use salttally_members::wire::{KeyRing, TAG};
 use serde::{Deserialize, Serialize};
@@ -9,79 +9,79 @@
 use crate::core::rules::Rules;
 use crate::core::{Envelope, Name};
 
-/// Longest frame, bytes.
+/// Largest frame, bytes.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
-/// Longest first frame of a connection, bytes: an operator's proposal fits. Danger: whoever has no key makes this front
-/// keep megabytes for each connection until it sees that nothing vouches for them.
+/// Largest first frame of a connection, bytes; an operator's proposal fits. Danger: with a larger limit, a
+/// peer without a key could make this front buffer megabytes for each connection before authentication fails.
 pub const MAX_FIRST_FRAME_BYTES: usize = 128 * 1024;
 /// Version of the encoding.
 pub const VERSION: u8 = 1;
-/// Bytes ahead of the content.
+/// Bytes of length and version before the content.
 const HEADER_BYTES: usize = 5;
 
-/// What an operator asks.
+/// An operator's query.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum Question {
-    /// How does this front stand?
+    /// The status of this front.
     #[serde(rename = "Show")]
     Status,
-    /// What does a version say? The one that the front acts on, if none is named.
+    /// The rules of a version; of the one that the front acts on, if none is named.
     Version(Option<u64>),
-    /// Which versions are kept?
+    /// The versions that are kept.
     History,
-    /// Propose this, made from that version or from the latest; who asks.
+    /// Proposes rules, made from that version or from the latest; with the author.
     Propose(Option<u64>, String, Box<Rules>),
-    /// Let these vote.
+    /// Requests these voters.
     #[serde(rename = "Voters")]
     ChangeVoters(Vec<Name>),
-    /// How does the subsystem beside this one stand?
+    /// The status of the copies subsystem.
     #[serde(rename = "Beside")]
     Copies,
 }
 
-/// What the operator hears: JSON, or why not.
+/// The reply to an operator: JSON, or the reason for a refusal.
 pub type Answer = Result<String, String>;
 
-/// One frame.
+/// A frame.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum Frame {
-    /// The first of a connection between fronts: nothing, under a key.
+    /// First frame of a connection between fronts; it only authenticates.
     #[serde(rename = "Opens")]
     Hello,
-    /// Between fronts.
+    /// Between fronts: a message.
     Peer(Box<Envelope>),
-    /// From an operator, in the operator's count.
+    /// From an operator: a request number and a query.
     #[serde(rename = "Asks")]
     Question(u64, Question),
-    /// Between fronts, of another subsystem: from whom.
+    /// Between fronts: a message of another subsystem, with its sender.
     #[serde(rename = "Passes")]
     Relayed(Name, Vec<u8>),
-    /// To an operator.
+    /// To an operator: the request number and the reply.
     #[serde(rename = "Answers")]
     Answer(u64, Answer),
 }
 
-/// Why a connection is given up.
+/// Why a connection is closed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum BadFrame {
-    /// Its length is out of bounds.
+    /// The length is out of bounds.
     #[error("a frame of {0} bytes")]
     Length(usize),
-    /// It is of another version of the encoding.
+    /// The frame has another version of the encoding.
     #[error("version {0}, and this front speaks {VERSION}")]
     Version(u8),
-    /// No key of the ring made it.
+    /// No key of the ring authenticates it.
     #[error("no key of the ring vouches for it")]
     Foreign,
-    /// A key vouches for it, and yet it cannot be read.
+    /// It is authenticated, but cannot be decoded.
     #[error("it cannot be read")]
     Unreadable,
 }
 
-/// The bytes of a frame.
+/// Encodes a frame.
 ///
 /// # Errors
-/// It is too long.
+/// The frame is too long.
 pub fn encode(frame: &Frame, ring: &KeyRing) -> Result<Vec<u8>, BadFrame> {
     let bytes = vec![0, 0, 0, 0, VERSION];
     let mut bytes = postcard::to_extend(frame, bytes).map_err(|_| BadFrame::Unreadable)?;
@@ -95,10 +95,11 @@
     Ok(bytes)
 }
 
-/// The first frame of what has come, of at most `longest` bytes, and how many bytes it took; nothing while it is not whole.
+/// Decodes the first frame of the received bytes, of at most `longest` bytes, and returns it with its size;
+/// none while it is incomplete.
 ///
 /// # Errors
-/// What has come can be no frame of a front: the connection is of no use.
+/// The bytes are no valid frame; the connection has to be closed.
 pub fn decode(bytes: &[u8], ring: &KeyRing, longest: usize) -> Result<Option<(Frame, usize)>, BadFrame> {
     let Some((length, rest)) = bytes.split_first_chunk::<4>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
