--- a/crates/accord/src/edge.rs
+++ b/crates/accord/src/edge.rs
@@ -17,7 +17,7 @@
 use crossbeam_channel::{Receiver, Sender, TryRecvError};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
-use salttally_members::edge::Known;
+use salttally_members::edge::KnownFront;
 use salttally_members::wire::KeyRing;
 use serde_json::json;
 use thiserror::Error;
@@ -96,7 +96,7 @@
 enum Command {
     Relay(Name, Vec<u8>),
     ChangeSuccessors(Vec<SuccessionChange>),
-    Members(Vec<Known>),
+    Members(Vec<KnownFront>),
     Keys(KeyRing),
     End,
 }
@@ -115,7 +115,7 @@
     }
 
     /// Updates the known fronts, as membership reports them.
-    pub fn update_members(&self, known: Vec<Known>) {
+    pub fn update_members(&self, known: Vec<KnownFront>) {
         self.send(Command::Members(known));
     }
 
@@ -379,9 +379,9 @@
         }
     }
 
-    fn view(&mut self, known: Vec<Known>) {
+    fn view(&mut self, known: Vec<KnownFront>) {
         let here: BTreeSet<Name> =
-            known.iter().filter(|one| one.here).map(|one| Name::clone(&one.name)).collect();
+            known.iter().filter(|one| one.in_view).map(|one| Name::clone(&one.name)).collect();
         for one in known {
             let moved =
                 self.known.insert(Name::clone(&one.name), one.address).is_some_and(|old| old != one.address);
@@ -721,5 +721,5 @@
 
 /// The address header that precedes data sent through a trial's relay.
 fn relay_prefix(address: SocketAddrV4) -> Vec<u8> {
-    salttally_members::wire::via::join(address, &[])
+    salttally_members::wire::relay_header::prepend(address, &[])
 }
--- a/crates/copies/src/edge.rs
+++ b/crates/copies/src/edge.rs
@@ -13,7 +13,7 @@
 use salttally_accord::core::successors::Successor;
 use salttally_accord::edge::{new_disk_id, now, Handle as Accord};
 use salttally_accord::store::StoreError;
-use salttally_members::edge::Known;
+use salttally_members::edge::KnownFront;
 use serde_json::json;
 use thiserror::Error;
 
@@ -64,7 +64,7 @@
 enum Command {
     Core(Input),
     Received(Name, Vec<u8>),
-    Members(Vec<Known>),
+    Members(Vec<KnownFront>),
     End,
 }
 
@@ -107,7 +107,7 @@
     }
 
     /// Who is known, as membership tells.
-    pub fn update_members(&self, known: Vec<Known>) {
+    pub fn update_members(&self, known: Vec<KnownFront>) {
         self.send(Command::Members(known));
     }
 
@@ -354,8 +354,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-fn peers(known: Vec<Known>, own: &Name) -> (Vec<Peer>, Option<u64>) {
-    let boot = known.iter().find(|one| one.here && one.name == *own).map(|one| one.boot);
-    let here = known.into_iter().filter(|one| one.here && one.name != *own);
+fn peers(known: Vec<KnownFront>, own: &Name) -> (Vec<Peer>, Option<u64>) {
+    let boot = known.iter().find(|one| one.in_view && one.name == *own).map(|one| one.boot);
+    let here = known.into_iter().filter(|one| one.in_view && one.name != *own);
     (here.map(|one| Peer { name: one.name, zone: one.zone, boot: one.boot }).collect(), boot)
 }
