--- a/crates/copies/src/core/mod.rs
+++ b/crates/copies/src/core/mod.rs
@@ -1,14 +1,15 @@
-//! Copies of what a front has promised, as state, with no I/O, clock or thread: told what comes, it answers with what is
-//! to be written, sent and told.
+//! The state machine that replicates durable session records, without I/O, clock or threads: it takes inputs
+//! and returns writes, messages and notifications.
 //!
-//! A promise is a key (the id of a session) and what stands under it, in the front's own words, which nothing here reads.
-//! [`Copies::handle`] takes the time (of a clock that only goes forward, of this process alone) and one [`Input`];
-//! [`Copies::next_due`] tells when it must be called again. What an [`Output::Write`] holds is on the disk, flushed if the
-//! settings want that, before anything after it is carried out.
+//! A record is a key (the id of a session) and a body in the front's own encoding, which nothing here reads.
+//! [`Copies::handle`] takes the time (of a monotonic clock, local to this process) and one [`Input`];
+//! [`Copies::next_due`] returns when it has to be called again. The contents of an [`Output::Write`] are on
+//! disk, and flushed if the settings ask for it, before any later output is carried out.
 //!
-//! - [`owner`]: a front's own promises, and how far each holder has them. [`place`]: who is to hold them.
-//! - [`shelf`]: what a holder has of another's, and what several of them say together.
-//! - [`heir`]: going on with what was another's.
+//! - [`owner`]: a front's own records, and how far each holder has them. [`placement`]: which fronts hold
+//! copies.
+//! - [`replica`]: a holder's copy of another front's records, and merging several copies.
+//! - [`takeover`]: collecting the records of a lost front.
 
 pub mod owner;
 pub mod placement;
@@ -30,71 +31,71 @@
 pub use salttally_accord::core::successors::Incarnation;
 pub use salttally_accord::core::{Micros, Name};
 
-/// Key of a promise.
+/// Key of a record: the id of its session.
 pub type RecordKey = Arc<str>;
-/// What stands under it.
+/// Body of a record.
 pub type RecordBody = Arc<[u8]>;
 
-/// Bytes of changes in one message, about.
+/// Approximate bytes of changes in one message.
 pub const BATCH_BYTES: usize = 48 * 1024;
-/// What is not acknowledged is sent again after this.
+/// Changes that are not acknowledged are sent again after this time.
 pub const RESEND_TIMEOUT: Micros = 400_000;
-/// An heir waits so long for what others hold.
+/// Longest time that a successor waits for the replicas of other fronts.
 pub const GATHER_TIMEOUT: Micros = 1_000_000;
-/// Holders are told how things stand this often while nothing changes.
+/// Interval of heartbeats to holders while nothing changes.
 const HEARTBEAT_INTERVAL: Micros = 500_000;
-/// The core looks around this often.
+/// Interval of the periodic checks.
 const TICK_INTERVAL: Micros = 50_000;
-/// A holder that has not answered for so long is given up, though it is in the view.
+/// A holder that has not answered for this long is replaced, even if it is in the view.
 const HOLDER_TIMEOUT: Micros = 2_500_000;
-/// It is not chosen again for so long.
+/// A replaced holder is not chosen again for this long.
 const HOLDER_AVOIDANCE: Micros = 10_000_000;
-/// What is asked of the voters is asked again after this.
+/// Requests to the voters are repeated after this time.
 const VOTER_RETRY_INTERVAL: Micros = 500_000;
-/// An heir asks those that have not answered again after this.
+/// Interval at which a successor asks the fronts that have not answered again.
 const GATHER_RETRY_INTERVAL: Micros = 400_000;
-/// An unsettled life of whose heir nothing was heard for so long wants another one.
+/// If the successor of an unsettled incarnation was silent for this long, another one is proposed.
 const SUCCESSOR_TIMEOUT: Micros = 4_000_000;
-/// A life of which nothing is left is told to be over after this.
+/// An incarnation without records is declared ended after this time.
 const END_DELAY: Micros = 2_000_000;
-/// Ends kept for holders that are behind.
+/// Most tombstones (deleted records) kept for holders that are behind.
 const MAX_TOMBSTONES: usize = 4_096;
 
-/// What happens where there are fewer fronts than copies wanted.
+/// What happens when there are fewer fronts than required copies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TooFewPolicy {
-    /// A promise counts with as many as there are.
+    /// A record counts as stored with as many copies as there are fronts.
     GoOn,
-    /// It does not count.
+    /// The record is not stored.
     Refuse,
 }
 
-/// What a front is told of itself.
+/// What identifies this front, and its settings.
 #[derive(Clone, Debug)]
 pub struct FrontIdentity {
-    /// Its name.
+    /// Name of the front.
     pub name: Name,
-    /// Its life: what ids of its sessions begin with.
+    /// Its incarnation; the ids of its sessions begin with this name.
     pub incarnation: Incarnation,
     /// Its zone.
     pub zone: u32,
-    /// Where players reach it.
+    /// Address at which clients reach it.
     pub client_address: Option<SocketAddr>,
-    /// Number of its disk, drawn when that was first used.
+    /// Its disk id, drawn when the disk was first used.
     pub disk_id: u64,
-    /// Fronts that hold a copy, beside this one.
+    /// Number of other fronts that hold a copy.
     pub copies: usize,
-    /// So many of them must have a promise before it counts.
+    /// Number of copies required before a record counts as stored.
     pub required_copies: usize,
-    /// See [`TooFew`].
+    /// See [`TooFewPolicy`].
     pub too_few: TooFewPolicy,
-    /// A promise that does not count after this long is given up.
+    /// A record that is not stored within this time is given up.
     pub store_timeout: Micros,
-    /// Promises of others that it holds at most.
+    /// Most records of other fronts that it holds.
     pub max_records: usize,
 }
 
-/// A front in the view.
+/// A front in the membership view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its name.
@@ -105,113 +106,116 @@
     pub boot: u64,
 }
 
-/// What fronts say to each other.
+/// Contents of messages between fronts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub enum Body {
-    /// To a holder: after `from` changes of this life come these, up to `to`; nothing between is left out if `whole`. With
-    /// digests where nothing is on its way.
+    /// To a holder: the changes of this incarnation after number `from`, up to `to`; without gaps if `whole`.
+    /// With digests when no changes are in flight.
     Put {
-        /// Which life.
+        /// The owner's incarnation.
         #[serde(rename = "life")]
         incarnation: Incarnation,
         /// Which start of the owner's process.
         boot: u64,
-        /// See above.
+        /// Number of the last change before these.
         from: u64,
-        /// See above.
+        /// Number of the last change covered.
         to: u64,
-        /// See above.
+        /// Whether nothing between `from` and `to` is left out.
         whole: bool,
-        /// What changed.
+        /// The changes.
         changes: Vec<Change>,
         /// All holders.
         group: Vec<Name>,
-        /// Digests of all parts after `to`.
+        /// Digests of all partitions after change `to`.
         digests: Option<[u64; PARTITIONS]>,
     },
-    /// To an owner: so many changes are there, on this disk; so many promises of others are held in all.
+    /// To an owner: the number of changes applied, the holder's disk id, and the number of records it holds
+    /// for others.
     Ack(Incarnation, u64, u64, u64),
-    /// To an owner: nothing of this life is taken: it is full here, or the life is another's now.
+    /// To an owner: no changes of this incarnation are accepted, because the holder is full or the
+    /// incarnation was taken over.
     #[serde(rename = "No")]
     Refused(Incarnation),
-    /// To an owner: these parts differ after so many changes.
+    /// To an owner: after this many changes, these partitions differ.
     Differs(Incarnation, u64, Vec<u8>),
-    /// To a holder: a part as it is after so many changes.
+    /// To a holder: the contents of a partition after this many changes.
     Part(Incarnation, u64, u8, Vec<Change>),
-    /// To a holder: nothing of this life is to be kept any more.
+    /// To a holder: nothing of this incarnation has to be kept any more.
     Drop(Incarnation),
-    /// Of the heir by this epoch: what is there of this life?
+    /// From the successor of this epoch: asks for the replica of this incarnation.
     Gather(Incarnation, u64),
-    /// A part of it, and whether it is the last one.
+    /// A part of a replica, and whether it is the last part.
     Gathered(Incarnation, ReplicaHead, Vec<Change>, bool),
 }
 
-/// What a front hears.
+/// Inputs of the state machine.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A message, from whom.
+    /// A message arrived, with its sender.
     Received(Name, Box<Body>),
-    /// Something may be due.
+    /// Time has passed.
     Tick,
-    /// A promise; whether somebody waits until it counts.
+    /// A record was created or changed; the flag tells whether the caller waits until it is stored.
     PutRecord(RecordKey, RecordBody, bool),
-    /// It is no more.
+    /// A record was deleted.
     DeleteRecord(RecordKey),
-    /// Who is in the view but this front, and which start of its own process the view knows, if it is there.
+    /// The other fronts in the view, and the start of this process that the view knows, if this front is in
+    /// it.
     View(Vec<Peer>, Option<u64>),
-    /// Who goes on with whose promises, and the version that has begun.
+    /// The successors of lost fronts, and the version that has begun.
     Successors(Arc<Successors>, u64),
-    /// Boxes hold something of an earlier life of this front, and nobody has taken it over.
+    /// Boxes still have sessions of an earlier incarnation of this front, which nobody has taken over.
     OrphanFound(Incarnation),
-    /// This front lives anew.
+    /// This front continues under a new incarnation.
     IncarnationChanged(Incarnation),
-    /// It ends in order, with nothing promised.
+    /// The front shuts down.
     Leave,
 }
 
 /// One change of the disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Write {
-    /// About a shelf.
+    /// The header of a replica.
     Head(Incarnation, ReplicaHead),
-    /// An entry of it; nothing, where it is no more.
+    /// An entry of a replica: change number and body; none if the entry is deleted.
     Entry(Incarnation, RecordKey, Option<(u64, Option<RecordBody>)>),
-    /// All of it is no more.
+    /// The whole replica is deleted.
     Drop(Incarnation),
 }
 
-/// What the edge is to do, and what is worth knowing.
+/// Effects to be carried out, and notifications.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Write these in one piece.
+    /// Write these atomically.
     Write(Vec<Write>),
-    /// Send this.
+    /// Send this message.
     Send(Name, Body),
-    /// A promise counts, or does not: then the front keeps none.
+    /// Whether a record was stored; if not, it was given up and is deleted.
     RecordStored(RecordKey, bool),
-    /// Ask the voters for this.
+    /// Ask the voters for these changes.
     ChangeSuccessors(Vec<SuccessionChange>),
-    /// This front goes on with these promises, by this epoch.
+    /// This front takes over these records, under this epoch.
     TakeOver(Incarnation, u64, Vec<(RecordKey, RecordBody)>),
-    /// Another one goes on with this front's own life.
+    /// Another front took over this front's own incarnation.
     TakenOver(Incarnation, Successor),
-    /// Another one goes on with a life that this front had taken over.
+    /// Another front took over an incarnation that this front had taken over.
     TakeoverSuperseded(Incarnation),
-    /// Nothing is left of a life that was taken over: worth knowing.
+    /// An incarnation that was taken over has no sessions left; for information only.
     IncarnationEnded(Incarnation),
-    /// Who holds copies has changed.
+    /// The holders of copies have changed.
     HoldersChanged(Vec<Name>),
 }
 
-/// What was on the disk.
+/// Contents of the disk at the start.
 #[derive(Clone, Debug, Default)]
 pub struct Image {
-    /// Shelves by life.
+    /// Replicas by incarnation.
     pub replicas: Replicas,
 }
 
 impl Image {
-    /// One write takes place.
+    /// Applies one write.
     pub fn apply(&mut self, write: &Write) {
         match write {
             Write::Head(incarnation, head) => match self.replicas.get_mut(incarnation) {
@@ -222,7 +226,7 @@
                 }
             },
             Write::Entry(incarnation, key, entry) => {
-                // An entry comes ahead of the first word about its shelf where both are new.
+                // For a new replica, an entry comes before the header.
                 let blank = || Replica::new(&Name::from(""), 0);
                 let replica = self.replicas.entry(Incarnation::clone(incarnation)).or_insert_with(blank);
                 match entry {
@@ -235,18 +239,18 @@
     }
 }
 
-/// A shelf and what is known of its owner.
+/// A replica, and what is known of its owner.
 #[derive(Clone, Debug)]
 struct HeldReplica {
     replica: Replica,
-    /// Since when its owner is gone.
+    /// Since when its owner is lost.
     orphan: Option<Micros>,
-    /// When its heir was last heard.
+    /// When the successor was last heard.
     successor: Option<Micros>,
     offered: Micros,
 }
 
-/// Copies at one front.
+/// Replication at one front.
 #[derive(Clone, Debug)]
 pub struct Copies {
     own: FrontIdentity,
@@ -271,7 +275,7 @@
 }
 
 impl Copies {
-    /// A front that starts on this image.
+    /// Starts a front on this image.
     pub fn new(own: FrontIdentity, image: Image, now: Micros) -> Copies {
         let held = |replica| HeldReplica { replica, orphan: None, successor: None, offered: 0 };
         Copies {
@@ -301,38 +305,38 @@
         }
     }
 
-    /// A front's own promises.
+    /// The front's own records.
     pub fn owner(&self) -> &Owner {
         &self.owner
     }
 
-    /// Its life.
+    /// The front's incarnation.
     pub fn incarnation(&self) -> &Incarnation {
         &self.own.incarnation
     }
 
-    /// What it holds of others, by life.
+    /// Replicas of other fronts' records, by incarnation.
     pub fn replicas(&self) -> impl Iterator<Item = (&Incarnation, &Replica)> {
         self.replicas.iter().map(|(incarnation, held)| (incarnation, &held.replica))
     }
 
-    /// Lives that it has taken over, with their epochs, and whether all of each is settled.
+    /// Incarnations that this front has taken over, with their epochs, and whether each is settled.
     pub fn takeovers(&self) -> impl Iterator<Item = (&Incarnation, u64, bool)> {
         self.takeovers.iter().map(|(incarnation, takeover)| (incarnation, takeover.epoch, takeover.settled))
     }
 
-    /// Promises of others that it holds.
+    /// Number of records held for other fronts.
     pub fn records_held(&self) -> usize {
         self.replicas.values().map(|held| held.replica.entries.len()).sum()
     }
 
-    /// When it must be called again.
+    /// When [`Copies::handle`] has to be called again.
     pub fn next_due(&self) -> Micros {
         self.owner.next_late().map_or(self.next_tick, |late| late.min(self.next_tick))
     }
 
-    /// Takes in one input; what follows is added to `out`, in order. Changes go out with the next
-    /// [`Input::Tick`], so that those that come together go together.
+    /// Processes one input; outputs are added to `out`, in order. Changes are sent at the next
+    /// [`Input::Tick`], so that changes that arrive together are sent together.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
         let mut then = Vec::new();
@@ -346,8 +350,8 @@
             Input::OrphanFound(incarnation) => self.found(incarnation, &mut then),
             Input::IncarnationChanged(incarnation) => {
                 (self.own.incarnation, self.incarnations, self.owner) = (incarnation, true, Owner::default());
-                // Danger: who refused the life before, since it is another's, is avoided by this one, which can promise
-                // nothing meanwhile.
+                // Danger: holders that refused the previous incarnation because it was taken over would be
+                // avoided by the new one, which could store nothing meanwhile.
                 self.avoided.clear();
                 self.silent.clear();
             }
@@ -360,7 +364,7 @@
         out.append(&mut then);
     }
 
-    // ---- A front's own promises ----
+    // ---- The front's own records ----
 
     fn keep(&mut self, key: RecordKey, body: RecordBody, waits: bool, out: &mut Vec<Output>) {
         if !self.incarnations {
@@ -395,12 +399,12 @@
             holders: self.owner.group(),
         };
         let incarnation = &self.own.incarnation;
-        // One head for all changes that go to the disk together.
+        // One header write for all changes that are written together.
         self.journal.retain(|write| !matches!(write, Write::Head(of, _) if of == incarnation));
         self.journal.push(Write::Head(Incarnation::clone(incarnation), head));
     }
 
-    /// How many holders make a promise count now.
+    /// Number of copies that make a record count as stored now.
     fn enough(&self) -> usize {
         match self.own.too_few {
             TooFewPolicy::GoOn => self.own.required_copies.min(self.peers.len()),
@@ -413,7 +417,7 @@
         let (kept, late) = self.owner.settled(self.now, enough);
         out.extend(kept.into_iter().map(|key| Output::RecordStored(key, true)));
         for key in late {
-            // Danger: the front has given it up, and a copy of it would be taken for a promise.
+            // Danger: the front has given the record up; a remaining copy would be taken for a stored record.
             self.change(RecordKey::clone(&key), None);
             out.push(Output::RecordStored(key, false));
         }
@@ -432,7 +436,7 @@
         }
     }
 
-    /// Tells holders how things stand; they answer whether that is so with them.
+    /// Sends holders the state after the last change; they answer with what they have.
     fn beat(&mut self, out: &mut Vec<Output>) {
         let (group, number, boot) = (self.owner.group(), self.owner.number(), self.boot.unwrap_or(0));
         for (name, holder) in &self.owner.holders {
@@ -454,7 +458,7 @@
         }
     }
 
-    /// Who is to hold copies: those that are gone or silent are replaced, one at a time.
+    /// Replaces holders that left the view or are silent, one at a time.
     fn regroup(&mut self, out: &mut Vec<Output>) {
         let before = self.owner.group();
         let now = self.now;
@@ -498,7 +502,7 @@
         }
     }
 
-    // ---- What comes ----
+    // ---- Messages ----
 
     fn heard(&mut self, from: Name, body: Body, out: &mut Vec<Output>) {
         match body {
@@ -512,7 +516,7 @@
                     self.owner.acked(self.now, &from, have, disk);
                     self.flush(out);
                 } else {
-                    // It holds what is no more anybody's here.
+                    // The holder has a replica of an incarnation that is no longer used by this front.
                     let live_records = self.successors.is_superseded(&incarnation)
                         || incarnation.starts_with(&format!("{}-", self.own.name));
                     if !live_records {
@@ -558,7 +562,8 @@
         digests: Option<[u64; PARTITIONS]>,
         out: &mut Vec<Output>,
     ) {
-        // Danger: an owner that was replaced goes on as if it were not, and is told that its promises count.
+        // Danger: an owner that was superseded without knowing it would continue, and count its records as
+        // stored.
         let fenced = self.successors.is_superseded(&incarnation)
             || self.replicas.get(&incarnation).is_some_and(|held| held.replica.head.epoch > 0);
         let known = self.replicas.contains_key(&incarnation);
@@ -650,9 +655,9 @@
         }
     }
 
-    // ---- Heirs ----
+    // ---- Takeover ----
 
-    /// An heir asks what is here of a life. From now on nothing of the owner is taken.
+    /// Answers a successor's request for a replica. From now on, no changes of the owner are accepted.
     fn takeover(&mut self, from: &Name, incarnation: Incarnation, epoch: u64, out: &mut Vec<Output>) {
         if epoch < self.successors.epoch_of(&incarnation) {
             return;
@@ -670,7 +675,7 @@
         self.offer(from, &incarnation, out);
     }
 
-    /// Tells an heir what is here.
+    /// Sends a replica to a successor, in parts.
     fn offer(&mut self, to: &Name, incarnation: &Incarnation, out: &mut Vec<Output>) {
         let Some(held) = self.replicas.get_mut(incarnation) else { return };
         held.offered = self.now;
@@ -704,7 +709,7 @@
         let handed = takeover.handed;
         takeover.heard(from, head, changes, last);
         if last && handed {
-            // It was away, and comes with what it has.
+            // The front was unreachable before, and sends its replica late.
             self.adopt(incarnation, out);
             if self.takeovers.get(incarnation).is_some_and(|takeover| takeover.settled) {
                 out.push(Output::Send(Name::clone(from), Body::Drop(Incarnation::clone(incarnation))));
@@ -721,7 +726,7 @@
         for (key, body) in &fresh {
             self.change(RecordKey::clone(key), Some(RecordBody::clone(body)));
         }
-        // What this life had taken over is among its promises, and has epochs of its own.
+        // Records that this incarnation had taken over are among its own, each with its own epoch.
         let mut parts: BTreeMap<Incarnation, (u64, Vec<(RecordKey, RecordBody)>)> =
             [(Incarnation::clone(incarnation), (epoch, Vec::new()))].into();
         for (key, body) in fresh {
@@ -760,7 +765,7 @@
             self.takeovers.clear();
             self.owner = Owner::default();
             let successor = self.successors.current(&self.own.incarnation).cloned();
-            // Its own disk holds the life as any other front's does: the heir may ask for it.
+            // The successor may ask this front for a replica, as any other: its own disk has one.
             out.extend(
                 successor
                     .map(|successor| Output::TakenOver(Incarnation::clone(&self.own.incarnation), successor)),
@@ -793,7 +798,7 @@
             .filter_map(|(incarnation, successor)| {
                 let epoch = self.successors.acting_epoch(incarnation, &self.own.incarnation, begun)?;
                 let along = successor.incarnation != self.own.incarnation;
-                // What an heir had not got together before it was lost itself is taken over anew.
+                // Incarnations that a lost successor had not settled are taken over from their replicas.
                 (!along || successor.settled).then(|| (Incarnation::clone(incarnation), epoch, along))
             })
             .collect();
@@ -816,7 +821,7 @@
         self.next_tick = self.now;
     }
 
-    /// Asks, hands over, settles and ends what this front goes on with.
+    /// Advances the takeovers of this front: requests, adopts, settles and ends them.
     fn go_on(&mut self, out: &mut Vec<Output>) {
         let here: BTreeSet<Name> = self.peers.keys().cloned().collect();
         let incarnations: Vec<Incarnation> = self.takeovers.keys().cloned().collect();
@@ -832,7 +837,7 @@
                 self.successors.by_incarnation.get(&incarnation).map_or(0, |successor| successor.epoch),
             );
             if takeover.settled && !takeover.handed {
-                // Nothing of it was among the other's promises; boxes are asked all the same.
+                // None of its records were among the other's; the boxes are asked all the same.
                 if !unheard {
                     takeover.handed = true;
                     out.push(Output::TakeOver(incarnation, epoch, Vec::new()));
@@ -881,7 +886,7 @@
         }
     }
 
-    /// Whether enough holders have all that was promised here.
+    /// Whether enough holders have all changes of this front.
     fn level(&self) -> bool {
         let number = self.owner.number();
         let level = self.owner.holders.values().filter(|holder| holder.acked == number).count();
@@ -900,14 +905,16 @@
         SuccessionChange::TakeOver(Incarnation::clone(incarnation), successor)
     }
 
-    /// Nobody has a copy: this front takes its own earlier life over, with what boxes hold of it.
+    /// No front has a replica: this front takes over its own earlier incarnation, with the sessions that
+    /// boxes report.
     fn found(&mut self, incarnation: Incarnation, out: &mut Vec<Output>) {
         if self.incarnations && !self.successors.is_superseded(&incarnation) {
             out.push(Output::ChangeSuccessors(vec![self.takes(&incarnation)]));
         }
     }
 
-    /// Lives whose owners are gone: proposed, offered or dropped.
+    /// Handles replicas whose owners are lost: proposes a takeover, offers the replica to a successor, or
+    /// deletes it.
     fn orphans(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
         let new_here = self.boot.is_none() || self.here_since + VIEW_SETTLE_TIME > now;
@@ -955,7 +962,7 @@
                 continue;
             }
             if held.replica.live_records() == 0 {
-                // Nothing was promised, as far as is known here.
+                // The replica has no records.
                 if since + HOLDER_AVOIDANCE <= now {
                     drops.push(Incarnation::clone(incarnation));
                 }
@@ -985,11 +992,11 @@
         self.next_tick = self.now;
     }
 
-    // ---- Time ----
+    // ---- Timers ----
 
     fn tick(&mut self, out: &mut Vec<Output>) {
         if self.now >= self.next_tick {
-            // Danger: the time in which this process was not running is taken for silence of its holders.
+            // Danger: time during which this process was suspended would count as silence of its holders.
             let late = self.now - self.next_tick;
             self.silent.values_mut().for_each(|heard| *heard = (*heard + late).min(self.now));
             self.next_tick = self.now + TICK_INTERVAL;
@@ -1005,7 +1012,7 @@
         }
     }
 
-    /// All was released: whoever holds copies may forget them.
+    /// On shutdown without records, holders may delete their replicas.
     fn leave(&mut self, out: &mut Vec<Output>) {
         if self.owner.live_records() == 0 {
             for name in self.owner.group() {
@@ -1016,12 +1023,12 @@
     }
 }
 
-/// Whether a session's id is of this life.
+/// Whether a session id belongs to this incarnation.
 pub fn belongs_to(key: &str, incarnation: &str) -> bool {
     key.strip_prefix(incarnation).is_some_and(|rest| rest.starts_with('-'))
 }
 
-/// The life that a session's id begins with.
+/// The incarnation that a session id begins with.
 pub fn incarnation_of(key: &str) -> Option<&str> {
     key.rsplit_once('-').map(|(incarnation, _)| incarnation)
 }
--- a/crates/copies/src/core/owner.rs
+++ b/crates/copies/src/core/owner.rs
@@ -1,39 +1,39 @@
-//! A front's own promises, and how far each of its holders has them.
+//! A front's own records, and how far each of its holders has them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::replica::{entry_digest, partition, Change, Replica, PARTITIONS};
 use super::{Micros, Name, RecordBody, RecordKey, BATCH_BYTES, RESEND_TIMEOUT};
 
-/// One front that holds copies of this one's promises.
+/// A front that holds copies of this front's records.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// Changes that it has, as it says.
+    /// Number of changes acknowledged.
     pub acked: u64,
-    /// Changes that are on their way to it, or there.
+    /// Number of the last change sent.
     pub sent: u64,
-    /// When it last said something, or something was first sent after that.
+    /// When it last answered, or when a change was first sent to it after that.
     pub heard: Micros,
-    /// Its disk. Danger: a copy that has lost its disk since it acknowledged.
+    /// Its disk id. Danger: a holder may have lost its disk since it acknowledged.
     pub disk: u64,
-    /// It has once had all that there was.
+    /// Whether it has been complete at some time.
     pub filled: bool,
 }
 
-/// What goes to a holder.
+/// Changes to be sent to a holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Batch {
-    /// It has all up to here.
+    /// Number of the last change before these.
     pub from: u64,
-    /// And then all up to here.
+    /// Number of the last change covered.
     pub to: u64,
-    /// Nothing between is left out.
+    /// Whether nothing between is left out.
     pub whole: bool,
-    /// What changed.
+    /// The changes.
     pub changes: Vec<Change>,
 }
 
-/// A front's own promises.
+/// A front's own records.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Owner {
     number: u64,
@@ -41,29 +41,29 @@
     order: BTreeMap<u64, RecordKey>,
     digests: [u64; PARTITIONS],
     live_records: usize,
-    /// Those that hold copies.
+    /// The holders of copies.
     pub holders: BTreeMap<Name, Holder>,
-    /// Promises that somebody waits for, and until when.
+    /// Records that a caller waits for, with the deadlines.
     waiting: BTreeMap<RecordKey, Micros>,
 }
 
 impl Owner {
-    /// Changes so far.
+    /// Number of changes so far.
     pub fn number(&self) -> u64 {
         self.number
     }
 
-    /// Promises that stand.
+    /// Number of records.
     pub fn live_records(&self) -> usize {
         self.live_records
     }
 
-    /// Promises that somebody waits for.
+    /// Number of records that a caller waits for.
     pub fn waits(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Digests of the parts, as a whole shelf has them.
+    /// Digests of the partitions, as a complete replica has them.
     pub fn digests(&self) -> [u64; PARTITIONS] {
         self.digests
     }
@@ -73,17 +73,18 @@
         self.entries.clone()
     }
 
-    /// What stands under a key.
+    /// The body of a record.
     pub fn get(&self, key: &str) -> Option<&RecordBody> {
         self.entries.get(key).and_then(|(_, body)| body.as_ref())
     }
 
-    /// Keys under which something stands.
+    /// Keys of all records.
     pub fn keys(&self) -> impl Iterator<Item = &RecordKey> {
         self.entries.iter().filter(|(_, (_, body))| body.is_some()).map(|(key, _)| key)
     }
 
-    /// A change; nothing ends what stands. Returns it with its number.
+    /// Changes a record, or deletes it if `body` is none. Returns the numbered change; none if there was
+    /// nothing to delete.
     pub fn change(&mut self, key: RecordKey, body: Option<RecordBody>) -> Option<Change> {
         let before = self.entries.get(&key);
         if before.is_none() && body.is_none() {
@@ -108,19 +109,19 @@
         Some(Change { key, number: self.number, body })
     }
 
-    /// Somebody waits until this is kept, at most so long.
+    /// Registers a caller that waits until the record is stored, at most until this time.
     pub fn wait(&mut self, key: RecordKey, until: Micros) {
         self.waiting.insert(key, until);
     }
 
-    /// Those waited for that are at enough holders now, and those that waited too long.
+    /// Takes the awaited records that are stored at enough holders, and those whose deadline has passed.
     pub fn settled(&mut self, now: Micros, enough: usize) -> (Vec<RecordKey>, Vec<RecordKey>) {
         if self.waiting.is_empty() {
             return (Vec::new(), Vec::new());
         }
         let mut acked: Vec<u64> = self.holders.values().map(|holder| holder.acked).collect();
         acked.sort_unstable_by(|a, b| b.cmp(a));
-        // So many changes are at enough holders.
+        // The number of changes that enough holders have.
         let sure = if enough == 0 { u64::MAX } else { acked.get(enough - 1).copied().unwrap_or(0) };
         let (mut kept, mut late) = (Vec::new(), Vec::new());
         let entries = &self.entries;
@@ -136,23 +137,23 @@
         (kept, late)
     }
 
-    /// The earliest time at which somebody has waited too long.
+    /// The earliest deadline of an awaited record.
     pub fn next_late(&self) -> Option<Micros> {
         self.waiting.values().min().copied()
     }
 
-    /// A front begins to hold copies.
+    /// Adds a holder.
     pub fn begin(&mut self, now: Micros, name: Name) {
         let holder = Holder { acked: 0, sent: 0, heard: now, disk: 0, filled: false };
         self.holders.insert(name, holder);
     }
 
-    /// A holder says that it has so much, on this disk.
+    /// Records a holder's acknowledgement: its number of changes, and its disk id.
     pub fn acked(&mut self, now: Micros, name: &Name, have: u64, disk: u64) {
         let number = self.number;
         let Some(holder) = self.holders.get_mut(name) else { return };
         holder.heard = now;
-        // What it has now counts, also where that is less than it said before.
+        // The latest acknowledgement counts, also if it is lower than an earlier one.
         let lost = holder.disk != disk && holder.disk != 0;
         holder.disk = disk;
         if have < holder.acked || lost {
@@ -165,7 +166,7 @@
         self.forget(all);
     }
 
-    /// Ends that everybody has are forgotten.
+    /// Deletes tombstones that every holder has.
     fn forget(&mut self, all: u64) {
         let ended: Vec<(u64, RecordKey)> = self
             .order
@@ -179,7 +180,8 @@
         }
     }
 
-    /// Ends kept at most while holders are behind; beyond that whoever is so far behind is filled anew.
+    /// Limits the number of tombstones kept for holders that are behind; beyond that, such a holder is filled
+    /// again from the start.
     pub fn bound(&mut self, most: usize) {
         let ended = self.entries.len() - self.live_records;
         if ended > most {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// What a holder that does not answer was sent is sent again.
+    /// Resends changes to holders that have not acknowledged them in time.
     pub fn again(&mut self, now: Micros) {
         for holder in self.holders.values_mut() {
             if holder.acked < holder.sent && holder.heard + RESEND_TIMEOUT <= now {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// What is to go to a holder now. One that is being filled gets one step at a time.
+    /// The next changes to send to a holder. A holder that is being filled gets one batch at a time.
     pub fn batch(&mut self, now: Micros, name: &Name) -> Option<Batch> {
         let holder = self.holders.get_mut(name)?;
         let (from, number) = (holder.sent, self.number);
@@ -225,7 +227,7 @@
         Some(Batch { from, to, whole: to == number, changes })
     }
 
-    /// One part, for a holder whose digest differs.
+    /// The records of one partition, for a holder whose digest differs.
     pub fn partition(&self, which: usize) -> Vec<Change> {
         let there = self.entries.iter().filter(|(key, (_, body))| partition(key) == which && body.is_some());
         there
@@ -237,7 +239,7 @@
             .collect()
     }
 
-    /// Its promises as a shelf that is whole.
+    /// The records as a complete replica.
     pub fn replica(&self, name: &Name, boot: u64) -> Replica {
         let mut replica = Replica::new(name, boot);
         replica.entries = self
@@ -251,12 +253,12 @@
         replica
     }
 
-    /// Who holds copies.
+    /// Names of the holders.
     pub fn group(&self) -> Vec<Name> {
         self.holders.keys().cloned().collect()
     }
 
-    /// Holders that have once had all.
+    /// Holders that have been complete at some time.
     pub fn filled(&self) -> BTreeSet<Name> {
         let filled = self.holders.iter().filter(|(_, holder)| holder.filled);
         filled.map(|(name, _)| Name::clone(name)).collect()
--- a/crates/copies/src/core/placement.rs
+++ b/crates/copies/src/core/placement.rs
@@ -1,5 +1,5 @@
-//! Where copies go: rendezvous hashing (Thaler and Ravishankar, 1998) over the view, weighed by what each front already
-//! holds, in other zones where there are any.
+//! Placement of copies: rendezvous hashing (Thaler and Ravishankar, 1998) over the view, weighted by what
+//! each front already holds, and in other zones if there are any.
 
 use std::collections::BTreeSet;
 
@@ -14,11 +14,11 @@
     pub name: Name,
     /// Its zone.
     pub zone: u32,
-    /// Promises of others that it holds, as it said last.
+    /// Records that it holds for other fronts, as last reported.
     pub records_held: u64,
 }
 
-/// A draw of the pair, from 0 to 1 and neither of both: the same wherever it is made.
+/// A pseudo-random number of the pair, strictly between 0 and 1; the same on every front.
 fn draw(owner: &str, holder: &str) -> f64 {
     let mut bytes = Vec::with_capacity(owner.len() + holder.len() + 1);
     bytes.extend(owner.as_bytes());
@@ -28,15 +28,15 @@
     (bits as f64 + 0.5) / (1u64 << 53) as f64
 }
 
-/// The front that is to hold the next copy of what `owner` promises, beside those that hold one. A zone that nobody of them
-/// is in goes before one where only a holder is, and both before the owner's own.
+/// The front that should hold the next copy for `owner`. A zone without a holder is preferred to one with a
+/// holder, and both to the owner's own zone.
 pub fn next(owner: &str, zone: u32, holders: &BTreeSet<Name>, all: &[Candidate]) -> Option<Name> {
     let mean = all.iter().map(|one| one.records_held).sum::<u64>() / all.len().max(1) as u64;
     let taken: BTreeSet<u32> =
         all.iter().filter(|one| holders.contains(&one.name)).map(|one| one.zone).collect();
     let free = all.iter().filter(|one| &*one.name != owner && !holders.contains(&one.name));
     let score = |one: &Candidate| {
-        // Weighted rendezvous: whoever holds twice the mean is drawn half as often.
+        // Weighted rendezvous: the more a front holds compared with the mean, the less often it is chosen.
         let weight = 1.0 / (1.0 + one.records_held as f64 / (mean + 1) as f64);
         weight / -draw(owner, &one.name).ln()
     };
--- a/crates/copies/src/core/replica.rs
+++ b/crates/copies/src/core/replica.rs
@@ -1,8 +1,9 @@
-//! What a front holds of one life: the life's promises as they stood after a number of changes.
+//! A front's replica of one incarnation: its records after a number of changes.
 //!
-//! A life's owner numbers its changes from 1. A shelf that is [whole](Shelf::whole) after `have` changes holds exactly what
-//! stood then: what it lacks had ended by then, or had not begun. While it is being filled it lacks what comes later, and
-//! proves nothing by that; only then it keeps ends.
+//! An owner numbers its changes from 1. A replica that is [complete](ReplicaHead::complete) after `applied`
+//! changes holds exactly the records of that point: a record that it lacks was deleted, or did not exist yet.
+//! While a replica is being filled, it lacks records that are still to come, and their absence proves
+//! nothing; only then it keeps tombstones.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +12,34 @@
 
 use super::{Incarnation, Name, RecordBody, RecordKey};
 
-/// Parts by which two shelves are compared.
+/// Number of partitions by which two replicas are compared.
 pub const PARTITIONS: usize = 16;
 
-/// One change: of which key, its number, and what stands now; nothing where it has ended.
+/// One change of a record: its key, the number of the change, and the new body; no body if the record was
+/// deleted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// Of what.
+    /// Key of the record.
     pub key: RecordKey,
-    /// In the owner's count.
+    /// Number of the change, counted by the owner.
     pub number: u64,
-    /// What stands.
+    /// The new body; none for a deletion.
     pub body: Option<RecordBody>,
 }
 
 impl Change {
-    /// What it takes on its way, bytes, about.
+    /// Approximate size in a message, bytes.
     pub fn size(&self) -> usize {
         self.key.len() + self.body.as_ref().map_or(0, |body| body.len()) + 16
     }
 }
 
-/// Which part a key belongs to.
+/// The partition that a key belongs to.
 pub fn partition(key: &str) -> usize {
     xxh3_64(key.as_bytes()) as usize % PARTITIONS
 }
 
-/// A number for one entry: equal for equal ones, and for others by accident only.
+/// Hash of an entry; equal entries have equal hashes, others differ except by accident.
 pub fn entry_digest(key: &str, number: u64, body: &[u8]) -> u64 {
     let mut bytes = Vec::with_capacity(key.len() + body.len() + 8);
     bytes.extend(number.to_be_bytes());
@@ -47,45 +49,45 @@
     xxh3_64(&bytes)
 }
 
-/// What is known of a shelf beside its entries.
+/// Header of a replica.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, Serialize)]
 pub struct ReplicaHead {
-    /// Whose life.
+    /// Name of the owner.
     pub owner: Name,
-    /// Which start of that front's process, as membership has it.
+    /// Which start of the owner's process, as membership reports it.
     pub boot: u64,
-    /// Nothing of an owner before this epoch is taken any more.
+    /// Epoch of the successor that asked for the replica; changes of earlier epochs are no longer accepted.
     pub epoch: u64,
-    /// Changes taken.
+    /// Number of changes applied.
     #[serde(rename = "have")]
     pub applied: u64,
-    /// See above.
+    /// Whether the replica lacks nothing up to that number.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// Who holds copies of it, as the owner said last.
+    /// The holders, as the owner last reported them.
     #[serde(rename = "group")]
     pub holders: Vec<Name>,
 }
 
-/// What a front holds of one life.
+/// A replica of one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replica {
-    /// About it.
+    /// Header.
     pub head: ReplicaHead,
-    /// What stands, by key; with ends only while it is not whole.
+    /// Records by key: change number and body; with tombstones only while the replica is incomplete.
     pub entries: BTreeMap<RecordKey, (u64, Option<RecordBody>)>,
 }
 
 impl Replica {
-    /// An empty one.
+    /// An empty replica.
     pub fn new(owner: &Name, boot: u64) -> Replica {
         let owner = Name::clone(owner);
         let head = ReplicaHead { owner, boot, epoch: 0, applied: 0, complete: false, holders: Vec::new() };
         Replica { head, entries: BTreeMap::new() }
     }
 
-    /// Takes the changes after `from` up to `to`; `whole` tells that nothing between is left out. Returns whether it
-    /// could: what came before must be there.
+    /// Applies the changes after `from` up to `to`; `whole` tells that nothing between is left out. Returns
+    /// false, without a change, if the changes before `from` are missing.
     pub fn put(&mut self, from: u64, to: u64, whole: bool, changes: &[Change]) -> bool {
         if self.head.applied < from || to < self.head.applied {
             return false;
@@ -103,7 +105,8 @@
         true
     }
 
-    /// One part as it stands at the owner, after as many changes. Returns the keys that it had and that are no more.
+    /// Replaces one partition by the owner's contents after the same number of changes. Returns the keys that
+    /// were removed.
     pub fn repair(&mut self, which: usize, changes: &[Change]) -> Vec<RecordKey> {
         let named = |key: &RecordKey| changes.iter().any(|change| change.key == *key);
         let wrong: Vec<RecordKey> =
@@ -115,7 +118,7 @@
         wrong
     }
 
-    /// What it holds, as changes.
+    /// The contents as changes.
     pub fn changes(&self) -> Vec<Change> {
         let one = |(key, (number, body)): (&RecordKey, &(u64, Option<RecordBody>))| Change {
             key: RecordKey::clone(key),
@@ -125,7 +128,7 @@
         self.entries.iter().map(one).collect()
     }
 
-    /// A digest of each part.
+    /// A digest of each partition.
     pub fn digests(&self) -> [u64; PARTITIONS] {
         let mut digests = [0; PARTITIONS];
         for (key, (number, body)) in &self.entries {
@@ -136,16 +139,16 @@
         digests
     }
 
-    /// What stands, number of entries.
+    /// Number of records.
     pub fn live_records(&self) -> usize {
         self.entries.values().filter(|(_, body)| body.is_some()).count()
     }
 }
 
-/// What several shelves of one life say together.
+/// Merges several replicas of one incarnation.
 ///
-/// The whole one that is furthest counts for all up to there; others add what came later. Where none is whole, each adds
-/// what it has.
+/// The complete replica with the most changes decides up to its number of changes; the others add later
+/// changes. If none is complete, each adds what it has.
 pub fn merge(replicas: &[Replica]) -> BTreeMap<RecordKey, (u64, RecordBody)> {
     let whole =
         replicas.iter().filter(|replica| replica.head.complete).max_by_key(|replica| replica.head.applied);
@@ -154,7 +157,7 @@
         whole.map(|replica| replica.entries.clone()).unwrap_or_default();
     for replica in replicas {
         for (key, (number, body)) in &replica.entries {
-            // Danger: a copy that was left behind brings back what ended since.
+            // Danger: a replica that was left behind would restore records that were deleted since.
             let later = *number > sure && all.get(key).is_none_or(|(there, _)| there < number);
             if later {
                 all.insert(RecordKey::clone(key), (*number, body.clone()));
@@ -164,5 +167,5 @@
     all.into_iter().filter_map(|(key, (number, body))| Some((key, (number, body?)))).collect()
 }
 
-/// What a front holds, by life.
+/// Replicas by incarnation.
 pub type Replicas = BTreeMap<Incarnation, Replica>;
--- a/crates/copies/src/core/takeover.rs
+++ b/crates/copies/src/core/takeover.rs
@@ -1,50 +1,51 @@
-//! Going on with what another front promised: who proposes itself, what it gathers, and when it has it all.
+//! Takeover of another front's records: which front proposes itself, collecting the replicas, and when the
+//! collection is complete.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::replica::{merge, Change, Replica, ReplicaHead};
 use super::{Micros, Name, RecordBody, RecordKey, GATHER_TIMEOUT};
 
-/// After its front has left the view, a life waits so long for the first of those that may take it over.
+/// Delay before the first candidate proposes itself, after the owner has left the view.
 pub const ORPHAN_DELAY: Micros = 200_000;
-/// Each further one waits so much longer.
+/// Additional delay of each further candidate.
 pub const TAKEOVER_STAGGER: Micros = 600_000;
-/// Whoever has just come into the view knows too little of it.
+/// A front that has been in the view for less than this knows too little of the other fronts.
 pub const VIEW_SETTLE_TIME: Micros = 1_500_000;
 
-/// How long a front waits before it proposes itself. `group` are those that held copies, as the owner said last, `here`
-/// those that are in the view; the front that lived the life goes first where it is back with its disk.
+/// How long a front waits before it proposes itself. `group` are the holders that the owner last reported,
+/// `here` the fronts in the view. If the owner has returned with its disk, it goes first.
 pub fn patience(own: &Name, owner: &Name, group: &[Name], here: &BTreeSet<Name>) -> Micros {
     if own == owner {
         return ORPHAN_DELAY;
     }
     let mut left: Vec<&Name> = group.iter().filter(|name| *name == own || here.contains(*name)).collect();
     left.sort();
-    // Danger: a front that held copies once, and lacks the latest, takes over ahead of those that have them.
+    // Danger: a former holder that lacks the latest records would take over before those that have them.
     let place = left.iter().position(|name| *name == own).unwrap_or(left.len() + 1);
     ORPHAN_DELAY + place as Micros * TAKEOVER_STAGGER
 }
 
-/// What an heir has gathered of one life.
+/// The takeover of one incarnation.
 #[derive(Clone, Debug)]
 pub struct Takeover {
-    /// By which epoch.
+    /// The epoch of the takeover.
     pub epoch: u64,
-    /// Since when it asks.
+    /// When the collection started.
     since: Micros,
-    /// Whom it has asked and not heard whole yet.
+    /// Fronts that were asked and have not sent their whole replica yet.
     waits: BTreeSet<Name>,
     parts: BTreeMap<Name, Replica>,
     told: BTreeSet<Name>,
     adopted: BTreeSet<RecordKey>,
-    /// It has handed over what there was.
+    /// The records collected so far were handed over.
     pub handed: bool,
-    /// All of it is at enough copies of its own.
+    /// All records are stored at enough copies of this front's own.
     pub settled: bool,
 }
 
 impl Takeover {
-    /// Begins to ask these.
+    /// Starts to collect from these fronts.
     pub fn new(epoch: u64, now: Micros, whom: BTreeSet<Name>, own: Option<(&Name, Replica)>) -> Takeover {
         let mut takeover = Takeover {
             epoch,
@@ -63,24 +64,25 @@
         takeover
     }
 
-    /// Of a life that goes along with another one, whose promises are among that one's.
+    /// For an incarnation that passed on with another one; its records are among that one's.
     pub fn along(epoch: u64, now: Micros) -> Takeover {
         Takeover { settled: true, ..Takeover::new(epoch, now, BTreeSet::new(), None) }
     }
 
-    /// Whom it has still to hear.
+    /// Fronts that have not answered yet.
     pub fn waits(&self) -> &BTreeSet<Name> {
         &self.waits
     }
 
-    /// A part of what one of them holds. Later ones of the same count too: a front that was away comes with what it has.
+    /// Adds a part of a front's replica. Parts that arrive after the end of the collection are added too: a
+    /// front that was unreachable sends its replica late.
     pub fn heard(&mut self, from: &Name, head: ReplicaHead, changes: &[Change], last: bool) {
         let replica =
             self.parts.entry(Name::clone(from)).or_insert_with(|| Replica::new(&head.owner, head.boot));
         for change in changes {
             replica.entries.insert(RecordKey::clone(&change.key), (change.number, change.body.clone()));
         }
-        // Until its last part has come it proves nothing by what it lacks.
+        // Until the last part has arrived, missing records prove nothing.
         replica.head = ReplicaHead { complete: last && head.complete, ..head };
         if last {
             self.waits.remove(from);
@@ -88,17 +90,17 @@
         }
     }
 
-    /// Those that have left the view are waited for no more.
+    /// Stops waiting for fronts that have left the view.
     pub fn only(&mut self, here: &BTreeSet<Name>) {
         self.waits.retain(|name| here.contains(name));
     }
 
-    /// Whether it has waited for enough.
+    /// Whether all fronts have answered, or the timeout is over.
     pub fn ripe(&self, now: Micros) -> bool {
         self.waits.is_empty() || self.since + GATHER_TIMEOUT <= now
     }
 
-    /// What is new since this was asked last: each promise once.
+    /// Returns the records that are new since the last call; each record once.
     pub fn take(&mut self) -> Vec<(RecordKey, RecordBody)> {
         let all: Vec<Replica> =
             self.parts.iter().filter(|(name, _)| self.told.contains(*name)).map(|(_, s)| s.clone()).collect();
@@ -113,7 +115,7 @@
         fresh
     }
 
-    /// What it has handed over so far.
+    /// Keys of all records handed over so far.
     pub fn adopted(&self) -> &BTreeSet<RecordKey> {
         &self.adopted
     }
--- a/crates/copies/src/core/tests.rs
+++ b/crates/copies/src/core/tests.rs
@@ -1,4 +1,4 @@
-//! What single parts must hold. Fleets of whole fronts are tried in `crates/trial/tests/promises.rs`.
+//! Unit tests of replication and takeover. Whole fleets are tested in `crates/trial/tests/promises.rs`.
 
 use proptest::prelude::*;
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Fronts that hear each other at once, but for those that are deaf.
+/// Fronts that exchange messages without delay, except the deaf ones.
 struct Fleet {
     fronts: Vec<Copies>,
     now: Micros,
@@ -99,7 +99,7 @@
         self.told.iter().find_map(of)
     }
 
-    /// All fronts learn of an heir whose version has begun.
+    /// Tells all fronts of a successor whose version has begun.
     fn successor(&mut self, incarnation: &str, by: usize) {
         let successor = Successor {
             epoch: 1,
@@ -146,7 +146,7 @@
             let left = 1 - deaf;
             assert_eq!(fleet.kept(10 + deaf as u64), (left >= enough).then_some(true), "{enough} of {left}");
             if left < enough {
-                // Given up soon, and then nobody has it.
+                // It is given up after the timeout, and then no front has it.
                 fleet.run(500_000);
                 assert_eq!(fleet.kept(10 + deaf as u64), Some(false));
                 assert_eq!(fleet.fronts[0].owner().get(&key(10 + deaf as u64)), None);
@@ -256,7 +256,7 @@
 fn an_owner_that_was_replaced_is_told_that_nothing_of_it_counts() {
     let mut fleet = Fleet::new((0..3).map(|at| FrontIdentity { required_copies: 2, ..own(at) }).collect());
     fleet.keep(1);
-    // Cut off from the word of it, not from its copies.
+    // The owner does not learn of its successor, but still reaches its holders.
     let holder: usize = fleet.fronts[0].owner().group()[0][1..].parse().unwrap();
     fleet.hand(holder, Input::Received(name(2), Box::new(Body::Gather(Incarnation::from("f0-00000001"), 1))));
     fleet.keep(2);
@@ -274,13 +274,13 @@
     let group: Vec<usize> =
         fleet.fronts[0].owner().group().iter().map(|name| name[1..].parse().unwrap()).collect();
     (0..10).for_each(|at| fleet.keep(at));
-    // One holder misses what comes, and an end.
+    // One holder misses later records, and a deletion.
     fleet.deaf.insert(group[0]);
     (10..20).for_each(|at| fleet.keep(at));
     fleet.hand(0, Input::DeleteRecord(key(3)));
     fleet.hand(0, Input::Tick);
     assert!((0..20).all(|at| fleet.kept(at) == Some(true)));
-    // The owner is lost; the one that has all is away while the heir gathers.
+    // The owner is lost, and the holder that has everything is unreachable while the successor collects.
     fleet.deaf = [0, group[1]].into();
     fleet.views(|at| at != 0);
     let successor = (1..5).find(|at| !group.contains(at)).unwrap();
@@ -306,15 +306,15 @@
     for at in 1..4 {
         assert!(fleet.fronts[at].records_held() <= 10, "{}", fleet.fronts[at].records_held());
     }
-    // Whoever is full is avoided for a while; the front goes on with as many as there are.
+    // A full holder is avoided for a while; the front continues with as many copies as there are.
     fleet.hand(0, Input::PutRecord(key(99), bytes("plays"), true));
     fleet.run(500_000);
     assert!(fleet.kept(99).is_some(), "nobody waits for ever");
 }
 
 proptest! {
-    /// Whatever is promised and ended, and whichever messages are lost: what counted and has not ended is found again from
-    /// any holder that had acknowledged it, and what had ended by then is not.
+    /// For any records and deletions, and any lost messages: a record that was stored and not deleted is
+    /// found in every replica that acknowledged it, and one deleted by then is not.
     #[test]
     fn what_counted_is_found_again_from_any_copy_that_acknowledged_it(
         steps in proptest::collection::vec((0..6u8, 0..12u64), 1..120)
@@ -337,7 +337,7 @@
                         ended_at.insert(change.key, change.number);
                     }
                 }
-                // A batch comes, or is lost; its acknowledgement too.
+                // A batch arrives or is lost, and so does its acknowledgement.
                 3 | 4 => {
                     if let Some(batch) = owner.batch(now, &name(which + 1)) {
                         if what == 3 {
@@ -363,7 +363,8 @@
                     }
                 }
             }
-            // Together they know no less than each, and nothing that the further one knows to be over.
+            // Merged replicas know no less than each, and have no record that the one with more changes knows
+            // as deleted.
             let both = merge(&replicas);
             let further = replicas.iter().filter(|s| s.head.complete).map(|s| s.head.applied).max().unwrap_or(0);
             for (key, number) in &ended_at {
@@ -385,7 +386,8 @@
         owner.acked(0, &name(1), before.head.applied, 7);
     }
     assert!(before.head.complete && before.live_records() == 4);
-    // What stood first changes, so that it comes last to whoever is filled now; and then both fronts are lost.
+    // The first record changes, so that a holder that is being filled gets it last; then both fronts are
+    // lost.
     (5..=9).for_each(|at| drop(owner.change(key(at), Some(RecordBody::clone(&large)))));
     owner.change(key(1), Some(RecordBody::clone(&large)));
     owner.begin(0, name(2));
@@ -439,8 +441,8 @@
     assert_eq!(fleet.adopted(3).len(), 5);
 }
 
-// Danger: it takes the time in which it was stopped for silence of its holders, avoids them all for long, and can promise
-// nothing meanwhile.
+// Danger: time during which the front was suspended counts as silence of its holders; it avoids them all and
+// can store nothing meanwhile.
 #[test]
 fn a_front_that_was_stopped_keeps_its_holders_and_promises_at_once() {
     let mut fleet =
@@ -457,7 +459,7 @@
     assert_eq!(fleet.kept(2), Some(true));
 }
 
-// Danger: a holder that is silent while this front runs is kept for ever.
+// Danger: a holder that is silent while this front runs is never replaced.
 #[test]
 fn a_holder_that_falls_silent_while_its_owner_runs_is_replaced() {
     let mut fleet = Fleet::new((0..4).map(own).collect());
@@ -468,7 +470,7 @@
     assert!(group.len() == 2 && !group.contains(&silent), "{group:?}");
 }
 
-// Danger: all who refused the life before, which is another's, are avoided for long by the new one, which can promise
+// Danger: a new incarnation avoids all holders that refused the previous, superseded one, and can store
 // nothing meanwhile.
 #[test]
 fn a_front_that_lives_anew_asks_those_who_refused_the_life_before() {
@@ -479,7 +481,7 @@
     fleet.run(1_000_000);
     fleet.successor("f0-00000001", 1);
     fleet.run(1_000_000);
-    // It goes on before it knows, and is refused.
+    // It continues before it learns of its successor, and is refused.
     fleet.deaf.clear();
     fleet.keep(2);
     fleet.run(1_000_000);
--- a/crates/copies/src/edge.rs
+++ b/crates/copies/src/edge.rs
@@ -1,5 +1,5 @@
-//! The one thread of copies: it hands what comes to [`Copies`], writes to the store, and sends what follows by accord's
-//! connections. It waits for nobody and holds no rule.
+//! The copies thread: passes inputs to [`Copies`], writes to the store, and sends messages over accord's
+//! connections. It never blocks on a peer and makes no decisions.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::fs::File;
@@ -24,41 +24,41 @@
 use crate::settings::Settings;
 use crate::store::{OpenOutcome, Store};
 
-/// Stack of the thread.
+/// Stack size of the thread.
 const THREAD_STACK_BYTES: usize = 512 * 1024;
-/// What is shown to operators is made anew this often, us.
+/// Interval at which the status for operators is updated, us.
 const STATUS_INTERVAL_US: u64 = 500_000;
-/// Words taken before changes go out.
+/// Most commands processed before changes are sent.
 const MAX_COMMANDS_PER_TURN: usize = 512;
 
-/// Why copies do not start.
+/// Why copies failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The store cannot be used.
     #[error("copies: store: {0}")]
     Store(#[from] StoreError),
-    /// The history cannot be written.
+    /// The history log cannot be opened.
     #[error("copies: history: {0}")]
     History(io::Error),
-    /// No thread to be had.
+    /// The thread cannot be created.
     #[error("copies: no thread: {0}")]
     Thread(io::Error),
 }
 
-/// What the front is told.
+/// An event for the front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A promise counts, or does not.
+    /// Whether a record was stored.
     RecordStored(RecordKey, bool),
-    /// It goes on with these, by this epoch.
+    /// The front takes over these records, under this epoch.
     TakeOver(Incarnation, u64, Vec<(RecordKey, RecordBody)>),
-    /// Its own life is another's.
+    /// Another front took over the front's own incarnation.
     TakenOver(Incarnation, Successor),
-    /// A life that it went on with is another's.
+    /// Another front took over an incarnation that the front had taken over.
     TakeoverSuperseded(Incarnation),
 }
 
-/// What wants to hear that.
+/// Called with each event.
 pub type Listener = Box<dyn Fn(Event) + Send>;
 
 enum Command {
@@ -68,7 +68,7 @@
     End,
 }
 
-/// A way to tell the thread something from elsewhere; before it starts, too.
+/// Sends commands to the thread; commands sent before it starts are kept.
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: Sender<Command>,
@@ -86,48 +86,48 @@
         let _ = self.commands.send(command);
     }
 
-    /// A promise; whether somebody waits until it counts.
+    /// Stores a record; `waits` tells whether the caller waits until it is stored.
     pub fn put_record(&self, key: RecordKey, body: Vec<u8>, waits: bool) {
         self.send(Command::Core(Input::PutRecord(key, RecordBody::from(body), waits)));
     }
 
-    /// It is no more.
+    /// Deletes a record.
     pub fn delete_record(&self, key: RecordKey) {
         self.send(Command::Core(Input::DeleteRecord(key)));
     }
 
-    /// Boxes hold something of an earlier life of the front that nobody has taken over.
+    /// Boxes still have sessions of an earlier incarnation of the front, which nobody has taken over.
     pub fn orphan_found(&self, incarnation: Incarnation) {
         self.send(Command::Core(Input::OrphanFound(incarnation)));
     }
 
-    /// The front lives anew.
+    /// The front continues under a new incarnation.
     pub fn incarnation_changed(&self, incarnation: Incarnation) {
         self.send(Command::Core(Input::IncarnationChanged(incarnation)));
     }
 
-    /// Who is known, as membership tells.
+    /// Updates the known fronts, as membership reports them.
     pub fn update_members(&self, known: Vec<KnownFront>) {
         self.send(Command::Members(known));
     }
 
-    /// What this front stands on, as accord tells.
+    /// Updates the coordination state, as accord reports it.
     pub fn update_coordination(&self, coordination: &CoordinationState) {
         self.send(Command::Core(Input::Successors(Arc::clone(&coordination.successors), coordination.begun)));
     }
 
-    /// What came by accord's connections.
+    /// Handles bytes that accord relayed from another front.
     pub fn receive(&self, from: Name, bytes: Vec<u8>) {
         self.send(Command::Received(from, bytes));
     }
 
-    /// How things stood a moment ago, as JSON.
+    /// The latest status as JSON; updated periodically.
     pub fn status(&self) -> String {
         self.shown.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Where words wait until the thread starts.
+/// Copies before their thread is started; commands are queued.
 pub struct PendingService {
     handle: Handle,
     commands: Receiver<Command>,
@@ -141,15 +141,15 @@
 }
 
 impl PendingService {
-    /// A way to tell it.
+    /// A handle for sending commands.
     pub fn handle(&self) -> Handle {
         self.handle.clone()
     }
 
-    /// Starts the thread, for a front that lives `life`.
+    /// Starts the thread, for a front of this incarnation.
     ///
     /// # Errors
-    /// The store cannot be used, the history cannot be written, or no thread is to be had.
+    /// The store cannot be used, the history log cannot be opened, or the thread cannot be created.
     pub fn start(
         self,
         settings: &Settings,
@@ -201,14 +201,14 @@
     }
 }
 
-/// Running copies.
+/// The running copies thread.
 pub struct Running {
     handle: Handle,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Running {
-    /// Ends in order: with nothing promised, holders may forget this front's life.
+    /// Shuts down; if the front has no records, holders may delete their replicas of it.
     pub fn leave(mut self) {
         self.handle.send(Command::Core(Input::Leave));
         self.handle.send(Command::End);
@@ -221,7 +221,8 @@
 struct Service {
     copies: Copies,
     name: Name,
-    /// Nothing, after it could not be written: then this front acknowledges nothing of others, who choose another holder.
+    /// None after a write has failed: then this front acknowledges nothing to other fronts, and they choose
+    /// another holder.
     store: Option<Store>,
     history: Option<File>,
     accord: Accord,
@@ -240,7 +241,7 @@
                 Err(RecvTimeoutError::Timeout) => None,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            // What has come together goes to the disk, and out, together.
+            // Commands that arrived together are written and sent together.
             let (mut out, mut taken, mut ends) = (Vec::new(), 0, false);
             while let Some(one) = command.take() {
                 ends |= self.command(one, &mut out);
@@ -295,7 +296,7 @@
             }
             match output {
                 Output::Write(_) => {}
-                // Danger: what is on no disk here is taken for a copy.
+                // Danger: an acknowledgement of something that is on no disk would count as a copy.
                 Output::Send(_, Body::Ack(..)) if self.store.is_none() => {}
                 Output::Send(to, body) => match postcard::to_allocvec(&body) {
                     Ok(bytes) => self.accord.relay(to, bytes),
@@ -322,7 +323,7 @@
         }
     }
 
-    /// Told now and then to whoever asks.
+    /// Updates the status for operators, at most once per interval.
     fn show(&mut self) {
         if self.show_at > now() {
             return;
@@ -344,7 +345,7 @@
     }
 }
 
-/// One word for all parts.
+/// One digest of all partitions.
 fn digest(parts: &[u64]) -> String {
     let all = parts.iter().fold(0u64, |all, partition| all.rotate_left(7) ^ partition);
     format!("{all:016x}")
--- a/crates/copies/src/history_log.rs
+++ b/crates/copies/src/history_log.rs
@@ -1,10 +1,10 @@
-//! What happened at one front, as JSON lines: for operators, and for the checker of trials.
+//! Events of one front as JSON lines, for operators and for the trial checker.
 
 use serde_json::{json, Value};
 
 use crate::core::{Micros, Output};
 
-/// A line for what the core says, where it is worth one.
+/// The line for an output, if it is logged.
 pub fn line(at: Micros, front: &str, output: &Output) -> Option<Value> {
     Some(match output {
         Output::TakeOver(incarnation, epoch, promises) => {
--- a/crates/copies/src/lib.rs
+++ b/crates/copies/src/lib.rs
@@ -1,6 +1,7 @@
-//! Copies of what a session front has promised, at further fronts, and who goes on with it when the front is lost.
+//! Replication of durable session records to other fronts, and takeover of the sessions of a lost front.
 //!
-//! [`core`] decides. `docs/design/copies.md` tells why it is built so, `docs/operate/copies.md` how it is run.
+//! [`core`] makes the decisions. `docs/design/copies.md` has the reasons for the design,
+//! `docs/operate/copies.md` describes operation.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/copies/src/settings.rs
+++ b/crates/copies/src/settings.rs
@@ -1,4 +1,4 @@
-//! The block `copies { }` of a front's settings, checked before anything starts.
+//! The block `copies { }` of a front's settings, validated before anything starts.
 
 use std::path::PathBuf;
 
@@ -8,38 +8,38 @@
 
 use crate::core::{Micros, Name, TooFewPolicy};
 
-/// Settings of copies at one front.
+/// Copies settings of one front.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The front's name.
+    /// Name of the front.
     pub name: Name,
     /// Its zone.
     pub zone: u32,
-    /// Where players reach it.
+    /// Address at which clients reach it.
     pub client_address: Option<std::net::SocketAddr>,
-    /// Fronts that hold a copy.
+    /// Number of other fronts that hold a copy.
     pub copies: usize,
-    /// So many of them must have a promise before it counts.
+    /// Number of copies required before a record counts as stored.
     pub enough: usize,
-    /// What happens where there are fewer.
+    /// What happens when there are fewer fronts.
     pub too_few: TooFewPolicy,
-    /// A promise that does not count after this long is given up, us.
+    /// A record that is not stored within this time is given up, us.
     pub within: Micros,
-    /// Promises of others held at most.
+    /// Most records of other fronts that it holds.
     pub most: usize,
-    /// File of the store.
+    /// Path of the store.
     pub store: PathBuf,
-    /// Each batch is flushed before it is told.
+    /// Each batch is flushed before it is acknowledged.
     pub flush: bool,
-    /// Where the history of what happened goes.
+    /// Path of the history log.
     pub history: Option<PathBuf>,
 }
 
 impl Settings {
-    /// The block, if the document has one; membership and accord must be on.
+    /// Reads the block, if the document has one; it requires `members` and `accord`.
     ///
     /// # Errors
-    /// What cannot hold, with file, line and reason.
+    /// Invalid settings, with file, line and reason.
     pub fn read(
         document: &Document,
         members: Option<&Members>,
--- a/crates/copies/src/store.rs
+++ b/crates/copies/src/store.rs
@@ -1,9 +1,9 @@
-//! The store of one front: a file of the embedded database `redb`, with the copies that it holds of others' promises and
-//! its own.
+//! The store of one front: a file of the embedded database `redb`, with its replicas of other fronts' records
+//! and its own records.
 //!
-//! What it promises after a crash: all writes of a batch are there or none; where the settings flush, a batch is there once
-//! [`Store::write`] has returned. A damaged file is set aside and a new disk begun, which owners hear of by its number and
-//! fill anew; a copied one counts as a new disk too.
+//! Guarantees after a crash: all writes of a batch are present or none; if the settings ask for flushes, a
+//! batch is present once [`Store::write`] has returned. A damaged file is set aside and a new disk id is
+//! used, by which owners notice the loss and fill the replica again; a copied file gets a new disk id too.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -14,22 +14,22 @@
 use crate::core::replica::{Replica, ReplicaHead};
 use crate::core::{Image, Incarnation, RecordBody, RecordKey, Write};
 
-/// Number of the form in which things are stored.
+/// Version of the storage format.
 const STORE_FORMAT: u32 = 1;
 const ABOUT: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("about");
 const HEADS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("heads");
 const ENTRIES: TableDefinition<'_, (&str, &str), &[u8]> = TableDefinition::new("entries");
 
-/// What was found at the start.
+/// What opening the store found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenOutcome {
-    /// Nothing: a new file.
+    /// No file: a new one was created.
     New,
-    /// All as it was left.
+    /// The file as it was left.
     Intact,
-    /// A damaged file, set aside under this name; a new one was begun.
+    /// A damaged file, renamed to this path; a new one was created.
     SetAside(PathBuf, String),
-    /// A file that is not where it was first written: what it holds stays, and it is another disk.
+    /// A file that was copied or moved: its contents are kept, under a new disk id.
     Copied,
 }
 
@@ -38,15 +38,15 @@
     path: PathBuf,
     database: Database,
     flush: bool,
-    /// Its number.
+    /// Disk id.
     pub disk: u64,
 }
 
 impl Store {
-    /// Opens the file, or begins it; a new disk takes the number `drawn`.
+    /// Opens the file, or creates it; a new disk gets the id `new_disk_id`. A damaged file is set aside.
     ///
     /// # Errors
-    /// It is in use, of another form, or cannot be written. One that is damaged is set aside.
+    /// The file is in use, has another format, or cannot be written.
     pub fn open(
         path: &Path,
         flush: bool,
@@ -152,10 +152,10 @@
         Ok(image)
     }
 
-    /// Writes a batch in one piece, and flushes it if the settings say so.
+    /// Writes a batch atomically, and flushes it if the settings ask for it.
     ///
     /// # Errors
-    /// The disk is full, read-only or broken: nothing that follows may be told.
+    /// The disk is full, read-only or broken: outputs that depend on the writes must not be carried out.
     pub fn write(&self, writes: &[Write]) -> Result<(), StoreError> {
         catch_panics(&self.path, || self.write_all(writes))
     }
--- a/crates/copies/tests/settings.rs
+++ b/crates/copies/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The block `copies`: what cannot hold is refused before anything starts, with file, line and reason.
+//! The block `copies`: invalid settings are refused before anything starts, with file, line and reason.
 
 use salttally_accord::settings::Settings as Accord;
 use salttally_copies::settings::Settings;
--- a/crates/copies/tests/store.rs
+++ b/crates/copies/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store of copies under the faults of disks: each has a stated outcome in `docs/design/copies.md`.
+//! The store of copies under disk faults: each fault has a stated outcome in `docs/design/copies.md`.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::fs;
