--- a/crates/accord/src/settings.rs
+++ b/crates/accord/src/settings.rs
@@ -1,4 +1,4 @@
-//! The block `accord { }` of a front's settings, checked before anything starts.
+//! The block `accord { }` of a front's settings, validated before anything starts.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,56 +7,56 @@
 use salttally_members::wire::KeyRing;
 use salttally_settings::{Block, Document, Node, Read};
 
-use crate::core::lease::Times;
+use crate::core::lease::LeaseTimes;
 use crate::core::{Micros, Name};
 
-/// Settings of accord at one front.
+/// Accord settings of one front.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The front's name, as membership has it.
+    /// Name of the front, from `members`.
     pub name: Name,
-    /// Where it listens, TCP: the address of membership.
+    /// TCP address to listen on, from `members`.
     pub bind: SocketAddr,
-    /// Where others reach it.
+    /// Address at which other fronts reach it.
     pub advertise: SocketAddr,
-    /// Keys, those of membership.
+    /// Key ring, from `members`.
     pub keys: KeyRing,
     /// Voters of the first start.
     pub voters: Vec<Name>,
-    /// File of the store.
+    /// Path of the store.
     pub store: PathBuf,
-    /// Times of leases.
-    pub times: Times,
-    /// Where the history of what happened goes.
+    /// Lease times.
+    pub times: LeaseTimes,
+    /// Path of the history log.
     pub history: Option<PathBuf>,
-    /// What only trials give.
+    /// Settings for trials only.
     pub trial: Option<Trial>,
 }
 
-/// What only trials give.
+/// Settings for trials only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Trial {
-    /// A relay by which all connections to other fronts go.
+    /// A relay for all connections to other fronts.
     pub relay: Option<SocketAddr>,
-    /// The process acts this often for a viewer drawn from so many, and writes it to its history.
+    /// Interval, us, at which the process acts for one of this many viewers and logs it.
     pub acts: Option<(Micros, usize)>,
 }
 
 impl Settings {
-    /// The block of a file, if it has one.
+    /// Reads the block of a file, if it has one.
     ///
     /// # Errors
-    /// What cannot hold, with file, line and reason.
+    /// Invalid settings, with file, line and reason.
     pub fn load(path: &Path) -> Read<Option<Settings>> {
         let document = Document::load(path)?;
         let members = Members::read(&document)?;
         Settings::read(&document, members.as_ref())
     }
 
-    /// The block, if the document has one; membership must be on.
+    /// Reads the block, if the document has one; it requires `members`.
     ///
     /// # Errors
-    /// What cannot hold, with file, line and reason.
+    /// Invalid settings, with file, line and reason.
     pub fn read(document: &Document, members: Option<&Members>) -> Read<Option<Settings>> {
         let root = document.root();
         let Some(node) = root.one("accord")? else { return Ok(None) };
@@ -75,24 +75,24 @@
 }
 
 fn read(block: &Block<'_>, members: &Members) -> Read<Settings> {
-    let usual = Times::default();
+    let usual = LeaseTimes::default();
     let ms = |name: &str, usual: Micros| -> Read<Micros> {
         Ok(block.or(name, usual / 1000)?.saturating_mul(1000))
     };
     let refuse = match block.one("without-lease")? {
-        None => usual.refuse,
+        None => usual.refuse_without_lease,
         Some(node) => match node.argument::<String>()?.as_str() {
             "refuse" => true,
             "go-on" => false,
             other => return Err(node.error(format!("`{other}` is unknown here; known: refuse, go-on"))),
         },
     };
-    let times = Times {
+    let times = LeaseTimes {
         lease: ms("lease-ms", usual.lease)?,
-        alone: ms("alone-ms", usual.alone)?,
-        renew: ms("renew-ms", usual.renew)?,
+        grace: ms("alone-ms", usual.grace)?,
+        renew_interval: ms("renew-ms", usual.renew_interval)?,
         drift_ppm: block.or("drift-ppm", usual.drift_ppm)?,
-        refuse,
+        refuse_without_lease: refuse,
         ..usual
     };
     let trial = match block.one("trial")? {
@@ -136,12 +136,12 @@
     if times.lease < 500_000 || times.lease > 3_600_000_000 {
         return Err(at("lease-ms")?.as_ref().unwrap_or(node).error("`lease-ms` lies from 500 to 3600000"));
     }
-    if times.renew < 20_000 || times.renew * 3 > times.lease {
+    if times.renew_interval < 20_000 || times.renew_interval * 3 > times.lease {
         let reason =
             "`renew-ms` lies from 20 to a third of `lease-ms`: one lost question must not cost the lease";
         return Err(at("renew-ms")?.as_ref().unwrap_or(node).error(reason));
     }
-    if times.alone > 3_600_000_000 {
+    if times.grace > 3_600_000_000 {
         return Err(at("alone-ms")?.as_ref().unwrap_or(node).error("`alone-ms` lies from 0 to 3600000"));
     }
     if times.drift_ppm > 100_000 {
--- a/crates/front/src/core/agreed_rules.rs
+++ b/crates/front/src/core/agreed_rules.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use salttally::interface::{ServerEntry, ServerId, ServerState, TitleId, ViewerId};
-use salttally_accord::core::heirs::Heirs;
-use salttally_accord::core::rules::{Limit, Order, Refusal, Rules, Who};
-use salttally_accord::core::stand::Stand;
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_accord::core::rules::{Limit, Order, Refusal, RefusedParty, Rules};
+use salttally_accord::core::successors::Successors;
 
 use super::{Micros, OpenRequest};
 
@@ -43,9 +43,9 @@
     fn new(rules: &Rules, names: &SettingsNames) -> ResolvedRules {
         let number = |name: &str| names.viewer.map(|viewer| viewer(name));
         let refused_by_kind = |tenants: bool| {
-            let refused_id = move |who: &Who| match who {
-                Who::Firm(name) if tenants => number(name),
-                Who::Viewer(name) if !tenants => number(name),
+            let refused_id = move |who: &RefusedParty| match who {
+                RefusedParty::Tenant(name) if tenants => number(name),
+                RefusedParty::Viewer(name) if !tenants => number(name),
                 _ => None,
             };
             rules.refused.iter().filter_map(refused_id).collect()
@@ -96,7 +96,7 @@
 pub struct AgreedRules {
     names: Arc<SettingsNames>,
     /// `None` until the first update.
-    state: Option<Stand>,
+    state: Option<CoordinationState>,
     /// Rules in force with a lease.
     agreed: ResolvedRules,
     /// Rules in force for a while without a lease: the strictest combination of all known ones.
@@ -118,8 +118,8 @@
     }
 
     /// Replaces the agreed state; returns whether the rules have changed.
-    pub fn update(&mut self, state: Stand) -> bool {
-        let same = |old: &Stand| old.agreed == state.agreed && old.meet == state.meet;
+    pub fn update(&mut self, state: CoordinationState) -> bool {
+        let same = |old: &CoordinationState| old.agreed == state.agreed && old.meet == state.meet;
         let changed = !self.state.as_ref().is_some_and(same);
         if changed {
             self.agreed = ResolvedRules::new(&state.agreed, &self.names);
@@ -131,7 +131,13 @@
 
     /// Until when the current permissions hold, by the lease clock, unless there is an update.
     pub fn valid_until(&self) -> Micros {
-        self.state.as_ref().map_or(0, |state| if self.now < state.until { state.until } else { state.alone })
+        self.state.as_ref().map_or(0, |state| {
+            if self.now < state.lease_until {
+                state.lease_until
+            } else {
+                state.grace_until
+            }
+        })
     }
 
     /// The names in the settings.
@@ -142,18 +148,18 @@
     /// The epoch under which a front with incarnation `own` may act for `incarnation` now; `None` if it may
     /// not.
     pub fn epoch(&self, own: &str, incarnation: &str) -> Option<u64> {
-        self.state.as_ref()?.epoch(self.now, own, incarnation)
+        self.state.as_ref()?.acting_epoch(self.now, own, incarnation)
     }
 
     /// The successors of incarnations.
-    pub fn successors(&self) -> Arc<Heirs> {
-        self.state.as_ref().map(|state| Arc::clone(&state.heirs)).unwrap_or_default()
+    pub fn successors(&self) -> Arc<Successors> {
+        self.state.as_ref().map(|state| Arc::clone(&state.successors)).unwrap_or_default()
     }
 
     fn in_force(&self) -> Result<&ResolvedRules, Refusal> {
         match &self.state {
-            Some(state) if self.now < state.until => Ok(&self.agreed),
-            Some(state) if self.now < state.alone => Ok(&self.meet),
+            Some(state) if self.now < state.lease_until => Ok(&self.agreed),
+            Some(state) if self.now < state.grace_until => Ok(&self.meet),
             _ => Err(Refusal::Lease),
         }
     }
@@ -185,7 +191,7 @@
         let rules = self.in_force()?;
         let tenant_refused = request.tenant.is_some_and(|tenant| rules.refused_tenants.contains(&tenant));
         if tenant_refused || rules.refused_viewers.contains(&request.viewer) {
-            return Err(Refusal::Who);
+            return Err(Refusal::Party);
         }
         if !rules.open_classes.get(request.class).copied().unwrap_or(true) {
             return Err(Refusal::Class);
--- a/crates/front/src/core/session_records.rs
+++ b/crates/front/src/core/session_records.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use salttally::interface::{Micros, ServerId, SessionId, TitleId, ViewerId};
-use salttally_copies::core::{life_of, Key, Life, Name};
+use salttally_copies::core::{incarnation_of, Incarnation, Name, RecordKey};
 use serde::{Deserialize, Serialize};
 
 use super::agreed_rules::SettingsNames;
@@ -89,11 +89,11 @@
 pub struct Replication {
     names: Arc<SettingsNames>,
     /// Current incarnation of this front.
-    pub incarnation: Life,
+    pub incarnation: Incarnation,
     /// Incarnations that this front has taken over, with their epochs.
-    pub takeover_epochs: BTreeMap<Life, u64>,
+    pub takeover_epochs: BTreeMap<Incarnation, u64>,
     /// When session records of each of them were last received.
-    pub takeover_times: BTreeMap<Life, Micros>,
+    pub takeover_times: BTreeMap<Incarnation, Micros>,
     /// Work that waits for the replication of a session record.
     pub awaiting_record: BTreeMap<SessionId, AwaitingRecord>,
     /// Sessions that play according to their records and that their boxes have not confirmed yet.
@@ -101,7 +101,7 @@
     /// Set-ups by other fronts that may have been executed.
     pub possible_set_ups: BTreeMap<SessionId, (AttemptLocation, OpenRequest)>,
     /// Boxes that are being asked for the sessions of an incarnation, with the number of failed tries.
-    pub pending_claims: BTreeMap<(Life, ServerId), u32>,
+    pub pending_claims: BTreeMap<(Incarnation, ServerId), u32>,
     /// When this front last had a lease.
     pub last_leased_at: Micros,
     /// When the known set of other fronts last changed.
@@ -112,7 +112,7 @@
 
 impl Replication {
     /// Creates the state of a front with this incarnation.
-    pub fn new(names: Arc<SettingsNames>, incarnation: Life) -> Replication {
+    pub fn new(names: Arc<SettingsNames>, incarnation: Incarnation) -> Replication {
         Replication {
             names,
             incarnation,
@@ -130,7 +130,7 @@
 
     /// This front's epoch for a session: 0 for its own incarnation; `None` if another front has the session.
     pub fn epoch_of(&self, id: &SessionId) -> Option<u64> {
-        let incarnation = life_of(&id.0)?;
+        let incarnation = incarnation_of(&id.0)?;
         if *incarnation == *self.incarnation {
             return Some(0);
         }
@@ -172,18 +172,18 @@
 }
 
 /// Record key of a session.
-pub fn session_key(id: &SessionId) -> Key {
+pub fn session_key(id: &SessionId) -> RecordKey {
     Arc::clone(&id.0)
 }
 
 /// Record key of an unconfirmed release; one for each attempt.
-pub fn release_key(id: &SessionId, wire_number: u32) -> Key {
-    Key::from(format!("{}/{wire_number}", id.0))
+pub fn release_key(id: &SessionId, wire_number: u32) -> RecordKey {
+    RecordKey::from(format!("{}/{wire_number}", id.0))
 }
 
 /// Record key of a moved session.
-pub fn moved_key(id: &SessionId) -> Key {
-    Key::from(format!("{}/moved", id.0))
+pub fn moved_key(id: &SessionId) -> RecordKey {
+    RecordKey::from(format!("{}/moved", id.0))
 }
 
 /// The session that a record key belongs to.
