--- a/crates/accord/src/edge.rs
+++ b/crates/accord/src/edge.rs
@@ -1,8 +1,9 @@
-//! The one thread of accord: it reads frames, hands them to [`Accord`], writes to the store, and sends what follows. It
-//! waits for nobody and holds no rule.
+//! The accord thread: reads frames, passes them to [`Accord`], writes to the store and sends the resulting
+//! messages. It never blocks on a peer and makes no decisions.
 //!
-//! Each front keeps one connection to each front that it speaks to, and answers on the other's own where it does not know
-//! the way. What cannot be sent is dropped with its connection: the core says it again.
+//! Each front opens one connection to each front that it sends to; if it does not know the address, it uses
+//! the peer's own connection. Messages that cannot be sent are dropped with their connection: the core
+//! repeats them.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,32 +22,32 @@
 use serde_json::json;
 use thiserror::Error;
 
-use crate::core::heirs::Succession;
+use crate::core::coordination::CoordinationState;
 use crate::core::rules::Rules;
-use crate::core::stand::Stand;
-use crate::core::{Accord, Envelope, Input, Micros, Name, Output, Own, Told};
-use crate::lines;
+use crate::core::successors::SuccessionChange;
+use crate::core::{Accord, Envelope, FrontIdentity, Input, Micros, Name, OperatorReply, Output};
+use crate::history_log;
+use crate::rules_kdl;
 use crate::settings::Settings;
-use crate::store::{Found, Store, StoreError};
-use crate::text;
+use crate::store::{OpenOutcome, Store, StoreError};
 use crate::wire::{self, Answer, Frame, Question};
 
-/// Stack of the thread.
-const STACK: usize = 512 * 1024;
+/// Stack size of the thread.
+const THREAD_STACK_BYTES: usize = 512 * 1024;
 const LISTENER: Token = Token(0);
 const WAKER: Token = Token(1);
-/// Read from one connection before the others have their turn, bytes.
-const AT_ONCE: usize = 256 * 1024;
-/// What may wait to be written to one connection, bytes: a whole history and then some.
-const WAITING: usize = 2 * wire::LONGEST;
-/// A connection that takes nothing for so long is given up, and one that does not come about.
-const STUCK: Micros = 2_000_000;
-/// After that a front is called again.
-const CALL_AGAIN: Micros = 200_000;
-/// Connections at most.
+/// Bytes read from one connection before other connections are served.
+const READ_BUDGET_BYTES: usize = 256 * 1024;
+/// Most bytes queued for one connection: a whole history and further messages.
+const MAX_WRITE_QUEUE_BYTES: usize = 2 * wire::MAX_FRAME_BYTES;
+/// A connection that takes no data, or is not established, for this long is closed.
+const CONNECTION_STALL_TIMEOUT: Micros = 2_000_000;
+/// Least time between two attempts to connect to a front.
+const RECONNECT_INTERVAL: Micros = 200_000;
+/// Most connections at once.
 const MOST: usize = 4_096;
 
-/// Why accord does not start.
+/// Why accord failed to start.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address cannot be bound.
@@ -55,15 +56,15 @@
     /// The store cannot be used.
     #[error("accord: store: {0}")]
     Store(#[from] StoreError),
-    /// The history cannot be written.
+    /// The history log cannot be opened.
     #[error("accord: history: {0}")]
     History(io::Error),
-    /// No thread to be had.
+    /// The thread or its poll cannot be created.
     #[error("accord: no thread: {0}")]
     Thread(io::Error),
 }
 
-/// A clock that only goes forward, also while the machine sleeps.
+/// Microseconds of a monotonic clock that also counts while the machine is suspended.
 pub fn now() -> Micros {
     let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     at.tv_sec as u64 * 1_000_000 + at.tv_nsec as u64 / 1_000
@@ -73,98 +74,100 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
-/// What this front acts on, for whoever is about to write an act.
+/// Shared access to the coordination state, for code that is about to write a command.
 #[derive(Clone, Debug)]
-pub struct Authority(Arc<RwLock<Arc<Stand>>>);
+pub struct Coordination(Arc<RwLock<Arc<CoordinationState>>>);
 
-impl Authority {
-    fn new(stand: Stand) -> Authority {
-        Authority(Arc::new(RwLock::new(Arc::new(stand))))
+impl Coordination {
+    fn new(coordination: CoordinationState) -> Coordination {
+        Coordination(Arc::new(RwLock::new(Arc::new(coordination))))
     }
 
-    fn set(&self, stand: Stand) {
-        *self.0.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(stand);
+    fn set(&self, coordination: CoordinationState) {
+        *self.0.write().unwrap_or_else(PoisonError::into_inner) = Arc::new(coordination);
     }
 
-    /// What it acts on; until when, it says itself, by [`now`].
-    pub fn stand(&self) -> Arc<Stand> {
+    /// The current state. Its times are those of [`now`].
+    pub fn current(&self) -> Arc<CoordinationState> {
         Arc::clone(&self.0.read().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-enum Word {
-    Pass(Name, Vec<u8>),
-    Succeed(Vec<Succession>),
-    Known(Vec<KnownFront>),
+enum Command {
+    Relay(Name, Vec<u8>),
+    ChangeSuccessors(Vec<SuccessionChange>),
+    Members(Vec<KnownFront>),
     Keys(KeyRing),
     End,
 }
 
-/// A way to tell the thread something from elsewhere.
+/// Sends commands to the thread from other threads.
 #[derive(Clone)]
-pub struct Teller {
-    words: Sender<Word>,
+pub struct Handle {
+    commands: Sender<Command>,
     waker: Arc<Waker>,
 }
 
-impl Teller {
-    fn tell(&self, word: Word) {
-        let _ = self.words.send(word);
+impl Handle {
+    fn send(&self, command: Command) {
+        let _ = self.commands.send(command);
         let _ = self.waker.wake();
     }
 
-    /// Who is known, as membership tells.
-    pub fn known(&self, known: Vec<KnownFront>) {
-        self.tell(Word::Known(known));
+    /// Updates the known fronts, as membership reports them.
+    pub fn update_members(&self, known: Vec<KnownFront>) {
+        self.send(Command::Members(known));
     }
 
-    /// Sends bytes of another subsystem to its like at another front, in order with all that goes there; what cannot be
-    /// sent is lost without a word.
-    pub fn pass(&self, to: Name, bytes: Vec<u8>) {
-        self.tell(Word::Pass(to, bytes));
+    /// Relays bytes of another subsystem to the same subsystem at another front, in order with all other
+    /// messages to it. Bytes that cannot be sent are dropped silently.
+    pub fn relay(&self, to: Name, bytes: Vec<u8>) {
+        self.send(Command::Relay(to, bytes));
     }
 
-    /// Asks the voters for these heirs; said again by whoever wants it until it is seen.
-    pub fn succeed(&self, changes: Vec<Succession>) {
-        self.tell(Word::Succeed(changes));
+    /// Asks the voters for changes of successors; the caller repeats the request until the history contains
+    /// them.
+    pub fn change_successors(&self, changes: Vec<SuccessionChange>) {
+        self.send(Command::ChangeSuccessors(changes));
     }
 }
 
-/// What wants to hear what this front stands on.
-pub type Listener = Box<dyn Fn(Stand) + Send>;
+/// Called with the coordination state when it changes.
+pub type Listener = Box<dyn Fn(CoordinationState) + Send>;
 
-/// Another subsystem that goes by accord's connections.
-pub struct Beside {
-    /// Takes what its like at another front has passed.
-    pub passed: Box<dyn Fn(Name, Vec<u8>) + Send>,
-    /// How it stands, for operators.
-    pub shows: Box<dyn Fn() -> String + Send>,
+/// Another subsystem that uses accord's connections.
+pub struct Companion {
+    /// Called with bytes relayed from the same subsystem at another front.
+    pub on_message: Box<dyn Fn(Name, Vec<u8>) + Send>,
+    /// Returns its status as JSON, for operators.
+    pub status: Box<dyn Fn() -> String + Send>,
 }
 
-/// Running accord. Dropped, it ends.
+/// The running accord thread. Call [`Running::shut_down`] to end it.
 pub struct Running {
-    teller: Teller,
-    authority: Authority,
+    handle: Handle,
+    shared_coordination: Coordination,
     thread: Option<thread::JoinHandle<()>>,
 }
 
 impl Running {
-    /// Starts it; `listener` is told what this front stands on, at first and whenever that changes.
+    /// Starts accord; `listener` is called with the coordination state, at first and whenever it changes.
     ///
     /// # Errors
-    /// The address cannot be bound, the store cannot be used, the history cannot be written, no thread is to be had.
+    /// The address cannot be bound, the store cannot be used, the history log cannot be opened, or the thread
+    /// cannot be created.
     pub fn start(settings: &Settings, listener: Option<Listener>) -> Result<Running, StartError> {
-        Running::start_beside(settings, listener, None)
+        Running::start_with_companion(settings, listener, None)
     }
 
-    /// The same with another subsystem beside it.
+    /// Like [`Running::start`], with a subsystem that uses accord's connections.
     ///
     /// # Errors
     /// As [`Running::start`].
-    pub fn start_beside(
+    pub fn start_with_companion(
         settings: &Settings,
         listener: Option<Listener>,
-        beside: Option<Beside>,
+        companion: Option<Companion>,
     ) -> Result<Running, StartError> {
         let mut socket = TcpListener::bind(settings.bind).map_err(|e| StartError::Bind(settings.bind, e))?;
         let poll = Poll::new().map_err(StartError::Thread)?;
@@ -172,39 +175,39 @@
         let waker = Arc::new(Waker::new(poll.registry(), WAKER).map_err(StartError::Thread)?);
         let (store, image, found) = Store::open(&settings.store)?;
         match &found {
-            Found::New => tracing::info!("accord: a new store"),
-            Found::Whole => {}
-            Found::SetAside(at, why) => {
+            OpenOutcome::New => tracing::info!("accord: a new store"),
+            OpenOutcome::Intact => {}
+            OpenOutcome::SetAside(at, why) => {
                 tracing::error!(%why, at = %at.display(), "accord: a damaged store was set aside; this is a new disk now");
             }
-            Found::Copied => {
+            OpenOutcome::Copied => {
                 tracing::warn!("accord: the store is not where it was first written: it votes as a new disk");
             }
         }
         let open = |path: &std::path::PathBuf| File::options().create(true).append(true).open(path);
         let history = settings.history.as_ref().map(open).transpose().map_err(StartError::History)?;
-        let own = Own {
+        let own = FrontIdentity {
             name: Name::clone(&settings.name),
-            drawn: drawn(),
-            voters: settings.voters.clone(),
+            new_disk_id: new_disk_id(),
+            initial_voters: settings.voters.clone(),
             times: settings.times,
         };
         let mut out = Vec::new();
         let accord = Accord::new(own, image, now(), &mut out);
-        let authority = Authority::new(accord.stand().clone());
-        let (words, heard) = crossbeam_channel::unbounded();
-        let teller = Teller { words, waker };
-        let work = Work {
+        let shared_coordination = Coordination::new(accord.coordination().clone());
+        let (commands, heard) = crossbeam_channel::unbounded();
+        let handle = Handle { commands, waker };
+        let work = Service {
             accord,
             name: Name::clone(&settings.name),
             settings: settings.clone(),
             store: Some(store),
             history,
-            authority: authority.clone(),
+            shared_coordination: shared_coordination.clone(),
             poll,
             socket,
             listener,
-            beside,
+            companion,
             links: BTreeMap::new(),
             next: 2,
             known: BTreeMap::new(),
@@ -214,43 +217,43 @@
             tickets: BTreeMap::new(),
             ticket: 0,
         };
-        let spawn = |name: &str| thread::Builder::new().name(name.into()).stack_size(STACK);
+        let spawn = |name: &str| thread::Builder::new().name(name.into()).stack_size(THREAD_STACK_BYTES);
         if let Some((every, viewers)) = settings.trial.as_ref().and_then(|trial| trial.acts) {
-            let (authority, name) = (authority.clone(), Name::clone(&settings.name));
+            let (shared_coordination, name) = (shared_coordination.clone(), Name::clone(&settings.name));
             let history = settings.history.as_ref().map(open).transpose().map_err(StartError::History)?;
-            let acts = move || act(&authority, &name, history, every, viewers);
+            let acts = move || act(&shared_coordination, &name, history, every, viewers);
             spawn("acts").spawn(acts).map_err(StartError::Thread)?;
         }
         let thread = spawn("accord").spawn(move || work.run(out, &heard)).map_err(StartError::Thread)?;
-        Ok(Running { teller, authority, thread: Some(thread) })
+        Ok(Running { handle, shared_coordination, thread: Some(thread) })
     }
 
-    /// What this front acts on.
-    pub fn authority(&self) -> Authority {
-        self.authority.clone()
+    /// Shared access to the coordination state.
+    pub fn coordination(&self) -> Coordination {
+        self.shared_coordination.clone()
     }
 
-    /// Whom to tell of views.
-    pub fn teller(&self) -> Teller {
-        self.teller.clone()
+    /// A handle for sending commands.
+    pub fn handle(&self) -> Handle {
+        self.handle.clone()
     }
 
-    /// Other keys from now on.
-    pub fn keys(&self, keys: KeyRing) {
-        self.teller.tell(Word::Keys(keys));
+    /// Replaces the key ring.
+    pub fn set_keys(&self, keys: KeyRing) {
+        self.handle.send(Command::Keys(keys));
     }
 
-    /// Ends it.
-    pub fn end(mut self) {
-        self.teller.tell(Word::End);
+    /// Ends the thread and waits for it.
+    pub fn shut_down(mut self) {
+        self.handle.send(Command::End);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// A number that no other disk has, in all likelihood.
-pub fn drawn() -> u64 {
+/// A random number for a new disk; a collision is very unlikely.
+pub fn new_disk_id() -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(&unix().to_be_bytes());
     hasher.update(&now().to_be_bytes());
@@ -264,77 +267,83 @@
     u64::from_be_bytes(std::array::from_fn(|at| bytes.as_bytes()[at]))
 }
 
-/// Only in trials: acts as a front does, and writes what it did.
-fn act(authority: &Authority, name: &Name, mut history: Option<File>, every: Micros, viewers: usize) {
+/// Only in trials: acts as a front would, and writes what it did to the history log.
+fn act(
+    shared_coordination: &Coordination,
+    name: &Name,
+    mut history: Option<File>,
+    every: Micros,
+    viewers: usize,
+) {
     let mut turn = 0;
     loop {
         thread::sleep(Duration::from_micros(every));
         turn += 1;
         let viewer = format!("v{}", turn % viewers.max(1));
-        let line = lines::act(unix(), name, &authority.stand(), now(), &viewer);
+        let line = history_log::act(unix(), name, &shared_coordination.current(), now(), &viewer);
         if let Some(file) = &mut history {
             let _ = file.write_all(format!("{line}\n").as_bytes());
         }
     }
 }
 
-/// One connection.
-struct Link {
+/// A connection.
+struct Connection {
     stream: TcpStream,
-    /// Whom this front called by it; nobody, where the other one called.
+    /// The front that this one connected to; none for an accepted connection.
     called: Option<Name>,
-    /// Whether it has come about.
+    /// Whether it is established.
     open: bool,
-    /// Since when nothing of it was vouched for; nothing once something was.
+    /// Until the first authenticated frame of an accepted connection: since when it has been open.
     strange: Option<Micros>,
     read: Vec<u8>,
     write: Vec<u8>,
-    /// Since when nothing was taken of what waits.
+    /// Since when none of the queued bytes were taken.
     stuck: Option<Micros>,
 }
 
-struct Work {
+struct Service {
     accord: Accord,
     name: Name,
     settings: Settings,
     store: Option<Store>,
     history: Option<File>,
-    authority: Authority,
+    shared_coordination: Coordination,
     poll: Poll,
     socket: TcpListener,
     listener: Option<Listener>,
-    beside: Option<Beside>,
-    links: BTreeMap<usize, Link>,
+    companion: Option<Companion>,
+    links: BTreeMap<usize, Connection>,
     next: usize,
     known: BTreeMap<Name, SocketAddr>,
-    /// Connections by whom this front called, and by who called last.
+    /// Connections by the front that was connected to, and by the front that connected last.
     to: BTreeMap<Name, usize>,
     from: BTreeMap<Name, usize>,
     again: BTreeMap<Name, Micros>,
-    /// Operators that wait: the connection, and the operator's own count.
+    /// Operators waiting for a reply: the connection, and the operator's request number.
     tickets: BTreeMap<u64, (usize, u64)>,
     ticket: u64,
 }
 
-impl Work {
-    fn run(mut self, out: Vec<Output>, words: &Receiver<Word>) {
+impl Service {
+    fn run(mut self, out: Vec<Output>, commands: &Receiver<Command>) {
         if let Some(listener) = &self.listener {
-            listener(self.accord.stand().clone());
+            listener(self.accord.coordination().clone());
         }
         self.carry_out(out);
         let mut events = Events::with_capacity(256);
         loop {
             loop {
-                match words.try_recv() {
-                    Ok(Word::Known(known)) => self.view(known),
-                    Ok(Word::Succeed(changes)) => self.hand(Input::Succeed(changes)),
-                    Ok(Word::Pass(to, bytes)) => {
+                match commands.try_recv() {
+                    Ok(Command::Members(known)) => self.view(known),
+                    Ok(Command::ChangeSuccessors(changes)) => self.hand(Input::ChangeSuccessors(changes)),
+                    Ok(Command::Relay(to, bytes)) => {
                         if let Some(token) = self.way(&to) {
-                            self.put(token, &Frame::Passes(Name::clone(&self.name), bytes));
+                            self.put(token, &Frame::Relayed(Name::clone(&self.name), bytes));
                         }
                     }
-                    Ok(Word::Keys(keys)) => self.settings.keys = keys,
-                    Ok(Word::End) | Err(TryRecvError::Disconnected) => return,
+                    Ok(Command::Keys(keys)) => self.settings.keys = keys,
+                    Ok(Command::End) | Err(TryRecvError::Disconnected) => return,
                     Err(TryRecvError::Empty) => break,
                 }
             }
@@ -377,7 +386,7 @@
             let moved =
                 self.known.insert(Name::clone(&one.name), one.address).is_some_and(|old| old != one.address);
             if moved {
-                // Danger: what is said to a front goes on to whoever has its old address.
+                // Danger: messages to a front would go on to whichever process has its old address.
                 if let Some(token) = self.to.remove(&one.name) {
                     self.hang(token);
                 }
@@ -412,12 +421,12 @@
         let strange = called.is_none().then(now);
         self.links.insert(
             token,
-            Link { stream, called, open, strange, read: Vec::new(), write: Vec::new(), stuck },
+            Connection { stream, called, open, strange, read: Vec::new(), write: Vec::new(), stuck },
         );
         Some(token)
     }
 
-    /// The connection by which this front speaks to another, called if need be.
+    /// The connection for messages to a front; opened if needed.
     fn way(&mut self, to: &Name) -> Option<usize> {
         if let Some(token) = self.to.get(to) {
             return Some(*token);
@@ -426,18 +435,18 @@
         if self.again.get(to).is_some_and(|at| *at > now()) {
             return None;
         }
-        self.again.insert(Name::clone(to), now() + CALL_AGAIN);
+        self.again.insert(Name::clone(to), now() + RECONNECT_INTERVAL);
         let relay = self.settings.trial.as_ref().and_then(|trial| trial.relay);
         let stream = TcpStream::connect(relay.unwrap_or(address)).ok()?;
         let token = self.link(stream, Some(Name::clone(to)), false)?;
         if let (Some(_), SocketAddr::V4(own), SocketAddr::V4(peer)) =
             (relay, self.settings.advertise, address)
         {
-            let ahead = [own, peer].into_iter().flat_map(ahead).collect::<Vec<u8>>();
-            self.links.entry(token).and_modify(|link| link.write = ahead);
+            let relay_prefix = [own, peer].into_iter().flat_map(relay_prefix).collect::<Vec<u8>>();
+            self.links.entry(token).and_modify(|link| link.write = relay_prefix);
         }
         self.to.insert(Name::clone(to), token);
-        self.put(token, &Frame::Opens);
+        self.put(token, &Frame::Hello);
         Some(token)
     }
 
@@ -449,11 +458,11 @@
         self.tickets.retain(|_, (at, _)| *at != token);
     }
 
-    /// Connections on which nothing moves.
+    /// Closes connections that have made no progress for too long.
     fn give_up(&mut self) {
         let now = now();
-        let long = |since: Option<Micros>| since.is_some_and(|since| since + STUCK <= now);
-        let stuck = |link: &Link| long(link.stuck) || long(link.strange);
+        let long = |since: Option<Micros>| since.is_some_and(|since| since + CONNECTION_STALL_TIMEOUT <= now);
+        let stuck = |link: &Connection| long(link.stuck) || long(link.strange);
         let all: Vec<usize> =
             self.links.iter().filter(|(_, link)| stuck(link)).map(|(token, _)| *token).collect();
         all.into_iter().for_each(|token| self.hang(token));
@@ -465,7 +474,8 @@
             match link.stream.peer_addr() {
                 Ok(_) => link.open = true,
                 Err(error) if error.kind() == ErrorKind::NotConnected => {
-                    // Not yet, or never: it tells by closing, or is given up.
+                    // Not established yet: a failed connection is reported by an error, or closed after the
+                    // timeout.
                     if link.stream.take_error().ok().flatten().is_some() {
                         self.hang(token);
                     }
@@ -506,10 +516,11 @@
                 Ok(count) => {
                     link.read.extend_from_slice(&bytes[..count]);
                     took += count;
-                    if took < AT_ONCE {
+                    if took < READ_BUDGET_BYTES {
                         continue;
                     }
-                    // The rest is told anew: readiness comes once for each change.
+                    // Reregisters, so that the remaining bytes are reported: readiness is reported once for
+                    // each change.
                     let both = Interest::READABLE | Interest::WRITABLE;
                     let _ = self.poll.registry().reregister(&mut link.stream, Token(token), both);
                 }
@@ -521,7 +532,8 @@
         }
         loop {
             let Some(link) = self.links.get_mut(&token) else { return };
-            let longest = if link.strange.is_some() { wire::LONGEST_FIRST } else { wire::LONGEST };
+            let longest =
+                if link.strange.is_some() { wire::MAX_FIRST_FRAME_BYTES } else { wire::MAX_FRAME_BYTES };
             match wire::decode(&link.read, &self.settings.keys, longest) {
                 Ok(Some((frame, used))) => {
                     link.strange = None;
@@ -547,18 +559,18 @@
                 if self.links.get(&token).is_some_and(|link| link.called.is_none()) {
                     self.from.insert(Name::clone(&envelope.name), token);
                 }
-                self.hand(Input::Heard(envelope));
+                self.hand(Input::Received(envelope));
             }
-            Frame::Passes(name, bytes) => {
+            Frame::Relayed(name, bytes) => {
                 if self.links.get(&token).is_some_and(|link| link.called.is_none()) {
                     self.from.insert(Name::clone(&name), token);
                 }
-                if let Some(beside) = &self.beside {
-                    (beside.passed)(name, bytes);
+                if let Some(companion) = &self.companion {
+                    (companion.on_message)(name, bytes);
                 }
             }
-            Frame::Asks(count, question) => self.asked(token, count, question),
-            Frame::Opens | Frame::Answers(..) => {}
+            Frame::Question(count, question) => self.asked(token, count, question),
+            Frame::Hello | Frame::Answer(..) => {}
         }
     }
 
@@ -568,7 +580,7 @@
             Err(error) => return tracing::error!(%error, "accord: a message is not sent"),
         };
         let Some(link) = self.links.get_mut(&token) else { return };
-        if link.write.len() + bytes.len() > WAITING {
+        if link.write.len() + bytes.len() > MAX_WRITE_QUEUE_BYTES {
             return self.hang(token);
         }
         link.write.extend(bytes);
@@ -582,26 +594,27 @@
     fn asked(&mut self, token: usize, count: u64, question: Question) {
         let history = self.accord.history();
         let answer: Answer = match question {
-            Question::Show => Ok(self.show().to_string()),
-            Question::Beside => match &self.beside {
-                Some(beside) => Ok((beside.shows)()),
+            Question::Status => Ok(self.show().to_string()),
+            Question::Copies => match &self.companion {
+                Some(companion) => Ok((companion.status)()),
                 None => Err("this front keeps no copies: its settings have no `copies`".into()),
             },
             Question::Version(number) => {
-                let stand = self.accord.stand();
+                let coordination = self.accord.coordination();
                 let (number, rules) = match number {
-                    None => (history.begun, Some(Arc::clone(&stand.agreed))),
+                    None => (history.begun, Some(Arc::clone(&coordination.agreed))),
                     Some(number) => (number, history.rules(number)),
                 };
                 let why = || format!("version {number} is not kept here; `history` tells which are");
-                let said =
-                    |rules: Arc<Rules>| json!({"version": number, "rules": text::write(&rules)}).to_string();
+                let said = |rules: Arc<Rules>| {
+                    json!({"version": number, "rules": rules_kdl::write(&rules)}).to_string()
+                };
                 rules.map(said).ok_or_else(why)
             }
             Question::History => {
                 let one = |(number, version): (&u64, &crate::core::history::Version)| {
                     json!({"version": number, "by": version.by, "at_us": version.at, "begun": *number <= history.begun,
-                        "rules": text::write(&version.rules)})
+                        "rules": rules_kdl::write(&version.rules)})
                 };
                 let all: Vec<serde_json::Value> = history.versions.iter().map(one).collect();
                 Ok(json!({"latest": history.latest, "begun": history.begun, "versions": all}).to_string())
@@ -611,27 +624,27 @@
                 self.tickets.insert(self.ticket, (token, count));
                 return self.hand(Input::Propose(self.ticket, base, by, unix(), *rules));
             }
-            Question::Voters(names) => {
+            Question::ChangeVoters(names) => {
                 self.ticket += 1;
                 self.tickets.insert(self.ticket, (token, count));
-                return self.hand(Input::Voters(self.ticket, names));
+                return self.hand(Input::ChangeVoters(self.ticket, names));
             }
         };
-        self.put(token, &Frame::Answers(count, answer));
+        self.put(token, &Frame::Answer(count, answer));
     }
 
     fn show(&self) -> serde_json::Value {
-        let (history, stand, now) = (self.accord.history(), self.accord.stand(), now());
-        let by = match stand.acts(now) {
-            Ok((crate::core::stand::By::Lease, _)) => "lease",
-            Ok((crate::core::stand::By::Meet, _)) => "meet",
+        let (history, coordination, now) = (self.accord.history(), self.accord.coordination(), now());
+        let by = match coordination.active_rules(now) {
+            Ok((crate::core::coordination::Basis::Lease, _)) => "lease",
+            Ok((crate::core::coordination::Basis::Meet, _)) => "meet",
             Err(_) => "none",
         };
         let voter = self.accord.voter();
         let voters: Vec<String> = history.voters.seats.values().map(|seat| seat.name.to_string()).collect();
         let leader = voter.and_then(|voter| history.voters.seats.get(&voter.leader()?));
         json!({"front": &*self.name, "acts_by": by, "begun": history.begun, "latest": history.latest,
-            "steps": history.position, "lease_ms": stand.until.saturating_sub(now) / 1000,
+            "steps": history.position, "lease_ms": coordination.lease_until.saturating_sub(now) / 1000,
             "epoch": history.voters.epoch, "voters": voters, "votes": voter.is_some(),
             "leader": leader.map(|seat| seat.name.to_string()), "disk": self.store.is_some(),
             "holders": voter.map(|voter| voter.holders().count())})
@@ -647,7 +660,7 @@
 
     fn carry_out(&mut self, out: Vec<Output>) {
         for output in out {
-            if let Some(line) = lines::line(unix(), &self.name, &output) {
+            if let Some(line) = history_log::line(unix(), &self.name, &output) {
                 if let Some(file) = &mut self.history {
                     let _ = file.write_all(format!("{line}\n").as_bytes());
                 }
@@ -658,24 +671,24 @@
                     if let Err(error) = store.write(&writes) {
                         tracing::error!(%error, "accord: nothing can be kept: this front does not vote until it is started again");
                         self.store = None;
-                        // Danger: what follows in this very list promises what is on no disk.
+                        // Danger: later outputs of this list would announce state that is on no disk.
                         return self.hand(Input::DiskFailed);
                     }
                 }
                 Output::Send(envelope) => self.send(envelope),
-                Output::Stand(stand) => {
+                Output::Coordination(coordination) => {
                     if let Some(listener) = &self.listener {
-                        listener(stand.clone());
+                        listener(coordination.clone());
                     }
-                    self.authority.set(stand);
+                    self.shared_coordination.set(coordination);
                 }
-                Output::Told(ticket, told) => self.told(ticket, &told),
+                Output::Reply(ticket, told) => self.told(ticket, &told),
                 Output::Version(number, _) => tracing::info!(number, "accord: a version is agreed on"),
-                Output::Votes(votes) => tracing::info!(?votes, "accord: votes"),
-                Output::Parted(name) => {
+                Output::Voting(votes) => tracing::info!(?votes, "accord: votes"),
+                Output::HistoryDiverged(name) => {
                     tracing::error!(%name, "accord: that front has another history than this one");
                 }
-                Output::Took(..) => {}
+                Output::HistoryAdvanced(..) => {}
             }
         }
     }
@@ -687,26 +700,26 @@
         }
     }
 
-    fn told(&mut self, ticket: u64, told: &Told) {
+    fn told(&mut self, ticket: u64, told: &OperatorReply) {
         let Some((token, count)) = self.tickets.remove(&ticket) else { return };
-        use crate::core::history::Became;
+        use crate::core::history::ProposalOutcome;
         let answer = match told {
-            Told::Became(Became::Version(number)) => Ok(json!({"version": number}).to_string()),
-            Told::Became(Became::Late(latest)) => Err(format!(
+            OperatorReply::Became(ProposalOutcome::Version(number)) => Ok(json!({"version": number}).to_string()),
+            OperatorReply::Became(ProposalOutcome::Late(latest)) => Err(format!(
                 "not agreed on: version {latest} is the latest, and this was made from another; look at it and propose anew"
             )),
-            Told::Became(Became::Crowded) => Err("too many versions wait to begin already: try again later".into()),
-            Told::Unknown => Err(
+            OperatorReply::Became(ProposalOutcome::Crowded) => Err("too many versions wait to begin already: try again later".into()),
+            OperatorReply::Unknown => Err(
                 "nothing is known of it: the voters do not agree on anything at present, and may yet agree on this".into(),
             ),
-            Told::Refused(why) => Err(why.clone()),
-            Told::Asked => Ok(json!({"asked": true}).to_string()),
+            OperatorReply::Refused(why) => Err(why.clone()),
+            OperatorReply::Asked => Ok(json!({"asked": true}).to_string()),
         };
-        self.put(token, &Frame::Answers(count, answer));
+        self.put(token, &Frame::Answer(count, answer));
     }
 }
 
-/// An address as it stands ahead of what goes by a trial's relay.
-fn ahead(address: SocketAddrV4) -> Vec<u8> {
+/// The address header that precedes data sent through a trial's relay.
+fn relay_prefix(address: SocketAddrV4) -> Vec<u8> {
     salttally_members::wire::relay_header::prepend(address, &[])
 }
--- a/crates/copies/src/settings.rs
+++ b/crates/copies/src/settings.rs
@@ -1,4 +1,4 @@
-//! The block `copies { }` of a front's settings, checked before anything starts.
+//! The block `copies { }` of a front's settings, validated before anything starts.
 
 use std::path::PathBuf;
 
@@ -6,40 +6,40 @@
 use salttally_members::settings::Settings as Members;
 use salttally_settings::{Block, Document, Node, Read};
 
-use crate::core::{Micros, Name, TooFew};
+use crate::core::{Micros, Name, TooFewPolicy};
 
-/// Settings of copies at one front.
+/// Copies settings of one front.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The front's name.
+    /// Name of the front.
     pub name: Name,
     /// Its zone.
     pub zone: u32,
-    /// Where players reach it.
-    pub serves: Option<std::net::SocketAddr>,
-    /// Fronts that hold a copy.
+    /// Address at which clients reach it.
+    pub client_address: Option<std::net::SocketAddr>,
+    /// Number of other fronts that hold a copy.
     pub copies: usize,
-    /// So many of them must have a promise before it counts.
+    /// Number of copies required before a record counts as stored.
     pub enough: usize,
-    /// What happens where there are fewer.
-    pub too_few: TooFew,
-    /// A promise that does not count after this long is given up, us.
+    /// What happens when there are fewer fronts.
+    pub too_few: TooFewPolicy,
+    /// A record that is not stored within this time is given up, us.
     pub within: Micros,
-    /// Promises of others held at most.
+    /// Most records of other fronts that it holds.
     pub most: usize,
-    /// File of the store.
+    /// Path of the store.
     pub store: PathBuf,
-    /// Each batch is flushed before it is told.
+    /// Each batch is flushed before it is acknowledged.
     pub flush: bool,
-    /// Where the history of what happened goes.
+    /// Path of the history log.
     pub history: Option<PathBuf>,
 }
 
 impl Settings {
-    /// The block, if the document has one; membership and accord must be on.
+    /// Reads the block, if the document has one; it requires `members` and `accord`.
     ///
     /// # Errors
-    /// What cannot hold, with file, line and reason.
+    /// Invalid settings, with file, line and reason.
     pub fn read(
         document: &Document,
         members: Option<&Members>,
@@ -63,10 +63,10 @@
 
 fn read(block: &Block<'_>, members: &Members) -> Read<Settings> {
     let too_few = match block.one("too-few")? {
-        None => TooFew::GoOn,
+        None => TooFewPolicy::GoOn,
         Some(node) => match node.argument::<String>()?.as_str() {
-            "go-on" => TooFew::GoOn,
-            "refuse" => TooFew::Refuse,
+            "go-on" => TooFewPolicy::GoOn,
+            "refuse" => TooFewPolicy::Refuse,
             other => return Err(node.error(format!("`{other}` is unknown here; known: go-on, refuse"))),
         },
     };
@@ -81,7 +81,7 @@
     Ok(Settings {
         name: Name::clone(&members.name),
         zone: members.zone,
-        serves: members.serves,
+        client_address: members.serves,
         copies: block.or("copies", 2)?,
         enough: block.or("enough", 1)?,
         too_few,
--- a/crates/front/src/core/ledger/rule_checks.rs
+++ b/crates/front/src/core/ledger/rule_checks.rs
@@ -50,7 +50,7 @@
     /// Hold-off of a refusal: short where the reason is temporary.
     pub(super) fn hold_off_for(&self, refusal: Refusal) -> Micros {
         let max_hold_off = self.settings.max_hold_off;
-        if refusal.passes() {
+        if refusal.is_transient() {
             max_hold_off.min(SHORT_HOLD_OFF_US)
         } else {
             max_hold_off
@@ -59,7 +59,7 @@
 
     /// Applies changed rules: ends playing sessions that they no longer permit, and passes on changed box
     /// orders.
-    pub(super) fn update_rules(&mut self, state: Stand, out: &mut Vec<Output>) {
+    pub(super) fn update_rules(&mut self, state: CoordinationState, out: &mut Vec<Output>) {
         let Some(rules) = &mut self.rules else { return };
         if !rules.update(state) {
             return;
--- a/crates/front/src/core/tests/takeover.rs
+++ b/crates/front/src/core/tests/takeover.rs
@@ -2,9 +2,9 @@
 
 use std::sync::Arc;
 
-use salttally_accord::core::heirs::{Heir, Heirs};
-use salttally_accord::core::stand::Stand;
-use salttally_copies::core::{Bytes, Key, Life};
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_accord::core::successors::{Successor, Successors};
+use salttally_copies::core::{Incarnation, RecordBody, RecordKey};
 
 use super::*;
 use crate::core::agreed_rules::{AgreedRules, SettingsNames};
@@ -14,15 +14,30 @@
 const OWN_INCARNATION: &str = "f0-00000001";
 const OTHER_INCARNATION: &str = "f1-00000007";
 
-fn coordination(until: Micros, heirs: Heirs) -> Input {
+fn coordination(until: Micros, heirs: Successors) -> Input {
     let (agreed, meet) = (Arc::default(), Arc::default());
-    let state = Stand { begun: 9, latest: 9, until, alone: until, agreed, meet, heirs: Arc::new(heirs) };
+    let state = CoordinationState {
+        begun: 9,
+        latest: 9,
+        lease_until: until,
+        grace_until: until,
+        agreed,
+        meet,
+        successors: Arc::new(heirs),
+    };
     Input::Coordination(Box::new(state))
 }
 
-fn successors(incarnation: &str, epoch: u64, by: &str, own: &str) -> Heirs {
-    let heir = Heir { epoch, name: by.into(), life: own.into(), serves: None, version: 9, settled: false };
-    Heirs { of: [(Life::from(incarnation), heir)].into(), over: BTreeMap::new() }
+fn successors(incarnation: &str, epoch: u64, by: &str, own: &str) -> Successors {
+    let heir = Successor {
+        epoch,
+        name: by.into(),
+        incarnation: own.into(),
+        client_address: None,
+        version: 9,
+        settled: false,
+    };
+    Successors { by_incarnation: [(Incarnation::from(incarnation), heir)].into(), ended: BTreeMap::new() }
 }
 
 impl TestBench {
@@ -37,7 +52,7 @@
             ledger: bench.world.ledger.with_rules(AgreedRules::new(names)).with_replication(),
             ..bench.world
         };
-        bench.world.handle_input(coordination(LEASE, Heirs::default()));
+        bench.world.handle_input(coordination(LEASE, Successors::default()));
         bench
     }
 
@@ -178,12 +193,12 @@
     // The incarnation is known to be taken over: the close is not executed here.
     let close = bench.world.handle_input(Input::Close(VIEWER, Ticket(9), id.clone()));
     assert!(matches!(close[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{close:?}");
-    let out = bench.world.handle_input(Input::TakenOver(Life::from(OWN_INCARNATION)));
+    let out = bench.world.handle_input(Input::TakenOver(Incarnation::from(OWN_INCARNATION)));
     assert!(
         out.contains(&Output::Notify(VIEWER, Notification::Ended(id.clone(), EndReason::TakenOver))),
         "{out:?}"
     );
-    assert!(out.contains(&Output::IncarnationChanged(Life::from("f0-00000002"))), "{out:?}");
+    assert!(out.contains(&Output::IncarnationChanged(Incarnation::from("f0-00000002"))), "{out:?}");
     assert!(
         !out.iter().any(|o| matches!(o, Output::DeleteRecord(_))),
         "deleting a record here would delete it at the successor"
@@ -219,7 +234,7 @@
     let out = bench.world.handle_input(Input::Status(ClientId(7), Ticket(2), unknown, Some(ViewerId(1))));
     assert!(matches!(out[..], [Output::Reply(_, _, Reply::RetryAfter(_))]), "{out:?}");
     // With a lease again, the viewer can reclaim it.
-    bench.world.handle_input(coordination(2 * LEASE, Heirs::default()));
+    bench.world.handle_input(coordination(2 * LEASE, Successors::default()));
     let out = bench.world.handle_input(Input::Status(ClientId(7), Ticket(3), id, Some(ViewerId(1))));
     assert!(matches!(out[..], [Output::Reply(_, _, Reply::Status { playing: Some(_), .. })]), "{out:?}");
 }
@@ -229,13 +244,16 @@
 fn taken_over_ledger(stored_records: &[(u32, SessionRecord)]) -> (TestBench, ConnId) {
     let mut bench = TestBench::with_replication();
     bench.world.handle_input(coordination(LEASE, successors(OTHER_INCARNATION, 3, "f0", OWN_INCARNATION)));
-    let all: Vec<(Key, Bytes)> = stored_records
+    let all: Vec<(RecordKey, RecordBody)> = stored_records
         .iter()
         .map(|(n, record)| {
-            (session_records::session_key(&other_session(*n)), Bytes::from(session_records::encode(record)))
+            (
+                session_records::session_key(&other_session(*n)),
+                RecordBody::from(session_records::encode(record)),
+            )
         })
         .collect();
-    bench.world.handle_input(Input::TakeOver(Life::from(OTHER_INCARNATION), 3, all));
+    bench.world.handle_input(Input::TakeOver(Incarnation::from(OTHER_INCARNATION), 3, all));
     bench.complete_dials();
     let asks = |request: &BoxRequest| matches!(request, BoxRequest::Claim { incarnation, epoch: 3 } if &**incarnation == OTHER_INCARNATION);
     let asked: Vec<ConnId> =
@@ -315,7 +333,7 @@
     bench.world.handle_input(coordination(LEASE, successors(OTHER_INCARNATION, 4, "f2", "f2-00000003")));
     bench.world.exchanges.clear();
     bench.world.dials.clear();
-    bench.world.handle_input(Input::TakeoverSuperseded(Life::from(OTHER_INCARNATION)));
+    bench.world.handle_input(Input::TakeoverSuperseded(Incarnation::from(OTHER_INCARNATION)));
     assert!(!contains(&bench, 1) && !bench.is_released(&other_session(1)));
 }
 
@@ -355,9 +373,9 @@
     assert!(!bench.world.ledger.contains(&other_session(1)) && bench.is_released(&other_session(1)));
     assert!(bench.world.ledger.contains(&other_session(2)));
     let faults = bench.world.ledger.counts().faults;
-    let bad: Vec<(Key, Bytes)> =
-        vec![(session_records::session_key(&other_session(3)), Bytes::from(vec![0xff; 9]))];
-    bench.world.handle_input(Input::TakeOver(Life::from(OTHER_INCARNATION), 3, bad));
+    let bad: Vec<(RecordKey, RecordBody)> =
+        vec![(session_records::session_key(&other_session(3)), RecordBody::from(vec![0xff; 9]))];
+    bench.world.handle_input(Input::TakeOver(Incarnation::from(OTHER_INCARNATION), 3, bad));
     assert_eq!(bench.world.ledger.counts().faults, faults + 1);
 }
 
--- a/crates/front/src/core/timers.rs
+++ b/crates/front/src/core/timers.rs
@@ -4,7 +4,7 @@
 
 use salttally::interface::{Micros, ServerId, SessionId};
 
-use salttally_copies::core::Life;
+use salttally_copies::core::Incarnation;
 
 use super::ConnId;
 
@@ -28,7 +28,7 @@
     /// A release is to be retried.
     RetryRelease(ServerId, SessionId, u32),
     /// A box is to be asked again which sessions it holds of an incarnation.
-    RetryClaim(ServerId, Life),
+    RetryClaim(ServerId, Incarnation),
     /// The lease is to be checked.
     CheckLease,
     /// Checks whether an earlier incarnation, of which a box reported this session, has been taken over.
