--- a/crates/front/src/core/tests/takeover.rs
+++ b/crates/front/src/core/tests/takeover.rs
@@ -14,7 +14,7 @@
 const OWN_INCARNATION: &str = "f0-00000001";
 const OTHER_INCARNATION: &str = "f1-00000007";
 
-fn coordination(until: Micros, heirs: Successors) -> Input {
+fn coordination(until: Micros, successors: Successors) -> Input {
     let (agreed, meet) = (Arc::default(), Arc::default());
     let state = CoordinationState {
         begun: 9,
@@ -23,13 +23,13 @@
         grace_until: until,
         agreed,
         meet,
-        successors: Arc::new(heirs),
+        successors: Arc::new(successors),
     };
     Input::Coordination(Box::new(state))
 }
 
 fn successors(incarnation: &str, epoch: u64, by: &str, own: &str) -> Successors {
-    let heir = Successor {
+    let successor = Successor {
         epoch,
         name: by.into(),
         incarnation: own.into(),
@@ -37,7 +37,10 @@
         version: 9,
         settled: false,
     };
-    Successors { by_incarnation: [(Incarnation::from(incarnation), heir)].into(), ended: BTreeMap::new() }
+    Successors {
+        by_incarnation: [(Incarnation::from(incarnation), successor)].into(),
+        ended: BTreeMap::new(),
+    }
 }
 
 impl TestBench {
