--- a/crates/accord/src/core/mod.rs
+++ b/crates/accord/src/core/mod.rs
@@ -6,10 +6,10 @@
 //! disk, and flushed where needed, before any later output is carried out.
 //!
 //! - [`rules`]: the content of versions and how two versions relate. [`history`]: the agreed steps that
-//! created them.
+//!   created them.
 //! - [`successors`]: which front takes over the sessions of a lost one.
 //! - [`lease`]: how long a front may act on the history, and the bound on contradictions. [`coordination`]:
-//! what a front acts on.
+//!   what a front acts on.
 //! - [`voter`]: consensus. [`disk`]: persistent state. [`mod@self`]: one front's part in all of these.
 
 pub mod coordination;
--- a/crates/copies/src/core/mod.rs
+++ b/crates/copies/src/core/mod.rs
@@ -7,7 +7,7 @@
 //! disk, and flushed if the settings ask for it, before any later output is carried out.
 //!
 //! - [`owner`]: a front's own records, and how far each holder has them. [`placement`]: which fronts hold
-//! copies.
+//!   copies.
 //! - [`replica`]: a holder's copy of another front's records, and merging several copies.
 //! - [`takeover`]: collecting the records of a lost front.
 
