--- a/crates/accord/src/core/history.rs
+++ b/crates/accord/src/core/history.rs
@@ -49,7 +49,7 @@
 
 /// A voter: its name, and the disk it votes with.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Seat {
+pub struct VoterIdentity {
     /// Name of the front.
     pub name: Name,
     /// Drawn when the disk was first used. Danger: a voter that comes back with an empty disk has forgotten
@@ -63,37 +63,38 @@
     /// Counts the changes of voters, from 1; 0 is before the first.
     pub epoch: u32,
     /// Voters by number.
-    pub seats: BTreeMap<u64, Seat>,
+    #[serde(rename = "seats")]
+    pub by_number: BTreeMap<u64, VoterIdentity>,
 }
 
 impl Voters {
     /// Size of a majority.
     pub fn majority(&self) -> usize {
-        self.seats.len() / 2 + 1
+        self.by_number.len() / 2 + 1
     }
 
     /// Number of a voter by its name.
-    pub fn number(&self, name: &str) -> Option<u64> {
-        self.seats.iter().find(|(_, seat)| &*seat.name == name).map(|(number, _)| *number)
+    pub fn number_of_name(&self, name: &str) -> Option<u64> {
+        self.by_number.iter().find(|(_, identity)| &*identity.name == name).map(|(number, _)| *number)
     }
 
     /// Number of a voter by its name and disk.
-    pub fn number_of(&self, seat: &Seat) -> Option<u64> {
-        self.seats.iter().find(|(_, old)| *old == seat).map(|(number, _)| *number)
+    pub fn number_of_identity(&self, identity: &VoterIdentity) -> Option<u64> {
+        self.by_number.iter().find(|(_, old)| *old == identity).map(|(number, _)| *number)
     }
 
     /// The next voters, with these seats: a voter that stays keeps its number; one with a new name or disk
     /// gets an unused number.
-    pub fn next(&self, wanted: &[Seat]) -> Voters {
-        let mut fresh = self.seats.keys().max().copied().unwrap_or(0);
-        let seats = wanted.iter().map(|seat| {
-            let number = self.number_of(seat).unwrap_or_else(|| {
+    pub fn next(&self, wanted: &[VoterIdentity]) -> Voters {
+        let mut fresh = self.by_number.keys().max().copied().unwrap_or(0);
+        let identities = wanted.iter().map(|identity| {
+            let number = self.number_of_identity(identity).unwrap_or_else(|| {
                 fresh += 1;
                 fresh
             });
-            (number, seat.clone())
+            (number, identity.clone())
         });
-        Voters { epoch: self.epoch + 1, seats: seats.collect() }
+        Voters { epoch: self.epoch + 1, by_number: identities.collect() }
     }
 }
 
@@ -162,7 +163,7 @@
                     self.begun = self.begun.max(*version);
                 }
             }
-            Entry::ChangeSuccessors(changes) => self.succeed(changes),
+            Entry::ChangeSuccessors(changes) => self.change_successors(changes),
             Entry::Voters(voters) => {
                 if voters.epoch == self.voters.epoch + 1 {
                     self.voters = voters.clone();
@@ -187,10 +188,10 @@
         }
     }
 
-    fn succeed(&mut self, changes: &[SuccessionChange]) {
+    fn change_successors(&mut self, changes: &[SuccessionChange]) {
         // The requesting front repeats changes that do not apply now.
-        let crowded = self.latest - self.begun >= MAX_PENDING_VERSIONS;
-        if crowded || !changes.iter().any(|change| self.successors.would_change(change)) {
+        let too_many_pending = self.latest - self.begun >= MAX_PENDING_VERSIONS;
+        if too_many_pending || !changes.iter().any(|change| self.successors.would_change(change)) {
             return;
         }
         let rules = self.rules(self.latest).unwrap_or_default();
@@ -205,9 +206,10 @@
 
     /// Whether a proposal made from this version is made from the rules in force: versions that only change
     /// successors change no rule.
-    fn fits(&self, base: u64) -> bool {
-        let kept = base <= self.latest && (base + 1..=self.latest).all(|at| self.versions.contains_key(&at));
-        kept && self.versions.range(base + 1..).all(|(_, version)| version.only_successors)
+    fn based_on_current_rules(&self, base: u64) -> bool {
+        let all_kept =
+            base <= self.latest && (base + 1..=self.latest).all(|at| self.versions.contains_key(&at));
+        all_kept && self.versions.range(base + 1..).all(|(_, version)| version.only_successors)
     }
 
     fn propose(&mut self, proposal: &Proposal) {
@@ -216,7 +218,7 @@
         if self.outcome(proposal.id).is_some() {
             return;
         }
-        let became = if !self.fits(proposal.base) {
+        let outcome = if !self.based_on_current_rules(proposal.base) {
             ProposalOutcome::Late(self.latest)
         } else if self.latest - self.begun >= MAX_PENDING_VERSIONS {
             ProposalOutcome::Crowded
@@ -226,7 +228,7 @@
             self.versions.insert(self.latest, Version { by, at, rules, only_successors: false });
             ProposalOutcome::Version(self.latest)
         };
-        self.outcomes.push_back((proposal.id, became));
+        self.outcomes.push_back((proposal.id, outcome));
         if self.outcomes.len() > OUTCOMES_KEPT {
             self.outcomes.pop_front();
         }
@@ -234,7 +236,7 @@
 
     /// The outcome of a proposal, if it was decided recently.
     pub fn outcome(&self, id: u64) -> Option<ProposalOutcome> {
-        self.outcomes.iter().find(|(of, _)| *of == id).map(|(_, became)| *became)
+        self.outcomes.iter().find(|(proposal, _)| *proposal == id).map(|(_, outcome)| *outcome)
     }
 
     /// The rules of a version; empty rules for 0.
--- a/crates/accord/src/core/lease.rs
+++ b/crates/accord/src/core/lease.rs
@@ -11,7 +11,7 @@
 
 use serde::Serialize;
 
-use super::history::{Seat, Voters};
+use super::history::{VoterIdentity, Voters};
 use super::{Micros, Name};
 
 /// Lease times, from the settings.
@@ -51,7 +51,7 @@
 
 impl LeaseTimes {
     /// Converts a duration of one clock to an upper bound on another clock that may be slower.
-    fn widened(&self, span: Micros) -> Micros {
+    fn upper_bound(&self, span: Micros) -> Micros {
         // (1 + d) / (1 - d) is under 1 + 2d + 3d² for every d under a third.
         span + span * (2 * self.drift_ppm + 1) / 1_000_000 + 1
     }
@@ -59,7 +59,7 @@
     /// The longest time during which two fronts may act on contradicting rules, us. None if fronts without a
     /// lease continue without limit.
     pub fn max_contradiction(&self) -> Option<Micros> {
-        self.refuse_without_lease.then(|| self.widened(self.lease + self.grace) + self.write_delay)
+        self.refuse_without_lease.then(|| self.upper_bound(self.lease + self.grace) + self.write_delay)
     }
 }
 
@@ -69,40 +69,43 @@
     /// End of each voter's grant, by this front's clock.
     grants: BTreeMap<u64, Micros>,
     /// The voters that these grants are from.
-    seats: BTreeMap<u64, Seat>,
+    identities: BTreeMap<u64, VoterIdentity>,
     /// Requests in flight: nonce, voter, and when the request was sent.
-    asked: BTreeMap<u64, (u64, Micros)>,
+    requests: BTreeMap<u64, (u64, Micros)>,
 }
 
 impl HeldLease {
     /// Records a request to a voter.
-    pub fn asks(&mut self, now: Micros, voter: u64, nonce: u64, times: &LeaseTimes) {
-        self.asked.retain(|_, (_, sent)| *sent + times.lease > now);
-        self.asked.insert(nonce, (voter, now));
+    pub fn record_request(&mut self, now: Micros, voter: u64, nonce: u64, times: &LeaseTimes) {
+        self.requests.retain(|_, (_, sent)| *sent + times.lease > now);
+        self.requests.insert(nonce, (voter, now));
     }
 
     /// Records a grant. It counts from when it was requested (Gray and Cheriton, 1989, section 2).
-    pub fn granted(&mut self, voter: u64, nonce: u64, times: &LeaseTimes) {
-        let Some((_, sent)) = self.asked.remove(&nonce).filter(|(of, _)| *of == voter) else { return };
+    pub fn record_grant(&mut self, voter: u64, nonce: u64, times: &LeaseTimes) {
+        let Some((_, sent)) = self.requests.remove(&nonce).filter(|(asked_voter, _)| *asked_voter == voter)
+        else {
+            return;
+        };
         let until = self.grants.entry(voter).or_default();
         *until = (*until).max(sent + times.lease);
     }
 
     /// Follows a change of voters: grants and requests of other voters no longer count. The same voters under
     /// a new epoch still remember what they granted.
-    pub fn follow(&mut self, voters: &Voters) {
-        if self.seats != voters.seats {
-            self.seats.clone_from(&voters.seats);
+    pub fn set_voters(&mut self, voters: &Voters) {
+        if self.identities != voters.by_number {
+            self.identities.clone_from(&voters.by_number);
             self.grants.clear();
-            self.asked.clear();
+            self.requests.clear();
         }
     }
 
     /// The time until which a majority's grants hold.
-    pub fn until(&self, majority: usize) -> Micros {
-        let mut all: Vec<Micros> = self.grants.values().copied().collect();
-        all.sort_unstable_by(|a, b| b.cmp(a));
-        all.get(majority.saturating_sub(1)).copied().filter(|_| majority > 0).unwrap_or(0)
+    pub fn valid_until(&self, majority: usize) -> Micros {
+        let mut expiries: Vec<Micros> = self.grants.values().copied().collect();
+        expiries.sort_unstable_by(|a, b| b.cmp(a));
+        expiries.get(majority.saturating_sub(1)).copied().filter(|_| majority > 0).unwrap_or(0)
     }
 }
 
@@ -111,34 +114,34 @@
 pub struct GrantedLeases {
     /// Until this time, leases may be held that this voter does not know of: it may have lost its memory of
     /// them, or earlier voters granted them.
-    unknown: Micros,
+    unknown_until: Micros,
     /// The end of each front's grant, by this voter's clock, and the latest version that the front had.
-    given: BTreeMap<Name, (Micros, u64)>,
+    grants: BTreeMap<Name, (Micros, u64)>,
 }
 
 impl GrantedLeases {
     /// For a voter that starts, or that joins other voters.
     pub fn new(now: Micros, times: &LeaseTimes) -> GrantedLeases {
-        GrantedLeases { unknown: now + times.widened(times.lease), given: BTreeMap::new() }
+        GrantedLeases { unknown_until: now + times.upper_bound(times.lease), grants: BTreeMap::new() }
     }
 
     /// Records a grant to a front that has everything this voter has, up to this version.
     pub fn grant(&mut self, now: Micros, to: &Name, version: u64, times: &LeaseTimes) {
-        self.given.insert(Name::clone(to), (now + times.widened(times.lease), version));
+        self.grants.insert(Name::clone(to), (now + times.upper_bound(times.lease), version));
     }
 
     /// The version below which no front holds a lease of this voter. For a given version this remains true
     /// once it is reached.
-    pub fn clear(&mut self, now: Micros, latest: u64) -> u64 {
-        if now < self.unknown {
+    pub fn lowest_leased_version(&mut self, now: Micros, latest: u64) -> u64 {
+        if now < self.unknown_until {
             return 0;
         }
-        self.given.retain(|_, (until, _)| *until > now);
-        self.given.values().map(|(_, version)| *version).min().unwrap_or(latest).min(latest)
+        self.grants.retain(|_, (until, _)| *until > now);
+        self.grants.values().map(|(_, version)| *version).min().unwrap_or(latest).min(latest)
     }
 
     /// Fronts that hold a grant, with the version they have.
     pub fn holders(&self) -> impl Iterator<Item = (&Name, u64)> {
-        self.given.iter().map(|(name, (_, version))| (name, *version))
+        self.grants.iter().map(|(name, (_, version))| (name, *version))
     }
 }
--- a/crates/accord/src/core/mod.rs
+++ b/crates/accord/src/core/mod.rs
@@ -28,11 +28,11 @@
 
 use coordination::CoordinationState;
 use disk::{Image, Journal, VoterState, Write};
-use history::{Digest, Entry, History, Proposal, ProposalOutcome, RecentSteps, Seat, Voters};
+use history::{Digest, Entry, History, Proposal, ProposalOutcome, RecentSteps, VoterIdentity, Voters};
 use lease::{GrantedLeases, HeldLease, LeaseTimes};
 use rules::Rules;
 use successors::SuccessionChange;
-use voter::{KnownHistory, Order, Voter, VoterProgress, TICK};
+use voter::{KnownHistory, MessageOrder, Voter, VoterProgress, TICK};
 
 /// Time or duration, us.
 pub type Micros = u64;
@@ -197,7 +197,7 @@
 
 /// A proposal whose outcome is not known yet.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenProposal {
     ticket: u64,
     proposal: Proposal,
     since: Micros,
@@ -206,10 +206,10 @@
 
 /// Search for the other voters at the first start of the fleet.
 #[derive(Clone, Debug, Default)]
-struct Seeking {
+struct VoterSearch {
     nonce: u64,
     /// Disk ids of the fronts that do not vote yet either.
-    empty: BTreeMap<Name, u64>,
+    without_votes: BTreeMap<Name, u64>,
     next: Micros,
 }
 
@@ -226,22 +226,22 @@
     coordination: CoordinationState,
     journal: Journal,
     voter: Option<Voter>,
-    seeking: Seeking,
-    sick: bool,
-    order: Order,
+    voter_search: VoterSearch,
+    disk_failed: bool,
+    order: MessageOrder,
     sequence: u64,
     nonce: u64,
     peers: BTreeSet<Name>,
     /// Disk ids of the fronts that have asked for a lease since this front started.
     disks: BTreeMap<Name, u64>,
-    open: Vec<Open>,
-    told: u64,
-    wrote: u64,
-    next_ask: Micros,
-    next_follow: Micros,
-    next_replace: Micros,
-    next_marks: Micros,
-    turn: usize,
+    open_proposals: Vec<OpenProposal>,
+    reported: u64,
+    written_position: u64,
+    next_lease_request: Micros,
+    next_history_poll: Micros,
+    next_replacement_request: Micros,
+    next_progress_report: Micros,
+    round_robin: usize,
 }
 
 impl Accord {
@@ -276,32 +276,35 @@
             coordination,
             journal,
             voter,
-            seeking: Seeking::default(),
-            sick: false,
-            order: Order::default(),
+            voter_search: VoterSearch::default(),
+            disk_failed: false,
+            order: MessageOrder::default(),
             sequence: 0,
             nonce: start << 40,
             peers: BTreeSet::new(),
             disks: BTreeMap::new(),
-            open: Vec::new(),
-            told: 0,
-            wrote: 0,
-            next_ask: now,
-            next_follow: now,
-            next_replace: now,
-            next_marks: now,
-            turn: 0,
+            open_proposals: Vec::new(),
+            reported: 0,
+            written_position: 0,
+            next_lease_request: now,
+            next_history_poll: now,
+            next_replacement_request: now,
+            next_progress_report: now,
+            round_robin: 0,
         };
         let position = accord.history.position;
-        accord.held.follow(&accord.history.voters);
-        accord.tell_versions(0, out);
+        accord.held.set_voters(&accord.history.voters);
+        accord.report_versions(0, out);
         if position > 0 {
             out.push(Output::HistoryAdvanced(position, accord.history.digest, accord.history.latest));
         }
         if let Some(voter) = &accord.voter {
             let epoch = voter.voters().epoch;
             out.extend(
-                voter.voters().number(&accord.own.name).map(|number| Output::Voting(Some((number, epoch)))),
+                voter
+                    .voters()
+                    .number_of_name(&accord.own.name)
+                    .map(|number| Output::Voting(Some((number, epoch)))),
             );
         }
         accord.handle(now, Input::Tick, out);
@@ -326,46 +329,50 @@
     /// When [`Accord::handle`] has to be called again.
     pub fn next_due(&self) -> Micros {
         let voter = self.voter.as_ref().map_or(Micros::MAX, Voter::next_due);
-        voter.min(self.next_ask).min(self.next_follow).max(self.now + 1).min(self.now + TICK * 4)
+        voter
+            .min(self.next_lease_request)
+            .min(self.next_history_poll)
+            .max(self.now + 1)
+            .min(self.now + TICK * 4)
     }
 
     /// Processes one input; outputs are added to `out`, in order.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        let mut then = Vec::new();
+        let mut effects = Vec::new();
         match input {
-            Input::Received(envelope) => self.heard(*envelope, &mut then),
+            Input::Received(envelope) => self.receive(*envelope, &mut effects),
             Input::Tick => {}
             Input::View(peers) => self.peers = peers,
             Input::Propose(ticket, base, by, at, rules) => {
-                self.propose(ticket, base, by, at, rules, &mut then)
+                self.propose(ticket, base, by, at, rules, &mut effects)
             }
-            Input::ChangeSuccessors(changes) => self.succeed(changes, &mut then),
-            Input::ChangeVoters(ticket, names) => self.change_voters(ticket, &names, &mut then),
+            Input::ChangeSuccessors(changes) => self.request_succession(changes, &mut effects),
+            Input::ChangeVoters(ticket, names) => self.change_voters(ticket, &names, &mut effects),
             Input::DiskFailed => {
-                self.sick = true;
-                self.stop_voting(&mut then);
+                self.disk_failed = true;
+                self.stop_voting(&mut effects);
                 self.journal.take();
             }
         }
-        self.tick(&mut then);
-        self.take_decided(&mut then);
-        self.say(&mut then);
-        self.settle(&mut then);
-        if !self.sick {
+        self.tick(&mut effects);
+        self.apply_decided(&mut effects);
+        self.send_voter_messages(&mut effects);
+        self.update_coordination(&mut effects);
+        if !self.disk_failed {
             let writes = self.journal.take();
             if !writes.is_empty() {
                 out.push(Output::Write(writes));
             }
         }
-        out.append(&mut then);
+        out.append(&mut effects);
     }
 
     // ---- Messages ----
 
-    fn heard(&mut self, envelope: Envelope, out: &mut Vec<Output>) {
+    fn receive(&mut self, envelope: Envelope, out: &mut Vec<Output>) {
         let Envelope { name, to, disk, start, sequence, body } = envelope;
-        if to != self.own.name || name == self.own.name || !self.order.next(&name, disk, start, sequence) {
+        if to != self.own.name || name == self.own.name || !self.order.accept(&name, disk, start, sequence) {
             return;
         }
         match body {
@@ -374,19 +381,19 @@
                     return;
                 };
                 // Danger: a disk that took over another's name would speak for votes that it never cast.
-                let seat = Seat { name, disk };
+                let identity = VoterIdentity { name, disk };
                 let sender = match message.as_ref() {
                     Message::SequencePaxos(paxos) => paxos.from,
                     Message::BLE(ballots) => ballots.from,
                 };
-                if voter.voters().seats.get(&sender) == Some(&seat) {
-                    voter.hear(*message);
+                if voter.voters().by_number.get(&sender) == Some(&identity) {
+                    voter.receive(*message);
                 }
             }
-            Body::Progress(marks) => {
+            Body::Progress(progress) => {
                 let Some(voter) = &mut self.voter else { return };
-                if let Some(number) = voter.voters().number_of(&Seat { name, disk }) {
-                    voter.marks(self.now, number, marks);
+                if let Some(number) = voter.voters().number_of_identity(&VoterIdentity { name, disk }) {
+                    voter.record_progress(self.now, number, progress);
                 }
             }
             Body::Hello(nonce) => {
@@ -394,61 +401,61 @@
                 let known = (self.history.voters.epoch > 0).then(|| self.history.voters.clone());
                 self.send(&name, Body::HelloReply(nonce, votes.or(known)), out);
             }
-            Body::HelloReply(nonce, voters) => self.found(name, disk, nonce, voters, out),
-            Body::LeaseRequest(nonce, has) => {
+            Body::HelloReply(nonce, voters) => self.receive_hello_reply(name, disk, nonce, voters, out),
+            Body::LeaseRequest(nonce, known) => {
                 self.disks.insert(Name::clone(&name), disk);
-                self.asked(&name, nonce, &has, out);
+                self.answer_lease_request(&name, nonce, &known, out);
             }
-            Body::LeaseGrant(nonce, number) => self.held.granted(number, nonce, &self.own.times),
-            Body::HistoryRequest(has) => self.catch_up(&name, &has, out),
+            Body::LeaseGrant(nonce, number) => self.held.record_grant(number, nonce, &self.own.times),
+            Body::HistoryRequest(known) => self.send_missing_history(&name, &known, out),
             Body::Steps(position, digest, steps) => {
                 if position == self.history.position && digest == self.history.digest {
-                    steps.into_iter().for_each(|step| self.take(step, out));
+                    steps.into_iter().for_each(|step| self.apply_step(step, out));
                     // A lease is refused to a front that lacks steps, so it asks again as soon as it has
                     // them.
-                    self.next_ask = self.next_ask.min(self.now);
+                    self.next_lease_request = self.next_lease_request.min(self.now);
                 }
             }
-            Body::Snapshot(history) => self.whole(&name, *history, out),
+            Body::Snapshot(history) => self.receive_snapshot(&name, *history, out),
             Body::Propose(proposal) => {
                 let known = self.history.outcome(proposal.id).is_some();
                 if let Some(voter) = self.voter.as_mut().filter(|_| !known) {
                     voter.propose(proposal);
                 }
             }
-            Body::ChangeSuccessors(changes) => self.succeed_here(changes),
+            Body::ChangeSuccessors(changes) => self.append_succession(changes),
             Body::ReplaceDisk => {
                 if let Some(voter) = &mut self.voter {
-                    voter.replace(Seat { name, disk });
+                    voter.request_replacement(VoterIdentity { name, disk });
                 }
             }
         }
     }
 
     /// Answers a request for a lease.
-    fn asked(&mut self, name: &Name, nonce: u64, has: &KnownHistory, out: &mut Vec<Output>) {
-        self.catch_up(name, has, out);
+    fn answer_lease_request(&mut self, name: &Name, nonce: u64, known: &KnownHistory, out: &mut Vec<Output>) {
+        self.send_missing_history(name, known, out);
         let Some(voter) = &mut self.voter else { return };
-        if voter.grant(self.now, name, has, &self.history, &self.own.times) {
-            if let Some(number) = voter.voters().number(&self.own.name) {
+        if voter.grant(self.now, name, known, &self.history, &self.own.times) {
+            if let Some(number) = voter.voters().number_of_name(&self.own.name) {
                 self.send(name, Body::LeaseGrant(nonce, number), out);
             }
         }
     }
 
     /// Sends a front the part of the history that it lacks.
-    fn catch_up(&mut self, name: &Name, has: &KnownHistory, out: &mut Vec<Output>) {
-        if has.position >= self.history.position {
+    fn send_missing_history(&mut self, name: &Name, known: &KnownHistory, out: &mut Vec<Output>) {
+        if known.position >= self.history.position {
             return;
         }
-        let body = match self.steps.after(has.position, &has.digest) {
-            Some(steps) => Body::Steps(has.position, has.digest, steps),
+        let body = match self.steps.after(known.position, &known.digest) {
+            Some(steps) => Body::Steps(known.position, known.digest, steps),
             None => Body::Snapshot(Box::new(self.history.clone())),
         };
         self.send(name, body, out);
     }
 
-    fn whole(&mut self, from: &Name, history: History, out: &mut Vec<Output>) {
+    fn receive_snapshot(&mut self, from: &Name, history: History, out: &mut Vec<Output>) {
         if self.history.diverged_from(&history) {
             out.push(Output::HistoryDiverged(Name::clone(from)));
             return;
@@ -456,7 +463,7 @@
         // Danger: an older history would revoke a refusal that other fronts already apply.
         if history.position > self.history.position {
             self.replace_history(history, out);
-            self.next_ask = self.next_ask.min(self.now);
+            self.next_lease_request = self.next_lease_request.min(self.now);
         }
     }
 
@@ -464,26 +471,26 @@
         let before = self.history.latest;
         self.history = history;
         self.steps = RecentSteps::new(&self.history);
-        self.tell_versions(before, out);
+        self.report_versions(before, out);
         out.push(Output::HistoryAdvanced(self.history.position, self.history.digest, self.history.latest));
-        self.revote(out);
+        self.follow_voters(out);
     }
 
-    fn take(&mut self, step: Entry, out: &mut Vec<Output>) {
+    fn apply_step(&mut self, step: Entry, out: &mut Vec<Output>) {
         let before = self.history.latest;
-        self.pass_on(&step, out);
+        self.send_step_to_holders(&step, out);
         self.history.apply(&step);
         let voters = matches!(step, Entry::Voters(_));
         self.steps.push(step, &self.history);
-        self.tell_versions(before, out);
+        self.report_versions(before, out);
         out.push(Output::HistoryAdvanced(self.history.position, self.history.digest, self.history.latest));
         if voters {
-            self.revote(out);
+            self.follow_voters(out);
         }
     }
 
     /// The leader sends a new step to the holders of leases at once, before they ask.
-    fn pass_on(&mut self, step: &Entry, out: &mut Vec<Output>) {
+    fn send_step_to_holders(&mut self, step: &Entry, out: &mut Vec<Output>) {
         let Some(voter) = self.voter.as_ref().filter(|voter| voter.leads()) else { return };
         let others = voter.holders().map(|(name, _)| name).filter(|name| **name != self.own.name);
         let holders: Vec<Name> = others.cloned().collect();
@@ -493,7 +500,7 @@
         }
     }
 
-    fn tell_versions(&self, before: u64, out: &mut Vec<Output>) {
+    fn report_versions(&self, before: u64, out: &mut Vec<Output>) {
         for (number, version) in self.history.versions.range(before + 1..) {
             out.push(Output::Version(*number, Arc::clone(&version.rules)));
         }
@@ -508,20 +515,20 @@
     }
 
     /// Starts or stops voting after the history has changed the voters.
-    fn revote(&mut self, out: &mut Vec<Output>) {
+    fn follow_voters(&mut self, out: &mut Vec<Output>) {
         let voters = &self.history.voters;
-        self.held.follow(voters);
+        self.held.set_voters(voters);
         if self.voter.as_ref().is_some_and(|voter| voter.voters().epoch >= voters.epoch) {
             return;
         }
-        let own = Seat { name: Name::clone(&self.own.name), disk: self.disk };
-        let number = voters.number_of(&own);
+        let own = VoterIdentity { name: Name::clone(&self.own.name), disk: self.disk };
+        let number = voters.number_of_identity(&own);
         // If the voters stay the same, their granted leases are kept; with other voters, this voter may be
         // the only one that knows of them.
-        let same = |voter: &Voter| voter.voters().seats == self.history.voters.seats;
-        let kept = self.voter.take_if(|voter| same(voter)).map(Voter::into_granting);
+        let same = |voter: &Voter| voter.voters().by_number == self.history.voters.by_number;
+        let kept = self.voter.take_if(|voter| same(voter)).map(Voter::into_granted_leases);
         self.stop_voting(out);
-        let Some(number) = number.filter(|_| !self.sick) else { return };
+        let Some(number) = number.filter(|_| !self.disk_failed) else { return };
         let vote = VoterState::new(number, &self.history);
         let told = (vote.number, vote.voters.epoch);
         // The log that starts here continues this history.
@@ -533,40 +540,47 @@
     }
 
     /// Handles the reply of a front to `Hello`.
-    fn found(&mut self, name: Name, disk: u64, nonce: u64, voters: Option<Voters>, out: &mut Vec<Output>) {
-        if nonce != self.seeking.nonce || self.voter.is_some() || self.history.voters.epoch > 0 {
+    fn receive_hello_reply(
+        &mut self,
+        name: Name,
+        disk: u64,
+        nonce: u64,
+        voters: Option<Voters>,
+        out: &mut Vec<Output>,
+    ) {
+        if nonce != self.voter_search.nonce || self.voter.is_some() || self.history.voters.epoch > 0 {
             return;
         }
         match voters {
             // The front sends its history on request; the history tells whether this disk votes.
             Some(_) => {
-                self.seeking.empty.clear();
-                self.next_follow = self.now;
-                let has = self.has();
-                self.send(&name, Body::HistoryRequest(has), out);
+                self.voter_search.without_votes.clear();
+                self.next_history_poll = self.now;
+                let known = self.known_history();
+                self.send(&name, Body::HistoryRequest(known), out);
             }
             None => {
-                self.seeking.empty.insert(name, disk);
-                self.begin_first(out);
+                self.voter_search.without_votes.insert(name, disk);
+                self.begin_first_vote(out);
             }
         }
     }
 
     /// Starts the first vote once all voters of the settings have answered and none of them has voted before.
     /// Danger: if one is missing, it may hold a history that the others would start a second time.
-    fn begin_first(&mut self, out: &mut Vec<Output>) {
+    fn begin_first_vote(&mut self, out: &mut Vec<Output>) {
         let own = (&self.own.name, &self.disk);
-        let all: BTreeMap<&Name, &u64> = self.seeking.empty.iter().chain([own]).collect();
+        let all: BTreeMap<&Name, &u64> = self.voter_search.without_votes.iter().chain([own]).collect();
         if !self.own.initial_voters.contains(&self.own.name)
             || !self.own.initial_voters.iter().all(|name| all.contains_key(name))
         {
             return;
         }
-        let seat = |name: &Name| Seat { name: Name::clone(name), disk: *all[name] };
-        let mut seats: Vec<Seat> = self.own.initial_voters.iter().map(seat).collect();
-        seats.sort();
-        let first = Voters::default().next(&seats);
-        self.take(Entry::Voters(first), out);
+        let identity = |name: &Name| VoterIdentity { name: Name::clone(name), disk: *all[name] };
+        let mut identities: Vec<VoterIdentity> = self.own.initial_voters.iter().map(identity).collect();
+        identities.sort();
+        let first = Voters::default().next(&identities);
+        self.apply_step(Entry::Voters(first), out);
     }
 
     fn change_voters(&mut self, ticket: u64, names: &[Name], out: &mut Vec<Output>) {
@@ -574,21 +588,24 @@
         let answer = match &mut self.voter {
             Some(voter) if voter.leads() => {
                 let current = voter.voters();
-                let kept = |name: &Name| current.seats.values().find(|seat| seat.name == *name).cloned();
-                let own = Seat { name: Name::clone(&self.own.name), disk: self.disk };
+                let kept =
+                    |name: &Name| current.by_number.values().find(|identity| identity.name == *name).cloned();
+                let own = VoterIdentity { name: Name::clone(&self.own.name), disk: self.disk };
                 let fresh = |name: &Name| {
-                    self.disks.get(name).map(|disk| Seat { name: Name::clone(name), disk: *disk })
+                    self.disks.get(name).map(|disk| VoterIdentity { name: Name::clone(name), disk: *disk })
                 };
-                let seat = |name: &Name| {
+                let identity = |name: &Name| {
                     kept(name).or_else(|| fresh(name)).or((own.name == *name).then(|| own.clone()))
                 };
-                let seats: Option<Vec<Seat>> = names.iter().map(seat).collect();
-                match seats {
+                let identities: Option<Vec<VoterIdentity>> = names.iter().map(identity).collect();
+                match identities {
                     None => told("not all of these fronts have asked for a lease lately"),
-                    Some(seats) if ![3, 5, 7].contains(&seats.len()) => told("there are 3, 5 or 7 voters"),
-                    Some(seats) => {
-                        let next = current.next(&seats);
-                        if voter.change(&next) {
+                    Some(identities) if ![3, 5, 7].contains(&identities.len()) => {
+                        told("there are 3, 5 or 7 voters")
+                    }
+                    Some(identities) => {
+                        let next = current.next(&identities);
+                        if voter.change_voters(&next) {
                             OperatorReply::Asked
                         } else {
                             told("the voters are changing already")
@@ -597,9 +614,9 @@
                 }
             }
             Some(voter) => {
-                let leader = voter.leader().and_then(|number| voter.voters().seats.get(&number));
-                told(&leader.map_or("no voter leads at present".to_owned(), |seat| {
-                    format!("ask {}, which leads", seat.name)
+                let leader = voter.leader().and_then(|number| voter.voters().by_number.get(&number));
+                told(&leader.map_or("no voter leads at present".to_owned(), |identity| {
+                    format!("ask {}, which leads", identity.name)
                 }))
             }
             None => told("this front is no voter: ask one"),
@@ -607,109 +624,112 @@
         out.push(Output::Reply(ticket, answer));
     }
 
-    fn take_decided(&mut self, out: &mut Vec<Output>) {
+    fn apply_decided(&mut self, out: &mut Vec<Output>) {
         let Some(voter) = &mut self.voter else { return };
-        for (at, step) in voter.decided() {
+        for (at, step) in voter.take_decided() {
             // Steps already received from other fronts are skipped.
             if at == self.history.position {
-                self.take(step, out);
+                self.apply_step(step, out);
             }
         }
         if let Some(voter) = &mut self.voter {
-            voter.logged(&self.history);
+            voter.record_logged(&self.history);
         }
     }
 
     // ---- Timers ----
 
-    fn has(&self) -> KnownHistory {
+    fn known_history(&self) -> KnownHistory {
         let History { position, digest, latest, voters, .. } = &self.history;
         KnownHistory { epoch: voters.epoch, position: *position, digest: *digest, version: *latest }
     }
 
     fn tick(&mut self, out: &mut Vec<Output>) {
-        self.seek(out);
+        self.search_voters(out);
         if let Some(voter) = &mut self.voter {
             voter.tick(self.now, &self.history);
         }
-        if self.now >= self.next_ask {
-            self.next_ask = self.now + self.own.times.renew_interval;
-            self.ask(out);
+        if self.now >= self.next_lease_request {
+            self.next_lease_request = self.now + self.own.times.renew_interval;
+            self.request_leases(out);
         }
-        if self.now >= self.next_follow {
+        if self.now >= self.next_history_poll {
             let leased = self.now < self.coordination.lease_until;
-            self.next_follow =
+            self.next_history_poll =
                 self.now + if leased { HISTORY_POLL_INTERVAL } else { HISTORY_POLL_INTERVAL_WITHOUT_LEASE };
-            self.turn += 1;
-            let peer = self.peers.iter().nth(self.turn % self.peers.len().max(1)).cloned();
+            self.round_robin += 1;
+            let peer = self.peers.iter().nth(self.round_robin % self.peers.len().max(1)).cloned();
             if let Some(peer) = peer {
-                let has = self.has();
-                self.send(&peer, Body::HistoryRequest(has), out);
+                let known = self.known_history();
+                self.send(&peer, Body::HistoryRequest(known), out);
             }
         }
-        self.propose_again(out);
+        self.resend_proposals(out);
     }
 
     /// Looks for the other voters, or asks to vote in place of a lost disk.
-    fn seek(&mut self, out: &mut Vec<Output>) {
-        if self.voter.is_some() || self.sick {
+    fn search_voters(&mut self, out: &mut Vec<Output>) {
+        if self.voter.is_some() || self.disk_failed {
             return;
         }
         let voters = &self.history.voters;
         if voters.epoch > 0 {
-            let lost = voters.number(&self.own.name).is_some();
-            if lost && self.now >= self.next_replace {
-                self.next_replace = self.now + 2 * VOTER_SEARCH_INTERVAL;
-                for name in self.voters() {
+            let lost = voters.number_of_name(&self.own.name).is_some();
+            if lost && self.now >= self.next_replacement_request {
+                self.next_replacement_request = self.now + 2 * VOTER_SEARCH_INTERVAL;
+                for name in self.other_voters() {
                     self.send(&name, Body::ReplaceDisk, out);
                 }
             }
             return;
         }
-        if self.own.initial_voters.contains(&self.own.name) && self.now >= self.seeking.next {
+        if self.own.initial_voters.contains(&self.own.name) && self.now >= self.voter_search.next {
             self.nonce += 1;
-            self.seeking =
-                Seeking { nonce: self.nonce, empty: BTreeMap::new(), next: self.now + VOTER_SEARCH_INTERVAL };
-            for name in self.voters() {
+            self.voter_search = VoterSearch {
+                nonce: self.nonce,
+                without_votes: BTreeMap::new(),
+                next: self.now + VOTER_SEARCH_INTERVAL,
+            };
+            for name in self.other_voters() {
                 self.send(&name, Body::Hello(self.nonce), out);
             }
         }
     }
 
     /// The known voters, without this front.
-    fn voters(&self) -> Vec<Name> {
+    fn other_voters(&self) -> Vec<Name> {
         let known: Vec<Name> = match self.history.voters.epoch {
             0 => self.own.initial_voters.clone(),
-            _ => self.history.voters.seats.values().map(|seat| Name::clone(&seat.name)).collect(),
+            _ => self.history.voters.by_number.values().map(|identity| Name::clone(&identity.name)).collect(),
         };
         known.into_iter().filter(|name| *name != self.own.name).collect()
     }
 
     /// Asks every voter for a lease, including this front's own.
-    fn ask(&mut self, out: &mut Vec<Output>) {
-        let has = self.has();
-        let seats: Vec<(u64, Name)> = self
+    fn request_leases(&mut self, out: &mut Vec<Output>) {
+        let known = self.known_history();
+        let identities: Vec<(u64, Name)> = self
             .history
             .voters
-            .seats
+            .by_number
             .iter()
-            .map(|(number, seat)| (*number, Name::clone(&seat.name)))
+            .map(|(number, identity)| (*number, Name::clone(&identity.name)))
             .collect();
-        for (number, name) in seats {
+        for (number, name) in identities {
             self.nonce += 1;
-            self.held.asks(self.now, number, self.nonce, &self.own.times);
+            self.held.record_request(self.now, number, self.nonce, &self.own.times);
             if name != self.own.name {
-                self.send(&name, Body::LeaseRequest(self.nonce, has), out);
+                self.send(&name, Body::LeaseRequest(self.nonce, known), out);
                 continue;
             }
             let Some(voter) = &mut self.voter else { continue };
-            if voter.grant(self.now, &name, &has, &self.history, &self.own.times) {
-                self.held.granted(number, self.nonce, &self.own.times);
+            if voter.grant(self.now, &name, &known, &self.history, &self.own.times) {
+                self.held.record_grant(number, self.nonce, &self.own.times);
             }
         }
-        if has.epoch == 0 {
-            for name in self.voters() {
-                self.send(&name, Body::HistoryRequest(has), out);
+        if known.epoch == 0 {
+            for name in self.other_voters() {
+                self.send(&name, Body::HistoryRequest(known), out);
             }
         }
     }
@@ -736,34 +756,34 @@
             out.push(Output::Reply(ticket, OperatorReply::Refused(why)));
             return;
         }
-        self.open.push(Open { ticket, proposal, since: self.now, next: self.now });
-        self.propose_again(out);
+        self.open_proposals.push(OpenProposal { ticket, proposal, since: self.now, next: self.now });
+        self.resend_proposals(out);
     }
 
-    fn propose_again(&mut self, out: &mut Vec<Output>) {
+    fn resend_proposals(&mut self, out: &mut Vec<Output>) {
         let (now, mut due) = (self.now, Vec::new());
-        for open in &mut self.open {
+        for open in &mut self.open_proposals {
             if open.next <= now {
                 open.next = now + PROPOSAL_RESEND_INTERVAL;
                 due.push(open.proposal.clone());
             }
         }
         for proposal in due {
-            let voters = self.voters();
+            let voters = self.other_voters();
             match &mut self.voter {
                 Some(voter) => voter.propose(proposal),
                 None if voters.is_empty() => {}
                 None => {
-                    self.turn += 1;
-                    let to = Name::clone(&voters[self.turn % voters.len()]);
+                    self.round_robin += 1;
+                    let to = Name::clone(&voters[self.round_robin % voters.len()]);
                     self.send(&to, Body::Propose(proposal), out);
                 }
             }
         }
         let (history, mut told) = (&self.history, Vec::new());
-        self.open.retain(|open| {
+        self.open_proposals.retain(|open| {
             let answer = match history.outcome(open.proposal.id) {
-                Some(became) => OperatorReply::Became(became),
+                Some(outcome) => OperatorReply::Became(outcome),
                 None if open.since + PROPOSAL_TIMEOUT <= now => OperatorReply::Unknown,
                 None => return true,
             };
@@ -775,24 +795,24 @@
 
     // ---- Successors ----
 
-    fn succeed(&mut self, mut changes: Vec<SuccessionChange>, out: &mut Vec<Output>) {
+    fn request_succession(&mut self, mut changes: Vec<SuccessionChange>, out: &mut Vec<Output>) {
         changes.retain(|change| self.history.successors.would_change(change));
-        let voters = self.voters();
+        let voters = self.other_voters();
         if changes.is_empty() || self.voter.is_none() && voters.is_empty() {
             return;
         }
         if self.voter.is_some() {
-            return self.succeed_here(changes);
+            return self.append_succession(changes);
         }
-        self.turn += 1;
-        let to = Name::clone(&voters[self.turn % voters.len()]);
+        self.round_robin += 1;
+        let to = Name::clone(&voters[self.round_robin % voters.len()]);
         self.send(&to, Body::ChangeSuccessors(changes), out);
     }
 
-    fn succeed_here(&mut self, mut changes: Vec<SuccessionChange>) {
+    fn append_succession(&mut self, mut changes: Vec<SuccessionChange>) {
         changes.retain(|change| self.history.successors.would_change(change));
         if let Some(voter) = self.voter.as_mut().filter(|_| !changes.is_empty()) {
-            voter.succeed(changes);
+            voter.change_successors(changes);
         }
     }
 
@@ -806,55 +826,57 @@
     }
 
     /// Sends the messages of the voter, and its progress.
-    fn say(&mut self, out: &mut Vec<Output>) {
+    fn send_voter_messages(&mut self, out: &mut Vec<Output>) {
         let Some(voter) = &mut self.voter else { return };
         let epoch = voter.voters().epoch;
-        let name =
-            |voter: &Voter, number| voter.voters().seats.get(&number).map(|seat| Name::clone(&seat.name));
-        let said = voter.say();
-        let said: Vec<(Option<Name>, Message<Entry>)> =
-            said.into_iter().map(|(number, message)| (name(voter, number), message)).collect();
-        let marks = (self.now >= self.next_marks).then(|| voter.own_marks(self.now));
-        for (to, message) in said {
+        let name = |voter: &Voter, number| {
+            voter.voters().by_number.get(&number).map(|identity| Name::clone(&identity.name))
+        };
+        let messages = voter.take_messages();
+        let messages: Vec<(Option<Name>, Message<Entry>)> =
+            messages.into_iter().map(|(number, message)| (name(voter, number), message)).collect();
+        let progress = (self.now >= self.next_progress_report).then(|| voter.progress(self.now));
+        for (to, message) in messages {
             if let Some(to) = to {
                 self.send(&to, Body::Consensus(epoch, Box::new(message)), out);
             }
         }
-        if let Some(marks) = marks {
-            self.next_marks = self.now + 2 * TICK;
-            for name in self.voters() {
-                self.send(&name, Body::Progress(marks), out);
+        if let Some(progress) = progress {
+            self.next_progress_report = self.now + 2 * TICK;
+            for name in self.other_voters() {
+                self.send(&name, Body::Progress(progress), out);
             }
         }
     }
 
     /// Updates the coordination state, and reports it if it has changed.
-    fn settle(&mut self, out: &mut Vec<Output>) {
+    fn update_coordination(&mut self, out: &mut Vec<Output>) {
         // A voter's history is in its log.
-        if self.voter.is_none() && self.history.position > self.wrote {
-            self.wrote = self.history.position;
+        if self.voter.is_none() && self.history.position > self.written_position {
+            self.written_position = self.history.position;
             self.journal.push(Write::History(Arc::new(self.history.clone())));
         }
         let until = match self.history.voters.epoch {
             0 => 0,
-            _ => self.held.until(self.history.voters.majority()),
+            _ => self.held.valid_until(self.history.voters.majority()),
         };
         let times = &self.own.times;
         // A change of voters clears the lease; the grace period counts from the end of that lease.
         let ends = if until > 0 { until + times.grace } else { 0 };
         let alone =
             if times.refuse_without_lease { self.coordination.grace_until.max(ends) } else { Micros::MAX };
-        let proposed = self.voter.as_ref().map(Voter::proposed).unwrap_or_default();
-        let proposed = proposed.iter().chain(self.open.iter().map(|open| &open.proposal));
-        let heard: Vec<Arc<Rules>> = proposed.map(|proposal| Arc::clone(&proposal.rules)).collect();
-        let changed = (self.history.position, heard.len() as u64);
+        let proposed = self.voter.as_ref().map(Voter::undecided_proposals).unwrap_or_default();
+        let proposed = proposed.iter().chain(self.open_proposals.iter().map(|open| &open.proposal));
+        let known_rules: Vec<Arc<Rules>> = proposed.map(|proposal| Arc::clone(&proposal.rules)).collect();
+        let changed = (self.history.position, known_rules.len() as u64);
         let mut coordination =
             CoordinationState { lease_until: until, grace_until: alone, ..self.coordination.clone() };
-        if changed.0 + (changed.1 << 48) != self.told || self.coordination.latest != self.history.latest {
-            self.told = changed.0 + (changed.1 << 48);
+        if changed.0 + (changed.1 << 48) != self.reported || self.coordination.latest != self.history.latest {
+            self.reported = changed.0 + (changed.1 << 48);
             (coordination.begun, coordination.latest) = (self.history.begun, self.history.latest);
             let agreed = self.history.meet();
-            coordination.meet = Arc::new(heard.iter().fold(agreed.clone(), |meet, rules| meet.meet(rules)));
+            coordination.meet =
+                Arc::new(known_rules.iter().fold(agreed.clone(), |meet, rules| meet.meet(rules)));
             coordination.agreed = Arc::new(agreed);
             coordination.successors = Arc::clone(&self.history.successors);
         }
--- a/crates/accord/src/core/tests.rs
+++ b/crates/accord/src/core/tests.rs
@@ -9,12 +9,13 @@
 use super::coordination::{Basis, CoordinationState};
 use super::disk::{Image, VoterState, Write};
 use super::history::{
-    Entry, History, Proposal, ProposalOutcome, RecentSteps, Seat, Voters, MAX_PENDING_VERSIONS, VERSIONS_KEPT,
+    Entry, History, Proposal, ProposalOutcome, RecentSteps, VoterIdentity, Voters, MAX_PENDING_VERSIONS,
+    VERSIONS_KEPT,
 };
 use super::lease::{GrantedLeases, HeldLease, LeaseTimes};
 use super::rules::{ClassTerms, Limit, Order, RefusedParty, Rules, SessionRequest};
 use super::successors::{SuccessionChange, Successor};
-use super::voter::Order as InOrder;
+use super::voter::MessageOrder;
 use super::{Accord, Body, Envelope, FrontIdentity, Input, Name, Output};
 
 fn terms() -> impl Strategy<Value = ClassTerms> {
@@ -113,27 +114,27 @@
         let times = LeaseTimes::default();
         let by = |clock: usize, at: u64| at.saturating_add_signed(at as i64 * drift[clock] / 1_000_000) + 7_000_000;
         let names: Vec<Name> = (0..3).map(|front| Name::from(format!("f{front}"))).collect();
-        let seat = Seat { name: "v".into(), disk: 1 };
-        let voters = Voters { epoch: 1, seats: [(1, seat)].into() };
+        let identity = VoterIdentity { name: "v".into(), disk: 1 };
+        let voters = Voters { epoch: 1, by_number: [(1, identity)].into() };
         let mut held: Vec<HeldLease> = (0..3).map(|_| HeldLease::default()).collect();
-        held.iter_mut().for_each(|held| held.follow(&voters));
+        held.iter_mut().for_each(|held| held.set_voters(&voters));
         let (mut granting, mut latest, mut has, mut clear) = (GrantedLeases::new(by(3, 0), &times), 0, [0; 3], 0);
         let mut at = 0;
         for (nonce, (front, wait)) in (1..).zip(steps) {
             at += wait;
             latest += u64::from(wait % 5 == 0);
             has[front] = if wait % 3 == 0 { latest } else { has[front] };
-            held[front].asks(by(front, at), 1, nonce, &times);
+            held[front].record_request(by(front, at), 1, nonce, &times);
             // Time for the grant to arrive.
             let granted = at + wait % 7_000;
             if has[front] >= latest {
                 granting.grant(by(3, granted), &names[front], has[front], &times);
-                held[front].granted(1, nonce, &times);
+                held[front].record_grant(1, nonce, &times);
             }
             at = granted;
-            clear = granting.clear(by(3, at), latest).max(clear);
+            clear = granting.lowest_leased_version(by(3, at), latest).max(clear);
             for other in 0..3 {
-                let holds = by(other, at) < held[other].until(1);
+                let holds = by(other, at) < held[other].valid_until(1);
                 prop_assert!(!holds || has[other] >= clear, "front {other} acts on {} and {clear} may begin", has[other]);
             }
         }
@@ -209,38 +210,43 @@
 #[test]
 fn a_lease_counts_from_when_it_was_asked_for_and_ends_without_a_majority() {
     let times = LeaseTimes::default();
-    let seats =
-        (1..=3).map(|number| (number, Seat { name: format!("v{number}").into(), disk: number })).collect();
-    let voters = Voters { epoch: 1, seats };
+    let identities = (1..=3)
+        .map(|number| (number, VoterIdentity { name: format!("v{number}").into(), disk: number }))
+        .collect();
+    let voters = Voters { epoch: 1, by_number: identities };
     let mut held = HeldLease::default();
-    held.follow(&voters);
-    held.asks(1_000, 1, 10, &times);
-    held.asks(2_000, 2, 11, &times);
-    held.granted(1, 10, &times);
-    assert_eq!(held.until(2), 0, "one of three");
-    held.granted(1, 11, &times);
-    assert_eq!(held.until(2), 0, "another voter's answer to that question");
-    held.asks(2_000, 2, 12, &times);
-    held.granted(2, 12, &times);
-    assert_eq!(held.until(2), 1_000 + times.lease);
+    held.set_voters(&voters);
+    held.record_request(1_000, 1, 10, &times);
+    held.record_request(2_000, 2, 11, &times);
+    held.record_grant(1, 10, &times);
+    assert_eq!(held.valid_until(2), 0, "one of three");
+    held.record_grant(1, 11, &times);
+    assert_eq!(held.valid_until(2), 0, "another voter's answer to that question");
+    held.record_request(2_000, 2, 12, &times);
+    held.record_grant(2, 12, &times);
+    assert_eq!(held.valid_until(2), 1_000 + times.lease);
     // A front that wakes up: the grant for a request from before its suspension is too old to count.
-    held.asks(3_000, 3, 13, &times);
-    held.asks(60_000_000, 3, 14, &times);
-    held.granted(3, 13, &times);
-    assert_eq!(held.until(2), 1_000 + times.lease);
+    held.record_request(3_000, 3, 13, &times);
+    held.record_request(60_000_000, 3, 14, &times);
+    held.record_grant(3, 13, &times);
+    assert_eq!(held.valid_until(2), 1_000 + times.lease);
     // With other voters, no grant counts any more; with the same ones under a new epoch, all do.
-    held.follow(&Voters { epoch: 2, ..voters.clone() });
-    assert_eq!(held.until(2), 1_000 + times.lease);
-    held.follow(&Voters { epoch: 3, seats: voters.seats.into_iter().skip(1).collect() });
-    assert_eq!(held.until(1), 0);
+    held.set_voters(&Voters { epoch: 2, ..voters.clone() });
+    assert_eq!(held.valid_until(2), 1_000 + times.lease);
+    held.set_voters(&Voters { epoch: 3, by_number: voters.by_number.into_iter().skip(1).collect() });
+    assert_eq!(held.valid_until(1), 0);
 }
 
 #[test]
 fn a_voter_that_has_just_started_is_clear_of_nothing() {
     let times = LeaseTimes::default();
     let mut granting = GrantedLeases::new(0, &times);
-    assert_eq!(granting.clear(times.lease, 5), 0, "it may have granted anything before it was started");
-    assert_eq!(granting.clear(2 * times.lease, 5), 5);
+    assert_eq!(
+        granting.lowest_leased_version(times.lease, 5),
+        0,
+        "it may have granted anything before it was started"
+    );
+    assert_eq!(granting.lowest_leased_version(2 * times.lease, 5), 5);
 }
 
 #[test]
@@ -275,11 +281,11 @@
 
 #[test]
 fn what_comes_late_or_twice_is_dropped_and_a_later_start_goes_first() {
-    let mut order = InOrder::default();
+    let mut order = MessageOrder::default();
     let name: Name = "v".into();
-    assert!(order.next(&name, 1, 1, 5) && !order.next(&name, 1, 1, 5) && !order.next(&name, 1, 1, 4));
-    assert!(order.next(&name, 1, 2, 1) && !order.next(&name, 1, 1, 6));
-    assert!(order.next(&name, 2, 1, 1), "another disk counts for itself");
+    assert!(order.accept(&name, 1, 1, 5) && !order.accept(&name, 1, 1, 5) && !order.accept(&name, 1, 1, 4));
+    assert!(order.accept(&name, 1, 2, 1) && !order.accept(&name, 1, 1, 6));
+    assert!(order.accept(&name, 2, 1, 1), "another disk counts for itself");
 }
 
 fn own(name: &str, new_disk_id: u64) -> FrontIdentity {
@@ -397,7 +403,7 @@
         talk(&mut fronts, now, now + 100_000);
     }
     let voters = &fronts[0].0.history().voters;
-    assert!(voters.epoch == 2 && voters.seats.values().any(|seat| seat.disk == 77), "{voters:?}");
+    assert!(voters.epoch == 2 && voters.by_number.values().any(|identity| identity.disk == 77), "{voters:?}");
 }
 
 #[test]
--- a/crates/accord/src/core/voter.rs
+++ b/crates/accord/src/core/voter.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::disk::{Journal, VoterState, VoterStorage};
-use super::history::{Digest, Entry, History, Proposal, Seat, Voters};
+use super::history::{Digest, Entry, History, Proposal, VoterIdentity, Voters};
 use super::lease::{GrantedLeases, LeaseTimes};
 use super::successors::SuccessionChange;
 use super::{Micros, Name};
@@ -43,7 +43,8 @@
     /// Entries known to be decided.
     pub decided: u64,
     /// No lease of this voter is held by a front with a version lower than this.
-    pub clear: u64,
+    #[serde(rename = "clear")]
+    pub lowest_leased_version: u64,
 }
 
 /// The history known to a front, sent with a request for a lease.
@@ -67,21 +68,21 @@
     number: u64,
     base: u64,
     /// Log entries returned by [`Voter::decided`].
-    taken: usize,
+    handed_out: usize,
     /// The last returned entry was a change of voters.
-    ended: bool,
-    granting: GrantedLeases,
+    voters_changed: bool,
+    granted_leases: GrantedLeases,
     /// Latest version in its own log.
-    logged: u64,
-    marks: BTreeMap<u64, VoterProgress>,
+    logged_version: u64,
+    peer_progress: BTreeMap<u64, VoterProgress>,
     /// When each other voter was last heard, and when this one started to listen.
-    heard: BTreeMap<u64, Micros>,
-    since: Option<Micros>,
+    last_heard: BTreeMap<u64, Micros>,
+    listening_since: Option<Micros>,
     /// The progress at the time when this voter fell behind, and that time.
     behind: Option<(u64, Micros)>,
     next_tick: Micros,
     /// Disks that ask to replace the disk of the voter of the same name.
-    asks: BTreeMap<Name, u64>,
+    replacement_requests: BTreeMap<Name, u64>,
 }
 
 impl std::fmt::Debug for Voter {
@@ -96,12 +97,12 @@
 impl Voter {
     /// Starts with this stored state; none if the voters are too few for consensus, or this front is not one
     /// of them.
-    pub fn start(vote: VoterState, journal: Journal, granting: GrantedLeases) -> Option<Voter> {
-        let (voters, number, base) = (vote.voters.clone(), vote.number, vote.base);
+    pub fn start(state: VoterState, journal: Journal, granted_leases: GrantedLeases) -> Option<Voter> {
+        let (voters, number, base) = (state.voters.clone(), state.number, state.base);
         let config = OmniPaxosConfig {
             cluster_config: ClusterConfig {
                 configuration_id: voters.epoch,
-                nodes: voters.seats.keys().copied().collect(),
+                nodes: voters.by_number.keys().copied().collect(),
                 flexible_quorum: None,
             },
             server_config: ServerConfig {
@@ -111,29 +112,29 @@
                 ..ServerConfig::default()
             },
         };
-        let paxos = config.build(VoterStorage::new(vote, journal.clone())).ok()?;
+        let paxos = config.build(VoterStorage::new(state, journal.clone())).ok()?;
         Some(Voter {
             journal,
             paxos,
             voters,
             number,
             base,
-            taken: 0,
-            ended: false,
-            granting,
-            logged: 0,
-            marks: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            since: None,
+            handed_out: 0,
+            voters_changed: false,
+            granted_leases,
+            logged_version: 0,
+            peer_progress: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
+            listening_since: None,
             behind: None,
             next_tick: 0,
-            asks: BTreeMap::new(),
+            replacement_requests: BTreeMap::new(),
         })
     }
 
     /// Its granted leases, for the next voter of this front.
-    pub fn into_granting(self) -> GrantedLeases {
-        self.granting
+    pub fn into_granted_leases(self) -> GrantedLeases {
+        self.granted_leases
     }
 
     /// The voters that it belongs to.
@@ -157,8 +158,8 @@
     }
 
     /// Handles a consensus message of another voter.
-    pub fn hear(&mut self, message: Message<Entry>) {
-        if self.stale(&message) {
+    pub fn receive(&mut self, message: Message<Entry>) {
+        if self.revokes_acknowledged(&message) {
             return;
         }
         self.paxos.handle_incoming(message);
@@ -168,7 +169,7 @@
     /// answers a repeated promise with another synchronisation. The later of the two finds the voter further
     /// on in the same ballot and, if it is taken for new after another prepare, truncates entries that
     /// already count towards a majority. Found by the schedule search. Within one ballot a log only grows.
-    fn stale(&self, message: &Message<Entry>) -> bool {
+    fn revokes_acknowledged(&self, message: &Message<Entry>) -> bool {
         let Message::SequencePaxos(PaxosMessage { msg: PaxosMsg::AcceptSync(sync), .. }) = message else {
             return false;
         };
@@ -179,19 +180,19 @@
     }
 
     /// Records the progress of another voter.
-    pub fn marks(&mut self, now: Micros, from: u64, marks: VoterProgress) {
-        if !self.voters.seats.contains_key(&from) {
+    pub fn record_progress(&mut self, now: Micros, from: u64, progress: VoterProgress) {
+        if !self.voters.by_number.contains_key(&from) {
             return;
         }
-        self.heard.insert(from, now);
-        if marks.epoch == self.voters.epoch {
-            self.marks.insert(from, marks);
+        self.last_heard.insert(from, now);
+        if progress.epoch == self.voters.epoch {
+            self.peer_progress.insert(from, progress);
         }
     }
 
     /// Appends a proposal, of this front or another; it is decided once a majority of voters can communicate.
     pub fn propose(&mut self, proposal: Proposal) {
-        if self.proposed().iter().any(|open| open.id == proposal.id) {
+        if self.undecided_proposals().iter().any(|open| open.id == proposal.id) {
             return;
         }
         // Refused only while the voters change; the proposer tries again.
@@ -199,7 +200,7 @@
     }
 
     /// Appends changes of successors, unless the same changes are already in the undecided log.
-    pub fn succeed(&mut self, changes: Vec<SuccessionChange>) {
+    pub fn change_successors(&mut self, changes: Vec<SuccessionChange>) {
         let entry = Entry::ChangeSuccessors(changes);
         if !self.undecided().any(|open| open == entry) {
             let _ = self.paxos.append(entry);
@@ -207,16 +208,16 @@
     }
 
     /// Appends a change of voters; returns whether it was accepted.
-    pub fn change(&mut self, next: &Voters) -> bool {
-        let changing = self.undecided().any(|entry| matches!(entry, Entry::Voters(_)));
-        !changing && self.paxos.append(Entry::Voters(next.clone())).is_ok()
+    pub fn change_voters(&mut self, next: &Voters) -> bool {
+        let change_pending = self.undecided().any(|entry| matches!(entry, Entry::Voters(_)));
+        !change_pending && self.paxos.append(Entry::Voters(next.clone())).is_ok()
     }
 
     /// Records that a disk asks to vote under the name of one of the voters.
-    pub fn replace(&mut self, seat: Seat) {
-        let known = self.voters.seats.values().find(|old| old.name == seat.name);
-        if known.is_some_and(|old| old.disk != seat.disk) {
-            self.asks.insert(seat.name, seat.disk);
+    pub fn request_replacement(&mut self, identity: VoterIdentity) {
+        let known = self.voters.by_number.values().find(|old| old.name == identity.name);
+        if known.is_some_and(|old| old.disk != identity.disk) {
+            self.replacement_requests.insert(identity.name, identity.disk);
         }
     }
 
@@ -226,27 +227,27 @@
         &mut self,
         now: Micros,
         to: &Name,
-        has: &KnownHistory,
+        known: &KnownHistory,
         history: &History,
         times: &LeaseTimes,
     ) -> bool {
         // Danger: if only decided steps were required, a lease could begin after a majority has accepted the
         // next version, and would continue while other fronts act on that version.
-        let wanted = (self.base + self.paxos.get_accepted_idx() as u64).max(history.position);
-        let granted = has.epoch == self.voters.epoch && has.position >= wanted;
+        let required = (self.base + self.paxos.get_accepted_idx() as u64).max(history.position);
+        let granted = known.epoch == self.voters.epoch && known.position >= required;
         if granted {
-            self.granting.grant(now, to, has.version, times);
+            self.granted_leases.grant(now, to, known.version, times);
         }
         granted
     }
 
     /// Fronts that hold a grant, with the version they have.
     pub fn holders(&self) -> impl Iterator<Item = (&Name, u64)> {
-        self.granting.holders()
+        self.granted_leases.holders()
     }
 
     /// Proposals in the log that are not known to be decided.
-    pub fn proposed(&self) -> Vec<Proposal> {
+    pub fn undecided_proposals(&self) -> Vec<Proposal> {
         let proposal = |entry| match entry {
             Entry::Propose(proposal) => Some(proposal),
             _ => None,
@@ -268,97 +269,107 @@
         if now < self.next_tick {
             return;
         }
-        self.since.get_or_insert(now);
+        self.listening_since.get_or_insert(now);
         // Danger: a process that was suspended would process all missed ticks at once and count every other
         // voter as failed. So missed ticks are skipped.
         self.next_tick = now + TICK;
         self.paxos.tick();
-        self.catch_up(now);
+        self.resynchronise_if_behind(now);
         if self.leads() {
-            self.begin(now, history);
-            self.replace_lost(now);
+            self.begin_versions(now, history);
+            self.replace_lost_disk(now);
             if self.paxos.get_decided_idx() >= MAX_LOG_ENTRIES {
-                let same: Vec<Seat> = self.voters.seats.values().cloned().collect();
+                let same: Vec<VoterIdentity> = self.voters.by_number.values().cloned().collect();
                 let next = self.voters.next(&same);
-                self.change(&next);
+                self.change_voters(&next);
             }
         }
     }
 
     /// Requests a resynchronisation when the leader's progress has been ahead of this voter's for too long,
     /// which means that a message was lost.
-    fn catch_up(&mut self, now: Micros) {
+    fn resynchronise_if_behind(&mut self, now: Micros) {
         let Some(leader) = self.leader().filter(|leader| *leader != self.number) else {
             self.behind = None;
             return;
         };
-        let here = self.paxos.get_accepted_idx() as u64 + self.paxos.get_decided_idx() as u64;
-        let there = self.marks.get(&leader).map_or(0, |marks| marks.accepted + marks.decided);
+        let own_progress = self.paxos.get_accepted_idx() as u64 + self.paxos.get_decided_idx() as u64;
+        let leader_progress =
+            self.peer_progress.get(&leader).map_or(0, |progress| progress.accepted + progress.decided);
         match self.behind {
-            _ if here >= there => self.behind = None,
-            Some((so_far, since)) if so_far == here => {
+            _ if own_progress >= leader_progress => self.behind = None,
+            Some((stuck_at, since)) if stuck_at == own_progress => {
                 if since + LOST_MESSAGE_TIMEOUT <= now {
                     self.paxos.reconnected(leader);
-                    self.behind = Some((here, now));
+                    self.behind = Some((own_progress, now));
                 }
             }
-            _ => self.behind = Some((here, now)),
+            _ => self.behind = Some((own_progress, now)),
         }
         // Danger: if the message that all have accepted is lost on its way to the leader, the leader waits
         // for it without limit.
-        let stuck = self.marks.get(&leader).is_some_and(|marks| marks.decided < marks.accepted);
+        let stuck =
+            self.peer_progress.get(&leader).is_some_and(|progress| progress.decided < progress.accepted);
         if self.behind.is_none() && stuck {
-            self.behind = Some((here, now));
+            self.behind = Some((own_progress, now));
         } else if stuck && self.behind.is_some_and(|(_, since)| since + LOST_MESSAGE_TIMEOUT <= now) {
             self.paxos.reconnected(leader);
-            self.behind = Some((here, now));
+            self.behind = Some((own_progress, now));
         }
     }
 
     /// Begins the latest version for which a majority of voters has no lease with a lower version: each lease
     /// needs one of these voters, and none of them has granted one for less.
-    fn begin(&mut self, now: Micros, history: &History) {
-        let own = self.granting.clear(now, self.logged);
-        let others =
-            self.marks.iter().filter(|(number, _)| **number != self.number).map(|(_, marks)| marks.clear);
+    fn begin_versions(&mut self, now: Micros, history: &History) {
+        let own = self.granted_leases.lowest_leased_version(now, self.logged_version);
+        let others = self
+            .peer_progress
+            .iter()
+            .filter(|(number, _)| **number != self.number)
+            .map(|(_, progress)| progress.lowest_leased_version);
         let mut all: Vec<u64> = others.chain([own]).collect();
         all.sort_unstable_by(|a, b| b.cmp(a));
-        let clear = all.get(self.voters.majority() - 1).copied().unwrap_or(0);
+        let majority_floor = all.get(self.voters.majority() - 1).copied().unwrap_or(0);
         let under_way = self.paxos.get_accepted_idx() > self.paxos.get_decided_idx();
-        if clear > history.begun && !under_way {
-            let _ = self.paxos.append(Entry::Begin(clear.min(history.latest)));
+        if majority_floor > history.begun && !under_way {
+            let _ = self.paxos.append(Entry::Begin(majority_floor.min(history.latest)));
         }
     }
 
     /// Lets a voter's new disk vote in place of the lost one, under an unused number. Danger: two processes
     /// under one name would take the vote from each other in turn; a disk that was heard recently is not
     /// lost.
-    fn replace_lost(&mut self, now: Micros) {
-        let Some((name, disk)) = self.asks.pop_first() else { return };
-        let number = self.voters.number(&name);
-        let heard = number.and_then(|number| self.heard.get(&number).copied()).or(self.since);
+    fn replace_lost_disk(&mut self, now: Micros) {
+        let Some((name, disk)) = self.replacement_requests.pop_first() else { return };
+        let number = self.voters.number_of_name(&name);
+        let heard = number.and_then(|number| self.last_heard.get(&number).copied()).or(self.listening_since);
         if heard.is_none_or(|heard| heard + LOST_DISK_TIMEOUT > now) {
             return;
         }
-        let seat =
-            |old: &Seat| if old.name == name { Seat { name: Name::clone(&name), disk } } else { old.clone() };
-        let wanted: Vec<Seat> = self.voters.seats.values().map(seat).collect();
-        let next = self.voters.next(&wanted);
-        self.change(&next);
+        let identity = |old: &VoterIdentity| {
+            if old.name == name {
+                VoterIdentity { name: Name::clone(&name), disk }
+            } else {
+                old.clone()
+            }
+        };
+        let next_identities: Vec<VoterIdentity> = self.voters.by_number.values().map(identity).collect();
+        let next = self.voters.next(&next_identities);
+        self.change_voters(&next);
     }
 
     /// The progress that this voter reports.
-    pub fn own_marks(&mut self, now: Micros) -> VoterProgress {
+    pub fn progress(&mut self, now: Micros) -> VoterProgress {
         VoterProgress {
             epoch: self.voters.epoch,
             accepted: self.paxos.get_accepted_idx() as u64,
             decided: self.paxos.get_decided_idx() as u64,
-            clear: self.granting.clear(now, self.logged),
+            lowest_leased_version: self.granted_leases.lowest_leased_version(now, self.logged_version),
         }
     }
 
     /// Takes the messages to other voters.
-    pub fn say(&mut self) -> Vec<(u64, Message<Entry>)> {
+    pub fn take_messages(&mut self) -> Vec<(u64, Message<Entry>)> {
         let mut out = Vec::new();
         self.paxos.take_outgoing_messages(&mut out);
         out.into_iter().map(|message| (message.get_receiver(), message)).collect()
@@ -366,18 +377,18 @@
 
     /// Returns the newly decided steps, each with its position. Entries after a change of voters are void:
     /// their proposers send them to the next voters.
-    pub fn decided(&mut self) -> Vec<(u64, Entry)> {
-        if self.ended {
+    pub fn take_decided(&mut self) -> Vec<(u64, Entry)> {
+        if self.voters_changed {
             return Vec::new();
         }
         let mut out = Vec::new();
-        for entry in self.paxos.read_decided_suffix(self.taken).unwrap_or_default() {
+        for entry in self.paxos.read_decided_suffix(self.handed_out).unwrap_or_default() {
             let LogEntry::Decided(entry) = entry else { break };
             let last = matches!(entry, Entry::Voters(_));
             out.push((self.position(), entry));
-            self.taken += 1;
+            self.handed_out += 1;
             if last {
-                self.ended = true;
+                self.voters_changed = true;
                 break;
             }
         }
@@ -387,15 +398,15 @@
     /// Records the latest version in the log, if the history has no step beyond the log. Danger: steps
     /// received from others and not in this log are lost with the process; a voter that counted them would
     /// then grant leases to fronts without them.
-    pub fn logged(&mut self, history: &History) {
+    pub fn record_logged(&mut self, history: &History) {
         if self.position() >= history.position {
-            self.logged = history.latest;
+            self.logged_version = history.latest;
         }
     }
 
     /// Position in the history after all returned entries.
     pub fn position(&self) -> u64 {
-        self.base + self.taken as u64
+        self.base + self.handed_out as u64
     }
 }
 
@@ -403,15 +414,15 @@
 /// crate, given an old synchronisation of the same ballot again, truncates entries that it has acknowledged
 /// since.
 #[derive(Clone, Debug, Default)]
-pub struct Order {
-    heard: BTreeMap<(Name, u64), (u64, u64)>,
+pub struct MessageOrder {
+    latest: BTreeMap<(Name, u64), (u64, u64)>,
 }
 
-impl Order {
+impl MessageOrder {
     /// Whether the message is newer than all received from this disk: from a later start, or later in the
     /// same start.
-    pub fn next(&mut self, name: &Name, disk: u64, start: u64, sequence: u64) -> bool {
-        let last = self.heard.entry((Name::clone(name), disk)).or_default();
+    pub fn accept(&mut self, name: &Name, disk: u64, start: u64, sequence: u64) -> bool {
+        let last = self.latest.entry((Name::clone(name), disk)).or_default();
         let newer = (start, sequence) > *last;
         if newer {
             *last = (start, sequence);
--- a/crates/accord/src/edge.rs
+++ b/crates/accord/src/edge.rs
@@ -45,7 +45,7 @@
 /// Least time between two attempts to connect to a front.
 const RECONNECT_INTERVAL: Micros = 200_000;
 /// Most connections at once.
-const MOST: usize = 4_096;
+const MAX_CONNECTIONS: usize = 4_096;
 
 /// Why accord failed to start.
 #[derive(Debug, Error)]
@@ -70,7 +70,7 @@
     at.tv_sec as u64 * 1_000_000 + at.tv_nsec as u64 / 1_000
 }
 
-fn unix() -> Micros {
+fn unix_time() -> Micros {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
@@ -195,7 +195,7 @@
         let mut out = Vec::new();
         let accord = Accord::new(own, image, now(), &mut out);
         let shared_coordination = Coordination::new(accord.coordination().clone());
-        let (commands, heard) = crossbeam_channel::unbounded();
+        let (commands, received) = crossbeam_channel::unbounded();
         let handle = Handle { commands, waker };
         let work = Service {
             accord,
@@ -208,23 +208,23 @@
             socket,
             listener,
             companion,
-            links: BTreeMap::new(),
-            next: 2,
-            known: BTreeMap::new(),
-            to: BTreeMap::new(),
-            from: BTreeMap::new(),
-            again: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            next_token: 2,
+            addresses: BTreeMap::new(),
+            outgoing: BTreeMap::new(),
+            incoming: BTreeMap::new(),
+            retry_at: BTreeMap::new(),
             tickets: BTreeMap::new(),
-            ticket: 0,
+            last_ticket: 0,
         };
         let spawn = |name: &str| thread::Builder::new().name(name.into()).stack_size(THREAD_STACK_BYTES);
         if let Some((every, viewers)) = settings.trial.as_ref().and_then(|trial| trial.acts) {
             let (shared_coordination, name) = (shared_coordination.clone(), Name::clone(&settings.name));
             let history = settings.history.as_ref().map(open).transpose().map_err(StartError::History)?;
-            let acts = move || act(&shared_coordination, &name, history, every, viewers);
+            let acts = move || act_for_trial(&shared_coordination, &name, history, every, viewers);
             spawn("acts").spawn(acts).map_err(StartError::Thread)?;
         }
-        let thread = spawn("accord").spawn(move || work.run(out, &heard)).map_err(StartError::Thread)?;
+        let thread = spawn("accord").spawn(move || work.run(out, &received)).map_err(StartError::Thread)?;
         Ok(Running { handle, shared_coordination, thread: Some(thread) })
     }
 
@@ -255,7 +255,7 @@
 /// A random number for a new disk; a collision is very unlikely.
 pub fn new_disk_id() -> u64 {
     let mut hasher = blake3::Hasher::new();
-    hasher.update(&unix().to_be_bytes());
+    hasher.update(&unix_time().to_be_bytes());
     hasher.update(&now().to_be_bytes());
     hasher.update(&std::process::id().to_be_bytes());
     let mut noise = [0; 32];
@@ -268,7 +268,7 @@
 }
 
 /// Only in trials: acts as a front would, and writes what it did to the history log.
-fn act(
+fn act_for_trial(
     shared_coordination: &Coordination,
     name: &Name,
     mut history: Option<File>,
@@ -280,7 +280,7 @@
         thread::sleep(Duration::from_micros(every));
         turn += 1;
         let viewer = format!("v{}", turn % viewers.max(1));
-        let line = history_log::act(unix(), name, &shared_coordination.current(), now(), &viewer);
+        let line = history_log::act(unix_time(), name, &shared_coordination.current(), now(), &viewer);
         if let Some(file) = &mut history {
             let _ = file.write_all(format!("{line}\n").as_bytes());
         }
@@ -291,15 +291,15 @@
 struct Connection {
     stream: TcpStream,
     /// The front that this one connected to; none for an accepted connection.
-    called: Option<Name>,
+    dialled: Option<Name>,
     /// Whether it is established.
-    open: bool,
+    established: bool,
     /// Until the first authenticated frame of an accepted connection: since when it has been open.
-    strange: Option<Micros>,
+    unauthenticated_since: Option<Micros>,
     read: Vec<u8>,
     write: Vec<u8>,
     /// Since when none of the queued bytes were taken.
-    stuck: Option<Micros>,
+    stalled_since: Option<Micros>,
 }
 
 struct Service {
@@ -313,16 +313,16 @@
     socket: TcpListener,
     listener: Option<Listener>,
     companion: Option<Companion>,
-    links: BTreeMap<usize, Connection>,
-    next: usize,
-    known: BTreeMap<Name, SocketAddr>,
+    connections: BTreeMap<usize, Connection>,
+    next_token: usize,
+    addresses: BTreeMap<Name, SocketAddr>,
     /// Connections by the front that was connected to, and by the front that connected last.
-    to: BTreeMap<Name, usize>,
-    from: BTreeMap<Name, usize>,
-    again: BTreeMap<Name, Micros>,
+    outgoing: BTreeMap<Name, usize>,
+    incoming: BTreeMap<Name, usize>,
+    retry_at: BTreeMap<Name, Micros>,
     /// Operators waiting for a reply: the connection, and the operator's request number.
     tickets: BTreeMap<u64, (usize, u64)>,
-    ticket: u64,
+    last_ticket: u64,
 }
 
 impl Service {
@@ -335,11 +335,11 @@
         loop {
             loop {
                 match commands.try_recv() {
-                    Ok(Command::Members(known)) => self.view(known),
-                    Ok(Command::ChangeSuccessors(changes)) => self.hand(Input::ChangeSuccessors(changes)),
+                    Ok(Command::Members(known)) => self.update_view(known),
+                    Ok(Command::ChangeSuccessors(changes)) => self.handle(Input::ChangeSuccessors(changes)),
                     Ok(Command::Relay(to, bytes)) => {
-                        if let Some(token) = self.way(&to) {
-                            self.put(token, &Frame::Relayed(Name::clone(&self.name), bytes));
+                        if let Some(token) = self.connection_to(&to) {
+                            self.queue_frame(token, &Frame::Relayed(Name::clone(&self.name), bytes));
                         }
                     }
                     Ok(Command::Keys(keys)) => self.settings.keys = keys,
@@ -374,26 +374,28 @@
                     }
                 }
             }
-            self.give_up();
-            self.hand(Input::Tick);
+            self.close_stalled();
+            self.handle(Input::Tick);
         }
     }
 
-    fn view(&mut self, known: Vec<KnownFront>) {
+    fn update_view(&mut self, known: Vec<KnownFront>) {
         let here: BTreeSet<Name> =
             known.iter().filter(|one| one.in_view).map(|one| Name::clone(&one.name)).collect();
         for one in known {
-            let moved =
-                self.known.insert(Name::clone(&one.name), one.address).is_some_and(|old| old != one.address);
+            let moved = self
+                .addresses
+                .insert(Name::clone(&one.name), one.address)
+                .is_some_and(|old| old != one.address);
             if moved {
                 // Danger: messages to a front would go on to whichever process has its old address.
-                if let Some(token) = self.to.remove(&one.name) {
-                    self.hang(token);
+                if let Some(token) = self.outgoing.remove(&one.name) {
+                    self.close(token);
                 }
             }
         }
         let own = Name::clone(&self.name);
-        self.hand(Input::View(here.into_iter().filter(|name| *name != own).collect()));
+        self.handle(Input::View(here.into_iter().filter(|name| *name != own).collect()));
     }
 
     // ---- Connections ----
@@ -401,8 +403,8 @@
     fn accept(&mut self) {
         loop {
             match self.socket.accept() {
-                Ok((stream, _)) if self.links.len() < MOST => {
-                    self.link(stream, None, true);
+                Ok((stream, _)) if self.connections.len() < MAX_CONNECTIONS => {
+                    self.add_connection(stream, None, true);
                 }
                 Ok(_) => {}
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -411,110 +413,130 @@
         }
     }
 
-    fn link(&mut self, mut stream: TcpStream, called: Option<Name>, open: bool) -> Option<usize> {
-        let token = self.next;
-        self.next += 1;
+    fn add_connection(
+        &mut self,
+        mut stream: TcpStream,
+        dialled: Option<Name>,
+        established: bool,
+    ) -> Option<usize> {
+        let token = self.next_token;
+        self.next_token += 1;
         let _ = stream.set_nodelay(true);
         let both = Interest::READABLE | Interest::WRITABLE;
         self.poll.registry().register(&mut stream, Token(token), both).ok()?;
-        let stuck = (!open).then(now);
-        let strange = called.is_none().then(now);
-        self.links.insert(
+        let stalled_since = (!established).then(now);
+        let unauthenticated_since = dialled.is_none().then(now);
+        self.connections.insert(
             token,
-            Connection { stream, called, open, strange, read: Vec::new(), write: Vec::new(), stuck },
+            Connection {
+                stream,
+                dialled,
+                established,
+                unauthenticated_since,
+                read: Vec::new(),
+                write: Vec::new(),
+                stalled_since,
+            },
         );
         Some(token)
     }
 
     /// The connection for messages to a front; opened if needed.
-    fn way(&mut self, to: &Name) -> Option<usize> {
-        if let Some(token) = self.to.get(to) {
+    fn connection_to(&mut self, to: &Name) -> Option<usize> {
+        if let Some(token) = self.outgoing.get(to) {
             return Some(*token);
         }
-        let Some(address) = self.known.get(to).copied() else { return self.from.get(to).copied() };
-        if self.again.get(to).is_some_and(|at| *at > now()) {
+        let Some(address) = self.addresses.get(to).copied() else { return self.incoming.get(to).copied() };
+        if self.retry_at.get(to).is_some_and(|at| *at > now()) {
             return None;
         }
-        self.again.insert(Name::clone(to), now() + RECONNECT_INTERVAL);
+        self.retry_at.insert(Name::clone(to), now() + RECONNECT_INTERVAL);
         let relay = self.settings.trial.as_ref().and_then(|trial| trial.relay);
         let stream = TcpStream::connect(relay.unwrap_or(address)).ok()?;
-        let token = self.link(stream, Some(Name::clone(to)), false)?;
+        let token = self.add_connection(stream, Some(Name::clone(to)), false)?;
         if let (Some(_), SocketAddr::V4(own), SocketAddr::V4(peer)) =
             (relay, self.settings.advertise, address)
         {
             let relay_prefix = [own, peer].into_iter().flat_map(relay_prefix).collect::<Vec<u8>>();
-            self.links.entry(token).and_modify(|link| link.write = relay_prefix);
+            self.connections.entry(token).and_modify(|connection| connection.write = relay_prefix);
         }
-        self.to.insert(Name::clone(to), token);
-        self.put(token, &Frame::Hello);
+        self.outgoing.insert(Name::clone(to), token);
+        self.queue_frame(token, &Frame::Hello);
         Some(token)
     }
 
-    fn hang(&mut self, token: usize) {
-        let Some(mut link) = self.links.remove(&token) else { return };
-        let _ = self.poll.registry().deregister(&mut link.stream);
-        self.to.retain(|_, at| *at != token);
-        self.from.retain(|_, at| *at != token);
+    fn close(&mut self, token: usize) {
+        let Some(mut connection) = self.connections.remove(&token) else { return };
+        let _ = self.poll.registry().deregister(&mut connection.stream);
+        self.outgoing.retain(|_, at| *at != token);
+        self.incoming.retain(|_, at| *at != token);
         self.tickets.retain(|_, (at, _)| *at != token);
     }
 
     /// Closes connections that have made no progress for too long.
-    fn give_up(&mut self) {
+    fn close_stalled(&mut self) {
         let now = now();
         let long = |since: Option<Micros>| since.is_some_and(|since| since + CONNECTION_STALL_TIMEOUT <= now);
-        let stuck = |link: &Connection| long(link.stuck) || long(link.strange);
-        let all: Vec<usize> =
-            self.links.iter().filter(|(_, link)| stuck(link)).map(|(token, _)| *token).collect();
-        all.into_iter().for_each(|token| self.hang(token));
+        let is_stalled = |connection: &Connection| {
+            long(connection.stalled_since) || long(connection.unauthenticated_since)
+        };
+        let all: Vec<usize> = self
+            .connections
+            .iter()
+            .filter(|(_, connection)| is_stalled(connection))
+            .map(|(token, _)| *token)
+            .collect();
+        all.into_iter().for_each(|token| self.close(token));
     }
 
     fn flush(&mut self, token: usize) {
-        let Some(link) = self.links.get_mut(&token) else { return };
-        if !link.open {
-            match link.stream.peer_addr() {
-                Ok(_) => link.open = true,
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if !connection.established {
+            match connection.stream.peer_addr() {
+                Ok(_) => connection.established = true,
                 Err(error) if error.kind() == ErrorKind::NotConnected => {
                     // Not established yet: a failed connection is reported by an error, or closed after the
                     // timeout.
-                    if link.stream.take_error().ok().flatten().is_some() {
-                        self.hang(token);
+                    if connection.stream.take_error().ok().flatten().is_some() {
+                        self.close(token);
                     }
                     return;
                 }
-                Err(_) => return self.hang(token),
+                Err(_) => return self.close(token),
             }
         }
-        let mut gone = false;
-        while !link.write.is_empty() {
-            match link.stream.write(&link.write) {
-                Ok(0) => gone = true,
+        let mut closed = false;
+        while !connection.write.is_empty() {
+            match connection.stream.write(&connection.write) {
+                Ok(0) => closed = true,
                 Ok(count) => {
-                    link.write.drain(..count);
-                    link.stuck = None;
+                    connection.write.drain(..count);
+                    connection.stalled_since = None;
                     continue;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                Err(_) => gone = true,
+                Err(_) => closed = true,
             }
             break;
         }
-        link.stuck = if link.write.is_empty() { None } else { link.stuck.or_else(|| Some(now())) };
-        if gone {
-            self.hang(token);
+        connection.stalled_since =
+            if connection.write.is_empty() { None } else { connection.stalled_since.or_else(|| Some(now())) };
+        if closed {
+            self.close(token);
         }
     }
 
     fn read(&mut self, token: usize) {
         let mut bytes = [0; 16 * 1024];
         let mut took = 0;
-        let mut gone = false;
-        let Some(link) = self.links.get_mut(&token) else { return };
+        let mut closed = false;
+        let Some(connection) = self.connections.get_mut(&token) else { return };
         loop {
-            match link.stream.read(&mut bytes) {
-                Ok(0) => gone = true,
+            match connection.stream.read(&mut bytes) {
+                Ok(0) => closed = true,
                 Ok(count) => {
-                    link.read.extend_from_slice(&bytes[..count]);
+                    connection.read.extend_from_slice(&bytes[..count]);
                     took += count;
                     if took < READ_BUDGET_BYTES {
                         continue;
@@ -522,79 +544,82 @@
                     // Reregisters, so that the remaining bytes are reported: readiness is reported once for
                     // each change.
                     let both = Interest::READABLE | Interest::WRITABLE;
-                    let _ = self.poll.registry().reregister(&mut link.stream, Token(token), both);
+                    let _ = self.poll.registry().reregister(&mut connection.stream, Token(token), both);
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {}
-                Err(_) => gone = true,
+                Err(_) => closed = true,
             }
             break;
         }
         loop {
-            let Some(link) = self.links.get_mut(&token) else { return };
-            let longest =
-                if link.strange.is_some() { wire::MAX_FIRST_FRAME_BYTES } else { wire::MAX_FRAME_BYTES };
-            match wire::decode(&link.read, &self.settings.keys, longest) {
+            let Some(connection) = self.connections.get_mut(&token) else { return };
+            let longest = if connection.unauthenticated_since.is_some() {
+                wire::MAX_FIRST_FRAME_BYTES
+            } else {
+                wire::MAX_FRAME_BYTES
+            };
+            match wire::decode(&connection.read, &self.settings.keys, longest) {
                 Ok(Some((frame, used))) => {
-                    link.strange = None;
-                    link.read.drain(..used);
-                    self.frame(token, frame);
+                    connection.unauthenticated_since = None;
+                    connection.read.drain(..used);
+                    self.receive_frame(token, frame);
                 }
                 Ok(None) => break,
                 Err(error) => {
-                    let from = link.stream.peer_addr().ok();
+                    let from = connection.stream.peer_addr().ok();
                     tracing::warn!(?from, %error, "accord: a connection is given up");
-                    return self.hang(token);
+                    return self.close(token);
                 }
             }
         }
-        if gone {
-            self.hang(token);
+        if closed {
+            self.close(token);
         }
     }
 
-    fn frame(&mut self, token: usize, frame: Frame) {
+    fn receive_frame(&mut self, token: usize, frame: Frame) {
         match frame {
             Frame::Peer(envelope) => {
-                if self.links.get(&token).is_some_and(|link| link.called.is_none()) {
-                    self.from.insert(Name::clone(&envelope.name), token);
+                if self.connections.get(&token).is_some_and(|connection| connection.dialled.is_none()) {
+                    self.incoming.insert(Name::clone(&envelope.name), token);
                 }
-                self.hand(Input::Received(envelope));
+                self.handle(Input::Received(envelope));
             }
             Frame::Relayed(name, bytes) => {
-                if self.links.get(&token).is_some_and(|link| link.called.is_none()) {
-                    self.from.insert(Name::clone(&name), token);
+                if self.connections.get(&token).is_some_and(|connection| connection.dialled.is_none()) {
+                    self.incoming.insert(Name::clone(&name), token);
                 }
                 if let Some(companion) = &self.companion {
                     (companion.on_message)(name, bytes);
                 }
             }
-            Frame::Question(count, question) => self.asked(token, count, question),
+            Frame::Question(count, question) => self.answer_question(token, count, question),
             Frame::Hello | Frame::Answer(..) => {}
         }
     }
 
-    fn put(&mut self, token: usize, frame: &Frame) {
+    fn queue_frame(&mut self, token: usize, frame: &Frame) {
         let bytes = match wire::encode(frame, &self.settings.keys) {
             Ok(bytes) => bytes,
             Err(error) => return tracing::error!(%error, "accord: a message is not sent"),
         };
-        let Some(link) = self.links.get_mut(&token) else { return };
-        if link.write.len() + bytes.len() > MAX_WRITE_QUEUE_BYTES {
-            return self.hang(token);
+        let Some(connection) = self.connections.get_mut(&token) else { return };
+        if connection.write.len() + bytes.len() > MAX_WRITE_QUEUE_BYTES {
+            return self.close(token);
         }
-        link.write.extend(bytes);
-        if link.open {
+        connection.write.extend(bytes);
+        if connection.established {
             self.flush(token);
         }
     }
 
     // ---- Operators ----
 
-    fn asked(&mut self, token: usize, count: u64, question: Question) {
+    fn answer_question(&mut self, token: usize, count: u64, question: Question) {
         let history = self.accord.history();
         let answer: Answer = match question {
-            Question::Status => Ok(self.show().to_string()),
+            Question::Status => Ok(self.status().to_string()),
             Question::Copies => match &self.companion {
                 Some(companion) => Ok((companion.status)()),
                 None => Err("this front keeps no copies: its settings have no `copies`".into()),
@@ -620,20 +645,20 @@
                 Ok(json!({"latest": history.latest, "begun": history.begun, "versions": all}).to_string())
             }
             Question::Propose(base, by, rules) => {
-                self.ticket += 1;
-                self.tickets.insert(self.ticket, (token, count));
-                return self.hand(Input::Propose(self.ticket, base, by, unix(), *rules));
+                self.last_ticket += 1;
+                self.tickets.insert(self.last_ticket, (token, count));
+                return self.handle(Input::Propose(self.last_ticket, base, by, unix_time(), *rules));
             }
             Question::ChangeVoters(names) => {
-                self.ticket += 1;
-                self.tickets.insert(self.ticket, (token, count));
-                return self.hand(Input::ChangeVoters(self.ticket, names));
+                self.last_ticket += 1;
+                self.tickets.insert(self.last_ticket, (token, count));
+                return self.handle(Input::ChangeVoters(self.last_ticket, names));
             }
         };
-        self.put(token, &Frame::Answer(count, answer));
+        self.queue_frame(token, &Frame::Answer(count, answer));
     }
 
-    fn show(&self) -> serde_json::Value {
+    fn status(&self) -> serde_json::Value {
         let (history, coordination, now) = (self.accord.history(), self.accord.coordination(), now());
         let by = match coordination.active_rules(now) {
             Ok((crate::core::coordination::Basis::Lease, _)) => "lease",
@@ -641,8 +666,9 @@
             Err(_) => "none",
         };
         let voter = self.accord.voter();
-        let voters: Vec<String> = history.voters.seats.values().map(|seat| seat.name.to_string()).collect();
-        let leader = voter.and_then(|voter| history.voters.seats.get(&voter.leader()?));
+        let voters: Vec<String> =
+            history.voters.by_number.values().map(|seat| seat.name.to_string()).collect();
+        let leader = voter.and_then(|voter| history.voters.by_number.get(&voter.leader()?));
         json!({"front": &*self.name, "acts_by": by, "begun": history.begun, "latest": history.latest,
             "steps": history.position, "lease_ms": coordination.lease_until.saturating_sub(now) / 1000,
             "epoch": history.voters.epoch, "voters": voters, "votes": voter.is_some(),
@@ -652,7 +678,7 @@
 
     // ---- The core ----
 
-    fn hand(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let mut out = Vec::new();
         self.accord.handle(now(), input, &mut out);
         self.carry_out(out);
@@ -660,7 +686,7 @@
 
     fn carry_out(&mut self, out: Vec<Output>) {
         for output in out {
-            if let Some(line) = history_log::line(unix(), &self.name, &output) {
+            if let Some(line) = history_log::line(unix_time(), &self.name, &output) {
                 if let Some(file) = &mut self.history {
                     let _ = file.write_all(format!("{line}\n").as_bytes());
                 }
@@ -672,7 +698,7 @@
                         tracing::error!(%error, "accord: nothing can be kept: this front does not vote until it is started again");
                         self.store = None;
                         // Danger: later outputs of this list would announce state that is on no disk.
-                        return self.hand(Input::DiskFailed);
+                        return self.handle(Input::DiskFailed);
                     }
                 }
                 Output::Send(envelope) => self.send(envelope),
@@ -682,7 +708,7 @@
                     }
                     self.shared_coordination.set(coordination);
                 }
-                Output::Reply(ticket, told) => self.told(ticket, &told),
+                Output::Reply(ticket, told) => self.send_reply(ticket, &told),
                 Output::Version(number, _) => tracing::info!(number, "accord: a version is agreed on"),
                 Output::Voting(votes) => tracing::info!(?votes, "accord: votes"),
                 Output::HistoryDiverged(name) => {
@@ -695,12 +721,12 @@
 
     fn send(&mut self, envelope: Box<Envelope>) {
         let to = Name::clone(&envelope.to);
-        if let Some(token) = self.way(&to) {
-            self.put(token, &Frame::Peer(envelope));
+        if let Some(token) = self.connection_to(&to) {
+            self.queue_frame(token, &Frame::Peer(envelope));
         }
     }
 
-    fn told(&mut self, ticket: u64, told: &OperatorReply) {
+    fn send_reply(&mut self, ticket: u64, told: &OperatorReply) {
         let Some((token, count)) = self.tickets.remove(&ticket) else { return };
         use crate::core::history::ProposalOutcome;
         let answer = match told {
@@ -715,7 +741,7 @@
             OperatorReply::Refused(why) => Err(why.clone()),
             OperatorReply::Asked => Ok(json!({"asked": true}).to_string()),
         };
-        self.put(token, &Frame::Answer(count, answer));
+        self.queue_frame(token, &Frame::Answer(count, answer));
     }
 }
 
--- a/crates/accord/src/query.rs
+++ b/crates/accord/src/query.rs
@@ -44,12 +44,12 @@
     let bytes = wire::encode(&Frame::Question(1, question), &settings.keys)
         .map_err(|error| AskError::Frame(to, error))?;
     stream.write_all(&bytes).map_err(silent)?;
-    let (mut heard, mut part) = (Vec::new(), [0; 16 * 1024]);
+    let (mut received, mut part) = (Vec::new(), [0; 16 * 1024]);
     loop {
-        if let Some((frame, used)) = wire::decode(&heard, &settings.keys, wire::MAX_FRAME_BYTES)
+        if let Some((frame, used)) = wire::decode(&received, &settings.keys, wire::MAX_FRAME_BYTES)
             .map_err(|error| AskError::Frame(to, error))?
         {
-            heard.drain(..used);
+            received.drain(..used);
             if let Frame::Answer(1, answer) = frame {
                 return answer.map_err(AskError::Refused);
             }
@@ -57,7 +57,7 @@
         }
         match stream.read(&mut part).map_err(silent)? {
             0 => return Err(silent(io::ErrorKind::UnexpectedEof.into())),
-            count => heard.extend_from_slice(&part[..count]),
+            count => received.extend_from_slice(&part[..count]),
         }
     }
 }
--- a/crates/accord/src/rules_kdl.rs
+++ b/crates/accord/src/rules_kdl.rs
@@ -13,7 +13,7 @@
 pub fn read(document: &Document) -> Read<Rules> {
     let root = document.root();
     let mut rules = Rules::default();
-    let twice = |node: &Node<'_>, what: &str| node.error(format!("{what} stands twice"));
+    let duplicate = |node: &Node<'_>, what: &str| node.error(format!("{what} stands twice"));
     for node in root.all("class") {
         let name: String = node.argument()?;
         let usual = ClassTerms::default();
@@ -28,7 +28,7 @@
         }
         node.done()?;
         if rules.classes.insert(name.clone(), terms).is_some() {
-            return Err(twice(&node, &format!("class `{name}`")));
+            return Err(duplicate(&node, &format!("class `{name}`")));
         }
     }
     if let Some(node) = root.one("ladder")? {
@@ -45,7 +45,7 @@
         let most = node.need("most")?;
         node.done()?;
         if rules.limits.insert(limit, most).is_some() {
-            return Err(twice(&node, &format!("limit `{name}`")));
+            return Err(duplicate(&node, &format!("limit `{name}`")));
         }
     }
     for node in root.all("title") {
@@ -53,7 +53,7 @@
         let cells = node.arguments::<u32>()?.into_iter().collect();
         node.done()?;
         if rules.titles.insert(name.clone(), cells).is_some() {
-            return Err(twice(&node, &format!("title `{name}`")));
+            return Err(duplicate(&node, &format!("title `{name}`")));
         }
     }
     if let Some(node) = root.one("closed-cells")? {
@@ -68,7 +68,7 @@
         };
         node.done()?;
         if !rules.refused.insert(who.clone()) {
-            return Err(twice(&node, &format!("{who}")));
+            return Err(duplicate(&node, &format!("{who}")));
         }
     }
     for node in root.all("box") {
@@ -80,7 +80,7 @@
         };
         node.done()?;
         if rules.boxes.insert(name.clone(), order).is_some() {
-            return Err(twice(&node, &format!("box `{name}`")));
+            return Err(duplicate(&node, &format!("box `{name}`")));
         }
     }
     root.done()?;
@@ -95,20 +95,20 @@
     };
     let usual = ClassTerms::default();
     for (name, terms) in &rules.classes {
-        let mut said = format!("class {name:?}");
+        let mut line_text = format!("class {name:?}");
         if terms.open != usual.open {
-            said.push_str(" open=#false");
+            line_text.push_str(" open=#false");
         }
         if terms.top_rung != usual.top_rung {
-            let _ = write!(said, " top-rung={}", terms.top_rung);
+            let _ = write!(line_text, " top-rung={}", terms.top_rung);
         }
         if terms.seats != usual.seats {
-            let _ = write!(said, " seats={}", terms.seats);
+            let _ = write!(line_text, " seats={}", terms.seats);
         }
         if terms.ends != usual.ends {
-            said.push_str(" ends=#true");
+            line_text.push_str(" ends=#true");
         }
-        line(said);
+        line(line_text);
     }
     rules.ladder.iter().for_each(|top| line(format!("ladder top-rung={top}")));
     rules.limits.iter().for_each(|(limit, most)| line(format!("limit \"{limit}\" most={most}")));
--- a/crates/accord/src/store.rs
+++ b/crates/accord/src/store.rs
@@ -126,13 +126,13 @@
     }
 
     fn load(&self) -> Result<(Image, bool), StoreError> {
-        let place = file_identity(&self.path).map_err(|error| io_error(&self.path, &error))?;
-        let begun = self.database.begin_read().map_err(|error| self.failed(error))?;
-        let head = match begun.open_table(HEAD) {
+        let identity = file_identity(&self.path).map_err(|error| io_error(&self.path, &error))?;
+        let transaction = self.database.begin_read().map_err(|error| self.failed(error))?;
+        let head = match transaction.open_table(HEAD) {
             Ok(head) => head,
             Err(redb::TableError::TableDoesNotExist(_)) => {
-                drop(begun);
-                self.begin(place)?;
+                drop(transaction);
+                self.initialise(identity)?;
                 return Ok((Image::default(), false));
             }
             Err(error) => return Err(self.failed(error)),
@@ -142,10 +142,10 @@
             return Err(StoreError::Form(self.path.display().to_string(), form));
         }
         let history = self.get(&head, "history")?;
-        if self.get(&head, "place")? != Some(place) {
+        if self.get(&head, "place")? != Some(identity) {
             // Danger: the original may still vote, or may have voted since; a copy does not know of it.
-            drop((head, begun));
-            self.begin(place)?;
+            drop((head, transaction));
+            self.initialise(identity)?;
             return Ok((Image { history, ..Image::default() }, true));
         }
         let identity = self.get(&head, "identity")?;
@@ -153,7 +153,7 @@
         let vote = match vote {
             None => None,
             Some(vote) => {
-                let log = begun.open_table(LOG).map_err(|error| self.failed(error))?;
+                let log = transaction.open_table(LOG).map_err(|error| self.failed(error))?;
                 let mut entries = Vec::new();
                 for item in log.iter().map_err(|error| self.failed(error))? {
                     let (at, bytes) = item.map_err(|error| self.failed(error))?;
@@ -185,7 +185,7 @@
     }
 
     /// Initialises the file; an existing history is kept.
-    fn begin(&self, place: (u64, u64)) -> Result<(), StoreError> {
+    fn initialise(&self, identity: (u64, u64)) -> Result<(), StoreError> {
         let write = self.database.begin_write().map_err(|error| self.failed(error))?;
         {
             let mut head = write.open_table(HEAD).map_err(|error| self.failed(error))?;
@@ -193,7 +193,7 @@
                 head.remove(key).map_err(|error| self.failed(error))?;
             }
             put(&mut head, "form", &STORE_FORMAT).map_err(|error| self.failed(error))?;
-            put(&mut head, "place", &place).map_err(|error| self.failed(error))?;
+            put(&mut head, "place", &identity).map_err(|error| self.failed(error))?;
             let mut log = write.open_table(LOG).map_err(|error| self.failed(error))?;
             log.retain(|_, _| false).map_err(|error| self.failed(error))?;
         }
--- a/crates/accord/src/wire.rs
+++ b/crates/accord/src/wire.rs
@@ -109,12 +109,13 @@
     if rest.first().is_some_and(|version| *version != VERSION) {
         return Err(BadFrame::Version(rest[0]));
     }
-    let Some(whole) = rest.get(..length) else { return Ok(None) };
-    let (said, tag) = whole.split_at(length - TAG_BYTES);
-    if !ring.verifies(said, tag) {
+    let Some(complete) = rest.get(..length) else { return Ok(None) };
+    let (authenticated, tag) = complete.split_at(length - TAG_BYTES);
+    if !ring.verifies(authenticated, tag) {
         return Err(BadFrame::Foreign);
     }
-    let (frame, left) = postcard::take_from_bytes::<Frame>(&said[1..]).map_err(|_| BadFrame::Unreadable)?;
+    let (frame, left) =
+        postcard::take_from_bytes::<Frame>(&authenticated[1..]).map_err(|_| BadFrame::Unreadable)?;
     if !left.is_empty() {
         return Err(BadFrame::Unreadable);
     }
--- a/crates/copies/src/core/replica.rs
+++ b/crates/copies/src/core/replica.rs
@@ -87,7 +87,8 @@
     }
 
     /// Applies the changes after `from` up to `to`; `whole` tells that nothing between is left out. Returns
-    /// false, without a change, if the changes before `from` are missing.
+    /// false, without a change, if the changes before `from` are missing or later ones are already
+    /// applied.
     pub fn put(&mut self, from: u64, to: u64, whole: bool, changes: &[Change]) -> bool {
         if self.head.applied < from || to < self.head.applied {
             return false;
