--- a/crates/copies/src/core/mod.rs
+++ b/crates/copies/src/core/mod.rs
@@ -255,23 +255,23 @@
 pub struct Copies {
     own: FrontIdentity,
     now: Micros,
-    incarnations: bool,
+    active: bool,
     owner: Owner,
     boot: Option<u64>,
-    here_since: Micros,
+    in_view_since: Micros,
     peers: BTreeMap<Name, Peer>,
-    loads: BTreeMap<Name, u64>,
-    avoided: BTreeMap<Name, Micros>,
-    silent: BTreeMap<Name, Micros>,
+    records_at_peer: BTreeMap<Name, u64>,
+    avoided_until: BTreeMap<Name, Micros>,
+    last_heard: BTreeMap<Name, Micros>,
     replicas: BTreeMap<Incarnation, HeldReplica>,
     takeovers: BTreeMap<Incarnation, Takeover>,
     successors: Arc<Successors>,
     begun: u64,
-    asked: BTreeMap<Incarnation, Micros>,
-    rest: BTreeMap<Incarnation, Micros>,
+    next_request: BTreeMap<Incarnation, Micros>,
+    empty_since: BTreeMap<Incarnation, Micros>,
     journal: Vec<Write>,
     next_tick: Micros,
-    next_beat: Micros,
+    next_heartbeat: Micros,
 }
 
 impl Copies {
@@ -281,14 +281,14 @@
         Copies {
             own,
             now,
-            incarnations: true,
+            active: true,
             owner: Owner::default(),
             boot: None,
-            here_since: now,
+            in_view_since: now,
             peers: BTreeMap::new(),
-            loads: BTreeMap::new(),
-            avoided: BTreeMap::new(),
-            silent: BTreeMap::new(),
+            records_at_peer: BTreeMap::new(),
+            avoided_until: BTreeMap::new(),
+            last_heard: BTreeMap::new(),
             replicas: image
                 .replicas
                 .into_iter()
@@ -297,11 +297,11 @@
             takeovers: BTreeMap::new(),
             successors: Arc::default(),
             begun: 0,
-            asked: BTreeMap::new(),
-            rest: BTreeMap::new(),
+            next_request: BTreeMap::new(),
+            empty_since: BTreeMap::new(),
             journal: Vec::new(),
             next_tick: now,
-            next_beat: now,
+            next_heartbeat: now,
         }
     }
 
@@ -339,35 +339,35 @@
     /// [`Input::Tick`], so that changes that arrive together are sent together.
     pub fn handle(&mut self, now: Micros, input: Input, out: &mut Vec<Output>) {
         self.now = self.now.max(now);
-        let mut then = Vec::new();
+        let mut effects = Vec::new();
         match input {
-            Input::Received(from, body) => self.heard(from, *body, &mut then),
-            Input::Tick => self.tick(&mut then),
-            Input::PutRecord(key, body, waits) => self.keep(key, body, waits, &mut then),
+            Input::Received(from, body) => self.receive(from, *body, &mut effects),
+            Input::Tick => self.tick(&mut effects),
+            Input::PutRecord(key, body, waits) => self.put_record(key, body, waits, &mut effects),
             Input::DeleteRecord(key) => self.change(key, None),
             Input::View(peers, boot) => self.view(peers, boot),
-            Input::Successors(successors, begun) => self.successors(successors, begun, &mut then),
-            Input::OrphanFound(incarnation) => self.found(incarnation, &mut then),
+            Input::Successors(successors, begun) => self.successors(successors, begun, &mut effects),
+            Input::OrphanFound(incarnation) => self.take_over_own(incarnation, &mut effects),
             Input::IncarnationChanged(incarnation) => {
-                (self.own.incarnation, self.incarnations, self.owner) = (incarnation, true, Owner::default());
+                (self.own.incarnation, self.active, self.owner) = (incarnation, true, Owner::default());
                 // Danger: holders that refused the previous incarnation because it was taken over would be
                 // avoided by the new one, which could store nothing meanwhile.
-                self.avoided.clear();
-                self.silent.clear();
+                self.avoided_until.clear();
+                self.last_heard.clear();
             }
-            Input::Leave => self.leave(&mut then),
+            Input::Leave => self.leave(&mut effects),
         }
-        self.kept(&mut then);
+        self.report_stored(&mut effects);
         if !self.journal.is_empty() {
             out.push(Output::Write(std::mem::take(&mut self.journal)));
         }
-        out.append(&mut then);
+        out.append(&mut effects);
     }
 
     // ---- The front's own records ----
 
-    fn keep(&mut self, key: RecordKey, body: RecordBody, waits: bool, out: &mut Vec<Output>) {
-        if !self.incarnations {
+    fn put_record(&mut self, key: RecordKey, body: RecordBody, waits: bool, out: &mut Vec<Output>) {
+        if !self.active {
             if waits {
                 out.push(Output::RecordStored(key, false));
             }
@@ -380,16 +380,16 @@
     }
 
     fn change(&mut self, key: RecordKey, body: Option<RecordBody>) {
-        if !self.incarnations {
+        if !self.active {
             return;
         }
         let Some(change) = self.owner.change(key, body) else { return };
         let entry = change.body.map(|body| (change.number, Some(body)));
         self.journal.push(Write::Entry(Incarnation::clone(&self.own.incarnation), change.key, entry));
-        self.own_head();
+        self.write_own_head();
     }
 
-    fn own_head(&mut self) {
+    fn write_own_head(&mut self) {
         let head = ReplicaHead {
             owner: Name::clone(&self.own.name),
             boot: self.boot.unwrap_or(0),
@@ -412,7 +412,7 @@
         }
     }
 
-    fn kept(&mut self, out: &mut Vec<Output>) {
+    fn report_stored(&mut self, out: &mut Vec<Output>) {
         let enough = self.enough();
         let (kept, late) = self.owner.settled(self.now, enough);
         out.extend(kept.into_iter().map(|key| Output::RecordStored(key, true)));
@@ -437,7 +437,7 @@
     }
 
     /// Sends holders the state after the last change; they answer with what they have.
-    fn beat(&mut self, out: &mut Vec<Output>) {
+    fn send_heartbeats(&mut self, out: &mut Vec<Output>) {
         let (group, number, boot) = (self.owner.group(), self.owner.number(), self.boot.unwrap_or(0));
         for (name, holder) in &self.owner.holders {
             if holder.acked == number || number == 0 || !holder.filled && holder.disk == 0 {
@@ -459,60 +459,59 @@
     }
 
     /// Replaces holders that left the view or are silent, one at a time.
-    fn regroup(&mut self, out: &mut Vec<Output>) {
+    fn update_holders(&mut self, out: &mut Vec<Output>) {
         let before = self.owner.group();
         let now = self.now;
-        self.avoided.retain(|_, until| *until > now);
+        self.avoided_until.retain(|_, until| *until > now);
         for name in &before {
-            let heard = self.silent.entry(Name::clone(name)).or_insert(now);
+            let heard = self.last_heard.entry(Name::clone(name)).or_insert(now);
             let silent = *heard + HOLDER_TIMEOUT <= now;
             if silent {
-                self.avoided.insert(Name::clone(name), now + HOLDER_AVOIDANCE);
+                self.avoided_until.insert(Name::clone(name), now + HOLDER_AVOIDANCE);
             }
             if silent || !self.peers.contains_key(name) {
                 self.owner.holders.remove(name);
-                self.silent.remove(name);
+                self.last_heard.remove(name);
             }
         }
         let filling = self.owner.holders.values().any(|holder| !holder.filled);
-        if self.owner.holders.len() < self.own.copies && !filling && self.boot.is_some() && self.incarnations
-        {
+        if self.owner.holders.len() < self.own.copies && !filling && self.boot.is_some() && self.active {
             let all: Vec<Candidate> = self
                 .peers
                 .values()
-                .filter(|peer| !self.avoided.contains_key(&peer.name))
+                .filter(|peer| !self.avoided_until.contains_key(&peer.name))
                 .map(|peer| Candidate {
                     name: Name::clone(&peer.name),
                     zone: peer.zone,
-                    records_held: self.loads.get(&peer.name).copied().unwrap_or(0),
+                    records_held: self.records_at_peer.get(&peer.name).copied().unwrap_or(0),
                 })
                 .collect();
             let holders =
                 before.iter().filter(|name| self.owner.holders.contains_key(*name)).cloned().collect();
             if let Some(name) = placement::next(&self.own.name, self.own.zone, &holders, &all) {
                 self.owner.begin(now, Name::clone(&name));
-                self.silent.insert(name, now);
-                self.next_beat = now;
+                self.last_heard.insert(name, now);
+                self.next_heartbeat = now;
             }
         }
         let after = self.owner.group();
         if after != before {
-            self.own_head();
+            self.write_own_head();
             out.push(Output::HoldersChanged(after));
         }
     }
 
     // ---- Messages ----
 
-    fn heard(&mut self, from: Name, body: Body, out: &mut Vec<Output>) {
+    fn receive(&mut self, from: Name, body: Body, out: &mut Vec<Output>) {
         match body {
             Body::Put { incarnation, boot, from: after, to, whole, changes, group, digests } => {
                 self.put(&from, incarnation, boot, (after, to, whole), &changes, group, digests, out);
             }
             Body::Ack(incarnation, have, disk, records_held) => {
-                self.loads.insert(Name::clone(&from), records_held);
+                self.records_at_peer.insert(Name::clone(&from), records_held);
                 if incarnation == self.own.incarnation {
-                    self.silent.insert(Name::clone(&from), self.now);
+                    self.last_heard.insert(Name::clone(&from), self.now);
                     self.owner.acked(self.now, &from, have, disk);
                     self.flush(out);
                 } else {
@@ -526,8 +525,8 @@
             }
             Body::Refused(incarnation) => {
                 if incarnation == self.own.incarnation && self.owner.holders.remove(&from).is_some() {
-                    self.avoided.insert(from, self.now + HOLDER_AVOIDANCE);
-                    self.regroup(out);
+                    self.avoided_until.insert(from, self.now + HOLDER_AVOIDANCE);
+                    self.update_holders(out);
                 }
             }
             Body::Differs(incarnation, have, parts) => {
@@ -760,8 +759,8 @@
             successors.ended.keys().filter(|incarnation| !self.successors.ended.contains_key(*incarnation));
         out.extend(over.map(|incarnation| Output::IncarnationEnded(Incarnation::clone(incarnation))));
         (self.successors, self.begun) = (successors, begun);
-        if self.incarnations && self.successors.is_superseded(&self.own.incarnation) {
-            self.incarnations = false;
+        if self.active && self.successors.is_superseded(&self.own.incarnation) {
+            self.active = false;
             self.takeovers.clear();
             self.owner = Owner::default();
             let successor = self.successors.current(&self.own.incarnation).cloned();
@@ -802,9 +801,9 @@
                 (!along || successor.settled).then(|| (Incarnation::clone(incarnation), epoch, along))
             })
             .collect();
-        for (incarnation, epoch, along) in begin.into_iter().filter(|_| self.incarnations) {
+        for (incarnation, epoch, along) in begin.into_iter().filter(|_| self.active) {
             if along {
-                self.rest.insert(Incarnation::clone(&incarnation), self.now);
+                self.empty_since.insert(Incarnation::clone(&incarnation), self.now);
                 self.takeovers.insert(incarnation, Takeover::along(epoch, self.now));
                 continue;
             }
@@ -816,20 +815,20 @@
             let own = replica.map(|replica| (&self.own.name, replica));
             let takeover = Takeover::new(epoch, self.now, whom, own);
             self.takeovers.insert(Incarnation::clone(&incarnation), takeover);
-            self.asked.insert(incarnation, 0);
+            self.next_request.insert(incarnation, 0);
         }
         self.next_tick = self.now;
     }
 
     /// Advances the takeovers of this front: requests, adopts, settles and ends them.
-    fn go_on(&mut self, out: &mut Vec<Output>) {
+    fn advance_takeovers(&mut self, out: &mut Vec<Output>) {
         let here: BTreeSet<Name> = self.peers.keys().cloned().collect();
         let incarnations: Vec<Incarnation> = self.takeovers.keys().cloned().collect();
         let filled = self.owner.holders.len().min(self.own.copies) >= self.enough();
-        let (level, now) = (filled && self.owner.waits() == 0 && self.level(), self.now);
+        let (level, now) = (filled && self.owner.waits() == 0 && self.fully_replicated(), self.now);
         let unheard = self.takeovers.values().any(|takeover| !takeover.settled && !takeover.handed);
         for incarnation in incarnations {
-            let due = self.asked.get(&incarnation).is_none_or(|at| *at <= now);
+            let due = self.next_request.get(&incarnation).is_none_or(|at| *at <= now);
             let Some(takeover) = self.takeovers.get_mut(&incarnation) else { continue };
             takeover.only(&here);
             let (epoch, link) = (
@@ -852,7 +851,7 @@
                             Body::Gather(Incarnation::clone(&incarnation), epoch),
                         ));
                     }
-                    self.asked.insert(Incarnation::clone(&incarnation), now + GATHER_RETRY_INTERVAL);
+                    self.next_request.insert(Incarnation::clone(&incarnation), now + GATHER_RETRY_INTERVAL);
                 }
                 if takeover.ripe(now) {
                     self.adopt(&incarnation, out);
@@ -863,31 +862,31 @@
                 if self.successors.by_incarnation.get(&incarnation).is_some_and(|successor| successor.settled)
                 {
                     takeover.settled = true;
-                    self.rest.insert(Incarnation::clone(&incarnation), now);
+                    self.empty_since.insert(Incarnation::clone(&incarnation), now);
                     self.drop_shelf(&incarnation);
                 } else if level && due {
                     out.push(Output::ChangeSuccessors(vec![SuccessionChange::Settled(
                         Incarnation::clone(&incarnation),
                         link,
                     )]));
-                    self.asked.insert(incarnation, now + VOTER_RETRY_INTERVAL);
+                    self.next_request.insert(incarnation, now + VOTER_RETRY_INTERVAL);
                 }
                 continue;
             }
             if self.owner.keys().any(|key| belongs_to(key, &incarnation)) {
-                self.rest.insert(incarnation, now);
-            } else if due && self.rest.get(&incarnation).is_none_or(|since| since + END_DELAY <= now) {
+                self.empty_since.insert(incarnation, now);
+            } else if due && self.empty_since.get(&incarnation).is_none_or(|since| since + END_DELAY <= now) {
                 out.push(Output::ChangeSuccessors(vec![SuccessionChange::Ended(
                     Incarnation::clone(&incarnation),
                     link,
                 )]));
-                self.asked.insert(incarnation, now + 2 * VOTER_RETRY_INTERVAL);
+                self.next_request.insert(incarnation, now + 2 * VOTER_RETRY_INTERVAL);
             }
         }
     }
 
     /// Whether enough holders have all changes of this front.
-    fn level(&self) -> bool {
+    fn fully_replicated(&self) -> bool {
         let number = self.owner.number();
         let level = self.owner.holders.values().filter(|holder| holder.acked == number).count();
         level >= self.enough()
@@ -907,17 +906,17 @@
 
     /// No front has a replica: this front takes over its own earlier incarnation, with the sessions that
     /// boxes report.
-    fn found(&mut self, incarnation: Incarnation, out: &mut Vec<Output>) {
-        if self.incarnations && !self.successors.is_superseded(&incarnation) {
+    fn take_over_own(&mut self, incarnation: Incarnation, out: &mut Vec<Output>) {
+        if self.active && !self.successors.is_superseded(&incarnation) {
             out.push(Output::ChangeSuccessors(vec![self.takes(&incarnation)]));
         }
     }
 
     /// Handles replicas whose owners are lost: proposes a takeover, offers the replica to a successor, or
     /// deletes it.
-    fn orphans(&mut self, out: &mut Vec<Output>) {
+    fn handle_orphans(&mut self, out: &mut Vec<Output>) {
         let now = self.now;
-        let new_here = self.boot.is_none() || self.here_since + VIEW_SETTLE_TIME > now;
+        let new_here = self.boot.is_none() || self.in_view_since + VIEW_SETTLE_TIME > now;
         let here: BTreeSet<Name> = self.peers.keys().cloned().collect();
         let (mut drops, mut offers, mut wants) = (Vec::new(), Vec::new(), Vec::new());
         for (incarnation, held) in &mut self.replicas {
@@ -957,8 +956,8 @@
             let since = *held.orphan.get_or_insert(now);
             let head = &held.replica.head;
             let wait = takeover::patience(&self.own.name, &head.owner, &head.holders, &here);
-            let due = self.asked.get(incarnation).is_none_or(|at| *at <= now);
-            if new_here || since + wait > now || !due || !self.incarnations {
+            let due = self.next_request.get(incarnation).is_none_or(|at| *at <= now);
+            if new_here || since + wait > now || !due || !self.active {
                 continue;
             }
             if held.replica.live_records() == 0 {
@@ -969,7 +968,7 @@
                 continue;
             }
             wants.push(Incarnation::clone(incarnation));
-            self.asked.insert(Incarnation::clone(incarnation), now + VOTER_RETRY_INTERVAL);
+            self.next_request.insert(Incarnation::clone(incarnation), now + VOTER_RETRY_INTERVAL);
         }
         drops.iter().for_each(|incarnation| self.drop_shelf(incarnation));
         offers.iter().for_each(|(to, incarnation)| self.offer(to, incarnation, out));
@@ -982,13 +981,13 @@
 
     fn view(&mut self, peers: Vec<Peer>, boot: Option<u64>) {
         if self.boot.is_none() && boot.is_some() {
-            self.here_since = self.now;
+            self.in_view_since = self.now;
         }
         if boot.is_some() {
             self.boot = boot;
         }
         self.peers = peers.into_iter().map(|peer| (Name::clone(&peer.name), peer)).collect();
-        self.loads.retain(|name, _| self.peers.contains_key(name));
+        self.records_at_peer.retain(|name, _| self.peers.contains_key(name));
         self.next_tick = self.now;
     }
 
@@ -998,17 +997,17 @@
         if self.now >= self.next_tick {
             // Danger: time during which this process was suspended would count as silence of its holders.
             let late = self.now - self.next_tick;
-            self.silent.values_mut().for_each(|heard| *heard = (*heard + late).min(self.now));
+            self.last_heard.values_mut().for_each(|heard| *heard = (*heard + late).min(self.now));
             self.next_tick = self.now + TICK_INTERVAL;
-            self.regroup(out);
-            self.orphans(out);
-            self.go_on(out);
+            self.update_holders(out);
+            self.handle_orphans(out);
+            self.advance_takeovers(out);
             self.owner.bound(MAX_TOMBSTONES);
         }
         self.flush(out);
-        if self.now >= self.next_beat {
-            self.next_beat = self.now + HEARTBEAT_INTERVAL;
-            self.beat(out);
+        if self.now >= self.next_heartbeat {
+            self.next_heartbeat = self.now + HEARTBEAT_INTERVAL;
+            self.send_heartbeats(out);
         }
     }
 
--- a/crates/copies/src/edge.rs
+++ b/crates/copies/src/edge.rs
@@ -193,7 +193,7 @@
             listener,
             commands: self.commands,
             shown: Arc::clone(&self.handle.shown),
-            show_at: 0,
+            next_status_at: 0,
         };
         let thread = thread::Builder::new().name("copies".into()).stack_size(THREAD_STACK_BYTES);
         let thread = thread.spawn(move || work.run()).map_err(StartError::Thread)?;
@@ -229,7 +229,7 @@
     listener: Listener,
     commands: Receiver<Command>,
     shown: Arc<Mutex<String>>,
-    show_at: u64,
+    next_status_at: u64,
 }
 
 impl Service {
@@ -244,7 +244,7 @@
             // Commands that arrived together are written and sent together.
             let (mut out, mut taken, mut ends) = (Vec::new(), 0, false);
             while let Some(one) = command.take() {
-                ends |= self.command(one, &mut out);
+                ends |= self.process(one, &mut out);
                 taken += 1;
                 if taken < MAX_COMMANDS_PER_TURN && !ends {
                     command = self.commands.try_recv().ok();
@@ -255,11 +255,11 @@
             if ends {
                 return;
             }
-            self.show();
+            self.update_status();
         }
     }
 
-    fn command(&mut self, command: Command, out: &mut Vec<Output>) -> bool {
+    fn process(&mut self, command: Command, out: &mut Vec<Output>) -> bool {
         match command {
             Command::Core(input) => self.copies.handle(now(), input, out),
             Command::Received(from, bytes) => match postcard::from_bytes::<Body>(&bytes) {
@@ -289,7 +289,7 @@
             }
         }
         for output in out {
-            if let Some(line) = history_log::line(unix(), &self.name, &output) {
+            if let Some(line) = history_log::line(unix_time(), &self.name, &output) {
                 if let Some(file) = &mut self.history {
                     let _ = file.write_all(format!("{line}\n").as_bytes());
                 }
@@ -324,11 +324,11 @@
     }
 
     /// Updates the status for operators, at most once per interval.
-    fn show(&mut self) {
-        if self.show_at > now() {
+    fn update_status(&mut self) {
+        if self.next_status_at > now() {
             return;
         }
-        self.show_at = now() + STATUS_INTERVAL_US;
+        self.next_status_at = now() + STATUS_INTERVAL_US;
         let owner = self.copies.owner();
         let holder = |(name, holder): (&Name, &crate::core::owner::Holder)| json!({"front": &**name, "has": holder.acked, "filled": holder.filled});
         let replica = |(incarnation, replica): (&Incarnation, &crate::core::replica::Replica)| {
@@ -351,7 +351,7 @@
     format!("{all:016x}")
 }
 
-fn unix() -> u64 {
+fn unix_time() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
