--- a/crates/accord/src/edge.rs
+++ b/crates/accord/src/edge.rs
@@ -175,7 +175,7 @@
         let waker = Arc::new(Waker::new(poll.registry(), WAKER).map_err(StartError::Thread)?);
         let (store, image, found) = Store::open(&settings.store)?;
         match &found {
-            OpenOutcome::New => tracing::info!("accord: a new store"),
+            OpenOutcome::New => tracing::info!("accord: created a new store"),
             OpenOutcome::Intact => {}
             OpenOutcome::SetAside(at, why) => {
                 tracing::error!(%why, at = %at.display(), "accord: a damaged store was set aside; this is a new disk now");
@@ -350,7 +350,7 @@
             let wait = self.accord.next_due().saturating_sub(now()).clamp(1_000, 200_000);
             if let Err(error) = self.poll.poll(&mut events, Some(Duration::from_micros(wait))) {
                 if error.kind() != ErrorKind::Interrupted {
-                    tracing::error!(%error, "accord: cannot wait");
+                    tracing::error!(%error, "accord: cannot poll for events");
                     thread::sleep(Duration::from_millis(10));
                 }
             }
@@ -568,7 +568,7 @@
                 Ok(None) => break,
                 Err(error) => {
                     let from = connection.stream.peer_addr().ok();
-                    tracing::warn!(?from, %error, "accord: a connection is given up");
+                    tracing::warn!(?from, %error, "accord: closing a connection");
                     return self.close(token);
                 }
             }
@@ -602,7 +602,7 @@
     fn queue_frame(&mut self, token: usize, frame: &Frame) {
         let bytes = match wire::encode(frame, &self.settings.keys) {
             Ok(bytes) => bytes,
-            Err(error) => return tracing::error!(%error, "accord: a message is not sent"),
+            Err(error) => return tracing::error!(%error, "accord: cannot encode a message"),
         };
         let Some(connection) = self.connections.get_mut(&token) else { return };
         if connection.write.len() + bytes.len() > MAX_WRITE_QUEUE_BYTES {
@@ -712,7 +712,7 @@
                 Output::Version(number, _) => tracing::info!(number, "accord: a version is agreed on"),
                 Output::Voting(votes) => tracing::info!(?votes, "accord: votes"),
                 Output::HistoryDiverged(name) => {
-                    tracing::error!(%name, "accord: that front has another history than this one");
+                    tracing::error!(%name, "accord: the history of that front contradicts this one");
                 }
                 Output::HistoryAdvanced(..) => {}
             }
--- a/crates/copies/src/edge.rs
+++ b/crates/copies/src/edge.rs
@@ -159,7 +159,7 @@
     ) -> Result<Running, StartError> {
         let (store, image, found) = Store::open(&settings.store, settings.flush, new_disk_id())?;
         match &found {
-            OpenOutcome::New => tracing::info!("copies: a new store"),
+            OpenOutcome::New => tracing::info!("copies: created a new store"),
             OpenOutcome::Intact => {}
             OpenOutcome::SetAside(at, why) => {
                 tracing::error!(%why, at = %at.display(), "copies: a damaged store was set aside; this is a new disk now");
@@ -264,7 +264,7 @@
             Command::Core(input) => self.copies.handle(now(), input, out),
             Command::Received(from, bytes) => match postcard::from_bytes::<Body>(&bytes) {
                 Ok(body) => self.copies.handle(now(), Input::Received(from, Box::new(body)), out),
-                Err(error) => tracing::warn!(%from, %error, "copies: a message is not used"),
+                Err(error) => tracing::warn!(%from, %error, "copies: cannot decode a message"),
             },
             Command::Members(known) => {
                 let (peers, boot) = peers(known, &self.name);
@@ -300,25 +300,25 @@
                 Output::Send(_, Body::Ack(..)) if self.store.is_none() => {}
                 Output::Send(to, body) => match postcard::to_allocvec(&body) {
                     Ok(bytes) => self.accord.relay(to, bytes),
-                    Err(error) => tracing::error!(%error, "copies: a message is not sent"),
+                    Err(error) => tracing::error!(%error, "copies: cannot encode a message"),
                 },
                 Output::ChangeSuccessors(changes) => self.accord.change_successors(changes),
                 Output::RecordStored(key, kept) => (self.listener)(Event::RecordStored(key, kept)),
                 Output::TakeOver(incarnation, epoch, promises) => {
-                    tracing::warn!(life = %incarnation, epoch, sessions = promises.len(), "copies: this front goes on with another's sessions");
+                    tracing::warn!(life = %incarnation, epoch, sessions = promises.len(), "copies: taking over the sessions of another front");
                     (self.listener)(Event::TakeOver(incarnation, epoch, promises));
                 }
                 Output::TakenOver(incarnation, successor) => {
-                    tracing::error!(life = %incarnation, by = %successor.name, "copies: another front goes on with this one's sessions");
+                    tracing::error!(life = %incarnation, by = %successor.name, "copies: another front took over the sessions of this one");
                     (self.listener)(Event::TakenOver(incarnation, successor));
                 }
                 Output::TakeoverSuperseded(incarnation) => {
                     (self.listener)(Event::TakeoverSuperseded(incarnation))
                 }
                 Output::IncarnationEnded(incarnation) => {
-                    tracing::debug!(life = %incarnation, "copies: nothing is left of it")
+                    tracing::debug!(life = %incarnation, "copies: no session of the incarnation is left")
                 }
-                Output::HoldersChanged(names) => tracing::info!(?names, "copies: held there"),
+                Output::HoldersChanged(names) => tracing::info!(?names, "copies: holders changed"),
             }
         }
     }
