--- a/crates/copies/src/edge.rs
+++ b/crates/copies/src/edge.rs
@@ -159,7 +159,7 @@
     ) -> Result<Running, StartError> {
         let (store, image, found) = Store::open(&settings.store, settings.flush, new_disk_id())?;
         match &found {
-            OpenOutcome::New => tracing::info!("copies: a new store"),
+            OpenOutcome::New => tracing::info!("copies: created a new store"),
             OpenOutcome::Intact => {}
             OpenOutcome::SetAside(at, why) => {
                 tracing::error!(%why, at = %at.display(), "copies: a damaged store was set aside; this is a new disk now");
@@ -193,7 +193,7 @@
             listener,
             commands: self.commands,
             shown: Arc::clone(&self.handle.shown),
-            show_at: 0,
+            next_status_at: 0,
         };
         let thread = thread::Builder::new().name("copies".into()).stack_size(THREAD_STACK_BYTES);
         let thread = thread.spawn(move || work.run()).map_err(StartError::Thread)?;
@@ -229,7 +229,7 @@
     listener: Listener,
     commands: Receiver<Command>,
     shown: Arc<Mutex<String>>,
-    show_at: u64,
+    next_status_at: u64,
 }
 
 impl Service {
@@ -244,7 +244,7 @@
             // Commands that arrived together are written and sent together.
             let (mut out, mut taken, mut ends) = (Vec::new(), 0, false);
             while let Some(one) = command.take() {
-                ends |= self.command(one, &mut out);
+                ends |= self.process(one, &mut out);
                 taken += 1;
                 if taken < MAX_COMMANDS_PER_TURN && !ends {
                     command = self.commands.try_recv().ok();
@@ -255,16 +255,16 @@
             if ends {
                 return;
             }
-            self.show();
+            self.update_status();
         }
     }
 
-    fn command(&mut self, command: Command, out: &mut Vec<Output>) -> bool {
+    fn process(&mut self, command: Command, out: &mut Vec<Output>) -> bool {
         match command {
             Command::Core(input) => self.copies.handle(now(), input, out),
             Command::Received(from, bytes) => match postcard::from_bytes::<Body>(&bytes) {
                 Ok(body) => self.copies.handle(now(), Input::Received(from, Box::new(body)), out),
-                Err(error) => tracing::warn!(%from, %error, "copies: a message is not used"),
+                Err(error) => tracing::warn!(%from, %error, "copies: cannot decode a message"),
             },
             Command::Members(known) => {
                 let (peers, boot) = peers(known, &self.name);
@@ -289,7 +289,7 @@
             }
         }
         for output in out {
-            if let Some(line) = history_log::line(unix(), &self.name, &output) {
+            if let Some(line) = history_log::line(unix_time(), &self.name, &output) {
                 if let Some(file) = &mut self.history {
                     let _ = file.write_all(format!("{line}\n").as_bytes());
                 }
@@ -300,35 +300,35 @@
                 Output::Send(_, Body::Ack(..)) if self.store.is_none() => {}
                 Output::Send(to, body) => match postcard::to_allocvec(&body) {
                     Ok(bytes) => self.accord.relay(to, bytes),
-                    Err(error) => tracing::error!(%error, "copies: a message is not sent"),
+                    Err(error) => tracing::error!(%error, "copies: cannot encode a message"),
                 },
                 Output::ChangeSuccessors(changes) => self.accord.change_successors(changes),
                 Output::RecordStored(key, kept) => (self.listener)(Event::RecordStored(key, kept)),
                 Output::TakeOver(incarnation, epoch, promises) => {
-                    tracing::warn!(life = %incarnation, epoch, sessions = promises.len(), "copies: this front goes on with another's sessions");
+                    tracing::warn!(life = %incarnation, epoch, sessions = promises.len(), "copies: taking over the sessions of another front");
                     (self.listener)(Event::TakeOver(incarnation, epoch, promises));
                 }
                 Output::TakenOver(incarnation, successor) => {
-                    tracing::error!(life = %incarnation, by = %successor.name, "copies: another front goes on with this one's sessions");
+                    tracing::error!(life = %incarnation, by = %successor.name, "copies: another front took over the sessions of this one");
                     (self.listener)(Event::TakenOver(incarnation, successor));
                 }
                 Output::TakeoverSuperseded(incarnation) => {
                     (self.listener)(Event::TakeoverSuperseded(incarnation))
                 }
                 Output::IncarnationEnded(incarnation) => {
-                    tracing::debug!(life = %incarnation, "copies: nothing is left of it")
+                    tracing::debug!(life = %incarnation, "copies: no session of the incarnation is left")
                 }
-                Output::HoldersChanged(names) => tracing::info!(?names, "copies: held there"),
+                Output::HoldersChanged(names) => tracing::info!(?names, "copies: holders changed"),
             }
         }
     }
 
     /// Updates the status for operators, at most once per interval.
-    fn show(&mut self) {
-        if self.show_at > now() {
+    fn update_status(&mut self) {
+        if self.next_status_at > now() {
             return;
         }
-        self.show_at = now() + STATUS_INTERVAL_US;
+        self.next_status_at = now() + STATUS_INTERVAL_US;
         let owner = self.copies.owner();
         let holder = |(name, holder): (&Name, &crate::core::owner::Holder)| json!({"front": &**name, "has": holder.acked, "filled": holder.filled});
         let replica = |(incarnation, replica): (&Incarnation, &crate::core::replica::Replica)| {
@@ -351,7 +351,7 @@
     format!("{all:016x}")
 }
 
-fn unix() -> u64 {
+fn unix_time() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
