--- a/crates/cli/src/trial.rs
+++ b/crates/cli/src/trial.rs
@@ -1,4 +1,4 @@
-//! `salttally trial`: plays a trial and tells what held.
+//! `salttally trial`: runs a fault-injection trial and reports which properties held.
 
 use std::error::Error;
 use std::fs;
@@ -11,60 +11,62 @@
 use salttally_members::core::Times;
 use salttally_settings::Document;
 use salttally_trial::describe::Trial as Description;
-use salttally_trial::{hunt, picture, plain, plan, processes, versions, virt, whole};
+use salttally_trial::{
+    consensus, fault_search, full_stack, membership, plan, processes, swim_baseline, timeline,
+};
 use serde_json::{json, Value};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum ClockKind {
-    /// Processes of salttallyd, with a relay between them, in real time
+    /// Processes of salttallyd connected by a relay, in real time
     Processes,
-    /// The same cores on one event queue
+    /// The same protocol cores on one event queue, in virtual time
     Virtual,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 enum Core {
-    /// The product's
+    /// The membership core of salttally
     Members,
-    /// Plain SWIM by another crate, with its own settings for a local network: to compare
+    /// SWIM of another crate, with its default settings for a local network, for comparison
     Swim,
-    /// The same, as hasty as the product's
+    /// The same, with the timing of salttally's membership
     SwimHasty,
 }
 
-/// Play a trial: a fleet of fronts under faults between them.
+/// Run a trial: a fleet of fronts under injected faults.
 #[derive(Args)]
 pub struct Trial {
-    /// Description, as KDL
+    /// Trial description, KDL
     file: PathBuf,
-    /// In which clock
+    /// Real processes or virtual time
     #[arg(long, value_enum, default_value = "virtual")]
     clock: ClockKind,
-    /// Whose membership is played in virtual time
+    /// Membership implementation to run in virtual time
     #[arg(long, value_enum, default_value = "members")]
     core: Core,
-    /// So many fronts, in place of the description's
+    /// Number of fronts; overrides the description
     #[arg(long, value_name = "N")]
     fronts: Option<usize>,
-    /// So much loss on all links, in place of the description's
+    /// Loss on all links, as a share from 0 to 1; overrides the description
     #[arg(long, value_name = "SHARE")]
     loss: Option<f64>,
-    /// Seed of all draws
+    /// Seed of all random draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// So many seeds, one after the other, from this one on
+    /// Number of consecutive seeds to run, starting with the given one
     #[arg(long, default_value_t = 1, value_name = "N")]
     seeds: u64,
-    /// Draw schedules of faults anew for so long, and shorten the first that breaks a property
+    /// Run random fault schedules for this time, and shrink the first one that breaks a property
     #[arg(long, value_name = "MINUTES")]
     hunt: Option<f64>,
-    /// Of a trial of promises: place one crash and one stop at every step of a promise, so many apart. Of versions: place one crash and one loss at every message that carries something, so many apart
+    /// Place faults exhaustively, at every APART-th step: in a trial of replicated session records one crash and one pause at each protocol step, in a trial of rule versions one crash and one loss at each message that affects agreement
     #[arg(long, value_name = "APART")]
     placements: Option<u64>,
-    /// Write all histories and the truth here, as JSON lines
+    /// Write all histories and the record of faults to this file, as JSON lines
     #[arg(long, value_name = "FILE")]
     history: Option<PathBuf>,
-    /// Draw who believed whom alive here, as SVG
+    /// Draw the views of all fronts over time to this file, as SVG
     #[arg(long, value_name = "FILE")]
     svg: Option<PathBuf>,
     /// Print the verdict as JSON
@@ -78,10 +80,10 @@
     sorted.get(((sorted.len() as f64 * share).ceil() as usize).saturating_sub(1)).copied().unwrap_or(0)
 }
 
-/// What a judge found, whichever it was.
-struct Found {
+/// Result of a judge, in a form common to all judges.
+struct JudgeResult {
     broken: Vec<(&'static str, String)>,
-    /// Properties, and how often each had something to decide.
+    /// Descriptions of the properties, and how often each was checked.
     properties: Vec<(&'static str, u64)>,
     figures: Vec<(&'static str, Value)>,
 }
@@ -91,12 +93,19 @@
         "most_ms": quantile(values, 1.0) / 1000})
 }
 
-impl Found {
-    fn members(verdict: &members::Verdict) -> Found {
-        let decided = |words| (words, verdict.decided.get(words).copied().unwrap_or(0));
-        Found {
-            broken: verdict.broken.iter().map(|(of, text)| (of.description(), text.clone())).collect(),
-            properties: members::Property::ALL.map(|property| decided(property.description())).to_vec(),
+impl JudgeResult {
+    fn from_members(verdict: &members::Verdict) -> JudgeResult {
+        let with_check_count =
+            |description| (description, verdict.decided.get(description).copied().unwrap_or(0));
+        JudgeResult {
+            broken: verdict
+                .broken
+                .iter()
+                .map(|(property, text)| (property.description(), text.clone()))
+                .collect(),
+            properties: members::Property::ALL
+                .map(|property| with_check_count(property.description()))
+                .to_vec(),
             figures: vec![
                 ("crash", quantiles(&verdict.crash_to_each)),
                 ("stopped_removed", json!(verdict.stopped_removed)),
@@ -105,11 +114,18 @@
         }
     }
 
-    fn promises(verdict: &copies::Verdict) -> Found {
-        let decided = |words| (words, verdict.decided.get(words).copied().unwrap_or(0));
-        Found {
-            broken: verdict.broken.iter().map(|(of, text)| (of.description(), text.clone())).collect(),
-            properties: copies::Property::ALL.map(|property| decided(property.description())).to_vec(),
+    fn from_replication(verdict: &copies::Verdict) -> JudgeResult {
+        let with_check_count =
+            |description| (description, verdict.decided.get(description).copied().unwrap_or(0));
+        JudgeResult {
+            broken: verdict
+                .broken
+                .iter()
+                .map(|(property, text)| (property.description(), text.clone()))
+                .collect(),
+            properties: copies::Property::ALL
+                .map(|property| with_check_count(property.description()))
+                .to_vec(),
             figures: vec![
                 ("found_again", quantiles(&verdict.found)),
                 ("told_to_play_and_lives_taken_over", json!(verdict.counts)),
@@ -117,11 +133,18 @@
         }
     }
 
-    fn versions(verdict: &accord::Verdict) -> Found {
-        let decided = |words| (words, verdict.decided.get(words).copied().unwrap_or(0));
-        Found {
-            broken: verdict.broken.iter().map(|(of, text)| (of.description(), text.clone())).collect(),
-            properties: accord::Property::ALL.map(|property| decided(property.description())).to_vec(),
+    fn from_consensus(verdict: &accord::Verdict) -> JudgeResult {
+        let with_check_count =
+            |description| (description, verdict.decided.get(description).copied().unwrap_or(0));
+        JudgeResult {
+            broken: verdict
+                .broken
+                .iter()
+                .map(|(property, text)| (property.description(), text.clone()))
+                .collect(),
+            properties: accord::Property::ALL
+                .map(|property| with_check_count(property.description()))
+                .to_vec(),
             figures: vec![
                 ("proposal_to_all", quantiles(&verdict.spread)),
                 ("longest_contradiction_ms", json!(verdict.contradiction / 1000)),
@@ -132,90 +155,98 @@
 }
 
 impl Trial {
-    /// Plays it.
+    /// Runs the trial.
     pub fn run(&self) -> Result<ExitCode, Box<dyn Error>> {
         let mut description = Description::read(&Document::load(&self.file)?)?;
         if let Some(fronts) = self.fronts {
             if fronts < description.fronts {
                 return Err(
-                    "fewer fronts than the description's: its faults may name those that are not".into()
+                    "fewer fronts than in the description, whose faults may name missing fronts".into()
                 );
             }
             description.fronts = fronts;
         }
         description.link.loss = self.loss.unwrap_or(description.link.loss).clamp(0.0, 1.0);
         if let Some(minutes) = self.hunt {
-            return Ok(self.hunted(&description, minutes));
+            return Ok(self.search_faults(&description, minutes));
         }
-        if let (Some(apart), Some(described)) = (self.placements, &description.promises) {
-            let placed = whole::placements(&description, described, self.seed, apart);
-            let [all, taken] = placed.schedules;
+        if let (Some(apart), Some(options)) = (self.placements, &description.replication) {
+            let report = full_stack::placements(&description, options, self.seed, apart);
+            let [schedules, takeovers] = report.schedules;
             println!(
-                "{} steps of promises; {all} schedules of one crash and one stop, {apart} steps apart; a life was taken over in \
-                 {taken}",
-                placed.steps
+                "{} replication steps; {schedules} schedules of one crash and one stop, {apart} steps apart; a takeover occurred in \
+                 {takeovers}",
+                report.steps
             );
-            return Ok(match placed.broken {
+            return Ok(match report.broken {
                 None => {
                     println!("nothing broken");
                     ExitCode::SUCCESS
                 }
-                Some((struck, text)) => {
-                    println!("{struck:?}: {text}");
+                Some((placement, text)) => {
+                    println!("{placement:?}: {text}");
                     if let Some(path) = &self.history {
                         let plan = plan::plan(&description, self.seed);
                         let lines =
-                            whole::play_struck(&description, described, &plan, self.seed, struck).lines;
+                            full_stack::play_with_faults(&description, options, &plan, self.seed, placement)
+                                .lines;
                         fs::write(path, lines.iter().map(|line| format!("{line}\n")).collect::<String>())?;
                     }
                     ExitCode::FAILURE
                 }
             });
         }
-        if let (Some(apart), Some(described)) = (self.placements, &description.versions) {
-            let placed = versions::placements(&description, described, self.seed, apart);
+        if let (Some(apart), Some(options)) = (self.placements, &description.consensus) {
+            let report = consensus::placements(&description, options, self.seed, apart);
             println!(
-                "{} messages carry something; {} schedules of one crash and one loss, {apart} messages apart; versions \
+                "{} messages affect agreement; {} schedules of one crash and one loss, {apart} messages apart; versions \
                  begun at the end, by schedules: {:?}",
-                placed.messages, placed.schedules, placed.begun
+                report.messages, report.schedules, report.begun
             );
-            return Ok(match placed.broken {
+            return Ok(match report.broken {
                 None => {
                     println!("nothing broken");
                     ExitCode::SUCCESS
                 }
-                Some((struck, text)) => {
-                    println!("{struck:?}: {text}");
+                Some((placement, text)) => {
+                    println!("{placement:?}: {text}");
                     ExitCode::FAILURE
                 }
             });
         }
-        let mut all = true;
+        let mut all_held = true;
         for seed in self.seed..self.seed + self.seeds {
-            let begun = Instant::now();
+            let started = Instant::now();
             let plan = plan::plan(&description, seed);
             let (lines, cost) = match self.clock {
                 ClockKind::Virtual => {
                     let fronts = description.fronts;
-                    let out = match (self.core, &description.promises, &description.versions) {
-                        (Core::Members, Some(described), _) => {
-                            whole::play(&description, described, &plan, seed)
+                    let outcome = match (self.core, &description.replication, &description.consensus) {
+                        (Core::Members, Some(options), _) => {
+                            full_stack::play(&description, options, &plan, seed)
                         }
-                        (Core::Members, None, Some(described)) => {
-                            versions::play(&description, described, &plan, seed)
+                        (Core::Members, None, Some(options)) => {
+                            consensus::play(&description, options, &plan, seed)
                         }
                         (Core::Members, None, None) => {
-                            virt::play(&description, &plan, seed, Times::default(), true)
+                            membership::play(&description, &plan, seed, Times::default(), true)
+                        }
+                        (Core::Swim, ..) => swim_baseline::play(
+                            &description,
+                            &plan,
+                            seed,
+                            swim_baseline::default_config(fronts),
+                        ),
+                        (Core::SwimHasty, ..) => {
+                            swim_baseline::play(&description, &plan, seed, swim_baseline::fast_config(fronts))
                         }
-                        (Core::Swim, ..) => plain::play(&description, &plan, seed, plain::usual(fronts)),
-                        (Core::SwimHasty, ..) => plain::play(&description, &plan, seed, plain::hasty(fronts)),
                     };
-                    let span = out.span as f64 / 1e6;
-                    let rate = out.bytes as f64 / span / description.fronts as f64;
-                    let events = out.events as f64 / begun.elapsed().as_secs_f64();
-                    let cost = json!({"bytes_per_s_and_front": rate.round(), "events": out.events,
-                        "events_per_s": events.round(), "longest_datagram": out.longest, "seconds": span});
-                    (out.lines, cost)
+                    let span = outcome.span as f64 / 1e6;
+                    let rate = outcome.bytes as f64 / span / description.fronts as f64;
+                    let events = outcome.events as f64 / started.elapsed().as_secs_f64();
+                    let cost = json!({"bytes_per_s_and_front": rate.round(), "events": outcome.events,
+                        "events_per_s": events.round(), "longest_datagram": outcome.max_datagram_bytes, "seconds": span});
+                    (outcome.lines, cost)
                 }
                 ClockKind::Processes => {
                     let daemon = std::env::current_exe()?.with_file_name("salttallyd");
@@ -232,64 +263,67 @@
                 fs::write(path, text)?;
             }
             if let Some(path) = &self.svg {
-                fs::write(path, picture::svg(&lines))?;
+                fs::write(path, timeline::svg(&lines))?;
             }
-            let found = match (&description.promises, &description.versions) {
-                (Some(_), _) => Found::promises(&copies::judge(&lines)),
-                (None, Some(_)) => Found::versions(&accord::judge(&lines)),
-                (None, None) => Found::members(&members::judge(&lines)),
+            let result = match (&description.replication, &description.consensus) {
+                (Some(_), _) => JudgeResult::from_replication(&copies::judge(&lines)),
+                (None, Some(_)) => JudgeResult::from_consensus(&accord::judge(&lines)),
+                (None, None) => JudgeResult::from_members(&members::judge(&lines)),
             };
-            all &= found.broken.is_empty();
-            self.tell(&description, seed, &found, &cost);
+            all_held &= result.broken.is_empty();
+            self.print_result(&description, seed, &result, &cost);
         }
-        Ok(if all { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if all_held { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn tell(&self, description: &Description, seed: u64, found: &Found, cost: &Value) {
-        let of = |words: &str| found.broken.iter().filter(move |(of, _)| *of == words).collect::<Vec<_>>();
+    fn print_result(&self, description: &Description, seed: u64, result: &JudgeResult, cost: &Value) {
+        let broken_of = |description: &str| {
+            result.broken.iter().filter(move |(property, _)| *property == description).collect::<Vec<_>>()
+        };
         if self.json {
-            let counts: Vec<usize> = found.properties.iter().map(|(words, _)| of(words).len()).collect();
-            let broken: Vec<Value> = found.broken.iter().take(20).map(|broken| json!(broken)).collect();
+            let counts: Vec<usize> =
+                result.properties.iter().map(|(description, _)| broken_of(description).len()).collect();
+            let broken: Vec<Value> = result.broken.iter().take(20).map(|broken| json!(broken)).collect();
             let mut line = json!({"trial": description.name, "loss": description.link.loss,
                 "fronts": description.fronts, "seed": seed, "broken": broken, "broken_by_property": counts,
                 "cost": cost});
-            for (key, value) in &found.figures {
+            for (key, value) in &result.figures {
                 line[key] = value.clone();
             }
             println!("{line}");
             return;
         }
         println!("{} of {} fronts, seed {seed}", description.name, description.fronts);
-        for (words, decided) in &found.properties {
-            let broken = of(words);
-            let said =
+        for (description, checks) in &result.properties {
+            let broken = broken_of(description);
+            let status =
                 if broken.is_empty() { "held".to_owned() } else { format!("BROKEN {} times", broken.len()) };
-            println!("  {words:<52} {said} ({decided} decided)");
+            println!("  {description:<52} {status} ({checks} decided)");
             broken.iter().take(3).for_each(|(_, text)| println!("    {text}"));
         }
-        found.figures.iter().for_each(|(key, value)| println!("  {key}: {value}"));
+        result.figures.iter().for_each(|(key, value)| println!("  {key}: {value}"));
         println!("  {cost}");
     }
 
-    fn hunted(&self, base: &Description, minutes: f64) -> ExitCode {
+    fn search_faults(&self, base: &Description, minutes: f64) -> ExitCode {
         let until = Instant::now() + Duration::from_secs_f64(minutes.clamp(0.0, 1e6) * 60.0);
-        let (mut seed, mut told) = (self.seed, Instant::now());
+        let (mut seed, mut last_report) = (self.seed, Instant::now());
         while Instant::now() < until {
-            let trial = hunt::drawn(base, seed);
-            let broken = hunt::play(&trial, seed);
+            let trial = fault_search::random_trial(base, seed);
+            let broken = fault_search::play(&trial, seed);
             if let Some((property, text)) = broken.first() {
                 println!("seed {seed}: {property}: {text}");
-                let least = hunt::shrink(&trial, seed, property);
-                println!("least: loss {}, {:#?}", least.link.loss, least.faults);
+                let shrunk = fault_search::shrink(&trial, seed, property);
+                println!("least: loss {}, {:#?}", shrunk.link.loss, shrunk.faults);
                 if let Some(path) = &self.history {
-                    let lines = hunt::lines(&least, seed);
+                    let lines = fault_search::play_lines(&shrunk, seed);
                     let _ = fs::write(path, lines.iter().map(|line| format!("{line}\n")).collect::<String>());
                 }
                 return ExitCode::FAILURE;
             }
-            if told.elapsed() > Duration::from_secs(5) {
+            if last_report.elapsed() > Duration::from_secs(5) {
                 eprintln!("{} schedules, nothing broken", seed + 1 - self.seed);
-                told = Instant::now();
+                last_report = Instant::now();
             }
             seed += 1;
         }
--- a/crates/trial/src/net.rs
+++ b/crates/trial/src/net.rs
@@ -1,4 +1,4 @@
-//! What becomes of each datagram between two fronts: the same for processes and in virtual time.
+//! Simulated network between the fronts: loss, delay, duplication and cuts, used in real and in virtual time.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 
 use crate::Micros;
 
-/// What a link is like.
+/// Quality of a link in one direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quality {
-    /// Share of datagrams that are lost.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Time on the way, us.
+    /// Base delay, us.
     pub delay: Micros,
-    /// Up to so much more, evenly, us.
+    /// Upper bound of the additional, uniformly distributed delay, us.
     pub jitter: Micros,
-    /// Share that comes twice.
+    /// Fraction that is duplicated.
     pub duplicate: f64,
-    /// Share that is held back behind later ones, by ten times the jitter and 20 ms.
+    /// Fraction that is reordered: delayed additionally by ten times the jitter plus 20 ms.
     pub reorder: f64,
-    /// Datagrams a second at most; 0 is without bound.
+    /// Rate limit, datagrams per second; 0 means unlimited.
     pub per_second: u32,
 }
 
@@ -29,101 +29,109 @@
     }
 }
 
-/// All links.
+/// State of all links between fronts.
 #[derive(Clone, Debug)]
 pub struct Net {
-    usual: Quality,
-    special: BTreeMap<(usize, usize), Vec<(usize, Quality)>>,
+    default_quality: Quality,
+    overrides: BTreeMap<(usize, usize), Vec<(usize, Quality)>>,
     cut: BTreeMap<(usize, usize), u32>,
-    sent: BTreeMap<(usize, usize), (Micros, u32)>,
-    /// When the latest bytes of each connection arrive.
-    arrived: BTreeMap<(usize, usize), Micros>,
+    rate_counters: BTreeMap<(usize, usize), (Micros, u32)>,
+    /// Arrival time of the latest bytes of each connection, us.
+    last_arrivals: BTreeMap<(usize, usize), Micros>,
 }
 
-/// A lost segment comes again after this (RFC 6298, section 2.4, with the least time-out in use).
-pub const AGAIN: Micros = 200_000;
+/// Retransmission timeout of a lost segment, us (RFC 6298, section 2.4, with the lowest timeout in use).
+pub const RETRANSMIT_TIMEOUT: Micros = 200_000;
 
-/// A share as a chance of a draw.
+/// Draws whether an event of this probability occurs; draws nothing if the probability is 0.
 pub fn chance(rng: &mut impl RngCore, share: f64) -> bool {
     share > 0.0 && f64::from(rng.next_u32()) < share * 4_294_967_296.0
 }
 
 impl Net {
-    /// All links are like this.
-    pub fn new(usual: Quality) -> Net {
-        let (special, cut, sent, arrived) =
+    /// Creates a network in which all links have this quality.
+    pub fn new(default_quality: Quality) -> Net {
+        let (overrides, cut, rate_counters, last_arrivals) =
             (BTreeMap::new(), BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
-        Net { usual, special, cut, sent, arrived }
+        Net { default_quality, overrides, cut, rate_counters, last_arrivals }
     }
 
-    /// Cuts a link, or takes one cut back; returns whether the link's state has changed.
-    pub fn cut(&mut self, from: usize, to: usize, on: bool) -> bool {
+    /// Adds or removes one cut of a link; cuts are counted. Returns whether the link's state has changed.
+    pub fn cut(&mut self, from: usize, to: usize, active: bool) -> bool {
         let cuts = self.cut.entry((from, to)).or_default();
         let before = *cuts > 0;
-        *cuts = if on { *cuts + 1 } else { cuts.saturating_sub(1) };
+        *cuts = if active { *cuts + 1 } else { cuts.saturating_sub(1) };
         before != (*cuts > 0)
     }
 
-    /// Whether a link is cut.
+    /// Returns whether a link is cut.
     pub fn is_cut(&self, from: usize, to: usize) -> bool {
         self.cut.get(&(from, to)).is_some_and(|cuts| *cuts > 0)
     }
 
-    /// A link is like this from now on, by this fault; or the fault has ended.
-    pub fn like(&mut self, from: usize, to: usize, fault: usize, quality: Option<Quality>) {
-        let special = self.special.entry((from, to)).or_default();
-        special.retain(|(by, _)| *by != fault);
-        special.extend(quality.map(|quality| (fault, quality)));
+    /// Sets the quality of a link for the duration of a fault; `None` removes the fault's quality.
+    pub fn set_quality(&mut self, from: usize, to: usize, fault: usize, quality: Option<Quality>) {
+        let overrides = self.overrides.entry((from, to)).or_default();
+        overrides.retain(|(owner, _)| *owner != fault);
+        overrides.extend(quality.map(|quality| (fault, quality)));
     }
 
-    /// When bytes that are sent now arrive on a connection that keeps order: a lost segment comes again, and what follows
-    /// waits for it. Nothing where a cut, or loss upon loss, swallows them with the connection.
-    pub fn streamed(
+    /// Returns the arrival time of bytes sent now on a connection. Order is kept: a lost segment is retransmitted, and
+    /// later bytes wait for it. `None` if the link is cut or repeated loss breaks the connection.
+    pub fn stream_arrival(
         &mut self,
         now: Micros,
         from: usize,
         to: usize,
         rng: &mut impl RngCore,
     ) -> Option<Micros> {
-        let mut again = 0;
+        let mut retransmit_delay = 0;
         let delay = loop {
-            match self.fate(now, from, to, rng).first() {
-                Some(delay) => break delay + again,
-                None if again < 4 * AGAIN => again = again * 2 + AGAIN,
+            match self.delivery_delays(now, from, to, rng).first() {
+                Some(delay) => break delay + retransmit_delay,
+                None if retransmit_delay < 4 * RETRANSMIT_TIMEOUT => {
+                    retransmit_delay = retransmit_delay * 2 + RETRANSMIT_TIMEOUT
+                }
                 None => return None,
             }
         };
-        let last = self.arrived.entry((from, to)).or_default();
+        let last = self.last_arrivals.entry((from, to)).or_default();
         *last = (*last + 1).max(now + delay);
         Some(*last)
     }
 
-    /// After how long each copy of a datagram arrives; none where it is lost.
-    pub fn fate(&mut self, now: Micros, from: usize, to: usize, rng: &mut impl RngCore) -> Vec<Micros> {
+    /// Returns the delay of each delivered copy of a datagram, us; empty if it is lost.
+    pub fn delivery_delays(
+        &mut self,
+        now: Micros,
+        from: usize,
+        to: usize,
+        rng: &mut impl RngCore,
+    ) -> Vec<Micros> {
         if self.is_cut(from, to) {
             return Vec::new();
         }
-        let special = self.special.get(&(from, to)).and_then(|all| all.last());
-        let like = special.map_or(self.usual, |(_, quality)| *quality);
-        if like.per_second > 0 {
-            let (second, count) = self.sent.entry((from, to)).or_default();
+        let fault_quality = self.overrides.get(&(from, to)).and_then(|all| all.last());
+        let quality = fault_quality.map_or(self.default_quality, |(_, quality)| *quality);
+        if quality.per_second > 0 {
+            let (second, count) = self.rate_counters.entry((from, to)).or_default();
             if *second != now / 1_000_000 {
                 (*second, *count) = (now / 1_000_000, 0);
             }
             *count += 1;
-            if *count > like.per_second {
+            if *count > quality.per_second {
                 return Vec::new();
             }
         }
-        if chance(rng, like.loss) {
+        if chance(rng, quality.loss) {
             return Vec::new();
         }
-        let copies = if chance(rng, like.duplicate) { 2 } else { 1 };
-        let mut one = || {
-            let jitter = if like.jitter == 0 { 0 } else { u64::from(rng.next_u32()) % like.jitter };
-            let held = if chance(rng, like.reorder) { 20_000 + 10 * like.jitter } else { 0 };
-            like.delay + jitter + held
+        let copies = if chance(rng, quality.duplicate) { 2 } else { 1 };
+        let mut draw_delay = || {
+            let jitter = if quality.jitter == 0 { 0 } else { u64::from(rng.next_u32()) % quality.jitter };
+            let reorder_delay = if chance(rng, quality.reorder) { 20_000 + 10 * quality.jitter } else { 0 };
+            quality.delay + jitter + reorder_delay
         };
-        (0..copies).map(|_| one()).collect()
+        (0..copies).map(|_| draw_delay()).collect()
     }
 }
--- a/crates/trial/src/plan.rs
+++ b/crates/trial/src/plan.rs
@@ -1,213 +1,222 @@
-//! From the description to acts in time, with all draws made: what is played, in either clock.
+//! Expands a trial description into timed actions. All random draws are made here, so that real and virtual time execute
+//! the same plan.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use serde_json::{json, Value};
 
-use crate::describe::{Fault, Kind, Trial};
+use crate::describe::{Fault, FaultKind, Trial};
 use crate::net::{Net, Quality};
 use crate::Micros;
 
-/// One act.
+/// One action of a plan. Fronts are given by number.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
-    /// A process begins.
+pub enum Action {
+    /// Starts a process.
     Start(usize),
-    /// It is killed.
+    /// Kills a process.
     Kill(usize),
-    /// It is killed, and its disk is lost.
-    Lose(usize),
-    /// It is stopped.
+    /// Kills a process and wipes its disk.
+    KillAndWipe(usize),
+    /// Pauses a process.
     Stop(usize),
-    /// It goes on.
-    Run(usize),
-    /// Nothing goes from one to the other any more, or does again.
+    /// Resumes a paused process.
+    Resume(usize),
+    /// Adds (`true`) or removes (`false`) a cut of the link from the first front to the second.
     Cut(usize, usize, bool),
-    /// A link is like this by a fault, or no more.
+    /// Sets the quality of the link from the first front to the second for a fault (third value); `None` ends it.
     Link(usize, usize, usize, Option<Quality>),
-    /// No fault from here on.
-    Calm,
+    /// No fault occurs from here on.
+    FaultsOver,
 }
 
-/// Acts in the order of time; equal times in this order.
-pub type Plan = Vec<(Micros, Act)>;
+/// Actions with their times, us, in order of execution.
+pub type Plan = Vec<(Micros, Action)>;
 
-/// Fronts start this far apart.
-const STARTS: Micros = 20_000;
-/// The fleet has come together before the first fault may fall: times of faults count from here.
-pub const SETTLED: Micros = 6_000_000;
+/// Interval between the starts of the fronts, us.
+const START_INTERVAL: Micros = 20_000;
+/// Time for the fleet to form before the first fault, us. Fault times in the description count from here.
+pub const FORMATION_TIME: Micros = 6_000_000;
 
-/// Name of a front.
-pub fn name(front: usize) -> String {
+/// Returns the name of a front.
+pub fn front_name(front: usize) -> String {
     format!("f{front}")
 }
 
-/// The acts of a trial, by a seed.
+/// Expands a trial into a plan; the seed determines all random draws.
 pub fn plan(trial: &Trial, seed: u64) -> Plan {
     let mut rng = Pcg32::seed_from_u64(seed ^ 0x0074_7269_616c);
-    let mut acts: Plan =
-        (0..trial.fronts).map(|front| (front as Micros * STARTS, Act::Start(front))).collect();
-    let mut calm = SETTLED;
+    let mut actions: Plan =
+        (0..trial.fronts).map(|front| (front as Micros * START_INTERVAL, Action::Start(front))).collect();
+    let mut faults_over = FORMATION_TIME;
     for (number, fault) in trial.faults.iter().enumerate() {
-        let mut fall =
-            Fall { acts: &mut acts, calm: &mut calm, from: fault.from + SETTLED, to: fault.to + SETTLED };
-        fall.fault(trial, number, fault, &mut rng);
+        let mut scheduler = FaultScheduler {
+            actions: &mut actions,
+            faults_over: &mut faults_over,
+            from: fault.from + FORMATION_TIME,
+            to: fault.to + FORMATION_TIME,
+        };
+        scheduler.fault(trial, number, fault, &mut rng);
     }
-    acts.push((calm, Act::Calm));
-    acts.sort_by_key(|(at, _)| *at);
-    acts
+    actions.push((faults_over, Action::FaultsOver));
+    actions.sort_by_key(|(at, _)| *at);
+    actions
 }
 
-struct Fall<'a> {
-    acts: &'a mut Plan,
-    calm: &'a mut Micros,
+/// Appends the actions of one fault to a plan.
+struct FaultScheduler<'a> {
+    actions: &'a mut Plan,
+    faults_over: &'a mut Micros,
     from: Micros,
     to: Micros,
 }
 
-impl Fall<'_> {
-    fn act(&mut self, at: Micros, act: Act) {
-        *self.calm = (*self.calm).max(at);
-        self.acts.push((at, act));
+impl FaultScheduler<'_> {
+    fn push(&mut self, at: Micros, action: Action) {
+        *self.faults_over = (*self.faults_over).max(at);
+        self.actions.push((at, action));
     }
 
     fn fault(&mut self, trial: &Trial, number: usize, fault: &Fault, rng: &mut Pcg32) {
         let (from, to) = (self.from, self.to);
         match &fault.kind {
-            Kind::Kill(fronts, back) => {
+            FaultKind::Kill(fronts, restart) => {
                 for front in fronts {
-                    self.act(from, Act::Kill(*front));
-                    if *back {
-                        self.act(to, Act::Start(*front));
+                    self.push(from, Action::Kill(*front));
+                    if *restart {
+                        self.push(to, Action::Start(*front));
                     }
                 }
             }
-            Kind::Lose(fronts) => {
+            FaultKind::Lose(fronts) => {
                 for front in fronts {
-                    self.act(from, Act::Lose(*front));
-                    self.act(to, Act::Start(*front));
+                    self.push(from, Action::KillAndWipe(*front));
+                    self.push(to, Action::Start(*front));
                 }
             }
-            Kind::Stop(fronts) => {
+            FaultKind::Stop(fronts) => {
                 for front in fronts {
-                    self.act(from, Act::Stop(*front));
-                    self.act(to, Act::Run(*front));
+                    self.push(from, Action::Stop(*front));
+                    self.push(to, Action::Resume(*front));
                 }
             }
-            Kind::Stops(at_once, span) => {
-                self.drawn(trial.fronts, *at_once, *span, rng, Act::Stop, Act::Run);
+            FaultKind::Stops(at_once, span) => {
+                self.schedule_random(trial.fronts, *at_once, *span, rng, Action::Stop, Action::Resume);
             }
-            Kind::Crashes(at_once, span) => {
-                self.drawn(trial.fronts, *at_once, *span, rng, Act::Kill, Act::Start);
+            FaultKind::Crashes(at_once, span) => {
+                self.schedule_random(trial.fronts, *at_once, *span, rng, Action::Kill, Action::Start);
             }
-            Kind::Rolling(fronts, apart) => {
+            FaultKind::Rolling(fronts, interval) => {
                 for (place, front) in fronts.iter().enumerate() {
-                    let at = from + place as Micros * apart;
-                    self.act(at, Act::Kill(*front));
-                    self.act(at + apart, Act::Start(*front));
+                    let at = from + place as Micros * interval;
+                    self.push(at, Action::Kill(*front));
+                    self.push(at + interval, Action::Start(*front));
                 }
             }
-            Kind::Cut(these, those, one_sided) => {
-                for (a, b) in pairs(these, those) {
-                    self.act(from, Act::Cut(a, b, true));
-                    self.act(to, Act::Cut(a, b, false));
+            FaultKind::Cut(sources, targets, one_sided) => {
+                for (a, b) in pairs(sources, targets) {
+                    self.push(from, Action::Cut(a, b, true));
+                    self.push(to, Action::Cut(a, b, false));
                     if !one_sided {
-                        self.act(from, Act::Cut(b, a, true));
-                        self.act(to, Act::Cut(b, a, false));
+                        self.push(from, Action::Cut(b, a, true));
+                        self.push(to, Action::Cut(b, a, false));
                     }
                 }
             }
-            Kind::Link(these, those, quality) => {
-                for (a, b) in pairs(these, those) {
-                    self.act(from, Act::Link(a, b, number, Some(*quality)));
-                    self.act(to, Act::Link(a, b, number, None));
+            FaultKind::Link(sources, targets, quality) => {
+                for (a, b) in pairs(sources, targets) {
+                    self.push(from, Action::Link(a, b, number, Some(*quality)));
+                    self.push(to, Action::Link(a, b, number, None));
                 }
             }
-            Kind::Clock(..) => {}
+            FaultKind::Clock(..) => {}
         }
     }
 
-    /// All through, so many at a time are struck and let go again, drawn anew.
-    fn drawn(
+    /// Repeatedly applies a fault to a number of randomly chosen fronts at a time, over the whole period.
+    fn schedule_random(
         &mut self,
         fronts: usize,
         at_once: usize,
         span: Micros,
         rng: &mut Pcg32,
-        strike: fn(usize) -> Act,
-        let_go: fn(usize) -> Act,
+        begin: fn(usize) -> Action,
+        end: fn(usize) -> Action,
     ) {
         let (mut at, mut last) = (self.from, Vec::new());
         while at + span <= self.to {
-            let mut struck = Vec::new();
-            while struck.len() < at_once.min(fronts / 2) {
+            let mut chosen = Vec::new();
+            while chosen.len() < at_once.min(fronts / 2) {
                 let front = rng.next_u32() as usize % fronts;
-                // Nobody twice in a row: each is back for a while before it is struck again.
-                if !struck.contains(&front) && !last.contains(&front) {
-                    struck.push(front);
+                // No front is chosen twice in a row, so that each runs for a while in between.
+                if !chosen.contains(&front) && !last.contains(&front) {
+                    chosen.push(front);
                 }
             }
-            for front in &struck {
-                self.act(at, strike(*front));
-                self.act(at + span, let_go(*front));
+            for front in &chosen {
+                self.push(at, begin(*front));
+                self.push(at + span, end(*front));
             }
-            last = struck;
+            last = chosen;
             at += span + 500_000 + u64::from(rng.next_u32()) % 500_000;
         }
     }
 }
 
-fn pairs(these: &[usize], those: &[usize]) -> Vec<(usize, usize)> {
-    let all = these.iter().flat_map(|a| those.iter().map(move |b| (*a, *b)));
+fn pairs(sources: &[usize], targets: &[usize]) -> Vec<(usize, usize)> {
+    let all = sources.iter().flat_map(|a| targets.iter().map(move |b| (*a, *b)));
     all.filter(|(a, b)| a != b).collect()
 }
 
-/// The first line of the truth.
-pub fn opening(trial: &Trial) -> Value {
-    let fronts: Vec<String> = (0..trial.fronts).map(name).collect();
-    let [removed, equal, borne] = trial.stated;
+/// Returns the first line of the history, which states the fronts and the time bounds.
+pub fn header_line(trial: &Trial) -> Value {
+    let fronts: Vec<String> = (0..trial.fronts).map(front_name).collect();
+    let [removed, equal, tolerated_pause] = trial.time_bounds;
     json!({"at": 0, "truth": "trial", "name": trial.name, "fronts": fronts, "removed_us": removed,
-        "equal_us": equal, "borne_us": borne})
+        "equal_us": equal, "borne_us": tolerated_pause})
 }
 
-/// Whether an act changes anything: nobody starts twice, and only what runs is struck. `state` tells of a front whether it
-/// is up, and stopped.
-pub fn takes_place(act: &Act, state: impl Fn(usize) -> (bool, bool)) -> bool {
-    match act {
-        Act::Start(front) => !state(*front).0,
-        Act::Kill(front) | Act::Lose(front) | Act::Stop(front) => state(*front).0,
-        Act::Run(front) => state(*front) == (true, true),
-        Act::Cut(..) | Act::Link(..) | Act::Calm => true,
+/// Returns whether an action has an effect: a running front is not started, and only a running one is killed or paused.
+/// `state` returns whether a front is up and whether it is paused.
+pub fn is_applicable(action: &Action, state: impl Fn(usize) -> (bool, bool)) -> bool {
+    match action {
+        Action::Start(front) => !state(*front).0,
+        Action::Kill(front) | Action::KillAndWipe(front) | Action::Stop(front) => state(*front).0,
+        Action::Resume(front) => state(*front) == (true, true),
+        Action::Cut(..) | Action::Link(..) | Action::FaultsOver => true,
     }
 }
 
-/// Carries the part of an act out that concerns links, and tells it for the judge.
-pub fn truth(at: Micros, act: &Act, net: &mut Net) -> Option<Value> {
-    let of = |truth: &str, front: &usize| Some(json!({"at": at, "truth": truth, "front": name(*front)}));
-    match act {
-        Act::Start(front) => of("up", front),
-        Act::Kill(front) | Act::Lose(front) => of("down", front),
-        Act::Stop(front) => of("stopped", front),
-        Act::Run(front) => of("running", front),
-        Act::Cut(a, b, on) => {
+/// Applies the network part of an action and returns the history line that records the action for the judge.
+pub fn record_action(at: Micros, action: &Action, net: &mut Net) -> Option<Value> {
+    let front_event =
+        |truth: &str, front: &usize| Some(json!({"at": at, "truth": truth, "front": front_name(*front)}));
+    match action {
+        Action::Start(front) => front_event("up", front),
+        Action::Kill(front) | Action::KillAndWipe(front) => front_event("down", front),
+        Action::Stop(front) => front_event("stopped", front),
+        Action::Resume(front) => front_event("running", front),
+        Action::Cut(a, b, on) => {
             let changed = net.cut(*a, *b, *on);
-            changed.then(|| json!({"at": at, "truth": "cut", "from": name(*a), "to": name(*b), "on": on}))
+            changed.then(
+                || json!({"at": at, "truth": "cut", "from": front_name(*a), "to": front_name(*b), "on": on}),
+            )
         }
-        Act::Link(a, b, fault, quality) => {
-            net.like(*a, *b, *fault, *quality);
+        Action::Link(a, b, fault, quality) => {
+            net.set_quality(*a, *b, *fault, *quality);
             None
         }
-        Act::Calm => Some(json!({"at": at, "truth": "calm"})),
+        Action::FaultsOver => Some(json!({"at": at, "truth": "calm"})),
     }
 }
 
-/// Offsets of the processes' clocks.
-pub fn clocks(trial: &Trial) -> Vec<i64> {
-    let mut clocks = vec![0; trial.fronts];
+/// Returns the clock offset of each front, us.
+pub fn clock_offsets(trial: &Trial) -> Vec<i64> {
+    let mut clock_offsets = vec![0; trial.fronts];
     for fault in &trial.faults {
-        if let Kind::Clock(fronts, offset) = &fault.kind {
-            fronts.iter().for_each(|front| clocks[*front] = *offset);
+        if let FaultKind::Clock(fronts, offset) = &fault.kind {
+            fronts.iter().for_each(|front| clock_offsets[*front] = *offset);
         }
     }
-    clocks
+    clock_offsets
 }
--- a/crates/trial/src/processes.rs
+++ b/crates/trial/src/processes.rs
@@ -1,5 +1,5 @@
-//! A trial as processes: each front a `salttallyd` of its own, on its own loopback address and in its own folder, with
-//! the relay between them.
+//! Runs a trial in real time: each front is a `salttallyd` process with its own loopback address and files, and the relay
+//! connects them.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::fs;
@@ -20,22 +20,22 @@
 use salttally_accord::wire::Question;
 use serde_json::{json, Value};
 
-use crate::describe::{Trial, Versions};
+use crate::consensus::{header_line, random_rules, VIEWER_COUNT};
+use crate::describe::{ConsensusOptions, Trial};
 use crate::net::Net;
-use crate::plan::{self, Act, Plan};
+use crate::plan::{self, Action, Plan};
 use crate::relay::Relay;
-use crate::versions::{drawn, opening, VIEWERS};
 use crate::Micros;
 
-/// What came out.
-pub struct Played {
-    /// Histories and truth.
+/// Result of a trial.
+pub struct ProcessTrial {
+    /// Histories of the fronts and the record of actions.
     pub lines: Vec<Value>,
-    /// What it cost.
+    /// Resource usage, as JSON.
     pub cost: Value,
 }
 
-/// The trial's clock: microseconds since its start.
+/// The clock of a trial: microseconds since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -43,19 +43,20 @@
 }
 
 impl Clock {
-    /// From now on.
+    /// Starts the clock.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64);
         Clock { started: Instant::now(), unix }
     }
 
-    /// The time now.
+    /// Returns the time since the start, us.
     pub fn now(&self) -> Micros {
         self.started.elapsed().as_micros() as Micros
     }
 }
 
-/// Processes of a trial and where they write. Dropped, they are ended, by their own ids.
+/// Processes of a trial and the folder for their files. Dropping the fleet kills the processes, by their ids, and deletes
+/// the folder.
 struct Fleet<'a> {
     daemon: &'a Path,
     folder: PathBuf,
@@ -75,10 +76,10 @@
     }
 }
 
-/// Port for other fronts, and for players.
+/// Port for other fronts, and port for players.
 const PORTS: (u16, u16) = (7301, 7001);
 
-/// Loopback addresses of a trial's fronts: a block by the process that plays it.
+/// Returns the loopback addresses of the fronts, in a block that depends on the id of this process.
 fn addresses(fronts: usize) -> Vec<SocketAddrV4> {
     let block = 16 + (std::process::id() % 200) as u8;
     let at = |front: usize| Ipv4Addr::new(127, block, (front / 250) as u8, (front % 250) as u8 + 1);
@@ -86,8 +87,8 @@
 }
 
 impl Fleet<'_> {
-    fn settings(&self, front: usize) -> String {
-        let (name, at) = (plan::name(front), self.addresses[front]);
+    fn config_text(&self, front: usize) -> String {
+        let (name, at) = (plan::front_name(front), self.addresses[front]);
         let seeds: Vec<String> = self
             .addresses
             .iter()
@@ -96,7 +97,7 @@
             .collect();
         let history = self.history(front);
         let offset = self.clocks[front] as f64 / 1e6;
-        // The key is a trial's, and worth nothing elsewhere.
+        // A fixed key that only trials use; not a secret.
         let key = "5a".repeat(32);
         format!(
             r#"front "{name}" {{ listen "{ip}:{players}"; }}
@@ -115,7 +116,7 @@
     trial relay="{relay}" clock-offset-s={offset:?}
 }}
 {accord}"#,
-            accord = self.accord(front),
+            accord = self.accord_block(front),
             ip = at.ip(),
             players = PORTS.1,
             seeds = seeds.join(" "),
@@ -125,12 +126,12 @@
         )
     }
 
-    /// The block `accord`, where the trial has versions.
-    fn accord(&self, front: usize) -> String {
-        let Some(versions) = &self.trial.versions else { return String::new() };
+    /// Returns the `accord` block of the settings; empty unless the trial covers consensus.
+    fn accord_block(&self, front: usize) -> String {
+        let Some(consensus) = &self.trial.consensus else { return String::new() };
         let names: Vec<String> =
-            (0..versions.voters).map(|voter| format!("{:?}", plan::name(voter))).collect();
-        let times = &versions.times;
+            (0..consensus.voters).map(|voter| format!("{:?}", plan::front_name(voter))).collect();
+        let times = &consensus.lease_times;
         format!(
             r#"accord {{
     voters {voters}
@@ -144,33 +145,33 @@
 }}
 "#,
             voters = names.join(" "),
-            store = self.disk(front).join("accord.redb").display().to_string(),
+            store = self.disk_dir(front).join("accord.redb").display().to_string(),
             lease = times.lease / 1000,
             alone = times.grace / 1000,
             renew = times.renew_interval / 1000,
             without = if times.refuse_without_lease { "refuse" } else { "go-on" },
             history = self.history(front).display().to_string(),
             relay = self.relay,
-            acts = versions.acts / 1000,
-            viewers = VIEWERS,
+            acts = consensus.decision_interval / 1000,
+            viewers = VIEWER_COUNT,
         )
     }
 
     fn history(&self, front: usize) -> PathBuf {
-        self.folder.join(format!("{}.jsonl", plan::name(front)))
+        self.folder.join(format!("{}.jsonl", plan::front_name(front)))
     }
 
     fn start(&mut self, front: usize) -> io::Result<bool> {
         if self.children[front].is_some() {
             return Ok(false);
         }
-        let config = self.config(front);
-        fs::create_dir_all(self.disk(front))?;
-        fs::write(&config, self.settings(front))?;
-        let log = fs::File::options().create(true).append(true).open(config.with_extension("log"))?;
+        let config_path = self.config_path(front);
+        fs::create_dir_all(self.disk_dir(front))?;
+        fs::write(&config_path, self.config_text(front))?;
+        let log = fs::File::options().create(true).append(true).open(config_path.with_extension("log"))?;
         let child = Command::new(self.daemon)
             .arg("--config")
-            .arg(&config)
+            .arg(&config_path)
             .args(["--log-level", "salttally_members=info,salttally_accord=info,error"])
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -190,23 +191,23 @@
         true
     }
 
-    /// The disk of a front that does not run is lost.
-    fn lose(&self, front: usize) -> bool {
-        let _ = fs::remove_dir_all(self.disk(front));
+    /// Deletes the disk of a front that is not running.
+    fn delete_disk(&self, front: usize) -> bool {
+        let _ = fs::remove_dir_all(self.disk_dir(front));
         true
     }
 
-    fn config(&self, front: usize) -> PathBuf {
-        self.folder.join(format!("{}.kdl", plan::name(front)))
+    fn config_path(&self, front: usize) -> PathBuf {
+        self.folder.join(format!("{}.kdl", plan::front_name(front)))
     }
 
-    fn disk(&self, front: usize) -> PathBuf {
-        self.folder.join(format!("{}.disk", plan::name(front)))
+    fn disk_dir(&self, front: usize) -> PathBuf {
+        self.folder.join(format!("{}.disk", plan::front_name(front)))
     }
 
-    /// Processor time of all that run, us.
-    fn spent(&self) -> u64 {
-        let of = |child: &Child| {
+    /// Returns the CPU time of all running processes, us.
+    fn cpu_time_us(&self) -> u64 {
+        let cpu_time = |child: &Child| {
             let stat = fs::read_to_string(format!("/proc/{}/stat", child.id())).unwrap_or_default();
             let after = stat.rsplit(')').next().unwrap_or_default();
             after
@@ -216,86 +217,93 @@
                 .filter_map(|ticks| ticks.parse::<u64>().ok())
                 .sum::<u64>()
         };
-        self.children.iter().flatten().map(of).sum::<u64>() * 10_000
+        self.children.iter().flatten().map(cpu_time).sum::<u64>() * 10_000
     }
 
-    /// Any that has ended by itself, with the end of its log.
-    fn fallen(&mut self) -> Option<String> {
+    /// Finds a process that has exited by itself and describes it with the end of its log.
+    fn find_exited(&mut self) -> Option<String> {
         for (front, place) in self.children.iter_mut().enumerate() {
             if let Some(Ok(Some(status))) = place.as_mut().map(Child::try_wait) {
-                let log = self.folder.join(format!("{}.log", plan::name(front)));
+                let log = self.folder.join(format!("{}.log", plan::front_name(front)));
                 let text = fs::read_to_string(log).unwrap_or_default();
                 let last: Vec<&str> = text.lines().rev().take(3).collect();
-                return Some(format!("{} ended by itself ({status}): {last:?}", plan::name(front)));
+                return Some(format!("{} exited by itself ({status}): {last:?}", plan::front_name(front)));
             }
         }
         None
     }
 }
 
-/// Proposes as an operator does, to one front after the other, from a thread of its own: an answer may take long.
+/// Makes proposals as an operator does, at random fronts, in a thread of its own because an answer may take long.
 struct Proposer {
-    over: Arc<AtomicBool>,
+    stopping: Arc<AtomicBool>,
     thread: thread::JoinHandle<Vec<Value>>,
 }
 
 impl Proposer {
-    fn start(fleet: &Fleet<'_>, plan: &Plan, of: Versions, seed: u64, clock: Clock) -> io::Result<Proposer> {
-        let configs: Vec<PathBuf> = (0..fleet.trial.fronts).map(|front| fleet.config(front)).collect();
-        // Proposals end where faults do, so that what comes of them is to be seen.
-        let calm = plan.last().map_or(0, |(at, _)| *at);
-        let over = Arc::new(AtomicBool::new(false));
-        let ends = Arc::clone(&over);
-        let work = move || {
+    fn start(
+        fleet: &Fleet<'_>,
+        plan: &Plan,
+        options: ConsensusOptions,
+        seed: u64,
+        clock: Clock,
+    ) -> io::Result<Proposer> {
+        let configs: Vec<PathBuf> = (0..fleet.trial.fronts).map(|front| fleet.config_path(front)).collect();
+        // Proposals end with the last fault, so that their outcome can be observed.
+        let faults_end = plan.last().map_or(0, |(at, _)| *at);
+        let stopping = Arc::new(AtomicBool::new(false));
+        let thread_stopping = Arc::clone(&stopping);
+        let run = move || {
             let (lines, mut rng) = (Arc::new(Mutex::new(Vec::new())), Pcg32::seed_from_u64(seed));
-            let mut at = plan::SETTLED / 2;
-            let mut asked = Vec::new();
-            while at < calm && !ends.load(Ordering::Acquire) {
+            let mut at = plan::FORMATION_TIME / 2;
+            let mut proposals = Vec::new();
+            while at < faults_end && !thread_stopping.load(Ordering::Acquire) {
                 thread::sleep(Duration::from_micros(at.saturating_sub(clock.now())));
-                at += of.every / 2 + u64::from(rng.next_u32()) % of.every;
+                at += options.proposal_interval / 2 + u64::from(rng.next_u32()) % options.proposal_interval;
                 let front = rng.next_u32() as usize % configs.len();
-                let (config, rules, lines) = (configs[front].clone(), drawn(&mut rng), Arc::clone(&lines));
-                asked.push(thread::spawn(move || propose(&config, front, rules, clock, &lines)));
+                let (config_path, rules, lines) =
+                    (configs[front].clone(), random_rules(&mut rng), Arc::clone(&lines));
+                proposals.push(thread::spawn(move || propose(&config_path, front, rules, clock, &lines)));
             }
-            for one in asked {
-                let _ = one.join();
+            for proposal in proposals {
+                let _ = proposal.join();
             }
             let lines = std::mem::take(&mut *lines.lock().unwrap_or_else(PoisonError::into_inner));
             lines
         };
-        Ok(Proposer { over, thread: thread::Builder::new().name("proposer".into()).spawn(work)? })
+        Ok(Proposer { stopping, thread: thread::Builder::new().name("proposer".into()).spawn(run)? })
     }
 
     fn end(self) -> Vec<Value> {
-        self.over.store(true, Ordering::Release);
+        self.stopping.store(true, Ordering::Release);
         self.thread.join().unwrap_or_default()
     }
 }
 
-fn propose(config: &Path, front: usize, rules: Rules, clock: Clock, lines: &Mutex<Vec<Value>>) {
-    let settings = salttally_accord::settings::Settings::load(config).ok().flatten();
+fn propose(config_path: &Path, front: usize, rules: Rules, clock: Clock, lines: &Mutex<Vec<Value>>) {
+    let settings = salttally_accord::settings::Settings::load(config_path).ok().flatten();
     let Some(settings) = settings else { return };
     let at = clock.now();
     let answer = ask(&settings, Question::Propose(None, "trial".into(), Box::new(rules)));
     let version = answer.ok().and_then(|json| serde_json::from_str::<Value>(&json).ok()?["version"].as_u64());
     let Some(version) = version else { return };
-    let (ticket, name) = (at << 8 | front as u64 & 0xff, plan::name(front));
+    let (ticket, name) = (at << 8 | front as u64 & 0xff, plan::front_name(front));
     let mut lines = lines.lock().unwrap_or_else(PoisonError::into_inner);
     lines.push(json!({"at": at, "truth": "proposed", "ticket": ticket}));
     lines.push(json!({"at": clock.now(), "front": name, "told": ticket, "what": format!("Became(Version({version}))")}));
 }
 
-/// Plays a trial by processes of this daemon; `tell` hears how it goes.
+/// Runs a trial with processes of this daemon; `progress` receives progress lines.
 ///
 /// # Errors
-/// A process that cannot be started, or that ends by itself.
+/// A process cannot be started, or exits by itself.
 pub fn play(
     daemon: &Path,
     trial: &Trial,
     plan: &Plan,
     seed: u64,
-    tell: &mut dyn FnMut(&str),
-) -> io::Result<Played> {
+    progress: &mut dyn FnMut(&str),
+) -> io::Result<ProcessTrial> {
     let clock = Clock::start();
     let addresses = addresses(trial.fronts);
     let relay = Relay::start(Net::new(trial.link), &addresses, seed, clock)?;
@@ -306,49 +314,54 @@
         folder,
         relay: relay.address,
         trial,
-        clocks: plan::clocks(trial),
+        clocks: plan::clock_offsets(trial),
         addresses,
         children: (0..trial.fronts).map(|_| None).collect(),
     };
-    let mut lines =
-        vec![trial.versions.as_ref().map_or_else(|| plan::opening(trial), |of| opening(trial, of))];
-    let mut told = 0;
-    let proposer =
-        trial.versions.clone().map(|of| Proposer::start(&fleet, plan, of, seed, clock)).transpose()?;
+    let mut lines = vec![trial
+        .consensus
+        .as_ref()
+        .map_or_else(|| plan::header_line(trial), |options| header_line(trial, options))];
+    let mut last_report = 0;
+    let proposer = trial
+        .consensus
+        .clone()
+        .map(|options| Proposer::start(&fleet, plan, options, seed, clock))
+        .transpose()?;
     let wait_until = |at: Micros,
                       fleet: &mut Fleet<'_>,
-                      tell: &mut dyn FnMut(&str),
-                      told: &mut Micros|
+                      progress: &mut dyn FnMut(&str),
+                      last_report: &mut Micros|
      -> io::Result<()> {
         while clock.now() < at {
             thread::sleep(Duration::from_micros((at - clock.now()).min(200_000)));
-            if let Some(fallen) = fleet.fallen() {
-                return Err(io::Error::other(fallen));
+            if let Some(error) = fleet.find_exited() {
+                return Err(io::Error::other(error));
             }
-            if clock.now() >= *told + 5_000_000 {
-                *told = clock.now();
+            if clock.now() >= *last_report + 5_000_000 {
+                *last_report = clock.now();
                 let up = fleet.children.iter().flatten().count();
-                tell(&format!("{:>4} s  {up} of {} processes", *told / 1_000_000, trial.fronts));
+                progress(&format!("{:>4} s  {up} of {} processes", *last_report / 1_000_000, trial.fronts));
             }
         }
         Ok(())
     };
-    for (at, act) in plan {
-        wait_until(*at, &mut fleet, tell, &mut told)?;
-        let done = match act {
-            Act::Start(front) => fleet.start(*front)?,
-            Act::Kill(front) => fleet.signal(*front, Signal::KILL),
-            Act::Lose(front) => fleet.signal(*front, Signal::KILL) && fleet.lose(*front),
-            Act::Stop(front) => fleet.signal(*front, Signal::STOP),
-            Act::Run(front) => fleet.signal(*front, Signal::CONT),
-            Act::Cut(..) | Act::Link(..) | Act::Calm => true,
+    for (at, action) in plan {
+        wait_until(*at, &mut fleet, progress, &mut last_report)?;
+        let applied = match action {
+            Action::Start(front) => fleet.start(*front)?,
+            Action::Kill(front) => fleet.signal(*front, Signal::KILL),
+            Action::KillAndWipe(front) => fleet.signal(*front, Signal::KILL) && fleet.delete_disk(*front),
+            Action::Stop(front) => fleet.signal(*front, Signal::STOP),
+            Action::Resume(front) => fleet.signal(*front, Signal::CONT),
+            Action::Cut(..) | Action::Link(..) | Action::FaultsOver => true,
         };
-        let truth = plan::truth(clock.now(), act, &mut relay.net());
-        lines.extend(truth.filter(|_| done));
+        let truth = plan::record_action(clock.now(), action, &mut relay.net());
+        lines.extend(truth.filter(|_| applied));
     }
-    let end = plan.last().map_or(0, |(at, _)| *at) + trial.quiet;
-    wait_until(end, &mut fleet, tell, &mut told)?;
-    let (span, spent) = (clock.now(), fleet.spent());
+    let end = plan.last().map_or(0, |(at, _)| *at) + trial.quiet_period;
+    wait_until(end, &mut fleet, progress, &mut last_report)?;
+    let (span, cpu_time_us) = (clock.now(), fleet.cpu_time_us());
     lines.extend(proposer.map(Proposer::end).unwrap_or_default());
     for front in 0..trial.fronts {
         fleet.signal(front, Signal::KILL);
@@ -356,7 +369,7 @@
         for line in text.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
             let mut line = line;
             let at = line["at"].as_u64().unwrap_or(0).saturating_sub(clock.unix);
-            // What the kill itself left behind is not judged.
+            // Lines written after the end of the trial, while processes are killed, are not judged.
             if at <= span {
                 line["at"] = json!(at);
                 lines.push(line);
@@ -364,13 +377,15 @@
         }
     }
     lines.push(json!({"at": span, "truth": "end"}));
-    let (came, bytes) =
-        (relay.passed.came.load(Ordering::Relaxed), relay.passed.bytes.load(Ordering::Relaxed));
-    let per = span as f64 / 1e6 * trial.fronts as f64;
-    let streamed = relay.passed.streamed.load(Ordering::Relaxed);
-    let cost = json!({"streamed_per_s_and_front": (streamed as f64 / per).round(),
-        "bytes_per_s_and_front": (bytes as f64 / per).round(), "datagrams": came,
-        "processor_ms_per_s_and_front": (spent as f64 / 1e3 / per * 100.0).round() / 100.0,
+    let (datagrams, bytes) = (
+        relay.traffic.datagrams_in.load(Ordering::Relaxed),
+        relay.traffic.datagram_bytes.load(Ordering::Relaxed),
+    );
+    let front_seconds = span as f64 / 1e6 * trial.fronts as f64;
+    let streamed = relay.traffic.stream_bytes.load(Ordering::Relaxed);
+    let cost = json!({"streamed_per_s_and_front": (streamed as f64 / front_seconds).round(),
+        "bytes_per_s_and_front": (bytes as f64 / front_seconds).round(), "datagrams": datagrams,
+        "processor_ms_per_s_and_front": (cpu_time_us as f64 / 1e3 / front_seconds * 100.0).round() / 100.0,
         "seconds": span as f64 / 1e6});
-    Ok(Played { lines, cost })
+    Ok(ProcessTrial { lines, cost })
 }
--- a/crates/trial/src/queue.rs
+++ b/crates/trial/src/queue.rs
@@ -1,12 +1,12 @@
-//! The one queue of a trial in virtual time: events in the order of time, equal times in the order they were put in.
+//! The event queue of a trial in virtual time, ordered by time; events of equal time are in insertion order.
 
 use std::collections::BTreeMap;
 
 use crate::describe::Trial;
-use crate::plan::{Act, Plan};
+use crate::plan::{Action, Plan};
 use crate::Micros;
 
-/// Events that are to come.
+/// Pending events.
 #[derive(Debug)]
 pub struct Queue<E> {
     events: BTreeMap<(Micros, u64), E>,
@@ -15,28 +15,28 @@
 }
 
 impl<E> Queue<E> {
-    /// The acts of a plan, and room for what follows from them until the trial ends.
-    pub fn new(trial: &Trial, plan: &Plan, event: impl Fn(Act) -> E) -> Queue<E> {
-        let end = plan.last().map_or(0, |(at, _)| *at) + trial.quiet;
+    /// Creates a queue that holds the actions of a plan. The trial ends a quiet period after the last action.
+    pub fn new(trial: &Trial, plan: &Plan, event: impl Fn(Action) -> E) -> Queue<E> {
+        let end = plan.last().map_or(0, |(at, _)| *at) + trial.quiet_period;
         let mut queue = Queue { events: BTreeMap::new(), next: 0, end };
-        for (at, act) in plan {
-            queue.push(*at, event(act.clone()));
+        for (at, action) in plan {
+            queue.push(*at, event(action.clone()));
         }
         queue
     }
 
-    /// When the trial ends.
+    /// Returns the end of the trial, us.
     pub fn end(&self) -> Micros {
         self.end
     }
 
-    /// Adds an event.
+    /// Schedules an event.
     pub fn push(&mut self, at: Micros, event: E) {
         self.next += 1;
         self.events.insert((at, self.next), event);
     }
 
-    /// The next event and its time; nothing once the trial has ended.
+    /// Removes the next event and returns it with its time; `None` once the trial has ended.
     pub fn pop(&mut self) -> Option<(Micros, E)> {
         let ((at, _), event) = self.events.pop_first()?;
         (at <= self.end).then_some((at, event))
--- a/crates/trial/src/picture.rs
+++ b/crates/trial/src/timeline.rs
@@ -1,19 +1,20 @@
-//! Who believed whom alive, against the truth, over the time of a trial: an SVG with a row for each front. The band
-//! is the truth (green up, grey down, blue stopped); the line in it is the share of running fronts in whose view the
-//! front is. Where a front goes on with what another promised, an arrow leads from the one to the other, with the number
-//! of sessions.
+//! Timeline of a trial as SVG, with a row for each front. The band shows the actual state (green up, grey down, blue
+//! paused); the line in it shows the share of running fronts whose view contains the front. A takeover is drawn as a line
+//! from the previous owner to the successor, with the number of sessions.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
 use serde_json::Value;
 
+/// Dimensions in SVG units.
 const WIDTH: f64 = 1000.0;
 const LEFT: f64 = 60.0;
 const ROW: f64 = 18.0;
+/// Number of time steps drawn.
 const STEPS: usize = 500;
 
-/// Draws the lines of a trial.
+/// Draws the history lines of a trial.
 pub fn svg(lines: &[Value]) -> String {
     let end = lines.iter().filter_map(|line| line["at"].as_u64()).max().unwrap_or(1).max(1);
     let fronts: Vec<String> = lines
@@ -23,11 +24,11 @@
         .unwrap_or_default();
     let mut sorted: Vec<&Value> = lines.iter().collect();
     sorted.sort_by_key(|line| line["at"].as_u64().unwrap_or(0));
-    let place: BTreeMap<&str, usize> =
+    let row_of_front: BTreeMap<&str, usize> =
         fronts.iter().enumerate().map(|(at, name)| (name.as_str(), at)).collect();
     let count = fronts.len();
     let mut state = vec![0u8; count];
-    let mut believes = vec![vec![false; count]; count];
+    let mut views = vec![vec![false; count]; count];
     let (mut calm, mut next) = (None, 0);
     let x = |step: usize| LEFT + WIDTH * step as f64 / STEPS as f64;
     let mut bands: Vec<Vec<u8>> = vec![Vec::with_capacity(STEPS); count];
@@ -39,30 +40,30 @@
             if line["truth"] == "calm" {
                 calm = Some(step);
             }
-            let Some(front) = line["front"].as_str().and_then(|name| place.get(name)).copied() else {
+            let Some(front) = line["front"].as_str().and_then(|name| row_of_front.get(name)).copied() else {
                 continue;
             };
             match line["truth"].as_str() {
                 Some("up" | "running") => state[front] = 1,
                 Some("down") => {
                     state[front] = 0;
-                    believes[front].fill(false);
+                    views[front].fill(false);
                 }
                 Some("stopped") => state[front] = 2,
                 _ => {}
             }
             if let Some(members) = line["members"].as_array() {
-                believes[front].fill(false);
-                for other in members.iter().filter_map(|name| place.get(name.as_str()?)) {
-                    believes[front][*other] = true;
+                views[front].fill(false);
+                for other in members.iter().filter_map(|name| row_of_front.get(name.as_str()?)) {
+                    views[front][*other] = true;
                 }
             }
         }
         let running: Vec<usize> = (0..count).filter(|front| state[*front] == 1).collect();
         for front in 0..count {
-            let by = running.iter().filter(|other| believes[**other][front]).count();
+            let believers = running.iter().filter(|other| views[**other][front]).count();
             bands[front].push(state[front]);
-            shares[front].push(by as f64 / running.len().max(1) as f64);
+            shares[front].push(believers as f64 / running.len().max(1) as f64);
         }
     }
     let height = ROW * count as f64 + 40.0;
@@ -97,13 +98,18 @@
     }
     let x_at = |at: u64| LEFT + WIDTH * at as f64 / end as f64;
     let middle = |front: usize| 10.0 + ROW * front as f64 + (ROW - 3.0) / 2.0;
-    let mut taken: BTreeMap<(u64, usize), usize> = BTreeMap::new();
+    let mut takeovers: BTreeMap<(u64, usize), usize> = BTreeMap::new();
     for line in &sorted {
-        let (Some(life), Some(heir)) = (line["adopts"].as_str(), line["front"].as_str()) else { continue };
-        let owner = life.split('-').next().unwrap_or(life);
-        let (Some(from), Some(to)) = (place.get(owner).copied(), place.get(heir).copied()) else { continue };
+        let (Some(incarnation), Some(successor)) = (line["adopts"].as_str(), line["front"].as_str()) else {
+            continue;
+        };
+        let owner = incarnation.split('-').next().unwrap_or(incarnation);
+        let (Some(from), Some(to)) = (row_of_front.get(owner).copied(), row_of_front.get(successor).copied())
+        else {
+            continue;
+        };
         let at = line["at"].as_u64().unwrap_or(0);
-        *taken.entry((at, to)).or_default() += line["sessions"].as_array().map_or(0, Vec::len);
+        *takeovers.entry((at, to)).or_default() += line["sessions"].as_array().map_or(0, Vec::len);
         let x = x_at(at);
         let _ = writeln!(
             svg,
@@ -112,7 +118,7 @@
             middle(to)
         );
     }
-    for ((at, to), sessions) in taken {
+    for ((at, to), sessions) in takeovers {
         let (x, y) = (x_at(at), middle(to));
         let _ = writeln!(
             svg,
--- a/crates/trial/tests/promises.rs
+++ b/crates/trial/tests/promises.rs
@@ -1,28 +1,28 @@
-//! Whole fronts in virtual time, with copies of their promises, under the faults that these are for.
+//! Complete fronts with replicated session records in virtual time, under the faults that replication covers.
 
 use salttally_judge::copies::{judge, Property, Verdict};
 use salttally_settings::Document;
 use salttally_trial::describe::Trial;
-use salttally_trial::{plan, whole};
+use salttally_trial::{full_stack, plan};
 
-fn trial(text: &str) -> Trial {
+fn parse_trial(text: &str) -> Trial {
     let document = Document::parse("trial.kdl", text).unwrap();
     Trial::read(&document).unwrap_or_else(|error| panic!("{error}"))
 }
 
-fn played(text: &str, seed: u64) -> Verdict {
-    let trial = trial(text);
-    let described = trial.promises.clone().unwrap();
-    let out = whole::play(&trial, &described, &plan::plan(&trial, seed), seed);
-    let verdict = judge(&out.lines);
+fn run_and_judge(text: &str, seed: u64) -> Verdict {
+    let trial = parse_trial(text);
+    let options = trial.replication.clone().unwrap();
+    let outcome = full_stack::play(&trial, &options, &plan::plan(&trial, seed), seed);
+    let verdict = judge(&outcome.lines);
     assert_eq!(verdict.broken, [], "{text} by seed {seed}");
     assert!(verdict.counts[0] > 20, "too little happened: {verdict:?}");
     verdict
 }
 
 #[test]
-fn with_no_fault_nothing_is_lost_or_taken_over_and_all_places_are_free_at_the_end() {
-    let verdict = played(
+fn without_faults_no_session_is_lost_or_taken_over_and_all_places_are_freed() {
+    let verdict = run_and_judge(
         "trial \"calm\" { fronts 5; lasts-ms 40000; quiet-ms 60000; promises viewers=40; link loss=0.01
             fault \"link\" from=\"0\" to=\"1\" }",
         1,
@@ -30,13 +30,13 @@
     assert_eq!(verdict.counts[1], 0);
 }
 
-const HERE: &str = "quiet-ms 75000; promises viewers=30";
+const COMMON: &str = "quiet-ms 75000; promises viewers=30";
 
 #[test]
-fn a_machine_lost_with_its_disk_and_then_its_heir_lose_nothing() {
-    let verdict = played(
+fn losing_an_owner_with_its_disk_and_then_its_successor_loses_no_session() {
+    let verdict = run_and_judge(
         &format!(
-            "trial \"heirs\" {{ fronts 6; lasts-ms 40000; {HERE}
+            "trial \"heirs\" {{ fronts 6; lasts-ms 40000; {COMMON}
                 fault \"lose\" fronts=\"4\" from-ms=4000 to-ms=30000
                 fault \"lose\" fronts=\"5\" from-ms=14000 to-ms=30000
                 fault \"kill\" fronts=\"3\" from-ms=24000 to-ms=32000 }}"
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn stops_of_one_to_twenty_seconds_around_a_take_over_lose_and_double_nothing() {
+fn pauses_of_one_to_twenty_seconds_around_a_takeover_lose_and_duplicate_no_session() {
     for (span, seed) in [(1_000, 1), (2_500, 2), (3_000, 3), (3_500, 4), (6_000, 5), (20_000, 6)] {
         let to = 4_000 + span;
-        played(
+        run_and_judge(
             &format!(
-                "trial \"stops\" {{ fronts 5; lasts-ms 30000; {HERE}
+                "trial \"stops\" {{ fronts 5; lasts-ms 30000; {COMMON}
                     fault \"stop\" fronts=\"3\" from-ms=4000 to-ms={to}
                     fault \"stop\" fronts=\"4\" from-ms=5500 to-ms={} }}",
                 to + 1_500
@@ -64,11 +64,11 @@
 }
 
 #[test]
-fn an_owner_cut_off_one_way_and_both_ways_is_one_owner_at_a_time() {
+fn a_partitioned_owner_never_acts_together_with_its_successor() {
     for (sided, seed) in [("#true", 1), ("#false", 2), ("#true", 3)] {
-        played(
+        run_and_judge(
             &format!(
-                "trial \"cuts\" {{ fronts 5; lasts-ms 30000; {HERE}; link loss=0.05
+                "trial \"cuts\" {{ fronts 5; lasts-ms 30000; {COMMON}; link loss=0.05
                     fault \"cut\" from=\"3\" to=\"all\" one-sided={sided} from-ms=3000 to-ms=14000
                     fault \"cut\" from=\"0..2\" to=\"4\" one-sided={sided} from-ms=12000 to-ms=22000 }}"
             ),
@@ -78,25 +78,25 @@
 }
 
 #[test]
-fn a_fleet_that_loses_power_at_once_comes_back_with_what_it_promised() {
-    played(
-        &format!("trial \"power\" {{ fronts 5; lasts-ms 20000; {HERE}; fault \"kill\" fronts=\"all\" from-ms=8000 to-ms=10000 }}"),
+fn sessions_survive_a_simultaneous_power_loss_of_all_fronts() {
+    run_and_judge(
+        &format!("trial \"power\" {{ fronts 5; lasts-ms 20000; {COMMON}; fault \"kill\" fronts=\"all\" from-ms=8000 to-ms=10000 }}"),
         3,
     );
 }
 
 #[test]
-fn one_seed_gives_one_course_to_the_byte() {
-    let trial = trial(&format!(
-        "trial \"again\" {{ fronts 5; lasts-ms 20000; {HERE}; link loss=0.1; fault \"lose\" fronts=\"3\" from-ms=4000 to-ms=9000 }}"
+fn the_same_seed_gives_an_identical_history() {
+    let trial = parse_trial(&format!(
+        "trial \"again\" {{ fronts 5; lasts-ms 20000; {COMMON}; link loss=0.1; fault \"lose\" fronts=\"3\" from-ms=4000 to-ms=9000 }}"
     ));
-    let described = trial.promises.clone().unwrap();
-    let lines = || whole::play(&trial, &described, &plan::plan(&trial, 9), 9).lines;
+    let options = trial.replication.clone().unwrap();
+    let lines = || full_stack::play(&trial, &options, &plan::plan(&trial, 9), 9).lines;
     assert_eq!(lines(), lines());
 }
 
 #[test]
-fn a_judge_that_sees_a_lost_session_a_second_set_up_two_owners_and_a_held_place_says_so() {
+fn the_judge_reports_lost_sessions_duplicate_set_ups_two_owners_and_held_places() {
     let lines = |text: &str| -> Vec<serde_json::Value> {
         text.lines().map(|line| serde_json::from_str(line).unwrap()).collect()
     };
@@ -134,12 +134,12 @@
 }
 
 #[test]
-fn one_crash_and_one_stop_at_steps_of_a_promise_break_nothing() {
-    let trial = trial(
+fn one_crash_and_one_pause_at_replication_steps_break_no_property() {
+    let trial = parse_trial(
         "trial \"small\" { fronts 3; lasts-ms 2000; quiet-ms 90000; fault \"link\" from=\"0\" to=\"1\"
             promises viewers=2 boxes=2 watch-from-ms=9000 watch-to-ms=9001 }",
     );
-    let placed = whole::placements(&trial, &trial.promises.clone().unwrap(), 1, 16);
+    let placed = full_stack::placements(&trial, &trial.replication.clone().unwrap(), 1, 16);
     assert_eq!(placed.broken, None);
     assert!(placed.steps > 20 && placed.schedules[0] >= 60 && placed.schedules[1] > 20, "{placed:?}");
 }
