--- a/crates/cli/src/copies.rs
+++ b/crates/cli/src/copies.rs
@@ -1,4 +1,4 @@
-//! `salttally copies`: where a running front's promises are copied, and whether the copies are the same.
+//! `salttally copies`: shows where the session records of a running front are replicated, and compares the replicas.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -12,36 +12,36 @@
 use salttally_settings::Document;
 use serde_json::Value;
 
-/// Copies of what a front has promised.
+/// Replicas of the session records of a front.
 #[derive(Args)]
 pub struct Copies {
-    /// Settings of a running front, as KDL: where it listens, and its keys
+    /// Settings of a running front, KDL: its address and keys
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
-    what: What,
+    what: Action,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// What the front has promised, who holds copies of that, and what it holds of others
+enum Action {
+    /// Show the front's session records, their replicas at other fronts, and the replicas that it holds for others
     Show {
         /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Ask the holders of its copies what they have, and compare
+    /// Compare the replicas at other fronts with the records of this front
     ///
-    /// Exit 0 if all of them have the same, 1 if one is behind, has something else, or does not answer.
+    /// Exit code: 0 if all replicas are equal, 1 if one is behind, differs, or does not answer.
     Verify,
 }
 
-fn shown(settings: &Settings) -> Result<Value, Box<dyn Error>> {
+fn query_front(settings: &Settings) -> Result<Value, Box<dyn Error>> {
     Ok(serde_json::from_str(&ask(settings, Question::Copies)?)?)
 }
 
-fn all<'a>(of: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
-    of[key].as_array().map(Vec::as_slice).unwrap_or_default().iter()
+fn array<'a>(value: &'a Value, key: &str) -> impl Iterator<Item = &'a Value> {
+    value[key].as_array().map(Vec::as_slice).unwrap_or_default().iter()
 }
 
 fn text(value: &Value) -> String {
@@ -49,20 +49,20 @@
 }
 
 impl Copies {
-    /// Asks and prints.
+    /// Queries the front and prints the result.
     pub fn run(&self) -> Result<ExitCode, Box<dyn Error>> {
         let config = self.config.as_ref().ok_or("`--config` names the settings of a running front")?;
         let document = Document::load(config)?;
         let members = Members::read(&document)?;
         let Some(settings) = Settings::read(&document, members.as_ref())? else {
-            return Err(format!("{} has no `accord`, and so no copies", config.display()).into());
+            return Err(format!("{} has no `accord` block, and so no replicas", config.display()).into());
         };
-        let front = shown(&settings)?;
+        let front = query_front(&settings)?;
         match (&self.what, members) {
-            (What::Show { json: true }, _) => println!("{front}"),
-            (What::Show { json: false }, _) => print!("{}", table(&front)),
-            (What::Verify, Some(members)) => return verify(&front, &settings, &members),
-            (What::Verify, None) => return Err("the settings have no `members`".into()),
+            (Action::Show { json: true }, _) => println!("{front}"),
+            (Action::Show { json: false }, _) => print!("{}", table(&front)),
+            (Action::Verify, Some(members)) => return verify(&front, &settings, &members),
+            (Action::Verify, None) => return Err("the settings have no `members` block".into()),
         }
         Ok(ExitCode::SUCCESS)
     }
@@ -70,63 +70,76 @@
 
 fn table(front: &Value) -> String {
     let mut table = format!(
-        "{} lives {}: {} promises after {} changes, {} waited for; disk {}\n",
+        "{} incarnation {}: {} records after {} changes, {} awaited; disk {}\n",
         text(&front["front"]),
         text(&front["life"]),
         front["promises"],
         front["changes"],
         front["waits"],
-        if front["disk"] == true { "whole" } else { "FAILED: it holds nothing for others" },
+        if front["disk"] == true { "whole" } else { "FAILED: holds no replicas for others" },
     );
-    for holder in all(front, "holders") {
+    for holder in array(front, "holders") {
         let filled = if holder["filled"] == true { "" } else { "  (being filled)" };
-        table +=
-            &format!("  copy at {:<16} has {:>8} changes{filled}\n", text(&holder["front"]), holder["has"]);
+        table += &format!(
+            "  replica at {:<16} has {:>8} changes{filled}\n",
+            text(&holder["front"]),
+            holder["has"]
+        );
     }
-    for life in all(front, "taken_over") {
-        let settled = if life["settled"] == true { "settled" } else { "not settled yet" };
-        table += &format!("  goes on with {} by epoch {}, {settled}\n", text(&life["life"]), life["epoch"]);
+    for incarnation in array(front, "taken_over") {
+        let settled = if incarnation["settled"] == true { "settled" } else { "not settled yet" };
+        table += &format!(
+            "  has taken over {} at epoch {}, {settled}\n",
+            text(&incarnation["life"]),
+            incarnation["epoch"]
+        );
     }
-    for shelf in all(front, "holds") {
-        let whole = if shelf["whole"] == true { "" } else { "  (being filled)" };
+    for replica in array(front, "holds") {
+        let status = if replica["whole"] == true { "" } else { "  (being filled)" };
         table += &format!(
-            "  holds {:<24} of {:<12} {:>8} promises after {} changes{whole}\n",
-            text(&shelf["life"]),
-            text(&shelf["owner"]),
-            shelf["promises"],
-            shelf["has"]
+            "  holds {:<24} of {:<12} {:>8} records after {} changes{status}\n",
+            text(&replica["life"]),
+            text(&replica["owner"]),
+            replica["promises"],
+            replica["has"]
         );
     }
     table
 }
 
 fn verify(front: &Value, settings: &Settings, members: &Members) -> Result<ExitCode, Box<dyn Error>> {
-    let known = salttally_members::ask::ask(members)?;
-    let mut same = true;
-    for holder in all(front, "holders") {
+    let view = salttally_members::ask::ask(members)?;
+    let mut all_equal = true;
+    for holder in array(front, "holders") {
         let name = text(&holder["front"]);
-        let address = known.members.iter().find(|member| member["name"] == name.as_str());
+        let address = view.members.iter().find(|member| member["name"] == name.as_str());
         let address = address.and_then(|member| member["address"].as_str()?.parse().ok());
-        let there = match address {
-            Some(bind) => shown(&Settings { bind, ..settings.clone() }).map_err(|error| error.to_string()),
+        let holder_state = match address {
+            Some(bind) => {
+                query_front(&Settings { bind, ..settings.clone() }).map_err(|error| error.to_string())
+            }
             None => Err("not in the view".to_owned()),
         };
-        let said = match &there {
+        let comparison = match &holder_state {
             Err(error) => Err(error.clone()),
-            Ok(there) => match all(there, "holds").find(|shelf| shelf["life"] == front["life"]) {
-                None => Err("has no copy".to_owned()),
-                Some(shelf) if shelf["has"] != front["changes"] => {
-                    Err(format!("has {} of {} changes", shelf["has"], front["changes"]))
+            Ok(holder_state) => {
+                match array(holder_state, "holds").find(|replica| replica["life"] == front["life"]) {
+                    None => Err("has no replica".to_owned()),
+                    Some(replica) if replica["has"] != front["changes"] => {
+                        Err(format!("has {} of {} changes", replica["has"], front["changes"]))
+                    }
+                    Some(replica) if replica["digest"] != front["digest"] => {
+                        Err("has different records".to_owned())
+                    }
+                    Some(replica) => Ok(replica["promises"].clone()),
                 }
-                Some(shelf) if shelf["digest"] != front["digest"] => Err("has something else".to_owned()),
-                Some(shelf) => Ok(shelf["promises"].clone()),
-            },
+            }
         };
-        same &= said.is_ok();
-        match said {
-            Ok(promises) => println!("{name}: the same, {promises} promises"),
-            Err(why) => println!("{name}: {why}"),
+        all_equal &= comparison.is_ok();
+        match comparison {
+            Ok(records) => println!("{name}: equal, {records} records"),
+            Err(error) => println!("{name}: {error}"),
         }
     }
-    Ok(if same { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if all_equal { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
--- a/crates/cli/src/fronts.rs
+++ b/crates/cli/src/fronts.rs
@@ -1,4 +1,4 @@
-//! Fronts of a rehearsal: in this process, or as processes of the daemon.
+//! Fronts of a rehearsal, in this process or as processes of the daemon.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -13,40 +13,40 @@
 
 use crate::Against;
 
-/// Time for an ordered end.
-const END: Duration = Duration::from_secs(10);
+/// Time limit of an orderly shutdown.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
 
-enum Running {
+enum RunningFront {
     Library(Box<Front>),
     Daemon(Child),
 }
 
-/// The fronts of a rehearsal and where they write.
-pub struct Company {
+/// The fronts of a rehearsal and the folder for their files.
+pub struct FrontFleet {
     against: Against,
     folder: PathBuf,
-    running: BTreeMap<usize, Running>,
-    starts: BTreeMap<usize, usize>,
-    /// Records of decisions, with the settings that each was made by.
+    running: BTreeMap<usize, RunningFront>,
+    start_counts: BTreeMap<usize, usize>,
+    /// Decision records, each with the settings of its front.
     pub records: Vec<(PathBuf, PathBuf)>,
 }
 
-impl Company {
-    /// Fronts that write their settings, remembered lists and records into a folder.
-    pub fn new(against: Against, folder: &Path) -> Company {
-        let (running, starts) = (BTreeMap::new(), BTreeMap::new());
-        Company { against, folder: folder.to_owned(), running, starts, records: Vec::new() }
+impl FrontFleet {
+    /// Creates a fleet whose settings, remembered lists and records are written to a folder.
+    pub fn new(against: Against, folder: &Path) -> FrontFleet {
+        let (running, start_counts) = (BTreeMap::new(), BTreeMap::new());
+        FrontFleet { against, folder: folder.to_owned(), running, start_counts, records: Vec::new() }
     }
 
-    /// Ends all of them in order.
-    pub fn end(&mut self) {
+    /// Shuts all fronts down in an orderly way.
+    pub fn shut_down(&mut self) {
         for running in std::mem::take(&mut self.running).into_values() {
             match running {
-                Running::Library(front) => {
-                    front.shut_down(END);
+                RunningFront::Library(front) => {
+                    front.shut_down(SHUTDOWN_TIMEOUT);
                 }
-                Running::Daemon(mut child) => {
-                    // The daemon's own way to end; a process of ours, by its id.
+                RunningFront::Daemon(mut child) => {
+                    // SIGTERM makes the daemon shut down in an orderly way.
                     let _ = Command::new("kill").args(["-TERM", &child.id().to_string()]).status();
                     let _ = child.wait();
                 }
@@ -55,17 +55,17 @@
     }
 }
 
-impl FrontController for Company {
+impl FrontController for FrontFleet {
     fn start(&mut self, number: usize, settings: &str) -> io::Result<()> {
         if self.running.contains_key(&number) {
-            // Two troubles have ended that had both killed it.
+            // Two faults that both had killed this front have ended.
             return Ok(());
         }
-        let start = self.starts.entry(number).or_insert(0);
-        *start += 1;
+        let start_count = self.start_counts.entry(number).or_insert(0);
+        *start_count += 1;
         let file = |name: &str| self.folder.join(format!("f{number}{name}"));
-        let (config, record) = (file(".kdl"), file(&format!("-{start}.decisions.jsonl")));
-        // What the front remembers over a restart is part of the day.
+        let (config, record) = (file(".kdl"), file(&format!("-{start_count}.decisions.jsonl")));
+        // The list that the front remembers over a restart is part of the day.
         let list = file(".list");
         let remember = format!("box-list \"$1\" remember={:?}", list.display().to_string());
         let text: Vec<String> = settings
@@ -83,10 +83,10 @@
                     Settings::load(&config).map_err(|error| io::Error::other(error.to_string()))?;
                 settings.record = Some(record);
                 let front = Front::start(settings).map_err(|error| io::Error::other(error.to_string()))?;
-                Running::Library(Box::new(front))
+                RunningFront::Library(Box::new(front))
             }
             Against::Daemon => {
-                let mut child = Command::new(daemon()?)
+                let mut child = Command::new(daemon_path()?)
                     .arg("--config")
                     .arg(&config)
                     .arg("--record")
@@ -104,7 +104,7 @@
                         config.display()
                     )));
                 }
-                Running::Daemon(child)
+                RunningFront::Daemon(child)
             }
         };
         self.running.insert(number, running);
@@ -113,8 +113,8 @@
 
     fn kill(&mut self, number: usize) {
         match self.running.remove(&number) {
-            Some(Running::Library(front)) => front.kill(),
-            Some(Running::Daemon(mut child)) => {
+            Some(RunningFront::Library(front)) => front.kill(),
+            Some(RunningFront::Daemon(mut child)) => {
                 let _ = child.kill();
                 let _ = child.wait();
             }
@@ -123,11 +123,11 @@
     }
 }
 
-/// The daemon beside this program.
-fn daemon() -> io::Result<PathBuf> {
+/// Returns the path of the daemon, which is expected beside this program.
+fn daemon_path() -> io::Result<PathBuf> {
     let path = std::env::current_exe()?.with_file_name("salttallyd");
     if path.exists() {
         return Ok(path);
     }
-    Err(io::Error::other(format!("{} is not there: build it with `cargo build --release`", path.display())))
+    Err(io::Error::other(format!("{} does not exist: build it with `cargo build --release`", path.display())))
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,14 +19,14 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use tracing_subscriber::EnvFilter;
 
-/// Rehearse, judge and look into session fronts.
+/// Rehearse, judge and inspect session fronts.
 #[derive(Parser)]
 #[command(name = "salttally", version)]
 struct Arguments {
-    /// What is logged on standard error: error, warn, info, debug, trace, or filters
+    /// Log level on standard error: error, warn, info, debug, trace, or a filter
     #[arg(long, global = true, default_value = "error", value_name = "LEVEL")]
     log_level: String,
-    /// Form of the log
+    /// Log format
     #[arg(long, global = true, value_enum, default_value = "text")]
     log: LogForm,
     #[command(subcommand)]
@@ -39,80 +39,81 @@
     Json,
 }
 
-/// What fronts a rehearsal plays against.
+/// How a rehearsal runs its fronts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Against {
-    /// Fronts in this process.
+    /// In this process.
     Library,
-    /// Processes of salttallyd.
+    /// As processes of salttallyd.
     Daemon,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a bad day on loopback sockets and judge it by what crossed them
+    /// Play a day with faults on loopback sockets and judge the recorded traffic
     ///
-    /// Boxes, box list and players are stand-ins of this program, the fronts are real. Prints the worth delivered
-    /// over the worth asked for and the verdict on the six rules. Exit 0 only if all six were kept, 1 if not, 2 if
-    /// the day could not be played.
+    /// Boxes, box list and players are simulated by this program; the fronts are real. Prints the ratio of the worth
+    /// delivered to the worth asked for, and the verdict on the six rules. Exit code: 0 if all six were kept, 1 if not,
+    /// 2 if the day could not be played.
     Rehearse(rehearse::Rehearse),
-    /// Play every two kinds of trouble at once, in many short days, and judge each
+    /// Play each pair of fault kinds together, each in a short day, and judge it
     ///
-    /// Prints a line for each pair. Exit 0 only if all rules were kept on all days.
+    /// Prints a line for each pair. Exit code: 0 if all rules were kept on all days.
     Pairs(pairs::Pairs),
-    /// Search every ordering of sessions, attempts and connections in a small world
+    /// Explore all orderings of sessions, attempts and connections in a small world
     ///
-    /// Explored are the real ledger of each front and the real module, or a decider that asks for anything; all that
-    /// boxes, list, viewers and time may do is a move of the search. Exit 0 if every property held, 1 with a shortest
-    /// path to one that did not.
+    /// The explored code is the production ledger of each front, with the production module or a decider that may
+    /// request anything. Every event of boxes, list, viewers and time is a move of the search. Exit code: 0 if every
+    /// property held, 1 if not, with a shortest path to the violation.
     Explore(explore::Explore),
-    /// Lay siege to a front and measure what proper viewers get meanwhile
+    /// Attack a front and measure the service to regular viewers meanwhile
     ///
-    /// Slow, silent, vanished and greedy peers come by the thousand to a front on this machine, while others open
-    /// sessions and watch. Exit 0 if as many were served as `--least` asks for and no session was harmed, 1 if not.
+    /// Thousands of slow, silent, vanishing and greedy peers connect to a front on this machine while regular viewers
+    /// open and watch sessions. Exit code: 0 if at least the share `--least` was served and no session was harmed, 1 if
+    /// not.
     Siege(siege::Siege),
-    /// Show how a running front sees the others: its view, who cannot reach whom, time it was not running
+    /// Show the membership view of a running front: members, reachability, and time during which it was not running
     ///
-    /// Exit 0 if the front answered, 2 if not.
+    /// Exit code: 0 if the front answered, 2 if not.
     Members(members::Members),
     Rules(rules::Rules),
     Copies(copies::Copies),
-    /// Play a trial: a fleet of fronts under faults between them
+    /// Run a trial: a fleet of fronts under injected faults
     ///
-    /// As processes of salttallyd on this machine, or as the same cores in virtual time. Exit 0 if every property
-    /// held, 1 if one was broken, 2 if the trial could not be played.
+    /// Runs as processes of salttallyd on this machine, or as the same cores in virtual time. Exit code: 0 if every
+    /// property held, 1 if one was broken, 2 if the trial could not be run.
     Trial(trial::Trial),
-    /// Judge a record that a rehearsal wrote
+    /// Judge the record of a rehearsal
     ///
-    /// Prints each rule, kept or the lines that break it. Exit 0 only if all six were kept.
+    /// Prints for each rule whether it was kept, or the violations. Exit code: 0 if all six were kept.
     Judge {
-        /// Record of crossings, JSON lines
+        /// Record of the traffic, JSON lines
         record: PathBuf,
         /// Print the verdict as JSON
         #[arg(long)]
         json: bool,
     },
-    /// Decide a front's record of decisions again and compare
+    /// Replay a front's decision record and compare the decisions
     ///
-    /// Exit 0 if the module decides every step as recorded, 1 at the first that differs.
+    /// Exit code: 0 if the module decides every step as recorded, 1 at the first difference.
     Replay {
-        /// Record of decisions, JSON lines
+        /// Decision record, JSON lines
         record: PathBuf,
-        /// Settings of the front that wrote it
+        /// Settings of the front that wrote the record, KDL
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Check the settings of a front
+    /// Validate the settings of a front
     Check {
-        /// Settings, as KDL
+        /// Settings, KDL
         config: PathBuf,
     },
-    /// Run one kind of stand-in by hand, until interrupted
+    /// Run one kind of stand-in until interrupted
     #[command(subcommand)]
     Standin(tools::Standin),
-    /// Open one session at a front, watch it, close it
+    /// Open a session at a front, watch it and close it
     ///
-    /// Exit 0 if it played, 3 if it was refused, 4 if it failed.
+    /// Exit code: 0 if the session played, 3 if it was refused, 4 if it failed.
     Open(tools::Open),
 }
 
@@ -126,7 +127,7 @@
         LogForm::Text => log.init(),
         LogForm::Json => log.json().init(),
     }
-    let done = match arguments.command {
+    let result = match arguments.command {
         Command::Rehearse(rehearse) => rehearse.run(),
         Command::Pairs(pairs) => pairs.run(),
         Command::Explore(explore) => explore.run(),
@@ -141,7 +142,7 @@
         Command::Copies(copies) => copies.run(),
         Command::Trial(trial) => trial.run(),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("salttally: {error}");
         ExitCode::from(2)
     })
--- a/crates/cli/src/members.rs
+++ b/crates/cli/src/members.rs
@@ -1,4 +1,4 @@
-//! `salttally members`: how a running front sees the others.
+//! `salttally members`: shows the membership view of a running front.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -11,13 +11,13 @@
 use salttally_settings::Document;
 use serde_json::{json, Value};
 
-/// Show how a running front sees the others.
+/// Show the membership view of a running front.
 #[derive(Args)]
 pub struct Members {
-    /// Settings of that front, as KDL: where it listens, and its keys
+    /// Settings of the front, KDL: its address and keys
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Show it again each second, until interrupted
+    /// Repeat every second until interrupted
     #[arg(long)]
     watch: bool,
     /// Print JSON
@@ -26,10 +26,14 @@
 }
 
 impl Members {
-    /// Asks and prints.
+    /// Queries the front and prints its view.
     pub fn run(&self) -> Result<ExitCode, Box<dyn Error>> {
         let Some(settings) = Settings::read(&Document::load(&self.config)?)? else {
-            return Err(format!("{} has no `members`: that front knows nobody", self.config.display()).into());
+            return Err(format!(
+                "{} has no `members` block: the front has no membership",
+                self.config.display()
+            )
+            .into());
         };
         loop {
             let shown = ask(&settings)?;
@@ -50,7 +54,7 @@
     let head = &shown.head;
     let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
     let mut table = format!(
-        "{}: {}, view {} ({}), {} members, {} remove one; loses {:.1}% of round trips; not running {} ms in {} pauses\n",
+        "{}: {}, view {} ({}), {} members, {} accusers remove one; {:.1}% of round trips lost; not running {} ms in {} pauses\n",
         text(&head["front"]),
         text(&head["stage"]),
         head["number"],
@@ -67,7 +71,7 @@
     ));
     for member in &shown.members {
         let figure = |key: &str| if member[key].is_null() { "-".to_owned() } else { member[key].to_string() };
-        let by: Vec<&str> = member["accused_by"]
+        let accusers: Vec<&str> = member["accused_by"]
             .as_array()
             .map_or(Vec::new(), |all| all.iter().filter_map(Value::as_str).collect());
         let failing = if member["failing"] == true { " (not reached from here)" } else { "" };
@@ -78,7 +82,7 @@
             figure("count"),
             figure("round_trip_us"),
             figure("silent_ms"),
-            by.join(" ")
+            accusers.join(" ")
         ));
     }
     table
--- a/crates/cli/src/pairs.rs
+++ b/crates/cli/src/pairs.rs
@@ -1,4 +1,4 @@
-//! `salttally pairs`: every two kinds of trouble at once.
+//! `salttally pairs`: plays each pair of fault kinds together.
 
 use std::error::Error;
 use std::process::ExitCode;
@@ -12,15 +12,15 @@
 use salttally_standin::script::Script;
 use serde_json::json;
 
-use crate::rehearse::{play, Played};
+use crate::rehearse::{play, DayResult};
 use crate::Against;
 
-/// The day that all pairs share; its faults are put in.
+/// Script of all pairs, without the faults.
 const DAY: &str = include_str!("../days/pair.kdl");
 
-/// The kinds, each as it is played for two seconds from the first on. The second of a pair begins a moment after
-/// the first, in the middle of what that causes.
-const KINDS: [(&str, &str); 14] = [
+/// Fault kinds with their options. Each lasts two seconds; the second fault of a pair begins shortly after the first, while
+/// its effects last.
+const FAULT_KINDS: [(&str, &str); 14] = [
     ("crash", "part=0.25"),
     ("vanish", "part=0.2"),
     ("preempt", "part=0.25 notice-ms=300"),
@@ -43,13 +43,13 @@
     /// Seed of the first day; each further day has the next
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Days that are played at once
+    /// Number of days played in parallel
     #[arg(long, default_value_t = 3)]
     at_once: usize,
-    /// Only pairs with this kind of trouble
+    /// Only pairs with this fault kind
     #[arg(long)]
     with: Option<String>,
-    /// Fronts in this process, or processes of salttallyd
+    /// Run the fronts in this process, or as processes of salttallyd
     #[arg(long, value_enum, default_value = "library")]
     against: Against,
     /// Print a line of JSON for each pair
@@ -61,8 +61,8 @@
     /// Plays all pairs.
     pub fn run(self) -> Result<ExitCode, Box<dyn Error>> {
         let mut pairs = Vec::new();
-        for (at, first) in KINDS.iter().enumerate() {
-            for second in &KINDS[at..] {
+        for (at, first) in FAULT_KINDS.iter().enumerate() {
+            for second in &FAULT_KINDS[at..] {
                 let with = self.with.as_deref();
                 if with.is_none_or(|kind| first.0 == kind || second.0 == kind) {
                     pairs.push((*first, *second));
@@ -70,8 +70,8 @@
             }
         }
         if pairs.is_empty() {
-            let known: Vec<&str> = KINDS.iter().map(|(kind, _)| *kind).collect();
-            return Err(format!("no such trouble; known: {}", known.join(", ")).into());
+            let known: Vec<&str> = FAULT_KINDS.iter().map(|(kind, _)| *kind).collect();
+            return Err(format!("unknown fault kind; known: {}", known.join(", ")).into());
         }
         let next = AtomicUsize::new(0);
         let broken = Mutex::new((0, [0usize; 3], 0));
@@ -80,13 +80,13 @@
                 scope.spawn(|| loop {
                     let at = next.fetch_add(1, Ordering::Relaxed);
                     let Some((first, second)) = pairs.get(at) else { return };
-                    let day = self.one(at as u64, first, second);
+                    let day = self.play_pair(at as u64, first, second);
                     let mut sum = broken.lock().unwrap_or_else(PoisonError::into_inner);
-                    self.show(first.0, second.0, &day);
+                    self.print_day(first.0, second.0, &day);
                     match day {
                         Ok(day) => {
-                            sum.0 += usize::from(!day.kept());
-                            sum.1.iter_mut().zip(day.verdict.answers).for_each(|(sum, more)| *sum += more);
+                            sum.0 += usize::from(!day.is_ok());
+                            sum.1.iter_mut().zip(day.verdict.answers).for_each(|(sum, count)| *sum += count);
                             sum.2 += day.verdict.calls_due;
                         }
                         Err(_) => sum.0 += 1,
@@ -94,35 +94,36 @@
                 });
             }
         });
-        let (broken, [plays, refused, failed], owed) =
+        let (broken, [plays, refused, failed], calls_due) =
             broken.into_inner().unwrap_or_else(PoisonError::into_inner);
         if !self.json {
             println!(
-                "{} days, {broken} broken; {owed} calls owed an answer: {plays} play, {refused} refused, {failed} failed",
+                "{} days, {broken} broken; {calls_due} calls due an answer: {plays} play, {refused} refused, {failed} failed",
                 pairs.len()
             );
         }
         Ok(if broken == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn one(
+    fn play_pair(
         &self,
         at: u64,
         first: &(&str, &str),
         second: &(&str, &str),
-    ) -> Result<Played, Box<dyn Error + Send + Sync>> {
-        let fault =
-            |at: f64, (kind, more): &(&str, &str)| format!("fault \"{kind}\" at-s={at} for-s=2 {more}\n");
+    ) -> Result<DayResult, Box<dyn Error + Send + Sync>> {
+        let fault = |at: f64, (kind, options): &(&str, &str)| {
+            format!("fault \"{kind}\" at-s={at} for-s=2 {options}\n")
+        };
         let text = format!("{DAY}{}{}", fault(1.0, first), fault(1.3, second));
         let document = Document::parse("pair", &text).map_err(|error| error.to_string())?;
         let mut script = Script::read(&document).map_err(|error| error.to_string())?;
         script.seed = self.seed + at;
-        // Several days on one machine: threads are late more often.
+        // Several days run in parallel on one machine, so threads are late more often.
         script.terms.lateness *= 2;
         play(script, self.against, None, |_| {})
     }
 
-    fn show(&self, first: &str, second: &str, day: &Result<Played, Box<dyn Error + Send + Sync>>) {
+    fn print_day(&self, first: &str, second: &str, day: &Result<DayResult, Box<dyn Error + Send + Sync>>) {
         match day {
             Ok(day) if self.json => {
                 let value = json!({"first": first, "second": second, "day": day.json()});
@@ -130,9 +131,9 @@
             }
             Ok(day) => {
                 let [plays, refused, failed] = day.verdict.answers;
-                let kept = if day.kept() { "kept" } else { "BROKEN" };
+                let status = if day.is_ok() { "kept" } else { "BROKEN" };
                 println!(
-                    "{first:12} {second:12} {kept:6} worth {:.3}, {plays} play, {refused} refused, {failed} failed",
+                    "{first:12} {second:12} {status:6} worth {:.3}, {plays} play, {refused} refused, {failed} failed",
                     day.worth.ratio()
                 );
                 for rule in Rule::ALL {
@@ -141,8 +142,8 @@
                         .take(2)
                         .for_each(|found| println!("    {rule}: at {} ms: {}", found.at / 1000, found.text));
                 }
-                if let Some(differs) = &day.differs {
-                    println!("    a decision differs: {differs}");
+                if let Some(difference) = &day.first_difference {
+                    println!("    a replayed decision differs: {difference}");
                 }
             }
             Err(error) if self.json => {
--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `salttally rehearse`: a day on loopback sockets, judged.
+//! `salttally rehearse`: plays a day on loopback sockets and judges it.
 
 use std::error::Error;
 use std::fs;
@@ -18,10 +18,10 @@
 use salttally_standin::script::Script;
 use serde_json::json;
 
-use crate::fronts::Company;
+use crate::fronts::FrontFleet;
 use crate::Against;
 
-/// Built-in days: name, script.
+/// Built-in days: name and script.
 const DAYS: [(&str, &str); 5] = [
     ("bad-day", include_str!("../days/bad-day.kdl")),
     ("deploy", include_str!("../days/deploy.kdl")),
@@ -33,25 +33,25 @@
 /// Arguments of `salttally rehearse`.
 #[derive(Args)]
 pub struct Rehearse {
-    /// Name of a built-in day, or a script as KDL; see docs/operate/rehearsal.md
+    /// Name of a built-in day, or path of a KDL script; see docs/operate/rehearsal.md
     #[arg(default_value = DAYS[0].0)]
     day: String,
-    /// List the built-in days and end
+    /// List the built-in days and exit
     #[arg(long)]
     list: bool,
-    /// Print the script of the day and end: a script of your own may begin with it
+    /// Print the script of the day and exit; it can serve as a template
     #[arg(long)]
     print: bool,
-    /// Seed in place of the script's
+    /// Seed; overrides the script
     #[arg(long)]
     seed: Option<u64>,
-    /// Write what crossed the sockets to this file, for `salttally judge`
+    /// Write the record of the traffic to this file, for `salttally judge`
     #[arg(long, value_name = "FILE")]
     record: Option<PathBuf>,
-    /// Keep settings and decisions of the fronts in this folder
+    /// Keep the settings and decision records of the fronts in this folder
     #[arg(long, value_name = "FOLDER")]
     keep: Option<PathBuf>,
-    /// Fronts in this process, or processes of salttallyd
+    /// Run the fronts in this process, or as processes of salttallyd
     #[arg(long, value_enum, default_value = "library")]
     against: Against,
     /// Print the result as JSON
@@ -64,7 +64,7 @@
     pub fn run(self) -> Result<ExitCode, Box<dyn Error>> {
         if self.list {
             for (name, text) in DAYS {
-                println!("{name:14} {}", about(text));
+                println!("{name:14} {}", leading_comment(text));
             }
             return Ok(ExitCode::SUCCESS);
         }
@@ -92,109 +92,119 @@
                 return Ok(ExitCode::from(2));
             }
         };
-        let show = !self.json && std::io::stderr().is_terminal();
-        let length = script.length / 1_000_000;
-        let played = play(script, self.against, self.keep.as_deref(), |progress| {
-            if show {
-                let (now, come, of, here) =
+        let show_progress = !self.json && std::io::stderr().is_terminal();
+        let length_s = script.length / 1_000_000;
+        let result = play(script, self.against, self.keep.as_deref(), |progress| {
+            if show_progress {
+                let (now, arrived, total, present) =
                     (progress.now / 1_000_000, progress.arrived, progress.total, progress.present);
-                eprint!("\r{now:3} of {length} s, {come} of {of} viewers have come, {here} are there   ");
+                eprint!(
+                    "\r{now:3} of {length_s} s, {arrived} of {total} viewers arrived, {present} present   "
+                );
                 let _ = std::io::stderr().flush();
             }
         });
-        if show {
+        if show_progress {
             eprintln!();
         }
-        let played = played.map_err(|error| error.to_string())?;
+        let result = result.map_err(|error| error.to_string())?;
         if let Some(path) = &self.record {
-            played.log.save(path)?;
+            result.log.save(path)?;
         }
         if self.json {
-            println!("{}", played.json());
+            println!("{}", result.json());
         } else {
-            played.print();
+            result.print();
         }
-        Ok(if played.kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if result.is_ok() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 }
 
-/// Plays a day and judges it. Settings and decisions of the fronts stay in `keep`, if that is given.
+/// Plays a day and judges it. The settings and decision records of the fronts are kept in the folder `keep`, if given.
 pub fn play(
     script: Script,
     against: Against,
     keep: Option<&Path>,
-    shown: impl FnMut(Progress),
-) -> Result<Played, Box<dyn Error + Send + Sync>> {
-    let begun = Instant::now();
+    on_progress: impl FnMut(Progress),
+) -> Result<DayResult, Box<dyn Error + Send + Sync>> {
+    let started = Instant::now();
     let day = Day::start(script)?;
-    // The day's first address is its own, so its folder is too.
-    let own = || std::env::temp_dir().join(format!("salttally-{}", day.list.address().ip()));
-    let folder = keep.map_or_else(own, Path::to_owned);
+    // The address of the list is unique to the day, and so is the folder named after it.
+    let default_folder = || std::env::temp_dir().join(format!("salttally-{}", day.list.address().ip()));
+    let folder = keep.map_or_else(default_folder, Path::to_owned);
     fs::create_dir_all(&folder)?;
-    let mut fronts = Company::new(against, &folder);
-    let played = day.play(&mut fronts, shown);
-    fronts.end();
+    let mut fronts = FrontFleet::new(against, &folder);
+    let result = day.play(&mut fronts, on_progress);
+    fronts.shut_down();
     let lines = day.log.lines();
     day.stop();
-    let (decided, differs) = decided(&fronts);
+    let (decision_steps, first_difference) = replay_decisions(&fronts);
     if keep.is_none() {
         fs::remove_dir_all(&folder)?;
     }
-    played?;
+    result?;
     let (verdict, worth) = (judge(&lines), worth(&lines));
-    let seconds = begun.elapsed().as_secs_f64();
-    Ok(Played { verdict, worth, log: day.log.clone(), lines: lines.len(), decided, differs, seconds })
+    let seconds = started.elapsed().as_secs_f64();
+    Ok(DayResult {
+        verdict,
+        worth,
+        log: day.log.clone(),
+        lines: lines.len(),
+        decision_steps,
+        first_difference,
+        seconds,
+    })
 }
 
-/// The comment that a script begins with.
-fn about(text: &str) -> String {
+/// Returns the leading comment of a script.
+fn leading_comment(text: &str) -> String {
     let lines = text.lines().map_while(|line| line.strip_prefix("// "));
     lines.collect::<Vec<_>>().join(" ")
 }
 
-/// Decides all that the fronts recorded again: the number of steps, and the first that differs.
-fn decided(fronts: &Company) -> (usize, Option<String>) {
-    let (mut steps, mut differs) = (0, None);
+/// Replays the decision records of the fronts. Returns the number of steps and the first difference.
+fn replay_decisions(fronts: &FrontFleet) -> (usize, Option<String>) {
+    let (mut steps, mut first_difference) = (0, None);
     for (record, config) in &fronts.records {
         let settings = Settings::load(config).map_err(|error| error.to_string());
         let file = fs::File::open(record).map_err(|error| error.to_string());
-        let done = settings.and_then(|settings| {
+        let replayed = settings.and_then(|settings| {
             record::replay(BufReader::new(file?), &settings.decision).map_err(|error| error.to_string())
         });
-        match done {
-            Ok(done) => steps += done,
+        match replayed {
+            Ok(replayed) => steps += replayed,
             Err(error) => {
                 let name = record.file_name().unwrap_or_default().to_string_lossy().into_owned();
-                differs.get_or_insert(format!("{name}: {error}"));
+                first_difference.get_or_insert(format!("{name}: {error}"));
             }
         }
     }
-    (steps, differs)
+    (steps, first_difference)
 }
 
-/// A day that was played.
-pub struct Played {
-    /// What the judge says.
+/// Result of a day.
+pub struct DayResult {
+    /// Verdict of the judge.
     pub verdict: Verdict,
-    /// What it was worth.
+    /// Worth asked for and delivered.
     pub worth: Worth,
     log: Log,
     lines: usize,
-    decided: usize,
-    /// The first decision that the module would not take.
-    pub differs: Option<String>,
+    decision_steps: usize,
+    /// The first recorded decision that the module does not reproduce.
+    pub first_difference: Option<String>,
     seconds: f64,
 }
 
-impl Played {
-    /// Whether all rules were kept, and every decision was the module's.
-    pub fn kept(&self) -> bool {
-        self.verdict.all_kept() && self.differs.is_none()
+impl DayResult {
+    /// Returns whether all rules were kept and every decision was reproduced.
+    pub fn is_ok(&self) -> bool {
+        self.verdict.all_kept() && self.first_difference.is_none()
     }
 
     fn print(&self) {
         let [plays, refused, failed] = self.verdict.answers;
-        println!("calls       {} owed, {} excused", self.verdict.calls_due, self.verdict.excused);
+        println!("calls       {} due, {} excused", self.verdict.calls_due, self.verdict.excused);
         println!("answers     {plays} play, {refused} refused, {failed} failed");
         println!("attempts    {} reached boxes", self.verdict.attempts);
         println!(
@@ -205,45 +215,45 @@
             self.worth.in_time,
             self.worth.began
         );
-        match &self.differs {
-            None => println!("decisions   {} steps, each as the module alone decides it", self.decided),
-            Some(differs) => println!("decisions   DIFFER: {differs}"),
+        match &self.first_difference {
+            None => println!("decisions   {} steps, all reproduced by the module", self.decision_steps),
+            Some(difference) => println!("decisions   DIFFER: {difference}"),
         }
-        println!("record      {} lines, {:.1} s in all", self.lines, self.seconds);
+        println!("record      {} lines, {:.1} s in total", self.lines, self.seconds);
         print_verdict(&self.verdict);
     }
 
-    /// All of it as JSON.
+    /// Returns the result as JSON.
     pub fn json(&self) -> serde_json::Value {
         let mut value = verdict_json(&self.verdict);
         value["worth"] = json!({
             "part": self.worth.ratio(), "delivered": self.worth.delivered, "asked": self.worth.asked,
             "began": self.worth.began, "in_time": self.worth.in_time
         });
-        value["decisions"] = json!({"steps": self.decided, "differs": self.differs});
+        value["decisions"] = json!({"steps": self.decision_steps, "differs": self.first_difference});
         value["seconds"] = json!(self.seconds);
         value
     }
 }
 
-/// Findings of a rule that are printed; the rest is counted.
-const SHOWN: usize = 5;
+/// Largest number of findings printed for each rule; the others are only counted.
+const MAX_FINDINGS_SHOWN: usize = 5;
 
-/// Prints each rule, kept or the lines that break it.
+/// Prints for each rule whether it was kept, or its findings.
 pub fn print_verdict(verdict: &Verdict) {
     for rule in Rule::ALL {
         let broken: Vec<_> = verdict.findings.iter().filter(|finding| finding.rule == rule).collect();
         println!("{:36} {}", rule.to_string(), if broken.is_empty() { "kept" } else { "BROKEN" });
-        for finding in broken.iter().take(SHOWN) {
+        for finding in broken.iter().take(MAX_FINDINGS_SHOWN) {
             println!("    at {:.3} s: {}", finding.at as f64 / 1e6, finding.text);
         }
-        if broken.len() > SHOWN {
-            println!("    and {} more", broken.len() - SHOWN);
+        if broken.len() > MAX_FINDINGS_SHOWN {
+            println!("    and {} more", broken.len() - MAX_FINDINGS_SHOWN);
         }
     }
 }
 
-/// The verdict as JSON.
+/// Returns the verdict as JSON.
 pub fn verdict_json(verdict: &Verdict) -> serde_json::Value {
     let rules = Rule::ALL.map(|rule| {
         let findings = verdict.findings.iter().filter(|finding| finding.rule == rule);
--- a/crates/cli/src/rules.rs
+++ b/crates/cli/src/rules.rs
@@ -1,4 +1,4 @@
-//! `salttally rules`: versions of rules, asked of a running front or proposed to it.
+//! `salttally rules`: queries the rule versions of a running front and proposes new ones.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -14,152 +14,152 @@
 use salttally_settings::Document;
 use serde_json::Value;
 
-/// Versions of rules that the fronts agree on.
+/// Rule versions on which the fronts agree.
 #[derive(Args)]
 pub struct Rules {
-    /// Settings of a running front, as KDL: where it listens, and its keys
+    /// Settings of a running front, KDL: its address and keys
     #[arg(long, value_name = "FILE", global = true)]
     config: Option<PathBuf>,
     #[command(subcommand)]
-    what: What,
+    what: Action,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// Propose a version, and wait until it is agreed on or refused
+enum Action {
+    /// Propose a version and wait until it is accepted or rejected
     Propose {
-        /// Rules, as KDL
+        /// Rules, KDL
         file: PathBuf,
-        /// Made from this version; refused if it is no longer the latest
+        /// Version on which the proposal is based; it is rejected if this is no longer the latest
         #[arg(long, value_name = "N")]
         base: Option<u64>,
-        /// Who proposes
-        #[arg(long, default_value_t = whoever(), value_name = "NAME")]
+        /// Name of the proposer
+        #[arg(long, default_value_t = current_user(), value_name = "NAME")]
         by: String,
-        /// Check it, and tell what it would change; propose nothing
+        /// Only validate the rules and show the changes
         #[arg(long)]
         dry_run: bool,
     },
-    /// What the front acts on, or a version
+    /// Show the rules in effect at the front, or a version
     Show {
-        /// Which one
+        /// Version number
         version: Option<u64>,
     },
-    /// How the front stands: its lease, the voters, the leader
+    /// Show the state of the front: its lease, the voters and the leader
     Status,
-    /// Versions that are kept, with who proposed them and when
+    /// Show the retained versions with proposer and time
     History,
-    /// What the later of two versions changes
+    /// Show the changes between two versions
     Diff {
-        /// The earlier one
+        /// Earlier version
         from: u64,
-        /// The later one
+        /// Later version
         to: u64,
     },
-    /// Propose what an earlier version said
+    /// Propose the rules of an earlier version again
     BackTo {
-        /// Which one
+        /// Version number
         version: u64,
-        /// Who proposes
-        #[arg(long, default_value_t = whoever(), value_name = "NAME")]
+        /// Name of the proposer
+        #[arg(long, default_value_t = current_user(), value_name = "NAME")]
         by: String,
     },
-    /// Let these fronts vote: ask the leader
+    /// Change the set of voters, by a request to the leader
     Voters {
-        /// Their names: 3, 5 or 7
+        /// Names of 3, 5 or 7 fronts
         names: Vec<String>,
     },
-    /// Check the settings, and tell the stated time
+    /// Validate the settings and show the bound on contradicting rules
     Check,
 }
 
-fn whoever() -> String {
+fn current_user() -> String {
     std::env::var("USER").unwrap_or_else(|_| "operator".into())
 }
 
-type Done = Result<ExitCode, Box<dyn Error>>;
+type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
 impl Rules {
-    /// Carries it out.
-    pub fn run(&self) -> Done {
+    /// Runs the command.
+    pub fn run(&self) -> CommandResult {
         let Some(config) = &self.config else {
-            return Err("--config FILE is needed: settings of a front".into());
+            return Err("--config FILE with the settings of a front is required".into());
         };
         let settings = settings(config)?;
         let version = |number: Option<u64>| -> Result<(u64, Content), Box<dyn Error>> {
-            let said: Value = serde_json::from_str(&ask(&settings, Question::Version(number))?)?;
-            let text = said["rules"].as_str().unwrap_or_default().to_owned();
+            let reply: Value = serde_json::from_str(&ask(&settings, Question::Version(number))?)?;
+            let text = reply["rules"].as_str().unwrap_or_default().to_owned();
             let rules = rules_kdl::read(&Document::parse("version", &text)?)?;
-            Ok((said["version"].as_u64().unwrap_or(0), rules))
+            Ok((reply["version"].as_u64().unwrap_or(0), rules))
         };
         match &self.what {
-            What::Propose { file, base, by, dry_run } => {
+            Action::Propose { file, base, by, dry_run } => {
                 let rules = rules_kdl::read(&Document::load(file)?)?;
                 if *dry_run {
                     let history: Value = serde_json::from_str(&ask(&settings, Question::History)?)?;
                     let latest = history["latest"].as_u64().unwrap_or(0);
                     let (_, before) = version(Some(latest))?;
-                    println!("{} holds; beside version {latest}:", file.display());
-                    tell(&Content::contradictions(&before, &rules));
+                    println!("{} is valid; changes against version {latest}:", file.display());
+                    print_changes(&Content::contradictions(&before, &rules));
                     return Ok(ExitCode::SUCCESS);
                 }
                 propose(&settings, *base, by, rules)
             }
-            What::Show { version: number } => {
+            Action::Show { version: number } => {
                 let (number, rules) = version(*number)?;
                 println!("// version {number}");
                 print!("{}", rules_kdl::write(&rules));
                 Ok(ExitCode::SUCCESS)
             }
-            What::Status => {
+            Action::Status => {
                 println!("{}", ask(&settings, Question::Status)?);
                 Ok(ExitCode::SUCCESS)
             }
-            What::History => {
+            Action::History => {
                 let history: Value = serde_json::from_str(&ask(&settings, Question::History)?)?;
                 for version in history["versions"].as_array().into_iter().flatten() {
                     let lines = version["rules"].as_str().unwrap_or_default().lines().count();
                     println!(
                         "{:>6}  {}  {:<20}  {} rules{}",
                         version["version"],
-                        at(version["at_us"].as_u64().unwrap_or(0)),
+                        format_time(version["at_us"].as_u64().unwrap_or(0)),
                         version["by"].as_str().unwrap_or_default(),
                         lines,
-                        if version["begun"] == true { "" } else { "  waits to begin" }
+                        if version["begun"] == true { "" } else { "  not yet in effect" }
                     );
                 }
                 Ok(ExitCode::SUCCESS)
             }
-            What::Diff { from, to } => {
+            Action::Diff { from, to } => {
                 let (_, before) = version(Some(*from))?;
                 let (_, after) = version(Some(*to))?;
-                tell(&Content::contradictions(&before, &after));
+                print_changes(&Content::contradictions(&before, &after));
                 Ok(ExitCode::SUCCESS)
             }
-            What::BackTo { version: number, by } => {
+            Action::BackTo { version: number, by } => {
                 let (_, rules) = version(Some(*number))?;
                 propose(&settings, None, by, rules)
             }
-            What::Voters { names } => {
+            Action::Voters { names } => {
                 let names = names.iter().map(|name| name.as_str().into()).collect();
                 println!("{}", ask(&settings, Question::ChangeVoters(names))?);
                 Ok(ExitCode::SUCCESS)
             }
-            What::Check => {
+            Action::Check => {
                 let times = &settings.times;
-                println!("{}: holds; voters {}", config.display(), settings.voters.join(" "));
+                println!("{}: valid; voters {}", config.display(), settings.voters.join(" "));
                 match times.max_contradiction() {
-                    Some(stated) => println!(
+                    Some(bound) => println!(
                         "no two fronts act on contradicting rules for longer than T = {} ms\n  lease {} ms and {} ms \
-                         without one, clocks off by {} ppm, {} ms from the last look to the last byte",
-                        stated.div_ceil(1000),
+                         without one, clocks off by {} ppm, {} ms from the last check to the last byte written",
+                        bound.div_ceil(1000),
                         times.lease / 1000,
                         times.grace / 1000,
                         times.drift_ppm,
                         times.write_delay / 1000
                     ),
                     None => println!(
-                        "fronts without a lease go on: no time is stated; among fronts with one it is {} ms",
+                        "fronts without a lease continue, so there is no bound; among fronts with a lease it is {} ms",
                         times.lease / 1000
                     ),
                 }
@@ -171,32 +171,36 @@
 
 fn settings(config: &Path) -> Result<Settings, Box<dyn Error>> {
     Settings::load(config)?.ok_or_else(|| {
-        format!("{} has no `accord`: that front acts on its own file", config.display()).into()
+        format!(
+            "{} has no `accord` block: the front uses the rules of its own settings file",
+            config.display()
+        )
+        .into()
     })
 }
 
-fn propose(settings: &Settings, base: Option<u64>, by: &str, rules: Content) -> Done {
+fn propose(settings: &Settings, base: Option<u64>, by: &str, rules: Content) -> CommandResult {
     let answer = ask(settings, Question::Propose(base, by.to_owned(), Box::new(rules)))?;
-    let said: Value = serde_json::from_str(&answer)?;
-    println!("agreed on as version {}", said["version"]);
+    let reply: Value = serde_json::from_str(&answer)?;
+    println!("accepted as version {}", reply["version"]);
     Ok(ExitCode::SUCCESS)
 }
 
-fn tell(found: &[Contradiction]) {
-    if found.is_empty() {
+fn print_changes(changes: &[Contradiction]) {
+    if changes.is_empty() {
         println!("  nothing changes");
     }
-    for one in found {
-        let how = match (one.tightened, one.loosened) {
+    for change in changes {
+        let direction = match (change.tightened, change.loosened) {
             (true, false) => "tighter",
             (false, true) => "looser",
             _ => "other",
         };
-        println!("  {how:<8} {} {}", one.kind, one.name);
+        println!("  {direction:<8} {} {}", change.kind, change.name);
     }
 }
 
-/// A moment of Unix time, us, in UTC.
-fn at(unix: u64) -> String {
-    humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_micros(unix)).to_string()
+/// Formats a Unix time, us, in UTC.
+fn format_time(unix_us: u64) -> String {
+    humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_micros(unix_us)).to_string()
 }
--- a/crates/cli/src/siege.rs
+++ b/crates/cli/src/siege.rs
@@ -1,4 +1,4 @@
-//! `salttally siege`: attacks on a front, measured by what proper viewers get meanwhile.
+//! `salttally siege`: attacks a front and measures the service to regular viewers meanwhile.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -12,57 +12,57 @@
 /// Arguments of `salttally siege`.
 #[derive(Args)]
 pub struct Siege {
-    /// Kinds to lay at once: slow-handshake, half-message, idle, churn, calls, opens, closes, pings, deaf, vanish;
-    /// without any, each by itself, after a run with nobody for comparison
-    #[arg(value_name = "KIND", value_parser = kind)]
+    /// Kinds of attacks to run together: slow-handshake, half-message, idle, churn, calls, opens, closes, pings, deaf, vanish;
+    /// if none is given, each kind by itself, after a run without attackers for comparison
+    #[arg(value_name = "KIND", value_parser = parse_kind)]
     kinds: Vec<AttackKind>,
-    /// Front, on loopback
+    /// Address of the front, on loopback
     #[arg(long, default_value = "127.0.0.1:7001", value_name = "ADDRESS")]
     against: SocketAddr,
-    /// Besiegers at once
+    /// Number of attacking peers at a time
     #[arg(long, default_value_t = 1_000)]
     peers: usize,
-    /// Addresses of 127.0.0.0/8 that they come from
+    /// Number of source addresses of the peers, in 127.0.0.0/8
     #[arg(long, default_value_t = 1)]
     sources: u32,
-    /// Length of each siege, s
+    /// Duration of each attack, s
     #[arg(long, default_value_t = 10)]
     seconds: u64,
-    /// Besiegers come this long before the viewers that are measured, s
+    /// Time by which the attack starts before the measured viewers, s
     #[arg(long, default_value_t = 2)]
     before: u64,
-    /// Proper viewers at once, who open one session after another
+    /// Number of regular viewers at a time, each opening one session after another
     #[arg(long, default_value_t = 20)]
     viewers: usize,
-    /// Viewers who watch one session from before the siege to its end
+    /// Number of viewers that watch one session from before the attack to its end
     #[arg(long, default_value_t = 20)]
     watchers: usize,
-    /// Title that is watched
+    /// Title of the sessions
     #[arg(long, default_value = "welcome")]
     title: String,
     /// Class of the sessions
     #[arg(long, default_value = "clip")]
     class: String,
-    /// Seed of the draws
+    /// Seed of the random draws
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Least share of proper viewers that must be served
+    /// Smallest share of regular viewers that must be served
     #[arg(long, default_value_t = 0.99, value_name = "PART")]
     least: f64,
-    /// Print a line of JSON for each siege
+    /// Print a line of JSON for each attack
     #[arg(long)]
     json: bool,
 }
 
-fn kind(name: &str) -> Result<AttackKind, String> {
+fn parse_kind(name: &str) -> Result<AttackKind, String> {
     let known = || AttackKind::ALL.map(AttackKind::name).join(", ");
-    AttackKind::from_name(name).ok_or_else(|| format!("no siege `{name}`; there are {}", known()))
+    AttackKind::from_name(name).ok_or_else(|| format!("unknown attack kind `{name}`; known: {}", known()))
 }
 
 impl Siege {
-    /// Lays the sieges and prints what came of each.
+    /// Runs the attacks and prints the result of each.
     pub fn run(self) -> Result<ExitCode, Box<dyn Error>> {
-        let sieges: Vec<Vec<AttackKind>> = match self.kinds.is_empty() {
+        let attacks: Vec<Vec<AttackKind>> = match self.kinds.is_empty() {
             true => AttackKind::ALL.into_iter().map(|kind| vec![kind]).collect(),
             false => vec![self.kinds.clone()],
         };
@@ -72,34 +72,34 @@
                 "siege", "served", "of", "share", "p50 us", "p99 us", "unharmed", "cut off"
             );
         }
-        let mut held = true;
-        for kinds in sieges {
-            let measure = run_attack(self.plan(kinds.clone()))?;
-            held &= measure.served_share() >= self.least && measure.unharmed == measure.watchers;
+        let mut all_passed = true;
+        for kinds in attacks {
+            let report = run_attack(self.plan(kinds.clone()))?;
+            all_passed &= report.served_share() >= self.least && report.unharmed == report.watchers;
             let name = kinds.iter().map(|kind| kind.name()).collect::<Vec<_>>().join("+");
             if self.json {
-                println!("{}", json!({"siege": name, "peers": self.peers, "measure": measure.to_json()}));
+                println!("{}", json!({"siege": name, "peers": self.peers, "measure": report.to_json()}));
             } else {
-                self.row(&name, &measure);
+                self.print_row(&name, &report);
             }
         }
-        Ok(if held { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+        Ok(if all_passed { ExitCode::SUCCESS } else { ExitCode::FAILURE })
     }
 
-    fn row(&self, name: &str, measure: &AttackReport) {
-        let at = |part: f64| measure.answer_us.value_at_quantile(part);
+    fn print_row(&self, name: &str, report: &AttackReport) {
+        let quantile = |part: f64| report.answer_us.value_at_quantile(part);
         println!(
             "{name:16} {:>7} {:>7} {:>6.1}% {:>9} {:>9} {:>12} {:>9}",
-            measure.served,
-            measure.requested,
-            measure.served_share() * 100.0,
-            at(0.5),
-            at(0.99),
-            format!("{} of {}", measure.unharmed, measure.watchers),
-            measure.disconnects
+            report.served,
+            report.requested,
+            report.served_share() * 100.0,
+            quantile(0.5),
+            quantile(0.99),
+            format!("{} of {}", report.unharmed, report.watchers),
+            report.disconnects
         );
-        for why in &measure.failures {
-            println!("    not served: {why}");
+        for reason in &report.failures {
+            println!("    not served: {reason}");
         }
     }
 
--- a/crates/cli/src/tools.rs
+++ b/crates/cli/src/tools.rs
@@ -1,4 +1,4 @@
-//! The smaller commands.
+//! The commands `judge`, `replay`, `check`, `standin` and `open`.
 
 use std::error::Error;
 use std::fs::File;
@@ -22,16 +22,16 @@
 
 use crate::rehearse::{print_verdict, verdict_json};
 
-type Done = Result<ExitCode, Box<dyn Error>>;
+type CommandResult = Result<ExitCode, Box<dyn Error>>;
 
-fn shown(error: Box<SettingError>) -> ExitCode {
+fn print_setting_error(error: Box<SettingError>) -> ExitCode {
     eprintln!("salttally: {error}");
     eprintln!("{:?}", miette::Report::new(*error));
     ExitCode::from(2)
 }
 
-/// `salttally judge`.
-pub fn judge(path: &Path, as_json: bool) -> Done {
+/// Runs `salttally judge`.
+pub fn judge(path: &Path, as_json: bool) -> CommandResult {
     let lines = read(BufReader::new(File::open(path)?))?;
     let verdict = salttally_judge::judge(&lines);
     if as_json {
@@ -42,15 +42,15 @@
     Ok(if verdict.all_kept() { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-/// `salttally replay`.
-pub fn replay(path: &Path, config: &Path) -> Done {
+/// Runs `salttally replay`.
+pub fn replay(path: &Path, config: &Path) -> CommandResult {
     let settings = match Settings::load(config) {
         Ok(settings) => settings,
-        Err(error) => return Ok(shown(error)),
+        Err(error) => return Ok(print_setting_error(error)),
     };
     match record::replay(BufReader::new(File::open(path)?), &settings.decision) {
         Ok(steps) => {
-            println!("{steps} steps, each as the module alone decides it");
+            println!("{steps} steps, all reproduced by the module");
             Ok(ExitCode::SUCCESS)
         }
         Err(error) => {
@@ -60,12 +60,12 @@
     }
 }
 
-/// `salttally check`.
-pub fn check(config: &Path) -> Done {
+/// Runs `salttally check`.
+pub fn check(config: &Path) -> CommandResult {
     Ok(match Settings::load(config) {
         Ok(settings) => {
             println!(
-                "{}: holds; front {}, {} classes, {} rungs, {} titles on {} cells",
+                "{}: valid; front {}, {} classes, {} rungs, {} titles on {} cells",
                 config.display(),
                 settings.name,
                 settings.classes.len(),
@@ -75,66 +75,66 @@
             );
             ExitCode::SUCCESS
         }
-        Err(error) => shown(error),
+        Err(error) => print_setting_error(error),
     })
 }
 
-/// One kind of stand-in.
+/// Kinds of stand-ins.
 #[derive(Subcommand)]
 pub enum Standin {
-    /// Media boxes, and the list that names them
+    /// Media boxes, and optionally a list of them
     Boxes {
-        /// How many
+        /// Number of boxes
         #[arg(long, default_value_t = 1)]
         count: u32,
-        /// Address of the first; the others stand on the ports after it
+        /// Address of the first box; the others use the following ports
         #[arg(long, default_value = "127.0.0.1:7201")]
         address: SocketAddr,
-        /// Also serve the list of these boxes there
+        /// Also serve the list of these boxes at this address
         #[arg(long, value_name = "ADDRESS")]
         list: Option<SocketAddr>,
-        /// Link of each, kB a second
+        /// Link rate of each box, kB/s
         #[arg(long, default_value_t = 10_000.0)]
         link_kb: f64,
-        /// Streams of each at most
+        /// Largest number of streams of each box
         #[arg(long, default_value_t = 40)]
         places: usize,
     },
-    /// A box list that names boxes which run elsewhere; each on the cell of its place
+    /// A list of boxes that run elsewhere; each box is in the cell of its position
     List {
-        /// Where the list listens
+        /// Address of the list
         #[arg(long, default_value = "127.0.0.1:7200")]
         address: SocketAddr,
         /// Addresses of the boxes
         #[arg(required = true)]
         boxes: Vec<SocketAddr>,
     },
-    /// Players that come one after another
+    /// Players that arrive one after another
     Players {
-        /// Front
+        /// Address of the front
         #[arg(long, default_value = "127.0.0.1:7001")]
         front: SocketAddr,
-        /// What they want
+        /// Title of the sessions
         #[arg(long)]
         title: String,
-        /// Class
+        /// Class of the sessions
         #[arg(long)]
         class: String,
-        /// How many come
+        /// Number of players
         #[arg(long, default_value_t = 10)]
         count: u32,
-        /// Pause between two, ms
+        /// Interval between arrivals, ms
         #[arg(long, default_value_t = 200)]
         every_ms: u64,
-        /// How long each watches, ms
+        /// Time that each player watches, ms
         #[arg(long, default_value_t = 2_000)]
         watch_ms: u64,
     },
 }
 
 impl Standin {
-    /// Runs until interrupted, or until all players have gone.
-    pub fn run(self) -> Done {
+    /// Runs until interrupted, or until all players have left.
+    pub fn run(self) -> CommandResult {
         match self {
             Standin::Boxes { count, address, list, link_kb, places } => {
                 let log = Log::default();
@@ -157,7 +157,7 @@
                     boxes.add(BoxSpec { id, zone: 0, cell: id, rack: 0, link_kb, places }, at, false)?;
                     println!("box {id} listens at {at}");
                     if let Some(list) = &list {
-                        list.set(named(id, at));
+                        list.set(list_entry(id, at));
                     }
                 }
                 let _ = boxes.start_link_monitor()?.join();
@@ -166,7 +166,7 @@
             Standin::List { address, boxes } => {
                 let list = BoxList::start(Log::default(), address, 0)?;
                 for (id, at) in boxes.iter().enumerate() {
-                    list.set(named(u32::try_from(id)?, *at));
+                    list.set(list_entry(u32::try_from(id)?, *at));
                 }
                 println!("list of {} boxes listens at {}", boxes.len(), list.address());
                 loop {
@@ -181,7 +181,7 @@
                         "viewer": format!("player-{number}"), "title": title, "class": class,
                         "top_rung": 99, "patience_ms": 3000
                     });
-                    threads.push(std::thread::spawn(move || one(front, &params, watch).to_string()));
+                    threads.push(std::thread::spawn(move || play_session(front, &params, watch).to_string()));
                     std::thread::sleep(Duration::from_millis(every_ms));
                 }
                 for (number, thread) in threads.into_iter().enumerate() {
@@ -193,94 +193,96 @@
     }
 }
 
-fn named(id: u32, address: SocketAddr) -> ListEntry {
+fn list_entry(id: u32, address: SocketAddr) -> ListEntry {
     ListEntry { id, address, zone: 0, cell: id, state: ListState::Ready, size_units: 1.0, started: None }
 }
 
-fn one(front: SocketAddr, params: &serde_json::Value, watch: Duration) -> String {
-    let played = || -> Result<String, Box<dyn Error>> {
-        let mut line = PlayerConnection::connect(front, Duration::from_secs(2))?;
-        let (answer, _) = open(&mut line, params)?;
+fn play_session(front: SocketAddr, params: &serde_json::Value, watch: Duration) -> String {
+    let run = || -> Result<String, Box<dyn Error>> {
+        let mut connection = PlayerConnection::connect(front, Duration::from_secs(2))?;
+        let (answer, _) = open_session(&mut connection, params)?;
         if let Some(session) = answer["result"]["session"].as_str() {
             std::thread::sleep(watch);
-            let closed = line.call("session.close", &json!({"session": session}));
-            closed.map_err(said)?;
+            let closed = connection.call("session.close", &json!({"session": session}));
+            closed.map_err(describe_error)?;
         }
         Ok(answer.to_string())
     };
-    played().unwrap_or_else(|error| error.to_string())
+    run().unwrap_or_else(|error| error.to_string())
 }
 
-fn said(error: ReceiveError) -> String {
+fn describe_error(error: ReceiveError) -> String {
     match error {
-        ReceiveError::TimedOut => "nothing was heard in time".to_owned(),
-        ReceiveError::Closed(why) => format!("the connection ended: {why}"),
+        ReceiveError::TimedOut => "no message within the time limit".to_owned(),
+        ReceiveError::Closed(reason) => format!("the connection closed: {reason}"),
     }
 }
 
-fn open(
-    line: &mut PlayerConnection,
+fn open_session(
+    connection: &mut PlayerConnection,
     params: &serde_json::Value,
 ) -> Result<(serde_json::Value, Vec<serde_json::Value>), Box<dyn Error>> {
-    let id = line.call("session.open", params).map_err(said)?;
+    let id = connection.call("session.open", params).map_err(describe_error)?;
     let patience = params["patience_ms"].as_u64().unwrap_or(0);
-    let mut aside = Vec::new();
-    let until = Instant::now() + Duration::from_millis(patience + 500);
-    let answer = line.response(id, until, &mut aside).map_err(said)?;
-    Ok((answer, aside))
+    let mut other_messages = Vec::new();
+    let deadline = Instant::now() + Duration::from_millis(patience + 500);
+    let answer = connection.response(id, deadline, &mut other_messages).map_err(describe_error)?;
+    Ok((answer, other_messages))
 }
 
 /// Arguments of `salttally open`.
 #[derive(Args)]
 pub struct Open {
-    /// Front
+    /// Address of the front
     #[arg(long, default_value = "127.0.0.1:7001")]
     front: SocketAddr,
-    /// Title
+    /// Title of the session
     title: String,
-    /// Class
+    /// Class of the session
     #[arg(long)]
     class: String,
     /// Name of the viewer
     #[arg(long, default_value = "shell")]
     viewer: String,
-    /// Highest rung that can be used
+    /// Highest rung that the player can use
     #[arg(long, default_value_t = 99)]
     top_rung: u64,
-    /// Give up after so long, ms
+    /// Give up after this time, ms
     #[arg(long, default_value_t = 3_000)]
     patience_ms: u64,
-    /// Watch for so long, ms
+    /// Time to watch, ms
     #[arg(long, default_value_t = 0)]
     watch_ms: u64,
 }
 
 impl Open {
-    /// Opens, prints the answer and the news, closes.
-    pub fn run(self) -> Done {
+    /// Opens a session, prints the answer and all notifications, and closes the session.
+    pub fn run(self) -> CommandResult {
         let params = json!({
             "viewer": self.viewer, "title": self.title, "class": self.class, "top_rung": self.top_rung,
             "patience_ms": self.patience_ms
         });
-        let mut line = PlayerConnection::connect(self.front, Duration::from_secs(2))?;
-        let (answer, mut news) = open(&mut line, &params)?;
+        let mut connection = PlayerConnection::connect(self.front, Duration::from_secs(2))?;
+        let (answer, mut messages) = open_session(&mut connection, &params)?;
         println!("{answer}");
         let Some(session) = answer["result"]["session"].as_str() else {
             return Ok(ExitCode::from(if answer["error"]["code"] == -32001 { 3 } else { 4 }));
         };
-        let until = Instant::now() + Duration::from_millis(self.watch_ms);
+        let deadline = Instant::now() + Duration::from_millis(self.watch_ms);
         loop {
-            for news in news.drain(..) {
-                println!("{news}");
+            for message in messages.drain(..) {
+                println!("{message}");
             }
-            match line.next(until) {
-                Ok(heard) => news.push(heard),
+            match connection.next(deadline) {
+                Ok(message) => messages.push(message),
                 Err(ReceiveError::TimedOut) => break,
-                Err(error) => return Err(said(error).into()),
+                Err(error) => return Err(describe_error(error).into()),
             }
         }
-        let id = line.call("session.close", &json!({"session": session})).map_err(said)?;
-        let closed = line.response(id, Instant::now() + Duration::from_secs(2), &mut news).map_err(said)?;
+        let id = connection.call("session.close", &json!({"session": session})).map_err(describe_error)?;
+        let closed = connection
+            .response(id, Instant::now() + Duration::from_secs(2), &mut messages)
+            .map_err(describe_error)?;
         println!("{closed}");
         Ok(ExitCode::SUCCESS)
     }
--- a/crates/explore/src/bounds.rs
+++ b/crates/explore/src/bounds.rs
@@ -1,60 +1,60 @@
-//! How large a world is, and what may go wrong in it.
+//! Bounds of an exploration: the size of the world and the faults that may occur in it.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Who decides in the fronts.
+/// Decider of the explored fronts.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Layer {
-    /// A decider that may ask for anything the interface has, at any moment.
+    /// A decider that may request any action of the decider interface at any time.
     Anything,
-    /// The module.
+    /// The decision module.
     Module,
 }
 
-/// A kind of trouble: a move of the world that a good day does not have.
+/// Kinds of faults: moves of the world that do not occur in normal operation.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// A box dies; it may start again with its id, cold.
+    /// A box dies; it may restart cold with the same id.
     Death,
     /// A box answers that it is full.
     Full,
     /// A box answers with an error.
     Error,
-    /// An answer is lost: the connection breaks after the box has taken the request.
+    /// An answer is lost: the connection breaks after the box has received the request.
     LostAnswer,
-    /// A connection breaks before the box has the request whole.
+    /// A connection breaks before the box has received the complete request.
     Unwritten,
-    /// A kept connection is found closed.
+    /// A kept-alive connection turns out to be closed.
     Stale,
-    /// A dial is not answered.
+    /// A connection attempt times out.
     NoDial,
-    /// A box drains, is gone, comes back.
+    /// A box is drained, removed or restored.
     Drain,
     /// A viewer gives up.
     GiveUp,
-    /// A viewer's connection ends.
+    /// A viewer's connection closes.
     Gone,
-    /// A viewer's machine is gone without a word; it may come back for its session.
+    /// A viewer's machine disappears without closing its connection; it may come back for its session.
     Silent,
-    /// A viewer asks again, at any front, after a refusal or a loss.
+    /// A viewer opens again, at any front, after a refusal or the loss of its session.
     Again,
     /// An event stream breaks.
     Stream,
-    /// A front dies and is born again with an old list.
+    /// A front dies and restarts with an outdated list.
     Front,
     /// The box ends a session.
     Ended,
-    /// A set-up takes longer than it may: time passes while it is out.
+    /// A set-up exceeds its time limit: time passes while it is in flight.
     Late,
 }
 
 impl Fault {
-    /// All kinds, with the names that the command line has for them.
+    /// All kinds, with their command-line names.
     pub const ALL: [(&'static str, Fault); 16] = [
         ("death", Fault::Death),
         ("full", Fault::Full),
@@ -78,49 +78,51 @@
 /// Bounds of a search.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Bounds {
-    /// Fronts.
+    /// Number of fronts.
     pub fronts: u32,
-    /// Boxes, each with the one title.
+    /// Number of boxes; each serves the only title.
     pub boxes: u32,
-    /// Viewers, each with one session.
+    /// Number of viewers, each with one session.
     pub sessions: u32,
-    /// Of those, the first so many are of the paid class.
+    /// Number of sessions of the paid class: the first ones.
     pub paid: u32,
-    /// Kinds of trouble that may occur.
+    /// Kinds of faults that may occur.
     pub faults: Vec<Fault>,
-    /// Troubles on one path at most.
-    pub troubles: u32,
-    /// Moves on one path at most.
+    /// Largest number of faults on one path.
+    #[serde(rename = "troubles")]
+    pub max_faults: u32,
+    /// Largest number of moves on one path.
     pub depth: usize,
-    /// Who decides.
+    /// Decider of the fronts.
     pub layer: Layer,
-    /// Wrong requests of a decider that asks for anything, on one path at most.
-    pub wrong: u32,
-    /// Nothing new to a box so long after the word of its drain, ms.
-    #[serde(default = "grace")]
+    /// Largest number of invalid requests on one path, of the decider that may request anything.
+    #[serde(rename = "wrong")]
+    pub max_wrong_requests: u32,
+    /// Drain grace, ms: no set-up is sent to a box later than this after the front learned of the drain.
+    #[serde(default = "default_grace_ms")]
     pub grace_ms: u64,
 }
 
-/// The shortest grace that is asked of a front.
-fn grace() -> u64 {
+/// Shortest drain grace that a front has to support, ms.
+fn default_grace_ms() -> u64 {
     250
 }
 
-/// Bounds that are refused.
+/// Invalid bounds.
 #[derive(Clone, Debug, Error, PartialEq)]
 pub enum BadBounds {
-    /// Nothing to explore.
+    /// There is nothing to explore, or more paid sessions than sessions.
     #[error(
         "fronts, boxes, sessions and depth must be 1 at least, and no more sessions paid than there are"
     )]
     Empty,
-    /// More than names are for.
-    #[error("{0} is over the {1} that a search can tell apart")]
+    /// A count exceeds the number of distinguishable names.
+    #[error("{0} exceeds {1}, the number that a search can distinguish")]
     TooMany(&'static str, u32),
 }
 
 impl Bounds {
-    /// The size that is explored at every change, in seconds.
+    /// Returns the bounds of the exploration that runs in CI and takes seconds.
     pub fn small(layer: Layer) -> Bounds {
         Bounds {
             fronts: 1,
@@ -128,15 +130,15 @@
             sessions: 1,
             paid: 1,
             faults: Fault::ALL.iter().map(|(_, fault)| *fault).collect(),
-            troubles: 2,
+            max_faults: 2,
             depth: 40,
             layer,
-            wrong: 1,
-            grace_ms: grace(),
+            max_wrong_requests: 1,
+            grace_ms: default_grace_ms(),
         }
     }
 
-    /// Checks the bounds.
+    /// Validates the bounds.
     pub fn check(&self) -> Result<(), BadBounds> {
         if self.fronts == 0
             || self.boxes == 0
@@ -146,24 +148,29 @@
         {
             return Err(BadBounds::Empty);
         }
-        for (name, value, most) in
+        for (name, value, limit) in
             [("fronts", self.fronts, 99), ("boxes", self.boxes, 99), ("sessions", self.sessions, 999)]
         {
-            if value > most {
-                return Err(BadBounds::TooMany(name, most));
+            if value > limit {
+                return Err(BadBounds::TooMany(name, limit));
             }
         }
         Ok(())
     }
 
-    /// States to expect, from the growth that was measured: each bound multiplies. It is told before a search starts
-    /// that would not end.
+    /// Estimates the number of states from measured growth factors, one for each bound, to warn before a search that
+    /// would not finish.
     pub fn estimate(&self) -> f64 {
-        let by = |base: f64, count: u32| base.powi(count.saturating_sub(1) as i32);
-        let decider = if self.layer == Layer::Anything { by(6.0, self.wrong + 1) } else { 1.0 };
-        let kinds = self.faults.len() as f64 / Fault::ALL.len() as f64;
-        let troubles = (10.0 * kinds).max(1.0).powi(self.troubles as i32);
-        60.0 * troubles * by(60.0, self.sessions) * by(3.0, self.boxes) * by(3.0, self.fronts) * decider
+        let factor = |base: f64, count: u32| base.powi(count.saturating_sub(1) as i32);
+        let decider_factor =
+            if self.layer == Layer::Anything { factor(6.0, self.max_wrong_requests + 1) } else { 1.0 };
+        let kind_share = self.faults.len() as f64 / Fault::ALL.len() as f64;
+        let fault_factor = (10.0 * kind_share).max(1.0).powi(self.max_faults as i32);
+        60.0 * fault_factor
+            * factor(60.0, self.sessions)
+            * factor(3.0, self.boxes)
+            * factor(3.0, self.fronts)
+            * decider_factor
     }
 }
 
@@ -172,14 +179,14 @@
         let layer = if self.layer == Layer::Module { "the module" } else { "any decider" };
         write!(
             f,
-            "{} fronts, {} boxes, {} sessions ({} paid), {} of {} kinds of trouble, {} on a path, {layer}",
+            "{} fronts, {} boxes, {} sessions ({} paid), {} of {} kinds of faults, at most {} on a path, {layer}",
             self.fronts,
             self.boxes,
             self.sessions,
             self.paid,
             self.faults.len(),
             Fault::ALL.len(),
-            self.troubles
+            self.max_faults
         )
     }
 }
--- a/crates/explore/src/canon.rs
+++ b/crates/explore/src/canon.rs
@@ -1,37 +1,37 @@
-//! When two states are one.
+//! Canonical form of states, by which equal states are recognized.
 //!
-//! A state is written out as text by the code that owns it, and then freed of what cannot decide anything: times
-//! become distances from now, and numbers that are only counted up (connections, tries of streams, requests) are
-//! named in the order in which they stand in the text. What is equal after that behaves equally: all comparisons of
-//! times in core and module are of distances, and counters are compared for equality alone.
+//! A state is formatted with `Debug` and then normalized: times become distances from the current time, and counter values
+//! (connections, stream attempts, requests) are renumbered in order of appearance. States with the same canonical form
+//! behave equally, since core and module only compare distances of times, and compare counters only for equality.
 
-/// Every moment of an explored world is later than this, and no other number reaches it: so times are known in a text.
+/// Lower bound of all times in an explored world, us. No other number reaches it, so that times are recognizable in a
+/// text.
 pub const EPOCH: u64 = 1_000_000_000_000_000;
 
-/// Distances of the past that are told apart, us. Nothing in core or module looks further back than this in the
-/// explored worlds, whose paths are shorter; older times are all one.
-pub const PAST: u64 = 60_000_000;
+/// Largest distance into the past that is distinguished, us; older times are equal. In the explored worlds, whose paths
+/// are shorter, core and module never look further back.
+pub const MAX_PAST_US: u64 = 60_000_000;
 
-/// Names before a number that is only counted up.
-const COUNTED: [&str; 5] = ["ConnId(", "serial: ", "try_no: ", "RequestTimeout(", "last: "];
+/// Texts that precede counter values.
+const COUNTER_PREFIXES: [&str; 5] = ["ConnId(", "serial: ", "try_no: ", "RequestTimeout(", "last: "];
 
-/// Frees a text of what cannot decide anything, at this time.
-pub fn canon(text: &str, now: u64) -> String {
+/// Normalizes the text of a state at this time.
+pub fn canonicalize(text: &str, now: u64) -> String {
     let bytes = text.as_bytes();
     let mut out = String::with_capacity(text.len());
-    let mut names: Vec<(usize, &str)> = Vec::new();
-    let mut at = 0;
-    while at < bytes.len() {
-        let start = at;
-        while at < bytes.len() && !bytes[at].is_ascii_digit() {
-            at += 1;
+    let mut seen_numbers: Vec<(usize, &str)> = Vec::new();
+    let mut position = 0;
+    while position < bytes.len() {
+        let start = position;
+        while position < bytes.len() && !bytes[position].is_ascii_digit() {
+            position += 1;
         }
-        out.push_str(&text[start..at]);
-        let digits = at;
-        while at < bytes.len() && bytes[at].is_ascii_digit() {
-            at += 1;
+        out.push_str(&text[start..position]);
+        let digits_start = position;
+        while position < bytes.len() && bytes[position].is_ascii_digit() {
+            position += 1;
         }
-        let number = &text[digits..at];
+        let number = &text[digits_start..position];
         if number.is_empty() {
             continue;
         }
@@ -41,16 +41,19 @@
                 continue;
             }
         }
-        match COUNTED.iter().position(|name| text[..digits].ends_with(name)) {
-            // The last number given out decides nothing; whatever holds a number names it.
+        match COUNTER_PREFIXES.iter().position(|name| text[..digits_start].ends_with(name)) {
+            // The last assigned number has no influence: every holder of a number contains it.
             Some(4) => out.push('_'),
             Some(kind) => {
-                let known = names.iter().filter(|(of, _)| *of == kind).position(|(_, name)| *name == number);
-                let place = known.unwrap_or_else(|| {
-                    names.push((kind, number));
-                    names.iter().filter(|(of, _)| *of == kind).count() - 1
+                let index_of_known = seen_numbers
+                    .iter()
+                    .filter(|(known_kind, _)| *known_kind == kind)
+                    .position(|(_, known)| *known == number);
+                let index = index_of_known.unwrap_or_else(|| {
+                    seen_numbers.push((kind, number));
+                    seen_numbers.iter().filter(|(known_kind, _)| *known_kind == kind).count() - 1
                 });
-                out.push_str(&place.to_string());
+                out.push_str(&index.to_string());
             }
             None => out.push_str(number),
         }
@@ -61,7 +64,7 @@
 fn write_distance(out: &mut String, time: u64, now: u64) {
     if time >= now {
         out.push_str(&format!("+{}", time - now));
-    } else if now - time > PAST {
+    } else if now - time > MAX_PAST_US {
         out.push_str("long ago");
     } else {
         out.push_str(&format!("-{}", now - time));
@@ -73,7 +76,7 @@
     use super::*;
 
     #[test]
-    fn times_that_only_shift_and_numbers_that_only_count_make_no_other_state() {
+    fn shifted_times_and_counters_yield_the_same_state() {
         let state = |now: u64, conn: u64| {
             let due = now + 300;
             format!(
@@ -81,9 +84,9 @@
                 conn + 3
             )
         };
-        let one = canon(&state(EPOCH + 5, 1), EPOCH + 5);
-        assert_eq!(one, canon(&state(EPOCH + 999, 40), EPOCH + 999));
+        let one = canonicalize(&state(EPOCH + 5, 1), EPOCH + 5);
+        assert_eq!(one, canonicalize(&state(EPOCH + 999, 40), EPOCH + 999));
         assert_eq!(one, "{ConnId(0): Busy, ConnId(1): Idle(+300)} serial: 0, last: _ rung: 2");
-        assert_ne!(one, canon(&state(EPOCH + 5, 1), EPOCH + 6), "a distance is part of the state");
+        assert_ne!(one, canonicalize(&state(EPOCH + 5, 1), EPOCH + 6), "distances are part of the state");
     }
 }
--- a/crates/explore/src/lib.rs
+++ b/crates/explore/src/lib.rs
@@ -1,12 +1,13 @@
-//! Every ordering of sessions, attempts and connections, on the front's own code.
+//! State exploration of the production code of the front: all orderings of sessions, attempts and connections.
 //!
-//! The state that is explored is the real [`salttally_front::core::Ledger`] of each front, with the real module or
-//! with a decider that may ask for anything, in a small world of boxes, list and viewers whose every move is a choice
-//! of the search. `docs/design/exploration.md` states the properties, what is abstracted and what is not covered.
+//! The explored state contains the production [`salttally_front::core::Ledger`] of each front, with the production module
+//! or a decider that may request anything, in a small simulated world of boxes, box list and viewers. Every event of that
+//! world is a move chosen by the search. `docs/design/exploration.md` states the properties, the abstractions and what is
+//! not covered.
 //!
-//! - [`world`]: the world, its moves, and the checks of what crosses the sockets.
-//! - [`canon`]: when two states are one.
-//! - [`search`]: exhaustive, breadth first, with `stateright`; [`walk`]: at random, beyond that size, with shrinking.
+//! - [`world`]: the simulated world, its moves, and the checks of the messages between fronts, boxes and viewers.
+//! - [`canon`]: the canonical form of states.
+//! - [`search`]: exhaustive breadth-first search with `stateright`; [`walk`]: random walks for larger worlds, and shrinking.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/explore/src/search.rs
+++ b/crates/explore/src/search.rs
@@ -1,4 +1,4 @@
-//! The exhaustive search: breadth first, so that the first path to a broken property is a shortest one.
+//! Exhaustive breadth-first search; the first path found to a broken property is a shortest one.
 
 use std::hash::{Hash, Hasher};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,74 +6,74 @@
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
-use stateright::{Checker, Expectation, Model, Property as Checked};
+use stateright::{Checker, Expectation, Model, Property as ModelProperty};
 
 use crate::bounds::Bounds;
 use crate::world::{Move, Property, World};
 
-/// Version of traces: one of another version may name moves that mean something else here.
-pub const TRACE: u32 = 1;
+/// Version of the trace format. Moves of traces with another version may have a different meaning.
+pub const TRACE_VERSION: u32 = 1;
 
 /// A path to a state that breaks a property.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Trace {
-    /// Version of its moves.
+    /// Version of the trace format.
     pub version: u32,
-    /// The bounds that it was found in.
+    /// Bounds of the exploration that found the trace.
     pub bounds: Bounds,
-    /// What it breaks.
+    /// Broken property.
     pub property: Property,
-    /// How.
+    /// Description of the violation.
     pub text: String,
-    /// The moves from the start.
+    /// Moves from the initial state.
     pub moves: Vec<Move>,
 }
 
-/// A state: the world, and what it is told apart by.
+/// A state of the model: the world and its fingerprint, by which states are compared.
 #[derive(Clone, Debug)]
 pub struct State {
     world: Arc<World>,
-    shape: u128,
+    fingerprint: u128,
     depth: usize,
     broken: Option<(Property, String)>,
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &State) -> bool {
-        self.shape == other.shape
+        self.fingerprint == other.fingerprint
     }
 }
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.shape.hash(state);
+        self.fingerprint.hash(state);
     }
 }
 
-/// The model that is checked.
-struct Explored {
+/// The model to check, with counters for statistics.
+struct WorldModel {
     bounds: Arc<Bounds>,
-    bytes: AtomicUsize,
-    measured: AtomicUsize,
+    text_bytes: AtomicUsize,
+    texts_measured: AtomicUsize,
     transitions: AtomicUsize,
 }
 
-impl Explored {
+impl WorldModel {
     fn state(&self, world: World, depth: usize) -> State {
-        let shape = world.shape();
-        self.bytes.fetch_add(shape.len(), Ordering::Relaxed);
-        self.measured.fetch_add(1, Ordering::Relaxed);
-        let shape = xxhash_rust::xxh3::xxh3_128(shape.as_bytes());
+        let text = world.canonical_text();
+        self.text_bytes.fetch_add(text.len(), Ordering::Relaxed);
+        self.texts_measured.fetch_add(1, Ordering::Relaxed);
+        let fingerprint = xxhash_rust::xxh3::xxh3_128(text.as_bytes());
         let mut broken = world.broken.clone();
-        // A path may stop anywhere: from each state the world must be able to go quiet.
+        // A path may end in any state, so each state has to be able to reach quiescence.
         if broken.is_none() {
-            broken = world.quiet().err().map(|text| (Property::Quiet, text));
+            broken = world.check_quiescence().err().map(|text| (Property::Quiet, text));
         }
-        State { world: Arc::new(world), shape, depth, broken }
+        State { world: Arc::new(world), fingerprint, depth, broken }
     }
 }
 
-impl Model for Explored {
+impl Model for WorldModel {
     type State = State;
     type Action = Move;
 
@@ -90,14 +90,14 @@
     fn next_state(&self, state: &State, action: Move) -> Option<State> {
         self.transitions.fetch_add(1, Ordering::Relaxed);
         let mut world = (*state.world).clone();
-        world.play(&action);
+        world.apply(&action);
         Some(self.state(world, state.depth + 1))
     }
 
-    fn properties(&self) -> Vec<Checked<Self>> {
-        macro_rules! held {
+    fn properties(&self) -> Vec<ModelProperty<Self>> {
+        macro_rules! always {
             ($($property:ident),*) => {
-                vec![$(Checked {
+                vec![$(ModelProperty {
                     expectation: Expectation::Always,
                     name: stringify!($property),
                     condition: |_, state: &State| {
@@ -106,50 +106,51 @@
                 }),*]
             };
         }
-        held![OneAnswer, InTime, OneAttempt, PaidOnce, Drains, Cold, Terms, Budget, Quiet, Lock]
+        always![OneAnswer, InTime, OneAttempt, PaidOnce, Drains, Cold, Terms, Budget, Quiet, Lock]
     }
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Found {
-    /// Its bounds.
+pub struct SearchResult {
+    /// Bounds of the search.
     pub bounds: Bounds,
-    /// Different states.
+    /// Number of distinct states.
     pub states: usize,
-    /// Moves made.
+    /// Number of moves.
     pub transitions: usize,
-    /// Moves on the longest path to a new state.
+    /// Number of moves on the longest path to a new state.
     pub longest: usize,
-    /// Time, s.
+    /// Duration, s.
     pub seconds: f64,
-    /// Mean length of a state's text, bytes.
+    /// Mean length of the canonical text of a state, bytes.
     pub bytes: usize,
-    /// Whether every state within the bounds was seen.
-    pub whole: bool,
-    /// A shortest path for each property that does not hold.
+    /// Whether every state within the bounds was visited.
+    #[serde(rename = "whole")]
+    pub exhaustive: bool,
+    /// A shortest path for each broken property.
     pub traces: Vec<Trace>,
 }
 
-/// Searches, through so many states at most and no longer than `within`.
-pub fn search(bounds: &Bounds, threads: usize, most: usize, within: Duration) -> Found {
-    let model = Explored {
+/// Searches until all states are visited, or the limit of states or time is reached.
+pub fn search(bounds: &Bounds, threads: usize, max_states: usize, time_limit: Duration) -> SearchResult {
+    let model = WorldModel {
         bounds: Arc::new(bounds.clone()),
-        bytes: AtomicUsize::new(0),
-        measured: AtomicUsize::new(0),
+        text_bytes: AtomicUsize::new(0),
+        texts_measured: AtomicUsize::new(0),
         transitions: AtomicUsize::new(0),
     };
-    let checker = model.checker().threads(threads.max(1)).timeout(within).target_state_count(most);
-    let begun = crate::walk::Stopwatch::start();
-    let done = checker.spawn_bfs().join();
-    let seconds = begun.seconds();
-    let model = done.model();
+    let checker = model.checker().threads(threads.max(1)).timeout(time_limit).target_state_count(max_states);
+    let stopwatch = crate::walk::Stopwatch::start();
+    let checker_result = checker.spawn_bfs().join();
+    let seconds = stopwatch.seconds();
+    let model = checker_result.model();
     let mut traces = Vec::new();
-    for (_, path) in done.discoveries() {
+    for (_, path) in checker_result.discoveries() {
         let last = path.last_state();
         let Some((property, text)) = last.broken.clone() else { continue };
         traces.push(Trace {
-            version: TRACE,
+            version: TRACE_VERSION,
             bounds: bounds.clone(),
             property,
             text,
@@ -157,15 +158,17 @@
         });
     }
     traces.sort_by_key(|trace| (trace.property, trace.moves.len()));
-    let measured = model.measured.load(Ordering::Relaxed).max(1);
-    Found {
+    let texts_measured = model.texts_measured.load(Ordering::Relaxed).max(1);
+    SearchResult {
         bounds: bounds.clone(),
-        states: done.unique_state_count(),
+        states: checker_result.unique_state_count(),
         transitions: model.transitions.load(Ordering::Relaxed),
-        longest: done.max_depth().saturating_sub(1),
+        longest: checker_result.max_depth().saturating_sub(1),
         seconds,
-        bytes: model.bytes.load(Ordering::Relaxed) / measured,
-        whole: seconds < within.as_secs_f64() && done.state_count() < most && traces.is_empty(),
+        bytes: model.text_bytes.load(Ordering::Relaxed) / texts_measured,
+        exhaustive: seconds < time_limit.as_secs_f64()
+            && checker_result.state_count() < max_states
+            && traces.is_empty(),
         traces,
     }
 }
--- a/crates/explore/src/walk.rs
+++ b/crates/explore/src/walk.rs
@@ -1,4 +1,4 @@
-//! Beyond the size that can be searched: random paths, the same properties, and traces made as short as they get.
+//! Random walks for worlds that are too large for an exhaustive search, with the same properties, and shrinking of traces.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::sync::Arc;
@@ -8,114 +8,123 @@
 use rand_pcg::Pcg32;
 
 use crate::bounds::Bounds;
-use crate::search::{Trace, TRACE};
+use crate::search::{Trace, TRACE_VERSION};
 use crate::world::{Move, Property, World};
 
-/// Measures how long a search takes; nothing is decided by it.
+/// Measures the duration of a search; does not influence the explored code.
 #[derive(Clone, Copy, Debug)]
 pub struct Stopwatch(Instant);
 
 impl Stopwatch {
-    /// Starts now.
+    /// Starts the stopwatch.
     pub fn start() -> Stopwatch {
         Stopwatch(Instant::now())
     }
 
-    /// Time since the start, s.
+    /// Returns the time since the start, s.
     pub fn seconds(&self) -> f64 {
         self.0.elapsed().as_secs_f64()
     }
 }
 
-/// What random paths found.
+/// Result of random walks.
 #[derive(Clone, Debug, Default)]
-pub struct Walked {
-    /// Paths gone.
+pub struct WalkResult {
+    /// Number of paths.
     pub paths: u64,
-    /// Moves made.
+    /// Number of moves.
     pub moves: u64,
-    /// The first trace found, as short as it got.
+    /// The first trace found, shrunk.
     pub trace: Option<Trace>,
 }
 
-/// Goes random paths for so long, s.
-pub fn walk_for(bounds: &Bounds, seed: u64, seconds: f64) -> Walked {
-    let begun = Stopwatch::start();
-    walk_while(bounds, seed, |_| begun.seconds() < seconds)
+/// Takes random paths for this time, s.
+pub fn walk_for(bounds: &Bounds, seed: u64, seconds: f64) -> WalkResult {
+    let stopwatch = Stopwatch::start();
+    walk_while(bounds, seed, |_| stopwatch.seconds() < seconds)
 }
 
-/// Goes so many random paths. The same seed goes the same paths.
-pub fn walk(bounds: &Bounds, seed: u64, paths: u64) -> Walked {
-    walk_while(bounds, seed, |gone| gone < paths)
+/// Takes this number of random paths. The same seed yields the same paths.
+pub fn walk(bounds: &Bounds, seed: u64, paths: u64) -> WalkResult {
+    walk_while(bounds, seed, |finished| finished < paths)
 }
 
-fn walk_while(bounds: &Bounds, seed: u64, go_on: impl Fn(u64) -> bool) -> Walked {
+fn walk_while(bounds: &Bounds, seed: u64, should_continue: impl Fn(u64) -> bool) -> WalkResult {
     let bounds = Arc::new(bounds.clone());
-    let mut walked = Walked::default();
-    while go_on(walked.paths) {
-        let mut rng = Pcg32::seed_from_u64(seed.wrapping_add(walked.paths));
+    let mut result = WalkResult::default();
+    while should_continue(result.paths) {
+        let mut rng = Pcg32::seed_from_u64(seed.wrapping_add(result.paths));
         let mut world = World::new(Arc::clone(&bounds));
         let mut moves = Vec::new();
         while moves.len() < bounds.depth && world.broken.is_none() {
-            let all = world.moves();
-            let Some(chosen) = all.get(rng.next_u32() as usize % all.len().max(1)) else { break };
-            world.play(chosen);
-            moves.push(chosen.clone());
+            let moves_available = world.moves();
+            let Some(next_move) = moves_available.get(rng.next_u32() as usize % moves_available.len().max(1))
+            else {
+                break;
+            };
+            world.apply(next_move);
+            moves.push(next_move.clone());
         }
-        walked.paths += 1;
-        walked.moves += moves.len() as u64;
-        let broken = world.broken.clone().or_else(|| world.quiet().err().map(|text| (Property::Quiet, text)));
+        result.paths += 1;
+        result.moves += moves.len() as u64;
+        let broken = world
+            .broken
+            .clone()
+            .or_else(|| world.check_quiescence().err().map(|text| (Property::Quiet, text)));
         if let Some((property, _)) = broken {
-            walked.trace = Some(shrink(&bounds, property, moves));
+            result.trace = Some(shrink(&bounds, property, moves));
             break;
         }
     }
-    walked
+    result
 }
 
-/// What a path breaks; moves that are not possible where they stand are left out.
+/// Replays moves, skipping those that are not possible, and returns the applied moves and the broken property, if any.
 pub fn replay(bounds: &Arc<Bounds>, moves: &[Move]) -> (Vec<Move>, Option<(Property, String)>) {
     let mut world = World::new(Arc::clone(bounds));
-    let mut made = Vec::new();
-    for chosen in moves {
-        if world.moves().contains(chosen) {
-            world.play(chosen);
-            made.push(chosen.clone());
+    let mut applied = Vec::new();
+    for next_move in moves {
+        if world.moves().contains(next_move) {
+            world.apply(next_move);
+            applied.push(next_move.clone());
         }
         if world.broken.is_some() {
             break;
         }
     }
-    let broken = world.broken.clone().or_else(|| world.quiet().err().map(|text| (Property::Quiet, text)));
-    (made, broken)
+    let broken =
+        world.broken.clone().or_else(|| world.check_quiescence().err().map(|text| (Property::Quiet, text)));
+    (applied, broken)
 }
 
-/// Leaves moves out for as long as the same property breaks.
+/// Removes moves as long as the same property breaks.
 pub fn shrink(bounds: &Arc<Bounds>, property: Property, moves: Vec<Move>) -> Trace {
     let (mut best, mut text) = (moves, String::new());
-    if let (made, Some((of, first))) = replay(bounds, &best) {
-        if of == property {
-            (best, text) = (made, first);
+    if let (applied, Some((broken_property, description))) = replay(bounds, &best) {
+        if broken_property == property {
+            (best, text) = (applied, description);
         }
     }
     let mut size = (best.len() / 2).max(1);
     loop {
-        let mut shorter = false;
-        let mut at = 0;
-        while at < best.len() {
-            let mut less = best.clone();
-            less.drain(at..(at + size).min(less.len()));
-            match replay(bounds, &less) {
-                (made, Some((of, why))) if of == property && made.len() < best.len() => {
-                    (best, text, shorter) = (made, why, true);
+        let mut shortened = false;
+        let mut position = 0;
+        while position < best.len() {
+            let mut candidate = best.clone();
+            candidate.drain(position..(position + size).min(candidate.len()));
+            match replay(bounds, &candidate) {
+                (applied, Some((broken_property, description)))
+                    if broken_property == property && applied.len() < best.len() =>
+                {
+                    (best, text, shortened) = (applied, description, true);
                 }
-                _ => at += size,
+                _ => position += size,
             }
         }
-        if size == 1 && !shorter {
+        if size == 1 && !shortened {
             break;
         }
         size = (size / 2).max(1);
     }
-    Trace { version: TRACE, bounds: (**bounds).clone(), property, text, moves: best }
+    Trace { version: TRACE_VERSION, bounds: (**bounds).clone(), property, text, moves: best }
 }
--- a/crates/explore/tests/small.rs
+++ b/crates/explore/tests/small.rs
@@ -1,4 +1,4 @@
-//! The size that is explored at every change.
+//! Explorations that are small enough for CI.
 
 use salttally_explore::bounds::{Bounds, Fault, Layer};
 use salttally_explore::search::search;
@@ -7,48 +7,54 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-fn held(bounds: &Bounds, states: usize) {
-    // Bounds that are seen whole: no limit of time or states may end the search before.
+fn assert_all_properties_hold(bounds: &Bounds, min_states: usize) {
+    // The bounds are small enough to visit every state; the limits of time and states are not to be reached.
     let found = search(bounds, 2, usize::MAX, Duration::from_secs(600));
     for trace in &found.traces {
-        eprintln!("trace of {} moves: {}: {}", trace.moves.len(), trace.property.sentence(), trace.text);
-        trace.moves.iter().for_each(|chosen| eprintln!("    {chosen}"));
+        eprintln!("trace of {} moves: {}: {}", trace.moves.len(), trace.property.description(), trace.text);
+        trace.moves.iter().for_each(|next_move| eprintln!("    {next_move}"));
     }
-    assert!(found.whole, "{bounds}: a property is broken, see above");
-    assert!(found.states > states, "{bounds}: only {} states", found.states);
+    assert!(found.exhaustive, "{bounds}: a property is broken, see above");
+    assert!(found.states > min_states, "{bounds}: only {} states", found.states);
 }
 
 #[test]
-fn whatever_a_decider_asks_for_holds() {
-    held(&Bounds { troubles: 1, wrong: 0, ..Bounds::small(Layer::Anything) }, 10_000);
+fn properties_hold_for_any_decider() {
+    assert_all_properties_hold(
+        &Bounds { max_faults: 1, max_wrong_requests: 0, ..Bounds::small(Layer::Anything) },
+        10_000,
+    );
 }
 
 #[test]
-fn the_module_holds() {
-    held(&Bounds { troubles: 1, ..Bounds::small(Layer::Module) }, 1_000);
+fn properties_hold_for_the_module() {
+    assert_all_properties_hold(&Bounds { max_faults: 1, ..Bounds::small(Layer::Module) }, 1_000);
 }
 
 #[test]
-fn the_module_holds_with_longer_graces() {
+fn properties_hold_for_the_module_with_longer_drain_graces() {
     for grace_ms in [1_000, 2_000] {
         let faults = vec![Fault::Drain, Fault::Late, Fault::Error, Fault::NoDial];
-        held(&Bounds { troubles: 2, grace_ms, faults, ..Bounds::small(Layer::Module) }, 300);
+        assert_all_properties_hold(
+            &Bounds { max_faults: 2, grace_ms, faults, ..Bounds::small(Layer::Module) },
+            300,
+        );
     }
 }
 
 #[test]
-fn two_sessions_of_the_module_hold() {
-    held(&Bounds { troubles: 0, sessions: 2, ..Bounds::small(Layer::Module) }, 100);
+fn properties_hold_for_two_sessions_of_the_module() {
+    assert_all_properties_hold(&Bounds { max_faults: 0, sessions: 2, ..Bounds::small(Layer::Module) }, 100);
 }
 
 #[test]
-fn random_paths_of_a_larger_world_hold() {
+fn properties_hold_on_random_paths_of_a_larger_world() {
     let bounds = Bounds {
         fronts: 3,
         boxes: 6,
         sessions: 8,
         paid: 3,
-        troubles: 5,
+        max_faults: 5,
         depth: 150,
         ..Bounds::small(Layer::Module)
     };
@@ -58,10 +64,10 @@
 }
 
 #[test]
-fn a_trace_is_replayed_as_far_as_its_moves_can_be_made() {
-    let bounds = Arc::new(Bounds { troubles: 2, ..Bounds::small(Layer::Module) });
+fn replay_skips_moves_that_are_not_possible() {
+    let bounds = Arc::new(Bounds { max_faults: 2, ..Bounds::small(Layer::Module) });
     let open = Move::Open { viewer: 0, front: 0, draw: 0 };
-    // Not broken: moves that cannot be made are left out, and what is left holds.
-    let (made, broken) = replay(&bounds, &[Move::Close { viewer: 0 }, open.clone(), open.clone()]);
-    assert_eq!((made, broken), (vec![open], None));
+    // The impossible moves are skipped, and the remaining ones break no property.
+    let (applied, broken) = replay(&bounds, &[Move::Close { viewer: 0 }, open.clone(), open.clone()]);
+    assert_eq!((applied, broken), (vec![open], None));
 }
