--- a/crates/daemon/benches/front.rs
+++ b/crates/daemon/benches/front.rs
@@ -1,7 +1,7 @@
-//! What a front costs, against the bare round trips that it is made of, all in one run on one loopback.
+//! Measures a front's answer time against bare WebSocket and HTTP round trips, all in one run on one loopback.
 //!
-//! `cargo bench -p salttally-daemon --bench front` prints the tables of docs/measurements/front.md. The daemon runs
-//! as a process of its own, so that its memory and threads are its own; boxes and players are in this process.
+//! `cargo bench -p salttally-daemon --bench front` prints the tables of docs/measurements/front.md. The daemon runs as a
+//! separate process, so that its memory and threads can be measured; boxes and players are in this process.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -33,17 +33,17 @@
 "#;
 
 fn main() {
-    // `cargo test` runs benchmarks with this flag: then nothing is measured.
+    // `cargo test` runs benchmarks with this flag, in which case nothing is measured.
     if std::env::args().any(|argument| argument == "--test") {
         return;
     }
     let rounds = 20_000;
     println!("## Answer time, us ({rounds} rounds one after another, 8 boxes, set-up of 0 ms)\n");
     println!("| what | p50 | p99 | p99.9 |\n| --- | --- | --- | --- |");
-    let socket = row("bare WebSocket round trip, 180 bytes", &bare_socket(rounds));
-    let request = row("bare HTTP/1.1 round trip, 180 bytes, kept alive", &bare_http(rounds));
-    let front = Running::start();
-    let opened = row("session.open until its answer", &opens(&front, rounds));
+    let socket = print_row("bare WebSocket round trip, 180 bytes", &measure_bare_websocket(rounds));
+    let request = print_row("bare HTTP/1.1 round trip, 180 bytes, kept alive", &measure_bare_http(rounds));
+    let front = FrontProcess::start();
+    let opened = print_row("session.open until its answer", &measure_opens(&front, rounds));
     println!(
         "\nAnswer over the two bare round trips together: {:.2} at p50, {:.2} at p99.\n",
         opened.0 as f64 / (socket.0 + request.0) as f64,
@@ -51,62 +51,64 @@
     );
     println!("## Sessions opened and closed a second\n\n| players at once | sessions a second | p50 us | p99 us |\n| --- | --- | --- | --- |");
     for players in [1, 8, 32] {
-        rate(&front, players, Duration::from_secs(3));
+        measure_rate(&front, players, Duration::from_secs(3));
     }
     println!();
-    sizes(&front);
+    measure_memory(&front);
 }
 
-fn row(name: &str, times: &Histogram<u64>) -> (u64, u64) {
-    let at = |part: f64| times.value_at_quantile(part);
-    let us = |part: f64| at(part) as f64 / 1000.0;
+/// Prints a table row, and returns the 50th and the 99th percentile in ns.
+fn print_row(name: &str, times: &Histogram<u64>) -> (u64, u64) {
+    let value_at = |share: f64| times.value_at_quantile(share);
+    let us = |share: f64| value_at(share) as f64 / 1000.0;
     println!("| {name} | {:.1} | {:.1} | {:.1} |", us(0.5), us(0.99), us(0.999));
-    (at(0.5), at(0.99))
+    (value_at(0.5), value_at(0.99))
 }
 
 fn histogram() -> Histogram<u64> {
     Histogram::new(3).expect("three digits")
 }
 
-fn note(times: &mut Histogram<u64>, begun: Instant) {
+fn record_elapsed(times: &mut Histogram<u64>, begun: Instant) {
     let _ = times.record(begun.elapsed().as_nanos() as u64);
 }
 
-fn bare_socket(rounds: usize) -> Histogram<u64> {
+fn measure_bare_websocket(rounds: usize) -> Histogram<u64> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
         let (stream, _) = listener.accept().expect("a peer");
         stream.set_nodelay(true).expect("a socket");
         #[allow(clippy::result_large_err)]
-        let agree = |request: &tungstenite::handshake::server::Request,
-                     mut response: tungstenite::handshake::server::Response| {
-            let offered = request.headers()["Sec-WebSocket-Protocol"].clone();
-            response.headers_mut().insert("Sec-WebSocket-Protocol", offered);
-            Ok(response)
-        };
-        let mut socket = tungstenite::accept_hdr(stream, agree).expect("a handshake");
+        let select_protocol =
+            |request: &tungstenite::handshake::server::Request,
+             mut response: tungstenite::handshake::server::Response| {
+                let offered = request.headers()["Sec-WebSocket-Protocol"].clone();
+                response.headers_mut().insert("Sec-WebSocket-Protocol", offered);
+                Ok(response)
+            };
+        let mut socket = tungstenite::accept_hdr(stream, select_protocol).expect("a handshake");
         while let Ok(message) = socket.read() {
             if message.is_text() && socket.send(message).is_err() {
                 return;
             }
         }
     });
-    let mut line = Line::connect(address, Duration::from_secs(2)).expect("connects");
+    let mut connection = Line::connect(address, Duration::from_secs(2)).expect("connects");
     let text = json!({"id": 1, "pad": "x".repeat(160)}).to_string();
     let mut times = histogram();
     for round in 0..rounds + 500 {
         let begun = Instant::now();
-        line.send(&text).expect("sent");
-        line.next(begun + Duration::from_secs(2)).expect("echoed");
+        connection.send(&text).expect("sent");
+        connection.next(begun + Duration::from_secs(2)).expect("echoed");
         if round >= 500 {
-            note(&mut times, begun);
+            record_elapsed(&mut times, begun);
         }
     }
     times
 }
 
-fn bare_http(rounds: usize) -> Histogram<u64> {
+fn measure_bare_http(rounds: usize) -> Histogram<u64> {
     let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
     let address = listener.local_addr().expect("bound");
     thread::spawn(move || {
@@ -125,28 +127,28 @@
     let body = "x".repeat(90);
     let request =
         format!("POST /sessions HTTP/1.1\r\nHost: box\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let mut part = [0; 2048];
+    let mut buffer = [0; 2048];
     let mut times = histogram();
     for round in 0..rounds + 500 {
         let begun = Instant::now();
         stream.write_all(request.as_bytes()).expect("sent");
-        assert!(stream.read(&mut part).expect("answered") > 0);
+        assert!(stream.read(&mut buffer).expect("answered") > 0);
         if round >= 500 {
-            note(&mut times, begun);
+            record_elapsed(&mut times, begun);
         }
     }
     times
 }
 
-/// A daemon with its boxes.
-struct Running {
+/// A daemon process with its boxes.
+struct FrontProcess {
     day: Day,
     child: Child,
     address: SocketAddr,
 }
 
-impl Running {
-    fn start() -> Running {
+impl FrontProcess {
+    fn start() -> FrontProcess {
         let document = Document::parse("bench.kdl", SCRIPT).expect("KDL");
         let day = Day::start(Script::read(&document).expect("a script")).expect("stand-ins start");
         let config = std::env::temp_dir().join(format!("salttally-bench-{}.kdl", std::process::id()));
@@ -162,9 +164,10 @@
         BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("it listens");
         thread::sleep(Duration::from_millis(500));
         let address = day.front_address(0);
-        Running { day, child, address }
+        FrontProcess { day, child, address }
     }
 
+    /// A number of `/proc/PID/status`; 0 if it cannot be read.
     fn status(&self, key: &str) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).unwrap_or_default();
         let line = text.lines().find(|line| line.starts_with(key)).unwrap_or("");
@@ -172,7 +175,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for FrontProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -180,55 +183,55 @@
     }
 }
 
-fn params(viewer: usize) -> Value {
+fn open_params(viewer: usize) -> Value {
     json!({
         "viewer": format!("v-{viewer}"), "title": format!("title-{}", viewer % 8), "class": "clip",
         "top_rung": 2, "patience_ms": 2000
     })
 }
 
-fn open(line: &mut Line, viewer: usize) -> Option<String> {
-    let id = line.call("session.open", &params(viewer)).ok()?;
-    let answer = line.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new()).ok()?;
+fn open_session(connection: &mut Line, viewer: usize) -> Option<String> {
+    let id = connection.call("session.open", &open_params(viewer)).ok()?;
+    let answer = connection.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new()).ok()?;
     answer["result"]["session"].as_str().map(str::to_owned)
 }
 
-fn close(line: &mut Line, session: &str) {
-    if let Ok(id) = line.call("session.close", &json!({"session": session})) {
-        let _ = line.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new());
+fn close_session(connection: &mut Line, session: &str) {
+    if let Ok(id) = connection.call("session.close", &json!({"session": session})) {
+        let _ = connection.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new());
     }
 }
 
-fn opens(front: &Running, rounds: usize) -> Histogram<u64> {
-    let mut line = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
+fn measure_opens(front: &FrontProcess, rounds: usize) -> Histogram<u64> {
+    let mut connection = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
     let mut times = histogram();
     for round in 0..rounds + 500 {
         let begun = Instant::now();
-        let session = open(&mut line, round).expect("plays");
+        let session = open_session(&mut connection, round).expect("plays");
         if round >= 500 {
-            note(&mut times, begun);
+            record_elapsed(&mut times, begun);
         }
-        close(&mut line, &session);
+        close_session(&mut connection, &session);
     }
     times
 }
 
-fn rate(front: &Running, players: usize, time: Duration) {
+fn measure_rate(front: &FrontProcess, players: usize, time: Duration) {
     let ready = Arc::new(Barrier::new(players));
     let address = front.address;
     let threads: Vec<_> = (0..players)
         .map(|player| {
             let ready = Arc::clone(&ready);
             thread::spawn(move || {
-                let mut line = Line::connect(address, Duration::from_secs(2)).expect("connects");
+                let mut connection = Line::connect(address, Duration::from_secs(2)).expect("connects");
                 ready.wait();
                 let (begun, mut times) = (Instant::now(), histogram());
                 let mut number = player * 1_000_000;
                 while begun.elapsed() < time {
-                    let asked = Instant::now();
-                    let Some(session) = open(&mut line, number) else { continue };
-                    note(&mut times, asked);
-                    close(&mut line, &session);
+                    let requested = Instant::now();
+                    let Some(session) = open_session(&mut connection, number) else { continue };
+                    record_elapsed(&mut times, requested);
+                    close_session(&mut connection, &session);
                     number += 1;
                 }
                 times
@@ -239,46 +242,51 @@
     for thread in threads {
         all.add(thread.join().expect("a player")).expect("same digits");
     }
-    let us = |part: f64| all.value_at_quantile(part) as f64 / 1000.0;
+    let us = |share: f64| all.value_at_quantile(share) as f64 / 1000.0;
     let rate = all.len() as f64 / time.as_secs_f64();
     println!("| {players} | {rate:.0} | {:.0} | {:.0} |", us(0.5), us(0.99));
 }
 
-fn sizes(front: &Running) {
+fn measure_memory(front: &FrontProcess) {
     println!("## Memory and threads of the daemon\n\n| what | resident kB each | threads each |\n| --- | --- | --- |");
-    let look = || (front.status("VmRSS:"), front.status("Threads:"));
+    let usage = || (front.status("VmRSS:"), front.status("Threads:"));
     let print = |name: &str, before: (u64, u64), after: (u64, u64), count: usize| {
         let each = |before: u64, after: u64| (after as f64 - before as f64) / count as f64;
         println!("| {name} | {:.2} | {:.2} |", each(before.0, after.0), each(before.1, after.1));
     };
-    let start = look();
+    let start = usage();
     let idle = 4_000;
-    let lines: Vec<Line> =
+    let connections: Vec<Line> =
         (0..idle).map_while(|_| Line::connect(front.address, Duration::from_secs(2)).ok()).collect();
     thread::sleep(Duration::from_millis(300));
-    print(&format!("idle connection ({} of {idle} held)", lines.len()), start, look(), lines.len());
-    drop(lines);
+    print(
+        &format!("idle connection ({} of {idle} held)", connections.len()),
+        start,
+        usage(),
+        connections.len(),
+    );
+    drop(connections);
     thread::sleep(Duration::from_secs(1));
-    let before = look();
+    let before = usage();
     let held = 10_000;
-    let mut line = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
+    let mut connection = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
     let begun = Instant::now();
-    let plays = (0..held).filter(|viewer| open(&mut line, *viewer).is_some()).count();
-    let took = begun.elapsed();
-    print(&format!("session that plays ({plays} of {held} held, one connection)"), before, look(), plays);
+    let plays = (0..held).filter(|viewer| open_session(&mut connection, *viewer).is_some()).count();
+    let elapsed = begun.elapsed();
+    print(&format!("session that plays ({plays} of {held} held, one connection)"), before, usage(), plays);
     println!(
         "\nThe {plays} sessions were opened one after another in {:.1} s; start: {} kB, {} threads.",
-        took.as_secs_f64(),
+        elapsed.as_secs_f64(),
         start.0,
         start.1
     );
     let begun = Instant::now();
     let mut times = histogram();
     for viewer in 0..500 {
-        let asked = Instant::now();
-        if let Some(session) = open(&mut line, held + viewer) {
-            note(&mut times, asked);
-            close(&mut line, &session);
+        let requested = Instant::now();
+        if let Some(session) = open_session(&mut connection, held + viewer) {
+            record_elapsed(&mut times, requested);
+            close_session(&mut connection, &session);
         }
     }
     println!(
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! salttallyd: a session front as a process. It reads its settings, starts the front, and ends it in order at
-//! SIGTERM or SIGINT; everything else is the library's.
+//! `salttallyd` runs a session front as a process. It reads the settings, starts the front, and shuts it down gracefully
+//! on SIGTERM or SIGINT. Everything else is implemented in the libraries.
 
 use std::io::IsTerminal;
 use std::os::unix::net::UnixStream;
@@ -25,186 +25,197 @@
 use signal_hook::iterator::Signals;
 use tracing_subscriber::EnvFilter;
 
-/// A session front: players over WebSocket, media boxes over HTTP, every decision by salttally.
+/// A session front: serves players over WebSocket, controls media boxes over HTTP, and places sessions with salttally.
 ///
-/// Ends in order at SIGTERM or SIGINT: what is owed is answered, what plays is released. Killed, its sessions play
-/// on at the boxes, and a front started again under the same name finds them there.
+/// On SIGTERM or SIGINT it shuts down gracefully: open requests are answered and playing sessions are released. If it
+/// is killed, its sessions play on at the boxes, and a front restarted under the same name finds them there.
 #[derive(Parser)]
 #[command(name = "salttallyd", version)]
 struct Arguments {
-    /// Settings, as KDL; see docs/operate/front.md
+    /// Settings file in KDL; see docs/operate/front.md
     #[arg(long, value_name = "FILE", required_unless_present = "platform")]
     config: Option<PathBuf>,
-    /// Run as a front node of the platform, by the file that GW_CONFIG names; see docs/operate/front-node.md
+    /// Run as a front node of the platform, configured by the file named in GW_CONFIG; see docs/operate/front-node.md
     #[arg(long, conflicts_with_all = ["config", "check", "record"])]
     platform: bool,
-    /// Check the settings and end: 0 if they hold, 2 with file, line and reason if not
+    /// Check the settings and exit: status 0 if they are valid, otherwise 2 with file, line and reason
     #[arg(long)]
     check: bool,
-    /// Write every decision to this file, as JSON lines; goes before `record` in the settings
+    /// Write every decision to this file, as JSON lines; overrides `record` in the settings
     #[arg(long, value_name = "FILE")]
     record: Option<PathBuf>,
-    /// Form of the log on standard error
+    /// Format of the log on standard error
     #[arg(long, value_enum, default_value = "text")]
-    log: LogForm,
-    /// What is logged: error, warn, info, debug, trace, or filters as in `info,salttally_front=debug`
+    log: LogFormat,
+    /// Log level (error, warn, info, debug, trace) or filters such as `info,salttally_front=debug`
     #[arg(long, default_value = "info", value_name = "LEVEL")]
     log_level: String,
-    /// An ordered end takes this long at most, in ms
+    /// Upper bound on the duration of a graceful shutdown, in ms
     #[arg(long, default_value_t = 5_000, value_name = "MS")]
     end_within: u64,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum LogForm {
+enum LogFormat {
     Text,
     Json,
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let Some(config) = &arguments.config else { return front_node(&arguments) };
+    let Some(config) = &arguments.config else { return run_front_node(&arguments) };
     let mut settings = match Settings::load_within(config, &room::of_process()) {
         Ok(settings) => settings,
-        Err(error) => return refused(*error),
+        Err(error) => return report_bad_settings(*error),
     };
-    let among = match Among::read(config) {
-        Ok(among) => among,
-        Err(error) => return refused(*error),
+    let peer_settings = match PeerSettings::read(config) {
+        Ok(peer_settings) => peer_settings,
+        Err(error) => return report_bad_settings(*error),
     };
     if arguments.check {
-        println!("{}: holds", config.display());
+        println!("{}: settings are valid", config.display());
         return ExitCode::SUCCESS;
     }
     if arguments.record.is_some() {
         settings.record.clone_from(&arguments.record);
     }
-    start_log(&arguments);
-    // Before the front starts: a signal that comes meanwhile must not be lost.
-    let heeded: &[i32] =
-        if among.members.is_some() { &[SIGTERM, SIGINT, SIGHUP] } else { &[SIGTERM, SIGINT] };
-    let mut signals = match Signals::new(heeded) {
+    init_logging(&arguments);
+    // Installed before the front starts, so that a signal that arrives during the start is not lost.
+    let handled_signals: &[i32] =
+        if peer_settings.members.is_some() { &[SIGTERM, SIGINT, SIGHUP] } else { &[SIGTERM, SIGINT] };
+    let mut signals = match Signals::new(handled_signals) {
         Ok(signals) => signals,
-        Err(error) => return fail(&format!("no signals: {error}")),
+        Err(error) => return exit_with_error(&format!("cannot install the signal handlers: {error}")),
     };
-    let line = among.copies.is_some().then(copies::Line::default);
-    let front = match Front::start_kept(settings, line.as_ref().map(copies::Line::teller)) {
+    let copies_line = peer_settings.copies.is_some().then(copies::Line::default);
+    let front = match Front::start_kept(settings, copies_line.as_ref().map(copies::Line::teller)) {
         Ok(front) => front,
-        Err(error) => return fail(&error.to_string()),
+        Err(error) => return exit_with_error(&error.to_string()),
     };
-    tracing::info!(address = %front.address(), seed = front.seed(), "front listens");
-    // Whoever started the process may wait for this line.
+    tracing::info!(address = %front.address(), seed = front.seed(), "front is listening");
+    // Supervisors wait for this line to know that the front accepts connections.
     println!("listening {}", front.address());
-    let others = match among.start(Some(&front), line) {
-        Ok(others) => others,
-        Err(reason) => return fail(&reason),
+    let peer_services = match peer_settings.start(Some(&front), copies_line) {
+        Ok(peer_services) => peer_services,
+        Err(reason) => return exit_with_error(&reason),
     };
     for signal in signals.forever() {
         if signal != SIGHUP {
             break;
         }
-        others.new_keys(config);
+        peer_services.reload_keys(config);
     }
-    tracing::info!("front ends");
-    // While it releases what plays, the others go on to have its promises and its leases hold.
+    tracing::info!("shutting down the front");
+    // Replication, accord and membership keep running while the front releases its sessions: its acknowledgements
+    // and its lease have to stay valid until then.
     let counts = front.shut_down(Duration::from_millis(arguments.end_within));
-    others.leave();
+    peer_services.shut_down();
     match counts {
         Some(counts) => {
-            tracing::info!(?counts, "front has ended");
+            tracing::info!(?counts, "front has shut down");
             ExitCode::SUCCESS
         }
-        None => fail("not all that played was released in time; boxes end it when they miss this front"),
+        None => exit_with_error(
+            "not all playing sessions were released in time; the boxes end the rest once this front is gone",
+        ),
     }
 }
 
-/// What a front does among others, as far as its settings say.
-struct Among {
+/// Settings of the services that connect this front to its peers; those without settings are off.
+struct PeerSettings {
     members: Option<Members>,
     accord: Option<Accord>,
     copies: Option<Copies>,
 }
 
-impl Among {
-    fn read(config: &Path) -> Read<Among> {
+impl PeerSettings {
+    fn read(config: &Path) -> Read<PeerSettings> {
         let document = Document::load(config)?;
         let members = Members::read(&document)?;
         let accord = Accord::read(&document, members.as_ref())?;
         let copies = Copies::read(&document, members.as_ref(), accord.as_ref())?;
-        Ok(Among { members, accord, copies })
+        Ok(PeerSettings { members, accord, copies })
     }
 
-    /// Starts what the settings have, each told of by the one before: members, accord, copies, the front.
-    fn start(&self, front: Option<&Front>, line: Option<copies::Line>) -> Result<Others, String> {
-        let teller = line.as_ref().map(copies::Line::teller);
-        let stands = front.map(|front| {
-            let (stands, copies) = (front.stands(), teller.clone());
+    /// Starts the configured services. Membership changes go to accord, the copies and the front; changes of the accord
+    /// state go to the copies and the front.
+    fn start(
+        &self,
+        front: Option<&Front>,
+        copies_line: Option<copies::Line>,
+    ) -> Result<PeerServices, String> {
+        let copies_sender = copies_line.as_ref().map(copies::Line::teller);
+        let on_accord_state = front.map(|front| {
+            let (apply, copies) = (front.stands(), copies_sender.clone());
             Box::new(move |stand: Stand| {
                 if let Some(copies) = &copies {
                     copies.stands(&stand);
                 }
-                stands(stand);
+                apply(stand);
             }) as accord::Listener
         });
-        let beside = teller.clone().map(|copies| {
-            let shows = copies.clone();
+        let copies_transport = copies_sender.clone().map(|copies| {
+            let status_source = copies.clone();
             let passed = Box::new(move |from, bytes| copies.passed(from, bytes));
-            accord::Beside { passed, shows: Box::new(move || shows.shown()) }
+            accord::Beside { passed, shows: Box::new(move || status_source.shown()) }
         });
-        let start = |settings: &Accord| accord::Running::start_beside(settings, stands, beside);
+        let start =
+            |settings: &Accord| accord::Running::start_beside(settings, on_accord_state, copies_transport);
         let accord = self.accord.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
-        let copies = match (line, front, &accord, &self.copies) {
-            (Some(line), Some(front), Some(accord), Some(settings)) => {
-                let started = line.start(settings, front.life(), accord.teller(), Box::new(front.kept()));
+        let copies = match (copies_line, front, &accord, &self.copies) {
+            (Some(copies_line), Some(front), Some(accord), Some(settings)) => {
+                let started =
+                    copies_line.start(settings, front.life(), accord.teller(), Box::new(front.kept()));
                 Some(started.map_err(|e| e.to_string())?)
             }
             _ => None,
         };
-        let others = front.map(Front::others);
+        let update_peers = front.map(Front::others);
         let listener = accord.as_ref().map(|running| {
             let running = running.teller();
-            Box::new(move |known: Vec<Known>| {
-                if let Some(copies) = &teller {
-                    copies.known(known.clone());
+            Box::new(move |known_members: Vec<Known>| {
+                if let Some(copies) = &copies_sender {
+                    copies.known(known_members.clone());
                 }
-                if let Some(others) = &others {
-                    others(&known);
+                if let Some(update_peers) = &update_peers {
+                    update_peers(&known_members);
                 }
-                running.known(known);
+                running.known(known_members);
             }) as Listener
         });
         let start = |members: &Members| Running::start_heard(members, listener);
         let members = self.members.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
-        Ok(Others { members, accord, copies })
+        Ok(PeerServices { members, accord, copies })
     }
 }
 
-/// What runs beside the front.
-struct Others {
+/// Services that run beside the front.
+struct PeerServices {
     members: Option<Running>,
     accord: Option<accord::Running>,
     copies: Option<copies::Running>,
 }
 
-impl Others {
-    /// At SIGHUP the keys are read anew, and nothing else.
-    fn new_keys(&self, config: &Path) {
+impl PeerServices {
+    /// Reloads the member keys on SIGHUP; all other settings stay as they were at the start.
+    fn reload_keys(&self, config: &Path) {
         let Some(running) = &self.members else { return };
-        match Among::read(config) {
-            Ok(Among { members: Some(members), .. }) => {
+        match PeerSettings::read(config) {
+            Ok(PeerSettings { members: Some(members), .. }) => {
                 if let Some(accord) = &self.accord {
                     accord.keys(members.keys.clone());
                 }
                 running.keys(members.keys);
-                tracing::info!("members: keys read anew");
+                tracing::info!("members: keys reloaded");
             }
-            Ok(_) => tracing::warn!("members: no `members` in the settings any more; keys stay"),
-            Err(error) => tracing::warn!(%error, "members: keys stay as they were"),
+            Ok(_) => tracing::warn!("members: the settings have no `members` any more; keeping the old keys"),
+            Err(error) => tracing::warn!(%error, "members: cannot reload the settings; keeping the old keys"),
         }
     }
 
-    /// First of all nothing more is promised, last of all the others hear that this front leaves.
-    fn leave(self) {
+    /// Stops the services: first the copies, so that nothing more is acknowledged, and last the members, which announce
+    /// to the peers that this front leaves.
+    fn shut_down(self) {
         if let Some(copies) = self.copies {
             copies.leave();
         }
@@ -217,10 +228,10 @@
     }
 }
 
-/// Nothing is written to files here: viewers, boxes and the list over the platform's protocol, the log bounded by what
-/// is worth a line.
-fn front_node(arguments: &Arguments) -> ExitCode {
-    start_log(arguments);
+/// Runs a front node of the platform: viewers, media servers and the list use the platform's protocol. It writes no files,
+/// and limits the rate of its log lines.
+fn run_front_node(arguments: &Arguments) -> ExitCode {
+    init_logging(arguments);
     let Some(path) = std::env::var_os("GW_CONFIG").map(PathBuf::from) else {
         eprintln!("salttallyd: {}", ConfigError::Variable("GW_CONFIG"));
         return ExitCode::from(2);
@@ -233,27 +244,28 @@
     let signals = pipe(SIGTERM).and_then(|term| Ok(node::Signals { term, hang_up: pipe(SIGHUP)? }));
     let signals = match signals {
         Ok(signals) => signals,
-        Err(error) => return fail(&format!("no signals: {error}")),
+        Err(error) => return exit_with_error(&format!("cannot install the signal handlers: {error}")),
     };
-    // Off, unless a file of that name lies beside the configuration.
-    let beside = path.with_extension("members.kdl");
-    let off = Among { members: None, accord: None, copies: None };
-    let among = match if beside.exists() { Among::read(&beside) } else { Ok(off) } {
-        Ok(among) => among,
-        Err(error) => {
-            eprintln!("salttallyd: {error}");
-            return ExitCode::from(2);
-        }
-    };
-    // What the fronts agree on does not reach a front node's decisions: see docs/operate/rules.md.
-    let others = match among.start(None, None) {
-        Ok(others) => others,
-        Err(reason) => return fail(&reason),
+    // Membership is off unless such a file exists next to the configuration.
+    let members_file = path.with_extension("members.kdl");
+    let no_peers = PeerSettings { members: None, accord: None, copies: None };
+    let peer_settings =
+        match if members_file.exists() { PeerSettings::read(&members_file) } else { Ok(no_peers) } {
+            Ok(peer_settings) => peer_settings,
+            Err(error) => {
+                eprintln!("salttallyd: {error}");
+                return ExitCode::from(2);
+            }
+        };
+    // The rules that the fronts agree on do not affect the decisions of a front node: see docs/operate/rules.md.
+    let peer_services = match peer_settings.start(None, None) {
+        Ok(peer_services) => peer_services,
+        Err(reason) => return exit_with_error(&reason),
     };
     match node::run(&path, signals) {
         Ok(counts) => {
-            others.leave();
-            tracing::info!(?counts, "front node has ended");
+            peer_services.shut_down();
+            tracing::info!(?counts, "front node has shut down");
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -263,25 +275,25 @@
     }
 }
 
-fn start_log(arguments: &Arguments) {
+fn init_logging(arguments: &Arguments) {
     let filter = EnvFilter::new(&arguments.log_level);
     let colours = std::io::stderr().is_terminal();
     let log =
         tracing_subscriber::fmt().with_env_filter(filter).with_ansi(colours).with_writer(std::io::stderr);
     match arguments.log {
-        LogForm::Text => log.init(),
-        LogForm::Json => log.json().init(),
+        LogFormat::Text => log.init(),
+        LogFormat::Json => log.json().init(),
     }
 }
 
-/// Settings that cannot hold, with the place in their file.
-fn refused(error: BadSetting) -> ExitCode {
+/// Prints why the settings are invalid, with the place in their file.
+fn report_bad_settings(error: BadSetting) -> ExitCode {
     eprintln!("salttallyd: {error}");
     eprintln!("{:?}", Report::new(error));
     ExitCode::from(2)
 }
 
-fn fail(reason: &str) -> ExitCode {
+fn exit_with_error(reason: &str) -> ExitCode {
     eprintln!("salttallyd: {reason}");
     ExitCode::from(1)
 }
--- a/crates/daemon/tests/accord.rs
+++ b/crates/daemon/tests/accord.rs
@@ -1,4 +1,5 @@
-//! Versions among processes: agreed on under faults, kept on disks that fail, and heeded by the front's own sessions.
+//! Versions of the rules among processes: agreed on under faults, stored on disks that fail, and applied to the fronts' own
+//! sessions.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 mod rig;
@@ -12,7 +13,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use rig::{head, script, wait};
+use rig::{script, script_head, wait_until};
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_accord::ask::{ask, AskError};
 use salttally_accord::core::disk::{Image, Vote, Write as Change};
@@ -29,7 +30,7 @@
 use salttally_trial::{plan, processes};
 use serde_json::Value;
 
-const DAEMON: &str = env!("CARGO_BIN_EXE_salttallyd");
+const DAEMON_PATH: &str = env!("CARGO_BIN_EXE_salttallyd");
 
 #[test]
 fn processes_agree_while_a_voter_is_killed_another_stopped_and_one_cut_off() {
@@ -39,16 +40,17 @@
         fault \"stop\" fronts=\"1\" from-ms=4500 to-ms=6500
         fault \"cut\" from=\"3\" to=\"0..2\" one-sided=#true from-ms=6500 to-ms=9000 }";
     let trial = Trial::read(&Document::parse("trial.kdl", text).unwrap()).unwrap();
-    let played = processes::play(Path::new(DAEMON), &trial, &plan::plan(&trial, 1), 1, &mut |_| {}).unwrap();
+    let played =
+        processes::play(Path::new(DAEMON_PATH), &trial, &plan::plan(&trial, 1), 1, &mut |_| {}).unwrap();
     let verdict = judge(&played.lines);
     assert_eq!(verdict.broken, []);
     assert!(verdict.decided.values().all(|count| *count > 0) && verdict.acts[0] > 100, "{verdict:?}");
 }
 
-/// Fronts without a relay, each on its own address, all in one folder.
+/// Front processes without a relay, each on its own address, with their files in one folder.
 struct Fleet {
     folder: PathBuf,
-    block: (u8, u8),
+    address_block: (u8, u8),
     children: Vec<Option<Child>>,
 }
 
@@ -67,15 +69,17 @@
         fs::create_dir_all(&folder).unwrap();
         static FLEETS: AtomicU8 = AtomicU8::new(90);
         let own = FLEETS.fetch_add(1, Ordering::Relaxed);
-        let here = (std::process::id() % 60) as u8;
-        let free = |block: &u8| TcpListener::bind((Ipv4Addr::new(127, *block, own, 1), 7301)).is_ok();
-        let block = (0..180u8).map(|step| 20 + (here * 3 + step) % 180).find(free).unwrap();
-        let block = (block, own);
-        Fleet { folder, block, children: (0..3).map(|_| None).collect() }
+        let offset = (std::process::id() % 60) as u8;
+        let free = |address_block: &u8| {
+            TcpListener::bind((Ipv4Addr::new(127, *address_block, own, 1), 7301)).is_ok()
+        };
+        let address_block = (0..180u8).map(|step| 20 + (offset * 3 + step) % 180).find(free).unwrap();
+        let address_block = (address_block, own);
+        Fleet { folder, address_block, children: (0..3).map(|_| None).collect() }
     }
 
     fn address(&self, front: usize) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.block.0, self.block.1, front as u8 + 1)
+        Ipv4Addr::new(127, self.address_block.0, self.address_block.1, front as u8 + 1)
     }
 
     fn config(&self, front: usize) -> PathBuf {
@@ -86,7 +90,7 @@
         self.folder.join(format!("f{front}.redb"))
     }
 
-    fn write(&self, front: usize, more: &str) {
+    fn write(&self, front: usize, extra_settings: &str) {
         let at = self.address(front);
         let seeds: Vec<String> = (0..3).map(|seed| format!("\"{}:7301\"", self.address(seed))).collect();
         let text = format!(
@@ -98,7 +102,7 @@
 title "welcome" first-cell=0 cells=1
 rules {{ attempts 3; drain-grace-ms 1000; warm-up-ms 1000; cold-from 0.4; fall-multiple 2.0; fall-ms 1000; }}
 members {{ bind "{at}:7301"; seeds {seeds}; key "{key}"; }}
-accord {{ voters "f0" "f1" "f2"; store {store:?}; {more} }}
+accord {{ voters "f0" "f1" "f2"; store {store:?}; {extra_settings} }}
 "#,
             seeds = seeds.join(" "),
             key = "6b".repeat(32),
@@ -107,13 +111,13 @@
         fs::write(self.config(front), text).unwrap();
     }
 
-    fn start(&mut self, front: usize, more: &str) {
-        self.write(front, more);
+    fn start(&mut self, front: usize, extra_settings: &str) {
+        self.write(front, extra_settings);
         let config = self.config(front);
-        self.start_by(front, Command::new(DAEMON).arg("--config").arg(config));
+        self.start_command(front, Command::new(DAEMON_PATH).arg("--config").arg(config));
     }
 
-    fn start_by(&mut self, front: usize, command: &mut Command) {
+    fn start_command(&mut self, front: usize, command: &mut Command) {
         let log = fs::File::options()
             .create(true)
             .append(true)
@@ -140,11 +144,12 @@
     }
 
     fn status(&self, front: usize) -> Value {
-        let said = ask(&self.settings(front), Question::Show).unwrap_or_default();
-        serde_json::from_str(&said).unwrap_or_default()
+        let answer = ask(&self.settings(front), Question::Show).unwrap_or_default();
+        serde_json::from_str(&answer).unwrap_or_default()
     }
 
-    fn until(&self, front: usize, what: &str, holds: impl Fn(&Value) -> bool) {
+    /// Waits up to 30 s until the status of a front meets the condition.
+    fn wait_until_status(&self, front: usize, what: &str, holds: impl Fn(&Value) -> bool) {
         let begun = Instant::now();
         while !holds(&self.status(front)) {
             let log = self.log(front);
@@ -157,8 +162,8 @@
         ask(&self.settings(front), Question::Propose(base, "test".into(), Box::new(rules)))
     }
 
-    /// Asks a front to play something; the answer's error, if it is one.
-    fn open(&self, front: usize, viewer: &str) -> Value {
+    /// Sends an open request to a front and returns the answer, with its duration as `took_ms`.
+    fn open_session(&self, front: usize, viewer: &str) -> Value {
         use tungstenite::client::IntoClientRequest;
         let url = format!("ws://{}:7001/", self.address(front));
         let mut request = url.into_client_request().unwrap();
@@ -173,193 +178,214 @@
         loop {
             let message = socket.read().unwrap();
             if let Ok(text) = message.to_text() {
-                let said: Value = serde_json::from_str(text).unwrap_or_default();
-                if said["id"] == 1 {
-                    let mut said = said;
-                    said["took_ms"] = (begun.elapsed().as_millis() as u64).into();
-                    return said;
+                let answer: Value = serde_json::from_str(text).unwrap_or_default();
+                if answer["id"] == 1 {
+                    let mut answer = answer;
+                    answer["took_ms"] = (begun.elapsed().as_millis() as u64).into();
+                    return answer;
                 }
             }
         }
     }
 }
 
-fn leased(status: &Value) -> bool {
+fn has_lease(status: &Value) -> bool {
     status["acts_by"] == "lease"
 }
 
-fn refuse(viewer: &str) -> Rules {
+fn refuse_viewer(viewer: &str) -> Rules {
     Rules { refused: [Who::Viewer(viewer.to_owned())].into(), ..Rules::default() }
 }
 
 #[test]
-fn what_is_agreed_on_is_heeded_by_every_front_and_outlives_a_disk_and_the_whole_fleet() {
+fn agreed_rules_apply_at_every_front_and_survive_a_lost_disk_and_a_fleet_restart() {
     let mut fleet = Fleet::new("heeded");
     (0..3).for_each(|front| fleet.start(front, ""));
-    (0..3).for_each(|front| fleet.until(front, "a lease", leased));
-    assert_eq!(fleet.propose(1, None, refuse("eve")).unwrap(), "{\"version\":1}");
-    (0..3).for_each(|front| fleet.until(front, "version 1", |status| status["begun"] == 1));
+    (0..3).for_each(|front| fleet.wait_until_status(front, "a lease", has_lease));
+    assert_eq!(fleet.propose(1, None, refuse_viewer("eve")).unwrap(), "{\"version\":1}");
+    (0..3).for_each(|front| fleet.wait_until_status(front, "version 1", |status| status["begun"] == 1));
     for front in 0..3 {
-        let said = fleet.open(front, "eve");
-        assert!(said["error"]["data"]["hold_off_ms"].as_u64().is_some_and(|after| after > 0), "{said}");
-        assert!(said["took_ms"].as_u64().unwrap() < 500, "what is given up on is answered at once: {said}");
+        let answer = fleet.open_session(front, "eve");
+        assert!(answer["error"]["data"]["hold_off_ms"].as_u64().is_some_and(|after| after > 0), "{answer}");
+        assert!(answer["took_ms"].as_u64().unwrap() < 500, "a refusal is answered at once: {answer}");
     }
-    // Two at once: the other is told on what it was based.
-    let late = fleet.propose(2, Some(0), refuse("bob")).unwrap_err().to_string();
+    // Of two concurrent proposals, the second is rejected because its base is not the latest version.
+    let late = fleet.propose(2, Some(0), refuse_viewer("bob")).unwrap_err().to_string();
     assert!(late.contains("version 1 is the latest"), "{late}");
-    // A voter loses its disk: it votes as another.
+    // A voter that loses its disk votes under a new identity.
     fleet.kill(0);
     fs::remove_file(fleet.store(0)).unwrap();
     fleet.start(0, "");
-    fleet
-        .until(0, "its new vote", |status| status["epoch"] == 2 && status["votes"] == true && leased(status));
+    fleet.wait_until_status(0, "its new vote", |status| {
+        status["epoch"] == 2 && status["votes"] == true && has_lease(status)
+    });
     // The whole fleet loses power at once.
     (0..3).for_each(|front| fleet.kill(front));
     (0..3).for_each(|front| fleet.start(front, ""));
     (0..3).for_each(|front| {
-        fleet.until(front, "version 1 again", |status| status["begun"] == 1 && leased(status))
+        fleet.wait_until_status(front, "version 1 again", |status| status["begun"] == 1 && has_lease(status))
     });
-    assert!(fleet.open(1, "eve")["error"]["data"]["hold_off_ms"].is_u64());
+    assert!(fleet.open_session(1, "eve")["error"]["data"]["hold_off_ms"].is_u64());
 }
 
-/// A fleet of three of which the last serves players at stand-ins of boxes.
-fn serving(name: &str, more: &str) -> (Fleet, Day) {
+/// Starts a fleet of three, of which the last serves players at stand-ins of boxes.
+fn start_serving(name: &str, extra_settings: &str) -> (Fleet, Day) {
     let mut fleet = Fleet::new(name);
-    (0..2).for_each(|front| fleet.start(front, more));
-    let day = Day::start(script(&head(4, 5), "")).unwrap();
-    fleet.write(2, more);
+    (0..2).for_each(|front| fleet.start(front, extra_settings));
+    let day = Day::start(script(&script_head(4, 5), "")).unwrap();
+    fleet.write(2, extra_settings);
     let blocks = fs::read_to_string(fleet.config(2)).unwrap();
     let blocks = &blocks[blocks.find("members {").unwrap()..];
     let text = day.settings(0);
-    let named = text.split('"').nth(1).unwrap();
-    let text = text.replacen(&format!("{named:?}"), "\"f2\"", 1);
+    let front_name = text.split('"').nth(1).unwrap();
+    let text = text.replacen(&format!("{front_name:?}"), "\"f2\"", 1);
     fs::write(fleet.config(2), format!("{text}\n{blocks}")).unwrap();
     let config = fleet.config(2);
-    fleet.start_by(2, Command::new(DAEMON).arg("--config").arg(config));
-    fleet.until(2, "a lease", leased);
+    fleet.start_command(2, Command::new(DAEMON_PATH).arg("--config").arg(config));
+    fleet.wait_until_status(2, "a lease", has_lease);
     (fleet, day)
 }
 
-fn opened(line: &mut Line, viewer: &str) -> Value {
-    let params = serde_json::json!({"viewer": viewer, "title": "title-0", "class": "paid", "top_rung": 2,
+fn open_paid_session(connection: &mut Line, viewer: &str) -> Value {
+    let open_params = serde_json::json!({"viewer": viewer, "title": "title-0", "class": "paid", "top_rung": 2,
         "patience_ms": 2000});
     let begun = Instant::now();
-    let id = line.call("session.open", &params).unwrap();
-    let mut said = line.response(id, Instant::now() + Duration::from_secs(4), &mut Vec::new()).unwrap();
-    said["took_ms"] = (begun.elapsed().as_millis() as u64).into();
-    said
+    let id = connection.call("session.open", &open_params).unwrap();
+    let mut answer =
+        connection.response(id, Instant::now() + Duration::from_secs(4), &mut Vec::new()).unwrap();
+    answer["took_ms"] = (begun.elapsed().as_millis() as u64).into();
+    answer
 }
 
-fn plays(said: &Value) -> bool {
-    said["result"]["session"].is_string()
+fn is_playing(answer: &Value) -> bool {
+    answer["result"]["session"].is_string()
 }
 
-fn refused_at_once(said: &Value) -> bool {
-    said["error"]["data"]["hold_off_ms"].as_u64().is_some_and(|after| after > 0)
-        && said["took_ms"].as_u64().is_some_and(|took| took < 500)
+fn refused_at_once(answer: &Value) -> bool {
+    answer["error"]["data"]["hold_off_ms"].as_u64().is_some_and(|after| after > 0)
+        && answer["took_ms"].as_u64().is_some_and(|took| took < 500)
 }
 
 #[test]
-fn a_front_whose_voters_are_lost_refuses_new_sessions_after_the_stated_time_or_goes_on_as_it_was_told() {
-    for (more, refuses) in [("", true), ("without-lease \"go-on\"", false)] {
-        let (mut fleet, day) = serving(if refuses { "refuses" } else { "goes-on" }, more);
-        let mut line = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
-        wait(Duration::from_secs(10), || plays(&opened(&mut line, "first")), || "no box".into());
-        fleet.propose(2, None, refuse("eve")).unwrap();
-        fleet.until(2, "version 1", |status| status["begun"] == 1);
+fn a_front_without_voters_refuses_new_sessions_or_goes_on_as_configured() {
+    for (extra_settings, refuses) in [("", true), ("without-lease \"go-on\"", false)] {
+        let (mut fleet, day) = start_serving(if refuses { "refuses" } else { "goes-on" }, extra_settings);
+        let mut connection = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+        wait_until(
+            Duration::from_secs(10),
+            || is_playing(&open_paid_session(&mut connection, "first")),
+            || "no box".into(),
+        );
+        fleet.propose(2, None, refuse_viewer("eve")).unwrap();
+        fleet.wait_until_status(2, "version 1", |status| status["begun"] == 1);
         (0..2).for_each(|front| fleet.kill(front));
-        let by = if refuses { "none" } else { "meet" };
-        fleet.until(2, by, |status| status["acts_by"] == by);
+        let mode = if refuses { "none" } else { "meet" };
+        fleet.wait_until_status(2, mode, |status| status["acts_by"] == mode);
         for viewer in 0..20 {
-            let said = opened(&mut line, &format!("ann-{viewer}"));
-            assert_eq!((plays(&said), refused_at_once(&said)), (!refuses, refuses), "{said}");
+            let answer = open_paid_session(&mut connection, &format!("ann-{viewer}"));
+            assert_eq!((is_playing(&answer), refused_at_once(&answer)), (!refuses, refuses), "{answer}");
         }
-        assert!(refused_at_once(&opened(&mut line, "eve")), "the last version stays in force");
+        assert!(
+            refused_at_once(&open_paid_session(&mut connection, "eve")),
+            "the last version stays in force"
+        );
         let held = day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
-        assert!(held >= 1, "what plays plays on");
-        // The voters are back: sessions are taken again.
-        (0..2).for_each(|front| fleet.start(front, more));
-        fleet.until(2, "a lease", leased);
-        assert!(plays(&opened(&mut line, "ann")));
+        assert!(held >= 1, "the sessions play on");
+        // The voters are back: sessions are accepted again.
+        (0..2).for_each(|front| fleet.start(front, extra_settings));
+        fleet.wait_until_status(2, "a lease", has_lease);
+        assert!(is_playing(&open_paid_session(&mut connection, "ann")));
     }
 }
 
-/// Not in CI: prints what accord costs an answer. `cargo test --release -p salttally-daemon --test accord -- --ignored
+/// Not in CI: prints the answer latency added by accord. `cargo test --release -p salttally-daemon --test accord -- --ignored
 /// --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn measure_what_accord_costs_an_answer() {
     let measure = |day: &Day, what: &str| {
-        let mut line = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
-        wait(Duration::from_secs(10), || plays(&opened(&mut line, "first")), || "no box".into());
+        let mut connection = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+        wait_until(
+            Duration::from_secs(10),
+            || is_playing(&open_paid_session(&mut connection, "first")),
+            || "no box".into(),
+        );
         let mut spans: Vec<u128> = Vec::new();
         for turn in 0..3_000 {
-            let params = serde_json::json!({"viewer": format!("v{turn}"), "title": "title-0", "class": "paid",
+            let open_params = serde_json::json!({"viewer": format!("v{turn}"), "title": "title-0", "class": "paid",
                 "top_rung": 2, "patience_ms": 2000});
             let begun = Instant::now();
-            let id = line.call("session.open", &params).unwrap();
-            let said = line.response(id, begun + Duration::from_secs(4), &mut Vec::new()).unwrap();
+            let id = connection.call("session.open", &open_params).unwrap();
+            let answer = connection.response(id, begun + Duration::from_secs(4), &mut Vec::new()).unwrap();
             spans.push(begun.elapsed().as_micros());
-            let session = said["result"]["session"].as_str().map(str::to_owned);
-            let id = line.call("session.close", &serde_json::json!({"session": session})).unwrap();
-            let _ = line.response(id, Instant::now() + Duration::from_secs(4), &mut Vec::new());
+            let session = answer["result"]["session"].as_str().map(str::to_owned);
+            let id = connection.call("session.close", &serde_json::json!({"session": session})).unwrap();
+            let _ = connection.response(id, Instant::now() + Duration::from_secs(4), &mut Vec::new());
         }
         spans.sort_unstable();
         println!("{what}: p50 {} us, p99 {} us, most {} us", spans[1_500], spans[2_970], spans[2_999]);
     };
     for round in 0..3 {
-        let (_fleet, day) = serving(&format!("cost-{round}"), "");
+        let (_fleet, day) = start_serving(&format!("cost-{round}"), "");
         measure(&day, "with accord, 3 fronts");
         drop((_fleet, day));
-        let day = Day::start(script(&head(4, 5), "")).unwrap();
+        let day = Day::start(script(&script_head(4, 5), "")).unwrap();
         let mut fleet = Fleet::new(&format!("alone-{round}"));
         fs::write(fleet.config(2), day.settings(0)).unwrap();
         let config = fleet.config(2);
-        fleet.start_by(2, Command::new(DAEMON).arg("--config").arg(config));
+        fleet.start_command(2, Command::new(DAEMON_PATH).arg("--config").arg(config));
         measure(&day, "alone");
     }
 }
 
 #[test]
-fn a_process_that_sleeps_through_its_lease_sets_nothing_up_when_it_wakes() {
-    let (fleet, day) = serving("sleeps", "");
-    let mut line = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
-    wait(Duration::from_secs(10), || plays(&opened(&mut line, "first")), || "no box".into());
+fn a_process_suspended_beyond_its_lease_sends_no_set_up_when_it_resumes() {
+    let (fleet, day) = start_serving("sleeps", "");
+    let mut connection = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+    wait_until(
+        Duration::from_secs(10),
+        || is_playing(&open_paid_session(&mut connection, "first")),
+        || "no box".into(),
+    );
     let set_ups = |day: &Day| day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
     let before = set_ups(&day);
     let pid = Pid::from_child(fleet.children[2].as_ref().unwrap());
     kill_process(pid, Signal::STOP).unwrap();
-    // Asked while it sleeps, of a front that had a lease when it fell asleep; others have gone on to a version that
-    // refuses this viewer.
-    let params = |viewer: &str| {
+    // Requests sent during the suspension to a front that held a lease when it began. The other fronts meanwhile agree on
+    // a version that refuses this viewer.
+    let open_params = |viewer: &str| {
         serde_json::json!({"viewer": viewer, "title": "title-0", "class": "paid",
         "top_rung": 2, "patience_ms": 20000})
     };
-    let ids: Vec<u64> = (0..5).map(|_| line.call("session.open", &params("eve")).unwrap()).collect();
-    fleet.propose(0, None, refuse("eve")).unwrap();
+    let ids: Vec<u64> =
+        (0..5).map(|_| connection.call("session.open", &open_params("eve")).unwrap()).collect();
+    fleet.propose(0, None, refuse_viewer("eve")).unwrap();
     thread::sleep(Duration::from_millis(5_500));
     kill_process(pid, Signal::CONT).unwrap();
     let until = Instant::now() + Duration::from_secs(4);
-    let said: Vec<Value> = (0..ids.len()).filter_map(|_| line.next(until).ok()).collect();
+    let answers: Vec<Value> = (0..ids.len()).filter_map(|_| connection.next(until).ok()).collect();
     for id in ids {
-        let answer = said.iter().find(|said| said["id"] == id);
-        assert!(answer.is_some_and(|said| said["error"]["data"]["hold_off_ms"].is_u64()), "{said:?}");
+        let answer = answers.iter().find(|answer| answer["id"] == id);
+        assert!(answer.is_some_and(|answer| answer["error"]["data"]["hold_off_ms"].is_u64()), "{answers:?}");
     }
     assert_eq!(set_ups(&day), before);
-    fleet.until(2, "a lease", |status| leased(status) && status["begun"] == 1);
-    assert!(plays(&opened(&mut line, "ann")) && refused_at_once(&opened(&mut line, "eve")));
+    fleet.wait_until_status(2, "a lease", |status| has_lease(status) && status["begun"] == 1);
+    assert!(
+        is_playing(&open_paid_session(&mut connection, "ann"))
+            && refused_at_once(&open_paid_session(&mut connection, "eve"))
+    );
 }
 
 #[test]
-fn a_disk_that_is_full_ends_a_vote_and_nothing_else() {
+fn a_full_disk_ends_a_vote_and_nothing_else() {
     let mut fleet = Fleet::new("full");
     fleet.write(0, "");
     (1..3).for_each(|front| fleet.start(front, ""));
-    // No file of this process may grow over 1.5 MB, and it hears of it as of a full disk.
+    // Limits the files of this process to 1.5 MB; larger writes fail as on a full disk.
     let script = "trap '' XFSZ; ulimit -f 3000; exec \"$0\" \"$@\"";
     let config = fleet.config(0);
-    fleet.start_by(0, Command::new("sh").args(["-c", script, DAEMON, "--config"]).arg(config));
-    (0..3).for_each(|front| fleet.until(front, "a lease", leased));
+    fleet.start_command(0, Command::new("sh").args(["-c", script, DAEMON_PATH, "--config"]).arg(config));
+    (0..3).for_each(|front| fleet.wait_until_status(front, "a lease", has_lease));
     let filler = |turn: usize| {
         let refused = (0..1_000).map(|at| Who::Viewer(format!("a-viewer-with-a-long-name-{turn}-{at}")));
         Rules { refused: refused.collect(), ..Rules::default() }
@@ -372,22 +398,22 @@
         assert!(begun.elapsed() < Duration::from_secs(60), "the disk never filled: {}", fleet.log(0));
     }
     assert!(fleet.log(0).contains("nothing can be kept"), "{}", fleet.log(0));
-    // The other two go on, and the front follows under their leases.
-    fleet.propose(2, None, refuse("eve")).unwrap();
+    // The other two continue, and the front with the full disk follows under their leases.
+    fleet.propose(2, None, refuse_viewer("eve")).unwrap();
     let latest = fleet.status(1)["latest"].clone();
-    fleet.until(0, "the latest version", |status| status["begun"] == latest && leased(status));
+    fleet.wait_until_status(0, "the latest version", |status| status["begun"] == latest && has_lease(status));
     assert_eq!(fleet.status(0)["votes"], false);
 }
 
 #[test]
-fn strangers_are_hung_up_on_and_cost_nobody_anything() {
+fn unauthenticated_connections_are_closed_and_do_not_affect_others() {
     let mut fleet = Fleet::new("strangers");
     fleet.start(0, "");
-    // Players are listened for before other fronts are.
-    fleet.until(0, "an answer", |status| status["front"] == "f0");
+    // The listener for players opens before the one for other fronts.
+    fleet.wait_until_status(0, "an answer", |status| status["front"] == "f0");
     let at = SocketAddrV4::new(fleet.address(0), 7301);
     let mut strangers: Vec<std::net::TcpStream> = Vec::new();
-    for said in [
+    for bytes in [
         &b""[..],
         &b"GET / HTTP/1.1\r\n\r\n"[..],
         &[0, 127, 255, 255, 1, 2, 3][..],
@@ -397,10 +423,10 @@
     ] {
         let mut stream = std::net::TcpStream::connect(at).unwrap();
         stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
-        stream.write_all(said).unwrap();
+        stream.write_all(bytes).unwrap();
         strangers.push(stream);
     }
-    assert_eq!(fleet.status(0)["front"], "f0", "an operator is served meanwhile");
+    assert_eq!(fleet.status(0)["front"], "f0", "an operator is answered meanwhile");
     for (number, stream) in strangers.iter_mut().enumerate() {
         let ended = std::io::Read::read(stream, &mut [0; 8]);
         assert!(
@@ -410,14 +436,14 @@
     }
 }
 
-fn folder(name: &str) -> PathBuf {
+fn temp_folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("salttally-store-{name}-{}", std::process::id()));
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).unwrap();
     folder
 }
 
-fn entry(id: u64) -> Entry {
+fn proposal_entry(id: u64) -> Entry {
     let rules = Rules {
         classes: [("clip".into(), Terms { open: false, ..Terms::default() })].into(),
         ..Rules::default()
@@ -425,27 +451,27 @@
     Entry::Propose(Proposal { id, base: id, by: "test".into(), at: 7, rules: rules.into() })
 }
 
-/// Writes of a vote, as a core would have them written.
-fn writes() -> Vec<Vec<Change>> {
+/// Batches of writes, as the core of a voter produces them.
+fn vote_writes() -> Vec<Vec<Change>> {
     let mut history = History::default();
-    history.take(&entry(0));
+    history.take(&proposal_entry(0));
     vec![
         vec![Change::Identity(7, 1)],
         vec![Change::History(history.clone().into()), Change::Vote(Box::new(Vote::begin(2, &history)))],
-        vec![Change::Log(0, vec![entry(1), entry(2), entry(3)])],
-        vec![Change::Log(2, vec![entry(9)]), Change::Decided(2)],
+        vec![Change::Log(0, vec![proposal_entry(1), proposal_entry(2), proposal_entry(3)])],
+        vec![Change::Log(2, vec![proposal_entry(9)]), Change::Decided(2)],
         vec![Change::Identity(7, 2)],
     ]
 }
 
 #[test]
-fn a_store_gives_back_what_the_image_of_the_same_writes_holds() {
-    let folder = folder("image");
+fn a_store_returns_the_same_state_as_an_in_memory_image_of_its_writes() {
+    let folder = temp_folder("image");
     let path = folder.join("accord.redb");
     let mut image = Image::default();
-    for batch in writes() {
+    for batch in vote_writes() {
         let (store, found, _) = Store::open(&path).unwrap();
-        assert_eq!(found, image, "what was there before");
+        assert_eq!(found, image, "the state after the previous batches");
         store.write(&batch).unwrap();
         batch.iter().for_each(|write| image.write(write));
     }
@@ -454,29 +480,29 @@
 }
 
 #[test]
-fn a_store_that_is_torn_anywhere_is_whole_or_set_aside_and_never_half_a_vote() {
-    let folder = folder("torn");
+fn a_damaged_store_is_either_intact_or_set_aside_and_never_returns_a_partial_vote() {
+    let folder = temp_folder("torn");
     let path = folder.join("accord.redb");
     let (store, ..) = Store::open(&path).unwrap();
     let mut images = vec![Image::default()];
-    for batch in writes() {
+    for batch in vote_writes() {
         store.write(&batch).unwrap();
         let mut next = images.last().cloned().unwrap();
         batch.iter().for_each(|write| next.write(write));
         images.push(next);
     }
     drop(store);
-    let whole = fs::read(&path).unwrap();
-    let (mut aside, mut kept) = (0, 0);
+    let intact_bytes = fs::read(&path).unwrap();
+    let (mut set_aside, mut intact) = (0, 0);
     for step in 0..60 {
-        let mut bytes = whole.clone();
-        let at = whole.len() * step / 60;
+        let mut bytes = intact_bytes.clone();
+        let at = intact_bytes.len() * step / 60;
         match step % 3 {
             0 => bytes.truncate(at.max(1)),
-            1 => bytes[at..(at + 512).min(whole.len())].fill(0),
-            _ => bytes[at..(at + 64).min(whole.len())].fill(0xa5),
+            1 => bytes[at..(at + 512).min(intact_bytes.len())].fill(0),
+            _ => bytes[at..(at + 64).min(intact_bytes.len())].fill(0xa5),
         }
-        // In place, as a disk would: the same file.
+        // Overwrites the same file in place, as a failing disk would.
         let mut file = fs::File::options().write(true).truncate(true).open(&path).unwrap();
         file.write_all(&bytes).unwrap();
         drop(file);
@@ -486,49 +512,50 @@
                 assert_eq!(image, Image::default());
                 drop(store);
                 fs::rename(aside_at, &path).unwrap();
-                aside += 1;
+                set_aside += 1;
             }
             _ => {
                 assert!(images.contains(&image), "step {step}: {image:?}");
-                kept += 1;
+                intact += 1;
             }
         }
     }
-    assert!(aside > 0 && kept > 0, "{aside} set aside, {kept} whole");
+    assert!(set_aside > 0 && intact > 0, "{set_aside} set aside, {intact} intact");
     fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn a_store_is_used_once_and_a_copy_of_it_is_another_disk() {
-    let folder = folder("copied");
+fn a_store_has_one_user_and_a_copy_of_it_does_not_vote() {
+    let folder = temp_folder("copied");
     let path = folder.join("accord.redb");
     let (store, ..) = Store::open(&path).unwrap();
-    writes().iter().for_each(|batch| store.write(batch).unwrap());
+    vote_writes().iter().for_each(|batch| store.write(batch).unwrap());
     assert!(matches!(Store::open(&path), Err(StoreError::InUse(_))));
     drop(store);
     let copy = folder.join("copy.redb");
     fs::copy(&path, &copy).unwrap();
     let (_, image, found) = Store::open(&copy).unwrap();
     assert_eq!((found, image.identity, image.vote.is_none()), (Found::Copied, None, true));
-    assert!(image.history.is_some(), "what was agreed on stays known");
-    assert_eq!(Store::open(&path).unwrap().2, Found::Whole, "the original votes on");
+    assert!(image.history.is_some(), "the agreed history is kept");
+    assert_eq!(Store::open(&path).unwrap().2, Found::Whole, "the original still votes");
     fs::remove_dir_all(folder).unwrap();
 }
 
 #[test]
-fn settings_that_cannot_hold_are_refused_with_their_place() {
+fn invalid_settings_are_rejected_with_their_place() {
     let mut fleet = Fleet::new("bad");
-    for (more, why) in [
+    for (extra_settings, why) in [
         ("lease-ms 100", "`lease-ms` lies from 500"),
         ("renew-ms 2000", "a third of `lease-ms`"),
         ("without-lease \"maybe\"", "known: refuse, go-on"),
         ("colour 1", "colour"),
     ] {
-        fleet.write(0, more);
-        let done = Command::new(DAEMON).args(["--check", "--config"]).arg(fleet.config(0)).output().unwrap();
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert_eq!(done.status.code(), Some(2), "{more}");
-        assert!(said.contains(why) && said.contains("f0.kdl:9:"), "{more}: {said}");
+        fleet.write(0, extra_settings);
+        let done =
+            Command::new(DAEMON_PATH).args(["--check", "--config"]).arg(fleet.config(0)).output().unwrap();
+        let stderr = String::from_utf8_lossy(&done.stderr).into_owned();
+        assert_eq!(done.status.code(), Some(2), "{extra_settings}");
+        assert!(stderr.contains(why) && stderr.contains("f0.kdl:9:"), "{extra_settings}: {stderr}");
     }
     let text = fs::read_to_string(fleet.config(0)).unwrap();
     for (from, to, why) in [
@@ -537,9 +564,10 @@
         ("members {", "nobody {", "accord"),
     ] {
         fs::write(fleet.config(0), text.replace("colour 1", "").replace(from, to)).unwrap();
-        let done = Command::new(DAEMON).args(["--check", "--config"]).arg(fleet.config(0)).output().unwrap();
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert!(done.status.code() == Some(2) && said.contains(why), "{to}: {said}");
+        let done =
+            Command::new(DAEMON_PATH).args(["--check", "--config"]).arg(fleet.config(0)).output().unwrap();
+        let stderr = String::from_utf8_lossy(&done.stderr).into_owned();
+        assert!(done.status.code() == Some(2) && stderr.contains(why), "{to}: {stderr}");
     }
     fleet.children.clear();
 }
--- a/crates/daemon/tests/bad_days.rs
+++ b/crates/daemon/tests/bad_days.rs
@@ -1,8 +1,8 @@
-//! Short days of trouble on the real front, judged on all six rules.
+//! Short days with injected faults on the real front, judged by all six rules.
 //!
-//! One day at a time, and judged by what this machine was able to do: a thread of the test itself measures how late it
-//! is woken while the day is played. Danger: five days at once on a machine that others use too are answered late by
-//! whoever schedules the threads, and the front is blamed.
+//! Days run one at a time, and the allowed lateness grows with the scheduling delay of the machine, which a thread of the
+//! test measures during the day. Otherwise, with five days at once on a shared machine, answers delayed by the scheduler
+//! would be counted against the front.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 mod rig;
@@ -12,49 +12,49 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use rig::{script, InProcess};
+use rig::{script, InProcessFronts};
 use salttally_front::record::replay;
 use salttally_judge::judge;
 use salttally_judge::record::What;
 use salttally_judge::worth::worth;
 use salttally_standin::day::Day;
 
-/// Measures by how much a thread that only sleeps is woken too late.
+/// Measures by how much a sleeping thread is woken too late.
 struct Lateness {
-    over: Arc<AtomicBool>,
+    stop_flag: Arc<AtomicBool>,
     thread: thread::JoinHandle<Duration>,
 }
 
 impl Lateness {
     fn measure() -> Lateness {
-        let over = Arc::new(AtomicBool::new(false));
-        let ends = Arc::clone(&over);
-        let nap = Duration::from_millis(2);
+        let stop_flag = Arc::new(AtomicBool::new(false));
+        let stop_requested = Arc::clone(&stop_flag);
+        let sleep_time = Duration::from_millis(2);
         let thread = thread::spawn(move || {
             let mut worst = Duration::ZERO;
-            while !ends.load(Ordering::Acquire) {
-                let slept = Instant::now();
-                thread::sleep(nap);
-                worst = worst.max(slept.elapsed().saturating_sub(nap));
+            while !stop_requested.load(Ordering::Acquire) {
+                let begun = Instant::now();
+                thread::sleep(sleep_time);
+                worst = worst.max(begun.elapsed().saturating_sub(sleep_time));
             }
             worst
         });
-        Lateness { over, thread }
+        Lateness { stop_flag, thread }
     }
 
     fn worst(self) -> Duration {
-        self.over.store(true, Ordering::Release);
-        self.thread.join().expect("it only sleeps")
+        self.stop_flag.store(true, Ordering::Release);
+        self.thread.join().expect("the thread does not panic")
     }
 }
 
-/// Threads on the way of an answer that are each woken once: player, front, box, and back.
-const HANDS: u32 = 5;
-/// Days wait for each other.
-static ONE: Mutex<()> = Mutex::new(());
+/// Thread wake-ups on the path of an answer: player, front, box, front, player.
+const WAKE_UPS_PER_ANSWER: u32 = 5;
+/// Serializes the days.
+static DAY_LOCK: Mutex<()> = Mutex::new(());
 
-fn play(faults: &str) {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn play_day(faults: &str) {
+    let _guard = DAY_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let head = format!(
         "day seconds=5 seed=3 sessions=220\nfronts 3\nlist-lag-ms 150\ntitles 12 holders=4\n\
          viewers \"clip\" share=0.7 length-s=1.2 patience-ms=1500\n\
@@ -66,45 +66,48 @@
     let mut script = script(&head, "claim-within-ms 1500");
     let record = std::env::temp_dir().join(format!("salttally-day-{}-{}", std::process::id(), faults.len()));
     std::fs::create_dir_all(&record).expect("a folder");
-    // One front keeps its record of decisions.
+    // Front f1 records its decisions.
     let file = record.join("f1.jsonl");
     let day = {
         script.terms.lateness = 100_000;
         Day::start(script).expect("stand-ins start")
     };
-    let mut fronts = Recorded { fronts: InProcess::default(), file: file.clone(), settings: None };
+    let mut fronts =
+        RecordedFronts { fronts: InProcessFronts::default(), file: file.clone(), settings: None };
     let lateness = Lateness::measure();
     day.play(&mut fronts, |_| {}).expect("the day is played");
     for front in fronts.fronts.0.into_iter().flatten() {
         let counts = front.shut_down(Duration::from_secs(5)).expect("ends in time");
-        assert_eq!(counts.stopped(), 0, "the lock was needed: {counts:?}");
+        assert_eq!(counts.stopped(), 0, "the safety guard stopped an action: {counts:?}");
     }
     day.stop();
     let mut lines = day.log.lines();
     let late = lateness.worst();
     for line in &mut lines {
         if let What::Terms(terms) = &mut line.what {
-            terms.lateness += (HANDS * late).as_micros() as u64;
+            terms.lateness += (WAKE_UPS_PER_ANSWER * late).as_micros() as u64;
         }
     }
     let verdict = judge(&lines);
     assert!(verdict.all_kept(), "{faults}, threads woken {late:?} late: {:#?}", verdict.findings);
-    assert!(verdict.owed > 200 && verdict.answers[0] > 100, "too little happened: {verdict:?}");
+    assert!(verdict.owed > 200 && verdict.answers[0] > 100, "too few requests: {verdict:?}");
     assert!(worth(&lines).part() > 0.1, "{:?}", worth(&lines));
     let settings = fronts.settings.expect("f1 was started");
     let file = std::fs::File::open(&file).expect("a record");
-    let steps = replay(std::io::BufReader::new(file), &settings.module).expect("as the module alone decides");
+    let steps = replay(std::io::BufReader::new(file), &settings.module)
+        .expect("each step replays as the module decides it");
     assert!(steps > 100, "{steps}");
     std::fs::remove_dir_all(&record).expect("removed");
 }
 
-struct Recorded {
-    fronts: InProcess,
+/// Fronts in this process, of which f1 writes a record.
+struct RecordedFronts {
+    fronts: InProcessFronts,
     file: std::path::PathBuf,
     settings: Option<salttally_front::settings::Settings>,
 }
 
-impl salttally_standin::day::Fronts for Recorded {
+impl salttally_standin::day::Fronts for RecordedFronts {
     fn start(&mut self, number: usize, settings: &str) -> std::io::Result<()> {
         if number != 1 {
             return self.fronts.start(number, settings);
@@ -125,26 +128,26 @@
 }
 
 #[test]
-fn a_rolling_deploy_of_nine_tenths_that_the_list_lags_behind() {
-    play("fault \"deploy\" at-s=0.5 for-s=3.5 part=0.9 batch=0.2 drain-ms=500\nfault \"list-stale\" at-s=0.5 for-s=3 by-ms=1200");
+fn rolling_deploy_of_nine_tenths_with_a_stale_list() {
+    play_day("fault \"deploy\" at-s=0.5 for-s=3.5 part=0.9 batch=0.2 drain-ms=500\nfault \"list-stale\" at-s=0.5 for-s=3 by-ms=1200");
 }
 
 #[test]
-fn crashes_and_fast_errors_while_a_front_is_killed() {
-    play("fault \"crash\" at-s=1 for-s=1.5 part=0.25\nfault \"errors\" at-s=1 for-s=2 part=0.25 share=0.7\nfault \"front-crash\" at-s=1.5 for-s=1.2 fronts=1");
+fn box_crashes_and_fast_errors_while_a_front_is_killed() {
+    play_day("fault \"crash\" at-s=1 for-s=1.5 part=0.25\nfault \"errors\" at-s=1 for-s=2 part=0.25 share=0.7\nfault \"front-crash\" at-s=1.5 for-s=1.2 fronts=1");
 }
 
 #[test]
-fn silent_boxes_and_a_zone_cut_at_once_under_late_reports() {
-    play("fault \"vanish\" at-s=1 for-s=2 part=0.2\nfault \"zone-cut\" at-s=1.2 for-s=1.5 zone=1\nfault \"reports-late\" at-s=0.5 for-s=3 by-ms=1500");
+fn silent_boxes_and_a_zone_partition_with_late_reports() {
+    play_day("fault \"vanish\" at-s=1 for-s=2 part=0.2\nfault \"zone-cut\" at-s=1.2 for-s=1.5 zone=1\nfault \"reports-late\" at-s=0.5 for-s=3 by-ms=1500");
 }
 
 #[test]
-fn a_zone_lost_with_its_front_while_a_crowd_comes_and_links_age() {
-    play("fault \"zone-loss\" at-s=1 for-s=1.5 zone=2 fronts=#true\nfault \"crowd\" at-s=0.8 for-s=2 share=0.3 titles=1\nfault \"ageing\" at-s=0.2 for-s=4 part=0.5 times=2.5");
+fn zone_loss_with_its_front_during_a_crowd_and_degrading_links() {
+    play_day("fault \"zone-loss\" at-s=1 for-s=1.5 zone=2 fronts=#true\nfault \"crowd\" at-s=0.8 for-s=2 share=0.3 titles=1\nfault \"ageing\" at-s=0.2 for-s=4 part=0.5 times=2.5");
 }
 
 #[test]
-fn boxes_taken_back_at_short_notice_while_the_list_breaks() {
-    play("fault \"preempt\" at-s=0.8 for-s=1.5 part=0.3 notice-ms=300\nfault \"list-drop\" at-s=1\nfault \"list-drop\" at-s=2\nfault \"slow\" at-s=1 for-s=2 part=1.0 times=1.6");
+fn boxes_preempted_at_short_notice_while_the_list_connection_breaks() {
+    play_day("fault \"preempt\" at-s=0.8 for-s=1.5 part=0.3 notice-ms=300\nfault \"list-drop\" at-s=1\nfault \"list-drop\" at-s=2\nfault \"slow\" at-s=1 for-s=2 part=1.0 times=1.6");
 }
--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Peers that do not keep to the protocols: a clear error to each alone, and nothing lost for others.
+//! Peers that violate the protocols: each gets a clear error of its own, and no other peer is affected.
 
 mod rig;
 
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use rig::{head, script, wait, Heard, Rig, Viewer};
+use rig::{script, script_head, wait_until, OpenAnswer, Rig, Viewer};
 use salttally_front::settings::Settings;
 use salttally_front::{Asked, Front};
 use salttally_standin::players::{Line, Silence};
@@ -15,24 +15,28 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn said(line: &mut Line, text: &str) -> Value {
-    line.send(text).expect("written");
-    line.next(Instant::now() + SECOND).expect("answered")
+/// Sends a text message and returns the answer.
+fn answer_to(connection: &mut Line, text: &str) -> Value {
+    connection.send(text).expect("written");
+    connection.next(Instant::now() + SECOND).expect("answered")
 }
 
-fn cut(line: &mut Line) -> String {
-    match line.next(Instant::now() + SECOND * 2) {
-        Err(Silence::Cut(why)) => why,
-        other => panic!("the connection goes on: {other:?}"),
+/// Waits for the connection to be closed and returns the reason.
+fn read_close_reason(connection: &mut Line) -> String {
+    match connection.next(Instant::now() + SECOND * 2) {
+        Err(Silence::Cut(close_reason)) => close_reason,
+        other => panic!("the connection stays open: {other:?}"),
     }
 }
 
 #[test]
-fn each_wrong_message_has_an_error_of_its_own_and_the_connection_goes_on() {
-    let rig = Rig::start(script(&head(2, 5), ""));
-    let mut watching = Viewer::connect(&rig, 0, "watching");
-    let Heard::Plays(session) = watching.open("title-0", "clip", 2000) else { panic!("it plays") };
-    let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
+fn each_invalid_message_gets_its_own_error_and_the_connection_stays_open() {
+    let rig = Rig::start(script(&script_head(2, 5), ""));
+    let mut playing = Viewer::connect(&rig, 0, "watching");
+    let OpenAnswer::Plays(session) = playing.open("title-0", "clip", 2000) else {
+        panic!("the session plays")
+    };
+    let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
     let call = |method: &str, params: Value| {
         json!({"jsonrpc": "2.0", "id": 5, "method": method, "params": params}).to_string()
     };
@@ -59,34 +63,34 @@
         (call("session.status", json!({"session": session, "viewer": "thief"})), -32003, "no such session"),
         (call("session.cancel", json!({"open": 77})), -32003, "no such session or open call"),
     ] {
-        let answer = said(&mut line, &text);
+        let answer = answer_to(&mut connection, &text);
         assert_eq!(answer["error"]["code"], code, "{text}: {answer}");
         assert!(answer["error"]["message"].as_str().is_some_and(|m| m.contains(word)), "{text}: {answer}");
     }
-    let batch = said(
-        &mut line,
+    let batch = answer_to(
+        &mut connection,
         r#"[1, {"jsonrpc": "2.0", "id": 6, "method": "session.status", "params": {"session": "x"}}]"#,
     );
     assert_eq!(batch.as_array().map(Vec::len), Some(2), "{batch}");
-    // None of it touched the other player.
+    // The other player is not affected.
     assert_eq!(rig.boxes_of(&session).len(), 1);
-    watching.close();
-    rig.end();
+    playing.close();
+    rig.shut_down_and_judge();
 }
 
-/// Without a mask, as no client may send (RFC 6455 section 5.1).
+/// A frame without a mask, which clients may not send (RFC 6455 section 5.1).
 fn unmasked(first: u8, payload: &[u8]) -> Vec<u8> {
     [&[first, payload.len() as u8], payload].concat()
 }
 
-/// What breaks RFC 6455, by section, and the close code that says so (section 7.4.1).
+/// Violations of RFC 6455, by section, with the close code that reports them (section 7.4.1).
 #[test]
-fn broken_frames_end_their_own_connection_with_the_code_that_says_why() {
-    let rig = Rig::start(script(&head(2, 5), ""));
-    let mut watching = Viewer::connect(&rig, 0, "watching");
-    assert!(watching.open("title-0", "clip", 2000).is_plays());
+fn invalid_frames_close_only_their_own_connection_with_the_matching_code() {
+    let rig = Rig::start(script(&script_head(2, 5), ""));
+    let mut playing = Viewer::connect(&rig, 0, "watching");
+    assert!(playing.open("title-0", "clip", 2000).is_plays());
     let close = |code: u16| frame(0x88, &code.to_be_bytes());
-    let in_two = |first: &[u8], second: &[u8]| [frame(0x01, first), frame(0x80, second)].concat();
+    let in_two_parts = |first: &[u8], second: &[u8]| [frame(0x01, first), frame(0x80, second)].concat();
     let long_head = [&[0x81, 0x80 | 127][..], &u64::MAX.to_be_bytes(), &[0; 4]].concat();
     let cases: Vec<(&str, Vec<u8>, &str)> = vec![
         ("5.1 an unmasked message", unmasked(0x81, b"{}"), "1002"),
@@ -118,20 +122,20 @@
         ("8.1 half of a surrogate pair", frame(0x81, &[0xed, 0xa0, 0x80]), "1007"),
         ("8.1 over U+10FFFF", frame(0x81, &[0xf4, 0x90, 0x80, 0x80]), "1007"),
         ("8.1 cut in the middle of a character", frame(0x81, &[b'"', 0xe2, 0x82]), "1007"),
-        ("8.1 a second part that breaks a character", in_two(&[0xe2, 0x82], b"x"), "1007"),
+        ("8.1 a second part that breaks a character", in_two_parts(&[0xe2, 0x82], b"x"), "1007"),
         ("8.1 a reason that is not UTF-8", frame(0x88, &[0x03, 0xe8, 0xff]), "1007"),
         ("7.4.1 a message too big", frame(0x81, &[b' '; 20_000]), "1009"),
-        ("7.4.1 parts that are too big together", in_two(&[b' '; 10_000], &[b' '; 10_000]), "1009"),
+        ("7.4.1 parts that are too big together", in_two_parts(&[b' '; 10_000], &[b' '; 10_000]), "1009"),
         ("7.4.1 a binary message", frame(0x82, b"binary"), "1003"),
     ];
     for (case, bytes, code) in &cases {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
-        line.stream().write_all(bytes).expect("written");
-        let why = cut(&mut line);
-        assert!(why.contains(code), "{case}: {why}");
+        let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
+        connection.stream().write_all(bytes).expect("written");
+        let close_reason = read_close_reason(&mut connection);
+        assert!(close_reason.contains(code), "{case}: {close_reason}");
     }
-    // What the RFC allows goes on: parts, a ping between them, a character over two of them, a pong unasked.
-    let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
+    // What the RFC allows is accepted: fragments, a ping between them, a character split over two, an unsolicited pong.
+    let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
     let call = r#"{"jsonrpc":"2.0","id":"\u20ac €","method":"session.status","params":{"session":"x"}}"#;
     let at = call.find('€').expect("there") + 1;
     let parts = [
@@ -141,105 +145,108 @@
         frame(0x00, b""),
         frame(0x80, &call.as_bytes()[at..]),
     ];
-    line.stream().write_all(&parts.concat()).expect("written");
-    let answer = line.next(Instant::now() + SECOND).expect("answered");
+    connection.stream().write_all(&parts.concat()).expect("written");
+    let answer = connection.next(Instant::now() + SECOND).expect("answered");
     assert_eq!((&answer["id"], &answer["error"]["code"]), (&json!("€ €"), &json!(-32003)));
     for code in [1000, 1001, 3000, 4999] {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("connects");
-        line.stream().write_all(&close(code)).expect("written");
-        let why = cut(&mut line);
-        assert!(why.contains(&code.to_string()), "a proper close is given back: {why}");
+        let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
+        connection.stream().write_all(&close(code)).expect("written");
+        let close_reason = read_close_reason(&mut connection);
+        assert!(close_reason.contains(&code.to_string()), "a valid close code is echoed: {close_reason}");
     }
-    println!("{} breaches of RFC 6455, each with its code", cases.len());
-    watching.close();
-    rig.end();
+    println!("{} violations of RFC 6455, each with its close code", cases.len());
+    playing.close();
+    rig.shut_down_and_judge();
 }
 
 #[test]
-fn a_handshake_that_is_none_is_refused_with_a_reason_and_a_slow_one_ends() {
-    let rig = Rig::start(script(&head(1, 5), "handshake-ms 300"));
-    let ask = |text: &str| {
+fn an_invalid_handshake_is_refused_with_a_reason_and_a_slow_one_is_closed() {
+    let rig = Rig::start(script(&script_head(1, 5), "handshake-ms 300"));
+    let send_raw = |text: &str| {
         let mut stream = TcpStream::connect(rig.address(0)).expect("connects");
         stream.write_all(text.as_bytes()).expect("written");
-        let mut heard = String::new();
+        let mut reply = String::new();
         let _ = stream.set_read_timeout(Some(SECOND * 2));
-        let _ = stream.read_to_string(&mut heard);
-        heard
+        let _ = stream.read_to_string(&mut reply);
+        reply
     };
     let upgrade = "GET / HTTP/1.1\r\nHost: x\r\nConnection: Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n";
-    let heard = ask(upgrade);
-    assert!(heard.starts_with("HTTP/1.1 400") && heard.contains("offer the sub-protocol"), "{heard}");
-    ask("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    ask("\x16\x03\x01");
+    let reply = send_raw(upgrade);
+    assert!(reply.starts_with("HTTP/1.1 400") && reply.contains("offer the sub-protocol"), "{reply}");
+    send_raw("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+    send_raw("\x16\x03\x01");
     let begun = Instant::now();
-    assert_eq!(ask("GET / HTTP/1.1\r\n"), "", "it never ends its head");
-    assert!(begun.elapsed() < SECOND, "and is not waited for");
-    wait(SECOND, || rig.front(0).look().clients == 0, || "somebody is left".into());
-    rig.end();
+    assert_eq!(send_raw("GET / HTTP/1.1\r\n"), "", "the request head is never completed");
+    assert!(begun.elapsed() < SECOND, "and the front does not wait for it");
+    wait_until(SECOND, || rig.front(0).look().clients == 0, || "a client is left".into());
+    rig.shut_down_and_judge();
 }
 
 #[test]
-fn a_flood_of_calls_is_told_to_wait_and_does_not_hold_others_up() {
-    let rig = Rig::start(script(&head(2, 5), "calls-per-s 50; calls-at-once 20; calls-surplus 60"));
-    let mut flood = Line::connect(rig.address(0), SECOND).expect("connects");
+fn a_flood_of_calls_is_rate_limited_and_does_not_delay_others() {
+    let rig = Rig::start(script(&script_head(2, 5), "calls-per-s 50; calls-at-once 20; calls-surplus 60"));
+    let mut flooding = Line::connect(rig.address(0), SECOND).expect("connects");
     for _ in 0..60 {
-        flood.call("session.status", &json!({"session": "x"})).expect("written");
+        flooding.call("session.status", &json!({"session": "x"})).expect("written");
     }
-    let mut later = 0;
+    let mut rate_limited = 0;
     let begun = Instant::now();
     for _ in 0..60 {
-        let answer = flood.next(Instant::now() + SECOND).expect("each is answered");
-        later += usize::from(answer["error"]["code"] == -32004);
+        let answer = flooding.next(Instant::now() + SECOND).expect("each is answered");
+        rate_limited += usize::from(answer["error"]["code"] == -32004);
     }
-    // 20 at once and 50 a second: each that is over is told so at once, and the next one is read when it may be.
-    assert!((15..=40).contains(&later), "{later} of 60 are told to wait");
-    assert!(begun.elapsed() > Duration::from_millis(300), "and read as slowly as it may call");
+    // 20 at once and 50 a second: each call above the limit is refused at once, and the next one is read when the rate
+    // allows it.
+    assert!((15..=40).contains(&rate_limited), "{rate_limited} of 60 are rate-limited");
+    assert!(begun.elapsed() > Duration::from_millis(300), "and calls are read at the allowed rate");
     let mut other = Viewer::connect(&rig, 0, "other");
     assert!(other.open("title-0", "clip", 1000).is_plays());
     other.close();
     for _ in 0..200 {
-        if flood.call("session.status", &json!({"session": "x"})).is_err() {
+        if flooding.call("session.status", &json!({"session": "x"})).is_err() {
             break;
         }
     }
-    // What frees is taken meanwhile: its answer is no -32004.
-    let id = flood.call("session.close", &json!({"session": "x"})).expect("written");
-    let closed = flood.response(id, Instant::now() + SECOND * 10, &mut Vec::new()).expect("answered");
+    // Calls that release resources are accepted meanwhile: the answer is not -32004.
+    let id = flooding.call("session.close", &json!({"session": "x"})).expect("written");
+    let closed = flooding.response(id, Instant::now() + SECOND * 10, &mut Vec::new()).expect("answered");
     assert_eq!(closed["error"]["code"], -32003, "{closed}");
     let batch = json!({"jsonrpc": "2.0", "id": 1, "method": "session.status", "params": {"session": "x"}});
-    flood.send(&Value::from(vec![batch; 64]).to_string()).expect("written");
-    wait(
+    flooding.send(&Value::from(vec![batch; 64]).to_string()).expect("written");
+    wait_until(
         SECOND * 2,
-        || matches!(flood.next(Instant::now() + SECOND), Err(Silence::Cut(_))),
-        || "goes on".into(),
+        || matches!(flooding.next(Instant::now() + SECOND), Err(Silence::Cut(_))),
+        || "the connection stays open".into(),
     );
-    rig.end();
+    rig.shut_down_and_judge();
 }
 
-/// What follows is sent a byte at a time.
-const DRIP: &[u8] = b"DRIP ";
+/// Prefix of answers that are sent one byte at a time; not sent itself.
+const SLOW_PREFIX: &[u8] = b"DRIP ";
 
-/// A box and a list in one that answers set-ups as it is told to, and everything else not at all.
-struct Crooked {
+/// A box and a list in one, which answer each request as the test says.
+struct ScriptedBox {
     address: SocketAddr,
 }
 
-/// A list that names the box, or another one as well at its address, or the box twice.
-fn list(address: SocketAddr, also: Option<u32>) -> Vec<u8> {
+/// A list with box 0 at this address, and with a second entry for the same address if `also` is given.
+fn box_list(address: SocketAddr, also: Option<u32>) -> Vec<u8> {
     let now = std::time::UNIX_EPOCH.elapsed().expect("a clock").as_millis() as u64;
-    let line = |id: u32| json!({"box": id, "address": address.to_string(), "cell": 0, "state": "ready"});
-    let lines: Vec<Value> = std::iter::once(0).chain(also).map(line).collect();
+    let entry = |id: u32| json!({"box": id, "address": address.to_string(), "cell": 0, "state": "ready"});
+    let lines: Vec<Value> = std::iter::once(0).chain(also).map(entry).collect();
     let boxes = json!({"revision": 1, "as_of_ms": now + 100, "boxes": lines});
     let event = salttally_standin::http::event("whole", &boxes);
     [salttally_standin::http::EVENTS, event.as_bytes()].concat()
 }
 
-impl Crooked {
-    fn start(answer: impl Fn(&str) -> Option<Vec<u8>> + Send + Sync + 'static) -> Crooked {
-        Crooked::at(move |_, request| answer(request))
+impl ScriptedBox {
+    fn start(answer: impl Fn(&str) -> Option<Vec<u8>> + Send + Sync + 'static) -> ScriptedBox {
+        ScriptedBox::start_with_address(move |_, request| answer(request))
     }
 
-    fn at(answer: impl Fn(SocketAddr, &str) -> Option<Vec<u8>> + Send + Sync + 'static) -> Crooked {
+    fn start_with_address(
+        answer: impl Fn(SocketAddr, &str) -> Option<Vec<u8>> + Send + Sync + 'static,
+    ) -> ScriptedBox {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bound");
         let address = listener.local_addr().expect("bound");
         let answer = move |request: &str| answer(address, request);
@@ -258,11 +265,11 @@
                             String::from_utf8_lossy(&request.body)
                         );
                         let bytes = match request.path.as_str() {
-                            "/boxes" => Some(answer(&text).unwrap_or_else(|| list(address, None))),
+                            "/boxes" => Some(answer(&text).unwrap_or_else(|| box_list(address, None))),
                             _ => answer(&text),
                         };
                         let Some(bytes) = bytes else { return };
-                        let written = match bytes.strip_prefix(DRIP) {
+                        let written = match bytes.strip_prefix(SLOW_PREFIX) {
                             None => stream.write_all(&bytes),
                             Some(slow) => slow.iter().try_for_each(|byte| {
                                 std::thread::sleep(Duration::from_millis(20));
@@ -276,16 +283,16 @@
                 });
             }
         });
-        Crooked { address }
+        ScriptedBox { address }
     }
 
-    /// A front that knows nothing but this box, and what a paid session is answered.
-    fn paid(&self) -> (Front, String) {
-        self.paid_within("")
+    /// Starts a front that knows only this box, and returns it with the answer to a paid session.
+    fn open_paid(&self) -> (Front, String) {
+        self.open_paid_with_limits("")
     }
 
-    /// The same with these limits.
-    fn paid_within(&self, limits: &str) -> (Front, String) {
+    /// Like `open_paid`, with these limits.
+    fn open_paid_with_limits(&self, limits: &str) -> (Front, String) {
         let text = format!(
             r#"
             front "f0" seed=1 {{ listen "127.0.0.1:0"; }}
@@ -315,30 +322,30 @@
     }
 }
 
-const HELD: &[u8] =
+const EMPTY_EVENT_STREAM: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nevent: held\ndata: {\"sessions\":[]}\n\n";
 
 #[test]
-fn a_box_that_answers_nonsense_may_have_run_a_paid_set_up() {
+fn a_paid_set_up_with_an_invalid_answer_fails_and_is_not_repeated() {
     for answer in [
         &b"HTTP/1.1 201 Created\r\nContent-Length: 500\r\n\r\n{\"half\""[..],
         b"HTTP/1.1 201 Created\r\nContent-Length: 50\r\n\r\n{\"session\":\"other\",\"attempt\":0,\"load\":{\"link\":0.1}}",
         b"HTTP/1.1 201 Created\r\nContent-Length: 2\r\n\r\n{}",
         b"SSH-2.0-OpenSSH\r\n",
-        // A redirect is not followed: the box that it names was asked for nothing.
+        // A redirect is not followed: its target has received no set-up.
         b"HTTP/1.1 307 Temporary Redirect\r\nLocation: http://127.0.0.1:1/sessions\r\nContent-Length: 2\r\n\r\n{}",
-        // A byte at a time: one deadline for the whole exchange, and not one for each read.
+        // One byte at a time: the deadline holds for the whole exchange and not for each read.
         b"DRIP HTTP/1.1 201 Created\r\nContent-Length: 60\r\nX: a long line that is not whole before the aim is over\r\n",
         b"HTTP/1.1 201 Created\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         b"",
     ] {
-        let crooked = Crooked::start(move |request| match request {
+        let scripted_box = ScriptedBox::start(move |request| match request {
             _ if request.starts_with("GET /boxes") => None,
-            _ if request.starts_with("GET /events") => Some(HELD.to_vec()),
+            _ if request.starts_with("GET /events") => Some(EMPTY_EVENT_STREAM.to_vec()),
             _ if request.starts_with("POST") && answer.is_empty() => None,
             _ => Some(answer.to_vec()),
         });
-        let (front, answer) = crooked.paid();
+        let (front, answer) = scripted_box.open_paid();
         assert!(answer.starts_with("Failed"), "{answer}");
         let counts = front.look().counts;
         assert_eq!((counts.attempts, counts.failed), (1, 1), "{counts:?}");
@@ -347,76 +354,77 @@
 }
 
 #[test]
-fn an_event_stream_of_nonsense_ends_and_the_front_goes_on() {
+fn an_invalid_event_stream_is_closed_and_the_front_keeps_serving() {
     for stream in [
         &b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"[..],
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\nevent: held\ndata: {\"sessions\": 7}\n\n",
         b"HTTP/1.1 200 OK\r\nContent-Type: text/html\r\n\r\n<html>",
         b"\x00\xff\x00\xff\r\n\r\n",
     ] {
-        let crooked = Crooked::start(move |request| {
+        let scripted_box = ScriptedBox::start(move |request| {
             if request.starts_with("GET /events") {
                 return Some(stream.to_vec());
             }
-            good(request)
+            valid_answer(request)
         });
-        let (front, answer) = crooked.paid();
+        let (front, answer) = scripted_box.open_paid();
         assert!(answer.starts_with("Plays"), "{answer}");
         front.shut_down(SECOND * 5);
     }
 }
 
 #[test]
-fn a_box_that_tells_without_end_is_cut_off_and_its_session_plays_on() {
-    let note = b"event: link\ndata: {\"session\":\"f0-0\",\"link\":0.5}\n\n".repeat(20_000);
-    let asked = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
-    let streams = std::sync::Arc::clone(&asked);
-    let crooked = Crooked::start(move |request| {
+fn an_endless_event_stream_is_closed_and_its_session_plays_on() {
+    let link_event = b"event: link\ndata: {\"session\":\"f0-0\",\"link\":0.5}\n\n".repeat(20_000);
+    let stream_requests = std::sync::Arc::new(std::sync::atomic::AtomicUsize::new(0));
+    let streams = std::sync::Arc::clone(&stream_requests);
+    let scripted_box = ScriptedBox::start(move |request| {
         if request.starts_with("GET /events") {
             streams.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-            return Some([HELD, &note].concat());
+            return Some([EMPTY_EVENT_STREAM, &link_event].concat());
         }
-        good(request)
+        valid_answer(request)
     });
-    let (front, answer) = crooked.paid_within("box-events-at-once 1000; box-events-per-s 100");
+    let (front, answer) = scripted_box.open_paid_with_limits("box-events-at-once 1000; box-events-per-s 100");
     assert!(answer.starts_with("Plays"), "{answer}");
-    wait(SECOND, || front.look().counts.faults >= 1, || "it is not cut off".into());
+    wait_until(SECOND, || front.look().counts.faults >= 1, || "the event stream is not closed".into());
     std::thread::sleep(Duration::from_millis(500));
-    let tries = asked.load(std::sync::atomic::Ordering::Relaxed);
-    assert!(tries <= 2, "listened to {tries} times in half a second");
+    let tries = stream_requests.load(std::sync::atomic::Ordering::Relaxed);
+    assert!(tries <= 2, "the event stream was opened {tries} times in half a second");
     assert_eq!(front.look().counts.lost, 0);
     front.shut_down(SECOND * 5);
 }
 
 #[test]
-fn a_list_that_flips_a_box_without_end_costs_others_nothing() {
-    // Box 1 comes and goes 20,000 times, as fast as the list can write; made before, since that takes a while.
+fn a_list_with_endless_state_changes_of_one_box_does_not_affect_others() {
+    // Box 1 appears and disappears 20,000 times, as fast as the list can write. Built beforehand because it takes a while.
     let now = std::time::UNIX_EPOCH.elapsed().expect("a clock").as_millis() as u64 + 10_000;
     let change = |flip: u64| {
         let state = if flip.is_multiple_of(2) { "ready" } else { "gone" };
-        let line = json!({"box": 1, "address": "127.0.0.1:1", "cell": 0, "state": state});
-        let change = json!({"revision": 2 + flip, "as_of_ms": now, "boxes": [line]});
+        let entry = json!({"box": 1, "address": "127.0.0.1:1", "cell": 0, "state": state});
+        let change = json!({"revision": 2 + flip, "as_of_ms": now, "boxes": [entry]});
         salttally_standin::http::event("changes", &change).into_bytes()
     };
     let flips: Vec<u8> = (0..20_000).flat_map(change).collect();
-    let crooked = Crooked::at(move |address, request| match request.starts_with("GET /boxes") {
-        true => Some([list(address, None), flips.clone()].concat()),
-        false => good(request),
-    });
+    let scripted_box =
+        ScriptedBox::start_with_address(move |address, request| match request.starts_with("GET /boxes") {
+            true => Some([box_list(address, None), flips.clone()].concat()),
+            false => valid_answer(request),
+        });
     let begun = Instant::now();
-    let (front, answer) = crooked.paid();
+    let (front, answer) = scripted_box.open_paid();
     assert!(answer.starts_with("Plays"), "{answer}");
     assert!(begun.elapsed() < SECOND * 2, "{:?}", begun.elapsed());
-    // Each time that it was told ready a stream was opened there; few were.
+    // An event stream may be opened each time the box becomes ready; only few are.
     let faults = front.look();
     assert!(faults.connections.iter().sum::<usize>() < 20, "{faults:?}");
     front.shut_down(SECOND * 5);
 }
 
-/// What a good box answers.
-fn good(request: &str) -> Option<Vec<u8>> {
+/// The answer of a correct box.
+fn valid_answer(request: &str) -> Option<Vec<u8>> {
     if request.starts_with("GET /events") {
-        return Some(HELD.to_vec());
+        return Some(EMPTY_EVENT_STREAM.to_vec());
     }
     let body: Value = serde_json::from_str(request.splitn(3, ' ').nth(2)?).ok()?;
     let answer = json!({"session": body["session"], "attempt": body["attempt"], "load": {"link": 0.1}});
@@ -424,19 +432,19 @@
 }
 
 #[test]
-fn a_list_that_contradicts_itself_is_not_taken_and_asked_for_again() {
+fn a_contradictory_list_is_rejected_and_requested_again() {
     for also in [0, 1] {
-        let asked = std::sync::atomic::AtomicUsize::new(0);
-        let crooked = Crooked::at(move |address, request| match request {
-            // Wrong once, then right: the module asks again half a second after the loss.
+        let list_requests = std::sync::atomic::AtomicUsize::new(0);
+        let scripted_box = ScriptedBox::start_with_address(move |address, request| match request {
+            // Invalid once, then valid: the module requests the list again half a second after the loss.
             _ if request.starts_with("GET /boxes") => {
-                let first = asked.fetch_add(1, std::sync::atomic::Ordering::Relaxed) == 0;
-                first.then(|| list(address, Some(also)))
+                let first = list_requests.fetch_add(1, std::sync::atomic::Ordering::Relaxed) == 0;
+                first.then(|| box_list(address, Some(also)))
             }
-            _ => good(request),
+            _ => valid_answer(request),
         });
-        let (front, answer) = crooked.paid();
-        assert!(answer.starts_with("Refused"), "no box is known from such a list: {answer}");
+        let (front, answer) = scripted_box.open_paid();
+        assert!(answer.starts_with("Refused"), "no box is taken from such a list: {answer}");
         std::thread::sleep(Duration::from_millis(600));
         let asked = Asked {
             viewer: "w".into(),
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -1,5 +1,5 @@
-//! Promises that outlive the machine that gave them: processes of fronts with copies at each other, killed with their
-//! disks, stopped and cut off, against stand-ins of boxes and list.
+//! Replicated session records that outlive the machine that acknowledged them: front processes that hold copies for each
+//! other are killed together with their disks, suspended and partitioned, against stand-ins of boxes and list.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 mod rig;
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use rig::{script, wait};
+use rig::{script, wait_until};
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_accord::ask::ask;
 use salttally_accord::settings::Settings;
@@ -27,13 +27,14 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Fronts as processes, with boxes, list and players of a day around them.
+/// Front processes, with the boxes and the list of a day.
 struct Fleet {
     day: Day,
     folder: PathBuf,
     children: Vec<Option<Child>>,
-    more: String,
-    /// All that fronts say to each other goes by it, where there is one.
+    /// Settings inside `copies`; `off` leaves the block out.
+    copies_settings: String,
+    /// Carries all traffic between the fronts, if present.
     relay: Option<Relay>,
 }
 
@@ -47,20 +48,20 @@
     }
 }
 
-/// A session as its viewer knows it.
+/// A session, as its viewer knows it.
 #[derive(Clone, Debug)]
-struct Held {
-    session: String,
+struct OpenSession {
+    id: String,
     viewer: String,
 }
 
 impl Fleet {
-    fn start(name: &str, fronts: u32, more: &str) -> Fleet {
-        Fleet::linked(name, fronts, more, None)
+    fn start(name: &str, fronts: u32, copies_settings: &str) -> Fleet {
+        Fleet::start_with_links(name, fronts, copies_settings, None)
     }
 
-    /// The same with links like this between the fronts; those to boxes and players are whole.
-    fn linked(name: &str, fronts: u32, more: &str, links: Option<Quality>) -> Fleet {
+    /// Like `start`, with links of this quality between the fronts; links to boxes and players are lossless.
+    fn start_with_links(name: &str, fronts: u32, copies_settings: &str, links: Option<Quality>) -> Fleet {
         let head = format!(
             "day seconds=5 sessions=1\nfronts {fronts}\nlist-lag-ms 20\ntitles 4 holders=6\n\
              viewers \"clip\" share=1 length-s=1 patience-ms=2000\n\
@@ -77,14 +78,15 @@
                 IpAddr::V6(_) => None,
             })
             .collect();
-        let relay = links.map(|like| Relay::start(Net::new(like), &addresses, 7, Clock::start()).unwrap());
-        let mut fleet = Fleet { day, folder, children, more: more.to_owned(), relay };
-        (0..fronts as usize).for_each(|front| fleet.up(front));
-        (0..fronts as usize).for_each(|front| fleet.ready(front));
+        let relay =
+            links.map(|quality| Relay::start(Net::new(quality), &addresses, 7, Clock::start()).unwrap());
+        let mut fleet = Fleet { day, folder, children, copies_settings: copies_settings.to_owned(), relay };
+        (0..fronts as usize).for_each(|front| fleet.start_front(front));
+        (0..fronts as usize).for_each(|front| fleet.wait_until_ready(front));
         fleet
     }
 
-    fn at(&self, front: usize) -> IpAddr {
+    fn front_ip(&self, front: usize) -> IpAddr {
         self.day.front_address(front as u32).ip()
     }
 
@@ -96,24 +98,28 @@
         self.folder.join(format!("f{front}.kdl"))
     }
 
-    fn up(&mut self, front: usize) {
+    /// Starts a front process.
+    fn start_front(&mut self, front: usize) {
         let seeds: Vec<String> =
-            (0..self.children.len()).map(|seed| format!("\"{}:7301\"", self.at(seed))).collect();
+            (0..self.children.len()).map(|seed| format!("\"{}:7301\"", self.front_ip(seed))).collect();
         let disk = self.disk(front);
         fs::create_dir_all(&disk).unwrap();
-        let copies = match self.more.as_str() {
+        let copies = match self.copies_settings.as_str() {
             "off" => String::new(),
-            more => {
-                format!("copies {{ store {:?}; {more} }}\n", disk.join("copies.redb").display().to_string())
+            copies_settings => {
+                format!(
+                    "copies {{ store {:?}; {copies_settings} }}\n",
+                    disk.join("copies.redb").display().to_string()
+                )
             }
         };
-        let by =
+        let relay_setting =
             self.relay.as_ref().map_or(String::new(), |relay| format!("trial relay=\"{}\";", relay.address));
         let text = format!(
-            "{}\nmembers {{ bind \"{}:7301\"; seeds {}; key \"{}\"; {by} }}\n\
-             accord {{ voters \"f0\" \"f1\" \"f2\"; store {:?}; {by} }}\n{copies}",
+            "{}\nmembers {{ bind \"{}:7301\"; seeds {}; key \"{}\"; {relay_setting} }}\n\
+             accord {{ voters \"f0\" \"f1\" \"f2\"; store {:?}; {relay_setting} }}\n{copies}",
             self.day.settings(front),
-            self.at(front),
+            self.front_ip(front),
             seeds.join(" "),
             "6c".repeat(32),
             disk.join("accord.redb").display().to_string(),
@@ -130,9 +136,9 @@
         self.children[front] = Some(child);
     }
 
-    /// Cuts what goes from one front to all others, and back unless it is one-sided, or heals it.
+    /// Cuts or restores the links from one front to all others, and those in the other direction unless `one_sided`.
     fn cut(&self, front: usize, one_sided: bool, on: bool) {
-        let mut net = self.relay.as_ref().expect("links go by a relay").net();
+        let mut net = self.relay.as_ref().expect("the fronts are linked by a relay").net();
         for other in (0..self.children.len()).filter(|other| *other != front) {
             net.cut(front, other, on);
             if !one_sided {
@@ -145,44 +151,50 @@
         fs::read_to_string(self.folder.join(format!("f{front}.log"))).unwrap_or_default()
     }
 
-    /// Waits until it acts by a lease, its promises have holders, and it gives sessions.
-    fn ready(&self, front: usize) {
+    /// Waits until a front holds a lease, has replicas that are filled, and serves sessions.
+    fn wait_until_ready(&self, front: usize) {
         let settings = Settings::load(&self.config(front)).unwrap().unwrap();
-        let said = |question| {
+        let query = |question| {
             let text = ask(&settings, question).unwrap_or_default();
             serde_json::from_str::<Value>(&text).unwrap_or_default()
         };
-        let stated = self.more.strip_prefix("copies ").and_then(|rest| rest.split(';').next()?.parse().ok());
-        let stated = if self.more == "off" { Some(0) } else { stated };
-        let want = stated.unwrap_or(2).min(self.children.len() - 1);
+        let configured_holders = self
+            .copies_settings
+            .strip_prefix("copies ")
+            .and_then(|rest| rest.split(';').next()?.parse().ok());
+        let configured_holders = if self.copies_settings == "off" { Some(0) } else { configured_holders };
+        let wanted_holders = configured_holders.unwrap_or(2).min(self.children.len() - 1);
         let holders = |shown: &Value| {
             let filled = |holder: &&Value| holder["filled"] == true;
-            shown["holders"].as_array().map_or(0, |all| all.iter().filter(filled).count())
+            shown["holders"].as_array().map_or(0, |list| list.iter().filter(filled).count())
         };
-        wait(
+        wait_until(
             30 * SECOND,
-            || said(Question::Show)["acts_by"] == "lease" && holders(&said(Question::Beside)) >= want,
-            || format!("{}\n{}\n{}", said(Question::Show), said(Question::Beside), self.log(front)),
+            || {
+                query(Question::Show)["acts_by"] == "lease"
+                    && holders(&query(Question::Beside)) >= wanted_holders
+            },
+            || format!("{}\n{}\n{}", query(Question::Show), query(Question::Beside), self.log(front)),
         );
-        let mut line = self.line(front);
+        let mut connection = self.connect(front);
         let mut count = 0;
-        wait(
+        wait_until(
             10 * SECOND,
             || {
                 count += 1;
-                let held = open(&mut line, &format!("first-{front}-{count}"), "clip");
-                held.is_some_and(|held| close(&mut line, &held))
+                let opened = open_session(&mut connection, &format!("first-{front}-{count}"), "clip");
+                opened.is_some_and(|session| close_session(&mut connection, &session))
             },
-            || format!("f{front} never has a box: {}", self.log(front)),
+            || format!("f{front} never serves a session: {}", self.log(front)),
         );
     }
 
-    fn line(&self, front: usize) -> Line {
-        Line::connect(self.day.front_address(front as u32), 3 * SECOND).expect("the front takes players")
+    fn connect(&self, front: usize) -> Line {
+        Line::connect(self.day.front_address(front as u32), 3 * SECOND).expect("the front accepts players")
     }
 
     fn kill(&mut self, front: usize) {
-        let mut child = self.children[front].take().expect("it runs");
+        let mut child = self.children[front].take().expect("the front runs");
         let _ = (child.kill(), child.wait());
     }
 
@@ -191,39 +203,41 @@
     }
 
     fn signal(&self, front: usize, signal: Signal) {
-        let child = self.children[front].as_ref().expect("it runs");
+        let child = self.children[front].as_ref().expect("the front runs");
         kill_process(Pid::from_child(child), signal).unwrap();
     }
 
-    /// So many sessions at a front, of the class that is set up once.
-    fn play(&self, front: usize, line: &mut Line, count: usize) -> Vec<Held> {
-        let all: Vec<Held> =
-            (0..count).filter_map(|number| open(line, &format!("v{front}-{number}"), "paid")).collect();
-        assert!(all.len() * 10 >= count * 9, "{} of {count} play: {}", all.len(), self.log(front));
-        all
+    /// Opens this many sessions of class `paid`, which is set up at most once, at a front.
+    fn open_sessions(&self, front: usize, connection: &mut Line, count: usize) -> Vec<OpenSession> {
+        let opened: Vec<OpenSession> = (0..count)
+            .filter_map(|number| open_session(connection, &format!("v{front}-{number}"), "paid"))
+            .collect();
+        assert!(opened.len() * 10 >= count * 9, "{} of {count} play: {}", opened.len(), self.log(front));
+        opened
     }
 
-    /// Where its viewer finds a session, asking the fronts that run as they tell; nothing where nobody has it.
-    fn find(&self, held: &Held, first: usize, until: Instant) -> Option<(Line, Value)> {
-        let mut at = self.day.front_address(first as u32);
+    /// Looks a session up as its viewer would, following redirects between the fronts. `None` if no front has it.
+    fn find_session(&self, session: &OpenSession, first: usize, until: Instant) -> Option<(Line, Value)> {
+        let mut front_address = self.day.front_address(first as u32);
         while Instant::now() < until {
-            let Ok(mut line) = Line::connect(at, SECOND) else {
-                // Told to go to a front that is gone, a viewer asks another one again.
-                at = self.day.front_address(first as u32);
+            let Ok(mut connection) = Line::connect(front_address, SECOND) else {
+                // A viewer that was redirected to a dead front returns to its first one.
+                front_address = self.day.front_address(first as u32);
                 thread::sleep(SECOND / 20);
                 continue;
             };
-            let said = status(&mut line, held);
-            match said["error"]["code"].as_i64() {
-                None if said["result"]["state"] == "playing" => return Some((line, said)),
+            let answer = session_status(&mut connection, session);
+            match answer["error"]["code"].as_i64() {
+                None if answer["result"]["state"] == "playing" => return Some((connection, answer)),
                 Some(-32007) => {
-                    let other: SocketAddr = said["error"]["data"]["address"].as_str()?.parse().ok()?;
-                    at = if other == at { self.day.front_address(first as u32) } else { other };
+                    let other: SocketAddr = answer["error"]["data"]["address"].as_str()?.parse().ok()?;
+                    front_address =
+                        if other == front_address { self.day.front_address(first as u32) } else { other };
                     thread::sleep(SECOND / 50);
                 }
                 Some(-32008) => thread::sleep(SECOND / 20),
                 _ => {
-                    eprintln!("{at}: {said}");
+                    eprintln!("{front_address}: {answer}");
                     return None;
                 }
             }
@@ -231,209 +245,218 @@
         None
     }
 
-    /// Boxes that hold a session.
+    /// Number of boxes that hold a session.
     fn boxes_of(&self, session: &str) -> usize {
         let fleet = self.day.boxes.fleet();
         fleet.boxes.values().filter(|state| state.plays.keys().any(|(id, _)| id == session)).count()
     }
 
-    /// What was set up more than once though it may not be, or while another attempt was out.
-    fn judged(&self) {
+    /// Asserts that no paid session was set up twice, or while another attempt was outstanding.
+    fn assert_single_effect(&self) {
         let verdict = judge(&self.day.log.lines());
-        let effects: Vec<_> = verdict.findings.iter().filter(|found| found.rule == Rule::OneEffect).collect();
-        assert!(effects.is_empty(), "{effects:#?}");
+        let violations: Vec<_> =
+            verdict.findings.iter().filter(|found| found.rule == Rule::OneEffect).collect();
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
-fn open(line: &mut Line, viewer: &str, class: &str) -> Option<Held> {
+fn open_session(connection: &mut Line, viewer: &str, class: &str) -> Option<OpenSession> {
     let params =
         json!({"viewer": viewer, "title": "title-0", "class": class, "top_rung": 2, "patience_ms": 2000});
-    let id = line.call("session.open", &params).ok()?;
-    let answer = line.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).ok()?;
+    let id = connection.call("session.open", &params).ok()?;
+    let answer = connection.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).ok()?;
     let session = answer["result"]["session"].as_str()?.to_owned();
-    Some(Held { session, viewer: viewer.to_owned() })
+    Some(OpenSession { id: session, viewer: viewer.to_owned() })
 }
 
-fn close(line: &mut Line, held: &Held) -> bool {
-    let Ok(id) = line.call("session.close", &json!({"session": held.session})) else { return false };
-    let answer = line.response(id, Instant::now() + 3 * SECOND, &mut Vec::new());
+fn close_session(connection: &mut Line, session: &OpenSession) -> bool {
+    let Ok(id) = connection.call("session.close", &json!({"session": session.id})) else { return false };
+    let answer = connection.response(id, Instant::now() + 3 * SECOND, &mut Vec::new());
     answer.is_ok_and(|answer| answer["result"]["state"] == "closed")
 }
 
-fn status(line: &mut Line, held: &Held) -> Value {
-    let params = json!({"session": held.session, "viewer": held.viewer});
-    let Ok(id) = line.call("session.status", &params) else { return Value::Null };
-    line.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).unwrap_or_default()
+fn session_status(connection: &mut Line, session: &OpenSession) -> Value {
+    let params = json!({"session": session.id, "viewer": session.viewer});
+    let Ok(id) = connection.call("session.status", &params) else { return Value::Null };
+    connection.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).unwrap_or_default()
 }
 
 #[test]
-fn a_machine_lost_with_its_disk_loses_nothing_that_it_promised() {
+fn sessions_survive_the_loss_of_a_machine_and_its_disk() {
     let mut fleet = Fleet::start("lost", 3, "");
-    let mut line = fleet.line(0);
-    let held = fleet.play(0, &mut line, 60);
+    let mut connection = fleet.connect(0);
+    let sessions = fleet.open_sessions(0, &mut connection, 60);
     fleet.kill(0);
     fleet.lose_disk(0);
     let killed = Instant::now();
-    let mut lines = Vec::new();
-    for one in &held {
-        let found = fleet.find(one, 1, killed + 20 * SECOND);
-        let (line, _) =
-            found.unwrap_or_else(|| panic!("{one:?} is lost\n{}\n{}", fleet.log(1), fleet.log(2)));
-        lines.push(line);
-    }
-    let took = killed.elapsed();
-    eprintln!("{} sessions found again after {took:?}", held.len());
-    assert!(took < 15 * SECOND, "{took:?}");
-    // They are the viewers' own again: each can be closed, and its place is free.
-    for (line, one) in lines.iter_mut().zip(&held) {
-        assert!(close(line, one), "{one:?}");
-    }
-    wait(
+    let mut connections = Vec::new();
+    for session in &sessions {
+        let found = fleet.find_session(session, 1, killed + 20 * SECOND);
+        let (connection, _) =
+            found.unwrap_or_else(|| panic!("{session:?} is lost\n{}\n{}", fleet.log(1), fleet.log(2)));
+        connections.push(connection);
+    }
+    let elapsed = killed.elapsed();
+    eprintln!("{} sessions found again after {elapsed:?}", sessions.len());
+    assert!(elapsed < 15 * SECOND, "{elapsed:?}");
+    // The viewers control their sessions again: each can be closed, which frees its seat.
+    for (connection, session) in connections.iter_mut().zip(&sessions) {
+        assert!(close_session(connection, session), "{session:?}");
+    }
+    wait_until(
         10 * SECOND,
-        || held.iter().all(|one| fleet.boxes_of(&one.session) == 0),
-        || "places stay taken".to_owned(),
+        || sessions.iter().all(|session| fleet.boxes_of(&session.id) == 0),
+        || "seats stay occupied".to_owned(),
     );
-    fleet.judged();
+    fleet.assert_single_effect();
 }
 
 #[test]
-fn a_front_that_slept_through_its_replacement_neither_releases_nor_moves_nor_answers_for_what_is_anothers() {
+fn a_front_suspended_during_its_takeover_does_not_touch_sessions_it_no_longer_owns() {
     let fleet = Fleet::start("slept", 3, "");
-    let mut line = fleet.line(0);
-    let held = fleet.play(0, &mut line, 30);
-    // A set-up is asked for just as it is stopped.
+    let mut connection = fleet.connect(0);
+    let sessions = fleet.open_sessions(0, &mut connection, 30);
+    // A session is requested right before the suspension.
     let params =
         json!({"viewer": "late", "title": "title-0", "class": "paid", "top_rung": 2, "patience_ms": 2000});
-    let late = line.call("session.open", &params).unwrap();
+    let late = connection.call("session.open", &params).unwrap();
     fleet.signal(0, Signal::STOP);
     let stopped = Instant::now();
-    let mut lines = Vec::new();
-    for one in &held {
-        let found = fleet.find(one, 1, stopped + 20 * SECOND);
-        lines.push(found.unwrap_or_else(|| panic!("{one:?} is lost\n{}\n{}", fleet.log(1), fleet.log(2))).0);
+    let mut connections = Vec::new();
+    for session in &sessions {
+        let found = fleet.find_session(session, 1, stopped + 20 * SECOND);
+        connections.push(
+            found.unwrap_or_else(|| panic!("{session:?} is lost\n{}\n{}", fleet.log(1), fleet.log(2))).0,
+        );
     }
     fleet.signal(0, Signal::CONT);
-    // It is told, tells its players, and takes new sessions under a new life.
-    let mut told = Vec::new();
+    // The front learns of the takeover, notifies its players, and accepts new sessions under a new incarnation.
+    let mut messages = Vec::new();
     let until = Instant::now() + 5 * SECOND;
-    while told.len() < held.len() + 1 {
-        match line.next(until) {
+    while messages.len() < sessions.len() + 1 {
+        match connection.next(until) {
             Ok(message) if message["id"] == late || message["method"] == "session.ended" => {
-                told.push(message)
+                messages.push(message)
             }
             Ok(_) => {}
-            Err(silence) => panic!("{silence:?} after {}: {}", told.len(), fleet.log(0)),
+            Err(silence) => panic!("{silence:?} after {}: {}", messages.len(), fleet.log(0)),
         }
     }
-    let elsewhere = told.iter().filter(|message| message["params"]["reason"] == "elsewhere").count();
-    assert_eq!(elsewhere, held.len(), "{told:?}\n{}", fleet.log(0));
-    let answers: Vec<&Value> = told.iter().filter(|message| message["id"] == late).collect();
+    let elsewhere = messages.iter().filter(|message| message["params"]["reason"] == "elsewhere").count();
+    assert_eq!(elsewhere, sessions.len(), "{messages:?}\n{}", fleet.log(0));
+    let answers: Vec<&Value> = messages.iter().filter(|message| message["id"] == late).collect();
     assert!(answers.len() == 1 && answers[0]["result"].is_null(), "{answers:?}");
-    wait(
+    wait_until(
         10 * SECOND,
         || {
-            open(&mut line, "anew", "paid")
-                .is_some_and(|one| one.session.starts_with("f0-") && close(&mut line, &one))
+            open_session(&mut connection, "anew", "paid").is_some_and(|session| {
+                session.id.starts_with("f0-") && close_session(&mut connection, &session)
+            })
         },
         || fleet.log(0),
     );
-    // What it had is untouched by it: all of it plays where it did, and once.
-    for (line, one) in lines.iter_mut().zip(&held) {
-        assert_eq!(fleet.boxes_of(&one.session), 1, "{one:?}");
-        assert!(close(line, one), "{one:?}");
+    // Its former sessions are untouched: each one plays on at its box, exactly once.
+    for (connection, session) in connections.iter_mut().zip(&sessions) {
+        assert_eq!(fleet.boxes_of(&session.id), 1, "{session:?}");
+        assert!(close_session(connection, session), "{session:?}");
     }
-    fleet.judged();
+    fleet.assert_single_effect();
 }
 
-/// A front is cut off from the others by losing links, while boxes and its players are there: its sessions go on elsewhere,
-/// its players are sent to look, nobody has two owners, and once the cut ends it lives anew.
-fn cut_off(name: &str, one_sided: bool) {
+/// Partitions a front from the others, over lossy links, while it still reaches the boxes and its players. Asserts that its
+/// sessions are taken over, its players are redirected, no session has two owners, and the front serves again under a new
+/// incarnation once the partition ends.
+fn run_partition(name: &str, one_sided: bool) {
     let links = Quality { loss: 0.05, ..Quality::default() };
-    let fleet = Fleet::linked(name, 4, "", Some(links));
-    let mut line = fleet.line(3);
-    let held = fleet.play(3, &mut line, 20);
+    let fleet = Fleet::start_with_links(name, 4, "", Some(links));
+    let mut connection = fleet.connect(3);
+    let sessions = fleet.open_sessions(3, &mut connection, 20);
     fleet.cut(3, one_sided, true);
     let until = Instant::now() + 25 * SECOND;
-    let mut told = 0;
-    while told < held.len() {
-        match line.next(until) {
+    let mut ended = 0;
+    while ended < sessions.len() {
+        match connection.next(until) {
             Ok(message) if message["method"] == "session.ended" => {
                 assert_eq!(message["params"]["reason"], "elsewhere", "{message}");
-                told += 1;
+                ended += 1;
             }
             Ok(_) => {}
-            Err(silence) => panic!("{silence:?}, {told} told: {}", fleet.log(3)),
+            Err(silence) => panic!("{silence:?}, {ended} ended: {}", fleet.log(3)),
         }
     }
-    let mut lines = Vec::new();
-    for one in &held {
-        let found = fleet.find(one, 0, until);
-        lines.push(found.unwrap_or_else(|| panic!("{one:?} is lost\n{}\n{}", fleet.log(0), fleet.log(1))).0);
+    let mut connections = Vec::new();
+    for session in &sessions {
+        let found = fleet.find_session(session, 0, until);
+        connections.push(
+            found.unwrap_or_else(|| panic!("{session:?} is lost\n{}\n{}", fleet.log(0), fleet.log(1))).0,
+        );
     }
     fleet.cut(3, one_sided, false);
-    let anew = |line: &mut Line| open(line, "anew", "paid").is_some_and(|one| close(line, &one));
-    wait(15 * SECOND, || anew(&mut line), || fleet.log(3));
-    for (line, one) in lines.iter_mut().zip(&held) {
-        assert_eq!(fleet.boxes_of(&one.session), 1, "{one:?}");
-        assert!(close(line, one), "{one:?}");
-    }
-    let free = || held.iter().all(|one| fleet.boxes_of(&one.session) == 0);
-    wait(10 * SECOND, free, || "places stay taken".to_owned());
-    fleet.judged();
+    let opens_new_session = |connection: &mut Line| {
+        open_session(connection, "anew", "paid").is_some_and(|session| close_session(connection, &session))
+    };
+    wait_until(15 * SECOND, || opens_new_session(&mut connection), || fleet.log(3));
+    for (connection, session) in connections.iter_mut().zip(&sessions) {
+        assert_eq!(fleet.boxes_of(&session.id), 1, "{session:?}");
+        assert!(close_session(connection, session), "{session:?}");
+    }
+    let free = || sessions.iter().all(|session| fleet.boxes_of(&session.id) == 0);
+    wait_until(10 * SECOND, free, || "seats stay occupied".to_owned());
+    fleet.assert_single_effect();
 }
 
 #[test]
-fn a_front_cut_off_from_all_others_hands_its_sessions_over_and_sends_its_players_to_look() {
-    cut_off("cut", false);
+fn sessions_of_a_partitioned_front_are_taken_over_and_its_players_are_redirected() {
+    run_partition("cut", false);
 }
 
 #[test]
-fn a_front_that_hears_all_others_and_is_heard_by_none_does_too() {
-    cut_off("deaf", true);
+fn sessions_of_a_front_with_a_one_way_partition_are_taken_over_too() {
+    run_partition("deaf", true);
 }
 
 #[test]
-fn a_fleet_that_loses_power_at_once_comes_back_with_all_that_it_promised() {
+fn sessions_survive_a_power_loss_of_the_whole_fleet() {
     let mut fleet = Fleet::start("power", 3, "");
-    let mut held = Vec::new();
+    let mut sessions = Vec::new();
     for front in 0..3 {
-        let mut line = fleet.line(front);
-        held.extend(fleet.play(front, &mut line, 20));
-        std::mem::forget(line);
+        let mut connection = fleet.connect(front);
+        sessions.extend(fleet.open_sessions(front, &mut connection, 20));
+        std::mem::forget(connection);
     }
     (0..3).for_each(|front| fleet.kill(front));
-    (0..3).for_each(|front| fleet.up(front));
+    (0..3).for_each(|front| fleet.start_front(front));
     let until = Instant::now() + 25 * SECOND;
-    for one in &held {
-        let first = usize::from(one.session.as_bytes()[1] - b'0');
-        let found = fleet.find(one, first, until);
-        let (mut line, _) =
-            found.unwrap_or_else(|| panic!("{one:?} is lost\n{}\n{}", fleet.log(first), fleet.log(1)));
-        assert!(close(&mut line, one), "{one:?}");
-    }
-    fleet.judged();
+    for session in &sessions {
+        let first = usize::from(session.id.as_bytes()[1] - b'0');
+        let found = fleet.find_session(session, first, until);
+        let (mut connection, _) =
+            found.unwrap_or_else(|| panic!("{session:?} is lost\n{}\n{}", fleet.log(first), fleet.log(1)));
+        assert!(close_session(&mut connection, session), "{session:?}");
+    }
+    fleet.assert_single_effect();
 }
 
 #[test]
-fn two_machines_lost_at_once_with_two_copies_lose_nothing() {
+fn sessions_with_two_copies_survive_the_loss_of_two_machines_and_their_disks() {
     let mut fleet = Fleet::start("two", 5, "enough 2;");
-    let mut held = Vec::new();
-    let mut lines: Vec<Line> = [3, 4].iter().map(|front| fleet.line(*front)).collect();
-    for (line, front) in lines.iter_mut().zip([3, 4]) {
-        held.extend(fleet.play(front, line, 25));
+    let mut sessions = Vec::new();
+    let mut connections: Vec<Line> = [3, 4].iter().map(|front| fleet.connect(*front)).collect();
+    for (connection, front) in connections.iter_mut().zip([3, 4]) {
+        sessions.extend(fleet.open_sessions(front, connection, 25));
     }
     [3, 4].iter().for_each(|front| fleet.kill(*front));
     [3, 4].iter().for_each(|front| fleet.lose_disk(*front));
     let killed = Instant::now();
-    for one in &held {
-        let found = fleet.find(one, 0, killed + 25 * SECOND);
-        let (mut line, _) = found.unwrap_or_else(|| {
-            panic!("{one:?} is lost\n{}\n{}\n{}", fleet.log(0), fleet.log(1), fleet.log(2))
+    for session in &sessions {
+        let found = fleet.find_session(session, 0, killed + 25 * SECOND);
+        let (mut connection, _) = found.unwrap_or_else(|| {
+            panic!("{session:?} is lost\n{}\n{}\n{}", fleet.log(0), fleet.log(1), fleet.log(2))
         });
-        assert!(close(&mut line, one), "{one:?}");
+        assert!(close_session(&mut connection, session), "{session:?}");
     }
-    eprintln!("{} sessions found again after {:?}", held.len(), killed.elapsed());
-    fleet.judged();
+    eprintln!("{} sessions found again after {:?}", sessions.len(), killed.elapsed());
+    fleet.assert_single_effect();
 }
 
 fn quantile(values: &mut [u128], share: f64) -> u128 {
@@ -441,12 +464,12 @@
     values[((values.len() - 1) as f64 * share) as usize]
 }
 
-/// Time until each viewer of a front that is lost with its disk can act on its session again, and what copies cost an
-/// answer: for docs/measurements/copies.md.
+/// Measures the time until viewers of a front that is lost with its disk control their sessions again, and the answer
+/// latency added by copies, for docs/measurements/copies.md.
 #[test]
 #[ignore = "a measurement: minutes, in release"]
-fn measured() {
-    let ways = [
+fn measure_takeover_and_answer_time() {
+    let variants = [
         "off",
         "copies 0; enough 0;",
         "copies 1; enough 1;",
@@ -454,45 +477,45 @@
         "copies 2; enough 2;",
         "copies 2; enough 2; flush \"never\";",
     ];
-    for (number, more) in ways.iter().enumerate() {
-        let fleet = Fleet::start(&format!("cost-{number}"), 4, more);
-        let mut line = fleet.line(0);
+    for (variant, copies_settings) in variants.iter().enumerate() {
+        let fleet = Fleet::start(&format!("cost-{variant}"), 4, copies_settings);
+        let mut connection = fleet.connect(0);
         for class in ["clip", "paid"] {
-            let mut took: Vec<u128> = (0..400)
-                .filter_map(|at| {
+            let mut elapsed: Vec<u128> = (0..400)
+                .filter_map(|number| {
                     let begun = Instant::now();
-                    let held = open(&mut line, &format!("cost-{class}-{at}"), class)?;
-                    let took = begun.elapsed().as_micros();
-                    assert!(close(&mut line, &held));
-                    Some(took)
+                    let session = open_session(&mut connection, &format!("cost-{class}-{number}"), class)?;
+                    let elapsed = begun.elapsed().as_micros();
+                    assert!(close_session(&mut connection, &session));
+                    Some(elapsed)
                 })
                 .collect();
             println!(
-                "{more} {class}: answer p50 {} us, p99 {} us of {}",
-                quantile(&mut took, 0.5),
-                quantile(&mut took, 0.99),
-                took.len()
+                "{copies_settings} {class}: answer p50 {} us, p99 {} us of {}",
+                quantile(&mut elapsed, 0.5),
+                quantile(&mut elapsed, 0.99),
+                elapsed.len()
             );
         }
     }
-    for (fronts, sessions) in [(3, 300), (9, 300), (30, 300), (3, 1_500)] {
-        let mut fleet = Fleet::start(&format!("take-{fronts}-{sessions}"), fronts, "");
-        let mut line = fleet.line(3.min(fronts as usize - 1));
+    for (fronts, session_count) in [(3, 300), (9, 300), (30, 300), (3, 1_500)] {
+        let mut fleet = Fleet::start(&format!("take-{fronts}-{session_count}"), fronts, "");
+        let mut connection = fleet.connect(3.min(fronts as usize - 1));
         let lost = 3.min(fronts as usize - 1);
-        let held = fleet.play(lost, &mut line, sessions);
+        let sessions = fleet.open_sessions(lost, &mut connection, session_count);
         fleet.kill(lost);
         fleet.lose_disk(lost);
         let killed = Instant::now();
         let (sender, found) = std::sync::mpsc::channel();
-        let (fleet, all) = (&fleet, &held);
+        let (fleet, opened) = (&fleet, &sessions);
         thread::scope(|scope| {
-            for part in all.chunks(all.len().div_ceil(8)) {
+            for chunk in opened.chunks(opened.len().div_ceil(8)) {
                 let sender = sender.clone();
                 scope.spawn(move || {
-                    let mut lines = Vec::new();
-                    for one in part {
-                        if let Some((line, _)) = fleet.find(one, 0, killed + 30 * SECOND) {
-                            lines.push(line);
+                    let mut connections = Vec::new();
+                    for session in chunk {
+                        if let Some((connection, _)) = fleet.find_session(session, 0, killed + 30 * SECOND) {
+                            connections.push(connection);
                             let _ = sender.send(killed.elapsed().as_millis());
                         }
                     }
@@ -501,14 +524,14 @@
             }
         });
         drop(sender);
-        let mut took: Vec<u128> = found.iter().collect();
+        let mut elapsed: Vec<u128> = found.iter().collect();
         println!(
-            "{fronts} fronts, {} sessions of a lost machine: {} kept; again after p50 {} ms, p99 {} ms",
-            held.len(),
-            took.len(),
-            quantile(&mut took, 0.5),
-            quantile(&mut took, 0.99)
+            "{fronts} fronts, {} sessions of a lost machine: {} found again, after p50 {} ms, p99 {} ms",
+            sessions.len(),
+            elapsed.len(),
+            quantile(&mut elapsed, 0.5),
+            quantile(&mut elapsed, 0.99)
         );
-        fleet.judged();
+        fleet.assert_single_effect();
     }
 }
--- a/crates/daemon/tests/doors.rs
+++ b/crates/daemon/tests/doors.rs
@@ -1,4 +1,4 @@
-//! Doors that hold, on real loopback sockets: slow, silent and vanished players, a full house, no files left.
+//! Admission control on real loopback sockets: slow, silent and vanished players, all seats taken, no descriptors left.
 
 mod rig;
 
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use rig::{head, script, wait, Rig, Viewer};
+use rig::{script, script_head, wait_until, Rig, Viewer};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use salttally_standin::players::{Line, Silence};
 use salttally_standin::siege::frame;
@@ -15,11 +15,11 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A player that does nothing by itself: it answers no ping.
-struct Dumb(TcpStream);
+/// A WebSocket client that sends nothing on its own, not even pongs.
+struct RawClient(TcpStream);
 
-impl Dumb {
-    fn connect(address: SocketAddr) -> Option<Dumb> {
+impl RawClient {
+    fn connect(address: SocketAddr) -> Option<RawClient> {
         let mut stream = TcpStream::connect(address).ok()?;
         let ask = format!(
             "GET / HTTP/1.1\r\nHost: {address}\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n\
@@ -34,25 +34,26 @@
             stream.read_exact(&mut byte).ok()?;
             head.push(byte[0]);
         }
-        head.starts_with(b"HTTP/1.1 101").then_some(Dumb(stream))
+        head.starts_with(b"HTTP/1.1 101").then_some(RawClient(stream))
     }
 
     fn send(&mut self, call: &Value) {
         self.0.write_all(&frame(&call.to_string())).expect("written");
     }
 
-    /// All that comes until the connection ends, as text; pings and closes among it.
-    fn rest(&mut self) -> String {
+    /// Reads until the connection ends; the text includes pings and close frames.
+    fn read_text_to_end(&mut self) -> String {
         let mut bytes = Vec::new();
         let _ = self.0.read_to_end(&mut bytes);
         String::from_utf8_lossy(&bytes).into_owned()
     }
 
-    fn until(&mut self, word: &str) -> String {
+    /// Reads until this word has arrived.
+    fn read_until(&mut self, word: &str) -> String {
         let mut text = String::new();
         let mut part = [0; 1024];
         while !text.contains(word) {
-            let count = self.0.read(&mut part).expect("something comes");
+            let count = self.0.read(&mut part).expect("more input arrives");
             assert!(count > 0, "ended before `{word}`: {text}");
             text += &String::from_utf8_lossy(&part[..count]);
         }
@@ -65,153 +66,156 @@
         "viewer": viewer, "title": "title-0", "class": class, "top_rung": 1, "patience_ms": 2000}})
 }
 
-fn session_in(text: &str) -> String {
+fn session_id_in(text: &str) -> String {
     let at = text.find("\"session\":\"").expect("a session") + 11;
     text[at..].split('"').next().expect("its name").to_owned()
 }
 
 #[test]
-fn a_player_that_vanished_is_missed_and_its_session_found_again_or_released() {
+fn a_vanished_player_is_detected_and_its_session_can_be_reclaimed_or_is_released() {
     let limits = "ping-every-ms 200; pong-within-ms 100; pings-missed 2; silent-kept-ms 700";
-    let rig = Rig::start(script(&head(2, 5), limits));
-    let mut stays = Viewer::connect(&rig, 0, "stays");
-    assert!(stays.open("title-0", "clip", 2000).is_plays());
-    let mut vanished = Dumb::connect(rig.address(0)).expect("let in");
-    // From its last word: the pause until a ping, two pings unanswered.
+    let rig = Rig::start(script(&script_head(2, 5), limits));
+    let mut reading_viewer = Viewer::connect(&rig, 0, "stays");
+    assert!(reading_viewer.open("title-0", "clip", 2000).is_plays());
+    let mut vanished = RawClient::connect(rig.address(0)).expect("admitted");
+    // Measured from its last message: the interval until a ping, and two unanswered pings.
     let begun = Instant::now();
     vanished.send(&open("vanished", "paid"));
-    let session = session_in(&vanished.until("rate_kb"));
-    // Whoever reads answers its pings, and is left alone.
-    let reads = |stays: &mut Viewer| {
-        let quiet = stays.line.next(Instant::now() + Duration::from_millis(10));
+    let session = session_id_in(&vanished.read_until("rate_kb"));
+    // A client that reads also answers pings, and stays connected.
+    let assert_connected_and_idle = |reading_viewer: &mut Viewer| {
+        let quiet = reading_viewer.connection.next(Instant::now() + Duration::from_millis(10));
         assert!(matches!(quiet, Err(Silence::TimedOut)), "{quiet:?}");
     };
-    let cut = std::thread::spawn(move || vanished.rest());
-    while !cut.is_finished() {
-        reads(&mut stays);
+    let reader = std::thread::spawn(move || vanished.read_text_to_end());
+    while !reader.is_finished() {
+        assert_connected_and_idle(&mut reading_viewer);
     }
-    let last = cut.join().expect("its last words");
-    assert!(last.contains("pings were not answered"), "{last}");
-    let missed = begun.elapsed();
-    assert!((Duration::from_millis(200)..SECOND).contains(&missed), "{missed:?}");
-    assert_eq!(rig.boxes_of(&session).len(), 1, "it plays on for a while");
-    let mut back = Line::connect(rig.address(0), SECOND).expect("connects");
+    let last_bytes = reader.join().expect("the reader ends");
+    assert!(last_bytes.contains("pings were not answered"), "{last_bytes}");
+    let detected_after = begun.elapsed();
+    assert!((Duration::from_millis(200)..SECOND).contains(&detected_after), "{detected_after:?}");
+    assert_eq!(rig.boxes_of(&session).len(), 1, "the session plays on for a while");
+    let mut returning = Line::connect(rig.address(0), SECOND).expect("connects");
     let status = json!({"session": session, "viewer": "vanished"});
-    let id = back.call("session.status", &status).expect("written");
-    let found = back.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
+    let id = returning.call("session.status", &status).expect("written");
+    let found = returning.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
     assert_eq!(found["result"]["state"], "playing", "{found}");
-    // It vanishes again, and comes back too late.
-    std::mem::forget(back.stream().try_clone().expect("kept open, and read by nobody"));
+    // The player vanishes again, and returns too late.
+    std::mem::forget(returning.stream().try_clone().expect("kept open without reading"));
     let released = Instant::now();
     while !rig.boxes_of(&session).is_empty() {
-        assert!(released.elapsed() < SECOND * 4, "its place is kept");
-        reads(&mut stays);
+        assert!(released.elapsed() < SECOND * 4, "the session is never released");
+        assert_connected_and_idle(&mut reading_viewer);
     }
-    println!("a vanished viewer's session is released {:?} after its last word", released.elapsed());
+    println!("the session of a vanished viewer is released {:?} after its last message", released.elapsed());
     let mut late = Line::connect(rig.address(0), SECOND).expect("connects");
     let id = late.call("session.status", &status).expect("written");
-    let gone = late.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
-    assert_eq!(gone["error"]["code"], -32003, "{gone}");
-    reads(&mut stays);
-    stays.close();
-    rig.end();
+    let expired = late.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
+    assert_eq!(expired["error"]["code"], -32003, "{expired}");
+    assert_connected_and_idle(&mut reading_viewer);
+    reading_viewer.close();
+    rig.shut_down_and_judge();
 }
 
 #[test]
-fn pings_in_the_instant_of_an_answer_harm_neither() {
+fn pings_sent_together_with_answers_corrupt_neither() {
     let rig = Rig::start(script(
-        &head(3, 2),
+        &script_head(3, 2),
         "ping-every-ms 5; pong-within-ms 2000; calls-per-s 20000; calls-per-s-all 20000; calls-at-once 20000",
     ));
     let mut viewer = Viewer::connect(&rig, 0, "pinged");
     for _ in 0..60 {
-        // Each answer is one whole message, though a ping is due all the time.
-        let heard = viewer.open("title-0", "clip", 2000);
-        assert!(heard.is_plays(), "{heard:?}");
+        // Each answer is one whole message although pings are sent all the time.
+        let outcome = viewer.open("title-0", "clip", 2000);
+        assert!(outcome.is_plays(), "{outcome:?}");
         viewer.close();
     }
-    rig.end();
+    rig.shut_down_and_judge();
 }
 
 #[test]
-fn a_drip_and_a_begun_message_are_cut_off_while_others_are_served() {
+fn slow_handshakes_and_unfinished_messages_are_closed_while_others_are_served() {
     let limits = "handshakes 3; handshake-ms 900; message-ms 600; slow-grace-ms 300; least-bytes-per-s 200";
-    let rig = Rig::start(script(&head(2, 5), limits));
-    let mut drips: Vec<TcpStream> =
+    let rig = Rig::start(script(&script_head(2, 5), limits));
+    let mut slow_clients: Vec<TcpStream> =
         (0..8).map(|_| TcpStream::connect(rig.address(0)).expect("connects")).collect();
-    let mut half = Dumb::connect(rig.address(0)).expect("a full door makes room");
-    half.0.write_all(&frame(&" ".repeat(4096))[..11]).expect("written");
+    let mut half_message =
+        RawClient::connect(rig.address(0)).expect("a slow handshake is dropped to admit this client");
+    half_message.0.write_all(&frame(&" ".repeat(4096))[..11]).expect("written");
     let begun = Instant::now();
     for round in 0..6 {
-        for drip in &mut drips {
-            // Cut off, the write fails sooner or later.
-            let _ = drip.write_all(b"G");
+        for slow_client in &mut slow_clients {
+            // After the front has closed the connection, the write fails sooner or later.
+            let _ = slow_client.write_all(b"G");
         }
         let mut viewer = Viewer::connect(&rig, 0, &format!("proper-{round}"));
         assert!(viewer.open("title-0", "clip", 2000).is_plays());
         viewer.close();
         std::thread::sleep(Duration::from_millis(100));
     }
-    assert!(half.rest().contains("a message was begun and not ended"));
+    assert!(half_message.read_text_to_end().contains("a message was begun and not ended"));
     assert!(begun.elapsed() < SECOND * 2);
-    for mut drip in drips {
-        let _ = drip.set_read_timeout(Some(SECOND * 2));
-        assert!(matches!(drip.read(&mut [0; 64]), Ok(0) | Err(_)), "nothing is said to a drip");
+    for mut slow_client in slow_clients {
+        let _ = slow_client.set_read_timeout(Some(SECOND * 2));
+        assert!(matches!(slow_client.read(&mut [0; 64]), Ok(0) | Err(_)), "a slow handshake gets no reply");
     }
-    let door = rig.front(0).look().door;
-    assert!(door.turned.values().sum::<u64>() >= 5, "{door:?}");
-    rig.end();
+    let admission_counts = rig.front(0).look().door;
+    assert!(admission_counts.turned.values().sum::<u64>() >= 5, "{admission_counts:?}");
+    rig.shut_down_and_judge();
 }
 
 #[test]
-fn a_full_house_turns_nobody_out_and_keeps_places_for_those_that_come_back() {
+fn with_all_seats_taken_no_player_is_evicted_and_returning_players_get_in() {
     let limits = "players 4; reserve 1; return-within-ms 400; claim-within-ms 3000";
-    let mut rig = Rig::start(script(&head(3, 5), limits));
+    let mut rig = Rig::start(script(&script_head(3, 5), limits));
     let name = |n: usize| format!("viewer-{n}");
-    let holds = |rig: &Rig, n: usize| {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("let in");
+    let open_for = |rig: &Rig, n: usize| {
+        let mut connection = Line::connect(rig.address(0), SECOND).expect("admitted");
         let mut call = open(&name(n), "clip");
         call["params"]["patience_ms"] = json!(2000);
-        let id = line.call("session.open", &call["params"]).expect("written");
-        let answer = line.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
-        (line, session_in(&answer.to_string()))
+        let id = connection.call("session.open", &call["params"]).expect("written");
+        let answer = connection.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
+        (connection, session_id_in(&answer.to_string()))
     };
-    let house: Vec<(Line, String)> = (0..3).map(|n| holds(&rig, n)).collect();
-    // The reserve lets nobody open anything new, says so, and sends away whoever returns to nothing.
-    let mut newcomer = Line::connect(rig.address(0), SECOND).expect("the reserve");
+    let seated: Vec<(Line, String)> = (0..3).map(|n| open_for(&rig, n)).collect();
+    // A client in the reserve can open no new session and is told so; without a session to return to it is disconnected.
+    let mut newcomer = Line::connect(rig.address(0), SECOND).expect("the reserve admits it");
     let id = newcomer.call("session.open", &open("new", "clip")["params"]).expect("written");
-    let told = newcomer.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
+    let answer = newcomer.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
     assert_eq!(
-        (&told["error"]["code"], &told["error"]["data"]["hold_off_ms"]),
+        (&answer["error"]["code"], &answer["error"]["data"]["hold_off_ms"]),
         (&json!(-32006), &json!(300))
     );
-    let Err(Silence::Cut(why)) = newcomer.next(Instant::now() + SECOND * 2) else { panic!("it stays") };
-    assert!(why.contains("1013") || why.contains("again"), "{why}");
+    let Err(Silence::Cut(close_reason)) = newcomer.next(Instant::now() + SECOND * 2) else {
+        panic!("the client stays connected")
+    };
+    assert!(close_reason.contains("1013") || close_reason.contains("again"), "{close_reason}");
     assert_eq!(rig.front(0).look().playing, 3);
-    // Born again, the front is stormed by newcomers and finds places for its viewers all the same.
-    rig.down(0);
+    // The restarted front gets many new connections at once, and still has seats for its own viewers.
+    rig.kill_front(0);
     rig.day.log.write(salttally_judge::record::What::FrontUp { front: "f0".into() });
     let settings = rig.day.settings(0).to_owned();
     salttally_standin::day::Fronts::start(&mut rig.fronts, 0, &settings).expect("starts");
-    wait(SECOND * 3, || rig.front(0).look().playing == 3, || "the sessions are not found".into());
-    let _storm: Vec<Option<Dumb>> = (0..12).map(|_| Dumb::connect(rig.address(0))).collect();
-    for (at, (_, session)) in house.iter().enumerate() {
-        let mut line = Line::connect(rig.address(0), SECOND).expect("let in");
+    wait_until(SECOND * 3, || rig.front(0).look().playing == 3, || "the sessions are not resumed".into());
+    let _newcomers: Vec<Option<RawClient>> = (0..12).map(|_| RawClient::connect(rig.address(0))).collect();
+    for (at, (_, session)) in seated.iter().enumerate() {
+        let mut connection = Line::connect(rig.address(0), SECOND).expect("admitted");
         let params = json!({"session": session, "viewer": name(at)});
-        let id = line.call("session.status", &params).expect("written");
-        let found = line.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
+        let id = connection.call("session.status", &params).expect("written");
+        let found = connection.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
         assert_eq!(found["result"]["state"], "playing", "{found}");
-        let id = line.call("session.close", &json!({"session": session})).expect("written");
-        line.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("closed");
+        let id = connection.call("session.close", &json!({"session": session})).expect("written");
+        connection.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("closed");
     }
-    rig.wait_held(0);
+    rig.wait_for_held_sessions(0);
     rig.day.stop();
 }
 
-/// A daemon whose files run out, with a box and a list beside it.
-struct Daemon(Child, SocketAddr);
+/// A daemon process, and its address.
+struct DaemonProcess(Child, SocketAddr);
 
-impl Drop for Daemon {
+impl Drop for DaemonProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -219,8 +223,8 @@
 }
 
 #[test]
-fn without_files_the_front_goes_on_and_keeps_what_plays() {
-    let rig = Rig::start(script(&head(2, 5), "calls-per-s 5000; calls-at-once 5000"));
+fn a_front_without_free_descriptors_keeps_its_sessions() {
+    let rig = Rig::start(script(&script_head(2, 5), "calls-per-s 5000; calls-at-once 5000"));
     let dir = std::env::temp_dir().join(format!("salttally-doors-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let path = dir.join("front.kdl");
@@ -240,23 +244,23 @@
     let mut log = child.stderr.take().expect("piped");
     let address: SocketAddr =
         line.trim().strip_prefix("listening ").expect("its address").parse().expect("one");
-    let daemon = Daemon(child, address);
-    // Its files are limited once it runs: what it has stays open.
-    let plays = |name: &str| -> Option<(Line, String)> {
-        let mut line = Line::connect(daemon.1, SECOND).ok()?;
-        let id = line.call("session.open", &open(name, "clip")["params"]).ok()?;
-        let answer = line.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).ok()?;
+    let daemon = DaemonProcess(child, address);
+    // The limit is set while the daemon runs: descriptors that it already has stay open.
+    let try_open = |name: &str| -> Option<(Line, String)> {
+        let mut connection = Line::connect(daemon.1, SECOND).ok()?;
+        let id = connection.call("session.open", &open(name, "clip")["params"]).ok()?;
+        let answer = connection.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).ok()?;
         let session = answer["result"]["session"].as_str()?.to_owned();
-        Some((line, session))
+        Some((connection, session))
     };
     let mut first = None;
-    wait(
+    wait_until(
         SECOND * 5,
         || {
-            first = first.take().or_else(|| plays("first"));
+            first = first.take().or_else(|| try_open("first"));
             first.is_some()
         },
-        || "nothing plays".into(),
+        || "no session plays".into(),
     );
     let pid = Pid::from_child(&daemon.0);
     let files = Rlimit { current: Some(40), maximum: Some(40) };
@@ -264,18 +268,22 @@
     let crowd: Vec<Option<TcpStream>> =
         (0..80).map(|_| TcpStream::connect_timeout(&daemon.1, Duration::from_millis(200)).ok()).collect();
     std::thread::sleep(Duration::from_millis(700));
-    // What plays plays on, and can be closed.
-    let (mut line, session) = first.expect("it plays");
+    // The session plays on and can be closed.
+    let (mut connection, session) = first.expect("the first session plays");
     assert_eq!(rig.boxes_of(&session).len(), 1);
     drop(crowd);
-    wait(SECOND * 5, || plays("after").is_some(), || "nobody is let in after the crowd".into());
-    let id = line.call("session.close", &json!({"session": session})).expect("written");
-    let closed = line.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
+    wait_until(
+        SECOND * 5,
+        || try_open("after").is_some(),
+        || "no client is admitted after the crowd has left".into(),
+    );
+    let id = connection.call("session.close", &json!({"session": session})).expect("written");
+    let closed = connection.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
     assert_eq!(closed["result"]["state"], "closed");
     drop(daemon);
     let mut text = String::new();
-    log.read_to_string(&mut text).expect("its log");
-    let told = text.matches("players cannot be taken").count();
-    assert!((1..=3).contains(&told), "told once in a while: {text}");
+    log.read_to_string(&mut text).expect("the log is read");
+    let warnings = text.matches("players cannot be taken").count();
+    assert!((1..=3).contains(&warnings), "the warning is rate-limited: {text}");
     std::fs::remove_dir_all(&dir).expect("removed");
 }
--- a/crates/daemon/tests/front_node_crossings.rs
+++ b/crates/daemon/tests/front_node_crossings.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, over real sockets and in the bad order each time: nothing happens here but what the test
-//! does, and it goes on when it has seen what it waits for. docs/design/crossings.md has the whole table.
+//! Races between two events, over real sockets and always in the order that does harm. Each test causes every event itself
+//! and goes on only after it has observed the one before. docs/design/crossings.md lists all pairs.
 
 mod node;
 
@@ -9,8 +9,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::{plays, refusing, request_at, rest, wait_for, with, Hands};
-use node::{ask, soon, Node, CELLS, SECOND};
+use node::hand::{
+    answer_set_up, read_until_silent, refusing_address, request_for_cell, wait_for_message, with_parameter,
+    ScriptedServers,
+};
+use node::{request_session, wait_until, Node, CELLS, SECOND};
 use rustix::process::Signal;
 use salttally_platform::wire::{cause, code, kind, Message};
 use salttally_standin::platform::{Platform, Viewer};
@@ -18,36 +21,38 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-fn test(viewer: &mut Viewer) -> Option<u8> {
+/// The result of a health test: 1 while the node accepts work, 0 once it shuts down.
+fn health_test(viewer: &mut Viewer) -> Option<u8> {
     viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
-    wait_for(viewer, kind::TESTED, 1).cause()
+    wait_for_message(viewer, kind::TESTED, 1).cause()
 }
 
-/// Told to end, and has heard it.
-fn told_to_end(node: &Node) -> Instant {
+/// Sends SIGTERM and returns once the health test fails.
+fn begin_shutdown(node: &Node) -> Instant {
     let mut viewer = node.viewer();
-    assert_eq!(test(&mut viewer), Some(1));
+    assert_eq!(health_test(&mut viewer), Some(1));
     node.signal(Signal::TERM);
-    soon("it fails its test", || test(&mut viewer) == Some(0));
+    wait_until("the health test fails", || health_test(&mut viewer) == Some(0));
     Instant::now()
 }
 
-fn released(message: &Message) -> Option<u8> {
+/// The cause, if the message is a release.
+fn release_cause(message: &Message) -> Option<u8> {
     message.cause().filter(|_| message.kind == kind::RELEASE)
 }
 
-// ---- The end of the process ----
+// ---- Shutdown of the process ----
 
-// Caught the loop that ended at the first tick after 0.8 s, with connections accepted in that turn unread.
+// Guards against an event loop that ends at the first tick after 0.8 s, without reading the connections accepted in that turn.
 #[test]
 fn requests_that_wait_in_sockets_and_in_the_listen_queue_at_the_end_are_answered() {
     let platform = Platform::start(CELLS).unwrap();
     let mut node = Node::start(&platform, "end-queue", 256);
     let mut open = node.viewer();
-    assert_eq!(ask(&mut open, 1, "clip").kind, kind::ANSWER);
-    let ending = told_to_end(&node);
+    assert_eq!(request_session(&mut open, 1, "clip").kind, kind::ANSWER);
+    let shutdown_begun = begin_shutdown(&node);
     node.signal(Signal::STOP);
-    // A whole request behind what is read at once, and one on each of many connections nobody has accepted.
+    // One request behind more bytes than are read at once, and one on each of many connections not accepted yet.
     let mut bytes = Vec::new();
     (0..2_000).for_each(|id| Message::new(kind::PROGRESS, id).write(&mut bytes));
     Viewer::request(2, "clip", CELLS).write(&mut bytes);
@@ -59,10 +64,10 @@
             viewer
         })
         .collect();
-    // Stopped until the time in which requests still come is over.
-    thread::sleep((ending + SECOND).saturating_duration_since(Instant::now()));
+    // Suspended until the period in which requests still arrive is over.
+    thread::sleep((shutdown_begun + SECOND).saturating_duration_since(Instant::now()));
     node.signal(Signal::CONT);
-    assert!(open.next(SECOND).is_some_and(|m| m.session == 2), "the one that lay behind others");
+    assert!(open.next(SECOND).is_some_and(|m| m.session == 2), "the request behind other messages");
     for (id, viewer) in (100..180).zip(&mut queued) {
         let first = viewer.next(SECOND);
         assert!(
@@ -72,83 +77,89 @@
             "{id}: {first:?}"
         );
     }
-    assert!(node.ends(3 * SECOND).is_some_and(|status| status.success()));
+    assert!(node.wait_for_exit(3 * SECOND).is_some_and(|status| status.success()));
 }
 
-// Caught the end that dropped releases with the connections that were being made for them.
+// Guards against a shutdown that drops releases together with the connections being dialled for them.
 #[test]
-fn what_stands_at_a_box_without_a_connection_is_released_there_too() {
-    let mut hands = Hands::new(1);
-    let mut node = hands.node("end-release", |config| {
-        // Kept for a third of this, so that none is open when the end comes; looks are made after 2 s of silence.
+fn shutdown_releases_sessions_at_boxes_without_an_open_connection() {
+    let mut servers = ScriptedServers::new(1);
+    let mut node = servers.start_node("end-release", |config| {
+        // Idle connections are kept for a third of this, so none is open at the shutdown; probes start after 2 s of silence.
         config["settings"]["policy_limits"]["conn_idle_ms"] = json!(150);
     });
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
-    plays(&line, 1);
+    viewer.say(&request_for_cell(1, "paid", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
+    answer_set_up(&connection, 1);
     assert_eq!(viewer.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
-    assert!(line.closes(SECOND), "idle");
-    told_to_end(&node);
-    let mut line = hands.accept(0);
-    let first = line.next(SECOND);
-    assert!(first.as_ref().is_some_and(|m| m.session == 1 && released(m).is_some()), "{first:?}");
-    assert_eq!(viewer.next(SECOND).as_ref().and_then(released), Some(cause::BROKEN));
-    assert!(node.ends(3 * SECOND).is_some_and(|status| status.success()));
+    assert!(connection.closes(SECOND), "the idle connection is closed");
+    begin_shutdown(&node);
+    let mut connection = servers.accept(0);
+    let first = connection.next(SECOND);
+    assert!(first.as_ref().is_some_and(|m| m.session == 1 && release_cause(m).is_some()), "{first:?}");
+    assert_eq!(viewer.next(SECOND).as_ref().and_then(release_cause), Some(cause::BROKEN));
+    assert!(node.wait_for_exit(3 * SECOND).is_some_and(|status| status.success()));
 }
 
-// Holds on the code before: seen failing with the second word starting the count anew (mutation of `Input::End`).
+// Guards against a second SIGTERM that restarts the shutdown timer. Fails when `Input::End` is mutated to do so.
 #[test]
-fn a_second_word_and_a_new_configuration_meanwhile_do_not_put_the_end_off() {
+fn repeated_sigterm_and_sighup_do_not_delay_the_shutdown() {
     let platform = Platform::start(CELLS).unwrap();
     let mut node = Node::start(&platform, "end-twice", 256);
-    let ending = told_to_end(&node);
+    let shutdown_begun = begin_shutdown(&node);
     let mut viewer = node.viewer();
-    assert_eq!(ask(&mut viewer, 3, "paid").kind, kind::ANSWER, "still served");
+    assert_eq!(request_session(&mut viewer, 3, "paid").kind, kind::ANSWER, "still served");
     let mut other = node.viewer();
-    while ending.elapsed() < 700 * MS {
+    while shutdown_begun.elapsed() < 700 * MS {
         node.signal(Signal::TERM);
         node.signal(Signal::HUP);
-        assert_eq!(test(&mut other), Some(0));
+        assert_eq!(health_test(&mut other), Some(0));
     }
-    assert_eq!(viewer.next(SECOND).as_ref().and_then(released), Some(cause::BROKEN));
-    assert!(ending.elapsed() < 1_300 * MS, "0.8 s after the first word: {:?}", ending.elapsed());
-    assert!(node.ends(2 * SECOND).is_some_and(|status| status.success()));
+    assert_eq!(viewer.next(SECOND).as_ref().and_then(release_cause), Some(cause::BROKEN));
+    assert!(
+        shutdown_begun.elapsed() < 1_300 * MS,
+        "0.8 s after the first SIGTERM: {:?}",
+        shutdown_begun.elapsed()
+    );
+    assert!(node.wait_for_exit(2 * SECOND).is_some_and(|status| status.success()));
 }
 
 // ---- Clients that leave ----
 
-// Caught the connection closed without a word: a viewer that only shuts its own side down reads on.
+// Guards against closing a half-closed connection without an answer: a viewer that shuts down only its write side still
+// reads.
 #[test]
-fn a_viewer_that_writes_no_more_gets_its_answer_at_once_and_is_taken_back_at_the_box() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("half-closed", |_| {});
+fn a_half_closed_viewer_is_answered_at_once_and_its_set_up_is_released() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("half-closed", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
+    viewer.say(&request_for_cell(1, "paid", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
     viewer.stream.shutdown(Shutdown::Write).unwrap();
     let since = Instant::now();
-    assert!(viewer.next(SECOND).as_ref().and_then(released).is_some(), "one answer");
-    assert_eq!(viewer.next(SECOND), None, "and the end of the connection");
-    wait_for(&mut line, kind::RELEASE, 1);
+    assert!(viewer.next(SECOND).as_ref().and_then(release_cause).is_some(), "one answer");
+    assert_eq!(viewer.next(SECOND), None, "then the connection is closed");
+    wait_for_message(&mut connection, kind::RELEASE, 1);
     assert!(since.elapsed() < 300 * MS, "{:?}", since.elapsed());
 }
 
-// Caught one read of 16 kB a turn: the dial was made, and looked at, ahead of what lay behind them.
+// Guards against reading only 16 kB per turn: the dial was made and its result handled before the rest of the input, which
+// held the cancellation, had been read.
 #[test]
-fn who_leaves_while_a_dial_is_under_way_is_not_sent_on_when_it_comes_up() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("leaves-dial", |_| {});
-    let mut early = node.viewer();
-    assert_eq!(test(&mut early), Some(1));
-    // Request and leaving both lie in the sockets before the node reads either, and dials.
+fn requests_of_clients_that_left_during_a_dial_are_not_sent_when_it_succeeds() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("leaves-dial", |_| {});
+    let mut early_viewer = node.viewer();
+    assert_eq!(health_test(&mut early_viewer), Some(1));
+    // Request and departure are both in the sockets before the node reads either and dials.
     node.signal(Signal::STOP);
-    let ask = |id: u64, more: &[u8]| {
+    let send_request = |id: u64, more: &[u8]| {
         let viewer = node.viewer();
         let mut bytes = Vec::new();
-        request_at(id, "paid", 0).write(&mut bytes);
+        request_for_cell(id, "paid", 0).write(&mut bytes);
         bytes.extend(more);
         (&viewer.stream).write_all(&bytes).unwrap();
         viewer
@@ -158,30 +169,30 @@
     Message::release(5, cause::NORMAL).write(&mut behind);
     let mut give_up = Vec::new();
     Message::release(3, cause::NORMAL).write(&mut give_up);
-    let (closes, half) = (ask(1, &[]), ask(2, &[]));
-    let (_gives_up, _buried) = (ask(3, &give_up), ask(5, &behind));
+    let (closes, half_closed) = (send_request(1, &[]), send_request(2, &[]));
+    let (_gives_up, _buried) = (send_request(3, &give_up), send_request(5, &behind));
     drop(closes);
-    half.stream.shutdown(Shutdown::Write).unwrap();
-    early.say(&request_at(6, "paid", 0));
+    half_closed.stream.shutdown(Shutdown::Write).unwrap();
+    early_viewer.say(&request_for_cell(6, "paid", 0));
     node.signal(Signal::CONT);
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 6);
-    plays(&line, 6);
-    assert_eq!(early.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
-    let others = rest(&mut line, SECOND / 2);
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 6);
+    answer_set_up(&connection, 6);
+    assert_eq!(early_viewer.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
+    let others = read_until_silent(&mut connection, SECOND / 2);
     assert!(others.iter().all(|m| m.kind != kind::SET_UP), "{others:?}");
 }
 
 /// An address as `/proc/net/tcp` writes it.
-fn in_proc(at: SocketAddr) -> String {
-    let IpAddr::V4(host) = at.ip() else { panic!("{at} stands in another file") };
+fn proc_net_address(at: SocketAddr) -> String {
+    let IpAddr::V4(host) = at.ip() else { panic!("{at} is listed in another file") };
     format!("{:08X}:{:04X}", u32::from_le_bytes(host.octets()), at.port())
 }
 
-/// Bytes on their way to whoever listens at this address, in the kernel's queues of either side.
-fn kernel_holds(node: &Node, to: SocketAddr) -> usize {
+/// Bytes in flight to this address, in the kernel's send and receive queues.
+fn bytes_in_kernel(node: &Node, to: SocketAddr) -> usize {
     let text = fs::read_to_string(format!("/proc/{}/net/tcp", node.child.id())).unwrap();
-    let address = in_proc(to);
+    let address = proc_net_address(to);
     let queued = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let (written, unread) = fields[4].split_once(':').unwrap();
@@ -195,11 +206,11 @@
     text.lines().skip(1).map(queued).sum()
 }
 
-// Caught the backlog of the connection, which was written when its peer read again, whoever had left by then.
+// Guards against a connection backlog that is written once the peer reads again, with requests of clients that have left.
 #[test]
-fn who_leaves_while_a_connection_takes_nothing_is_not_sent_on_when_it_does() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("takes-nothing", |config| {
+fn requests_of_clients_that_left_during_a_write_stall_are_not_sent_when_it_ends() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("takes-nothing", |config| {
         let settings = &mut config["settings"];
         settings["policy_limits"]["max_streams"] = json!(100_000);
         settings["domain"]["kind_streams"] = json!([100_000]);
@@ -208,8 +219,8 @@
         (0..2).for_each(|at| settings["classes"][at]["aim_ms"] = json!(100_000));
     });
     let mut viewer = node.viewer();
-    let fill = |viewer: &Viewer, id: u64| {
-        let mut message = request_at(id, "paid", 0);
+    let send_large_request = |viewer: &Viewer, id: u64| {
+        let mut message = request_for_cell(id, "paid", 0);
         for (code, value) in &mut message.parameters {
             match *code {
                 code::WAIT => *value = b"90000".to_vec(),
@@ -219,209 +230,213 @@
         }
         viewer.say(&message);
     };
-    fill(&viewer, 1);
-    let mut line = hands.accept(0);
+    send_large_request(&viewer, 1);
+    let mut connection = servers.accept(0);
     let mut first = Vec::new();
-    wait_for(&mut line, kind::SET_UP, 1).write(&mut first);
-    plays(&line, 1);
-    // One at a time, until one is not taken whole: it is in the kernel's queues in part or not at all.
-    (2..40).for_each(|id| fill(&viewer, id));
+    wait_for_message(&mut connection, kind::SET_UP, 1).write(&mut first);
+    answer_set_up(&connection, 1);
+    // One at a time, until the kernel's queues no longer take a whole request.
+    (2..40).for_each(|id| send_large_request(&viewer, id));
     let last = (40..2_000u64).find(|id| {
-        fill(&viewer, *id);
-        // It is heard of all the time, and no look at it opens another connection.
-        line.say(&Message::new(kind::PROGRESS, 1));
-        // Answered behind it, so that it has been handed to the kernel as far as that takes it.
-        assert_eq!(test(&mut viewer), Some(1));
+        send_large_request(&viewer, *id);
+        // Progress reports keep the server alive for the node, so that no probe opens another connection.
+        connection.say(&Message::new(kind::PROGRESS, 1));
+        // This test is answered after the request, which has then been handed to the kernel as far as it accepts it.
+        assert_eq!(health_test(&mut viewer), Some(1));
         let all = first.len() * (*id as usize - 1);
-        let grown = |span: Duration| {
+        let all_in_kernel = |span: Duration| {
             let until = Instant::now() + span;
-            while kernel_holds(&node, hands.address(0)) < all && Instant::now() < until {
+            while bytes_in_kernel(&node, servers.address(0)) < all && Instant::now() < until {
                 thread::sleep(MS);
             }
-            kernel_holds(&node, hands.address(0)) >= all
+            bytes_in_kernel(&node, servers.address(0)) >= all
         };
-        // What was received and not acknowledged yet stands in both queues; that is over soon.
-        !grown(SECOND)
+        // Bytes received but not yet acknowledged are counted in both queues; this lasts only briefly.
+        !all_in_kernel(SECOND)
     });
-    let last = last.expect("the kernel takes no more at last");
+    let last = last.expect("the kernel's queues are full at last");
     viewer.say(&Message::release(last, cause::NORMAL));
-    wait_for(&mut viewer, kind::HEARD, last);
-    let came = rest(&mut line, SECOND);
-    let set_ups: Vec<u64> = came.iter().filter(|m| m.kind == kind::SET_UP).map(|m| m.session).collect();
+    wait_for_message(&mut viewer, kind::HEARD, last);
+    let received = read_until_silent(&mut connection, SECOND);
+    let set_ups: Vec<u64> = received.iter().filter(|m| m.kind == kind::SET_UP).map(|m| m.session).collect();
     assert!(set_ups.len() > 10 && !set_ups.contains(&last), "{last}: {:?}", set_ups.last());
 }
 
-// Caught the close of an idle connection: what the media server had written on it by then was never read, and the client
-// waited by a session that was over.
+// Guards against closing an idle connection without reading what the media server wrote on it by then: the client kept
+// a session that was over.
 #[test]
-fn an_end_that_crosses_the_close_of_an_idle_connection_is_told() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("idle-end", |config| {
+fn a_session_end_sent_while_the_idle_connection_closes_reaches_the_client() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("idle-end", |config| {
         config["settings"]["policy_limits"]["conn_idle_ms"] = json!(3_000);
     });
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
-    plays(&line, 1);
-    wait_for(&mut viewer, kind::ANSWER, 1);
-    // Closed after a third of the time in which the media server would.
+    viewer.say(&request_for_cell(1, "clip", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
+    answer_set_up(&connection, 1);
+    wait_for_message(&mut viewer, kind::ANSWER, 1);
+    // The node closes it after a third of the media server's idle time.
     let mut byte = [0];
-    line.stream.set_read_timeout(Some(5 * SECOND)).unwrap();
-    assert_eq!((&line.stream).read(&mut byte).unwrap(), 0, "the node closes it");
-    line.say(&Message::release(1, cause::NORMAL));
-    wait_for(&mut viewer, kind::RELEASE, 1);
+    connection.stream.set_read_timeout(Some(5 * SECOND)).unwrap();
+    assert_eq!((&connection.stream).read(&mut byte).unwrap(), 0, "the node closes the connection");
+    connection.say(&Message::release(1, cause::NORMAL));
+    wait_for_message(&mut viewer, kind::RELEASE, 1);
 }
 
 // ---- Attempts ----
 
-// Caught `box_released`, which looked at the box and not at the connection.
+// Guards against `box_released` matching a refusal by box instead of by connection.
 #[test]
 fn a_late_refusal_of_the_first_attempt_does_not_send_a_third_while_the_second_is_out() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("late-refusal", |_| {});
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("late-refusal", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
-    let mut first = hands.accept(0);
-    wait_for(&mut first, kind::SET_UP, 1);
-    // Nothing comes; the time-out takes it back and tries again.
-    wait_for(&mut first, kind::RELEASE, 1);
+    viewer.say(&request_for_cell(1, "clip", 0));
+    let mut first = servers.accept(0);
+    wait_for_message(&mut first, kind::SET_UP, 1);
+    // No answer arrives; the attempt times out, is released and is repeated.
+    wait_for_message(&mut first, kind::RELEASE, 1);
     first.say(&Message::new(kind::HEARD, 1));
-    let mut second = hands.accept(0);
-    wait_for(&mut second, kind::SET_UP, 1);
+    let mut second = servers.accept(0);
+    wait_for_message(&mut second, kind::SET_UP, 1);
     first.say(&Message::release(1, cause::FULL));
-    assert!(second.next(100 * MS).is_none_or(|message| message.kind == kind::RUNG), "it is not given up");
-    assert!(hands.accepted(0).is_empty(), "and no third one is dialled");
-    plays(&second, 1);
+    assert!(
+        second.next(100 * MS).is_none_or(|message| message.kind == kind::RUNG),
+        "the second attempt is not given up"
+    );
+    assert!(servers.pending_connections(0).is_empty(), "and no third attempt is dialled");
+    answer_set_up(&second, 1);
     assert_eq!(viewer.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
-    assert_eq!(rest(&mut second, SECOND / 5).iter().filter(|m| m.kind != kind::RUNG).count(), 0);
+    assert_eq!(read_until_silent(&mut second, SECOND / 5).iter().filter(|m| m.kind != kind::RUNG).count(), 0);
 }
 
-// Holds on the code before: seen failing with `Closed` looked at ahead of what was read.
+// Guards against handling `Closed` before the bytes that were read. Fails when that order is reversed.
 #[test]
 fn an_answer_in_the_same_read_as_the_close_is_passed_on() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("answer-close", |_| {});
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("answer-close", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
+    viewer.say(&request_for_cell(1, "paid", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
     node.signal(Signal::STOP);
-    plays(&line, 1);
-    drop(line);
+    answer_set_up(&connection, 1);
+    drop(connection);
     node.signal(Signal::CONT);
     assert_eq!(viewer.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
 }
 
-// Caught the answer that was passed on although its end lay behind it: the viewer was told nothing that was true.
+// Guards against passing on an answer although the session's end was read right behind it: the viewer would start a session
+// that no longer exists.
 #[test]
-fn a_session_that_its_box_ended_in_the_same_read_as_its_answer_is_told_to_have_failed() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("answer-end", |_| {});
+fn an_answer_read_together_with_the_sessions_end_is_reported_as_a_failure() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("answer-end", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "paid", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
+    viewer.say(&request_for_cell(1, "paid", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
     let mut bytes = Vec::new();
     Message::new(kind::ANSWER, 1).with(code::DESCRIPTION, "by hand").write(&mut bytes);
     Message::release(1, cause::ON_PURPOSE).write(&mut bytes);
-    (&line.stream).write_all(&bytes).unwrap();
-    assert_eq!(viewer.next(SECOND).as_ref().and_then(released), Some(cause::BROKEN));
-    assert_eq!(rest(&mut viewer, SECOND / 5), [], "one answer");
+    (&connection.stream).write_all(&bytes).unwrap();
+    assert_eq!(viewer.next(SECOND).as_ref().and_then(release_cause), Some(cause::BROKEN));
+    assert_eq!(read_until_silent(&mut viewer, SECOND / 5), [], "one answer");
 }
 
-// ---- Ends that find nobody ----
+// ---- Session ends without a connected viewer ----
 
-// Caught `say`, which dropped what no connection was open for.
+// Guards against `say` dropping messages for which no connection is open.
 #[test]
-fn an_end_that_comes_while_no_viewer_is_connected_is_told_the_next_one() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("untold", |_| {});
+fn a_session_end_that_arrives_without_a_connected_viewer_is_sent_to_the_next_one() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("untold", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
-    plays(&line, 1);
+    viewer.say(&request_for_cell(1, "clip", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
+    answer_set_up(&connection, 1);
     assert_eq!(viewer.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
     viewer.stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(viewer.next(SECOND), None, "the front node has seen it go");
-    line.say(&Message::release(1, cause::NORMAL));
-    wait_for(&mut line, kind::HEARD, 1);
+    assert_eq!(viewer.next(SECOND), None, "the front node has closed the connection");
+    connection.say(&Message::release(1, cause::NORMAL));
+    wait_for_message(&mut connection, kind::HEARD, 1);
     let mut next = node.viewer();
     next.say(&Message::new(kind::TEST, 9).with(code::CAUSE, [0]));
     assert_eq!(next.next(SECOND), Some(Message::release(1, cause::NORMAL)));
 }
 
-// Caught `box_released`, which forgot ends of sessions that it did not know yet.
+// Guards against `box_released` forgetting the ends of sessions that it does not know yet.
 #[test]
-fn an_end_that_comes_before_its_session_is_handed_over_is_told_then() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("early-end", |_| {});
+fn a_session_end_that_arrives_before_the_hand_over_is_sent_after_it() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("early-end", |_| {});
     let viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
-    line.say(&Message::release(77, cause::NORMAL));
-    wait_for(&mut line, kind::HEARD, 77);
+    viewer.say(&request_for_cell(1, "clip", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
+    connection.say(&Message::release(77, cause::NORMAL));
+    wait_for_message(&mut connection, kind::HEARD, 77);
     let figures = "home:0;copies:1;top:1;viewer:000000000000004d;at:s-00000001";
-    let handed = with(request_at(77, "clip", 0), code::FIGURES, figures);
+    let hand_over = with_parameter(request_for_cell(77, "clip", 0), code::FIGURES, figures);
     let mut other = node.viewer();
-    other.say(&handed);
+    other.say(&hand_over);
     assert_eq!(other.next(SECOND), Some(Message::release(77, cause::NORMAL)));
 }
 
 // ---- The list ----
 
-// Caught `list`, which left set-ups waiting for connections to a box that drains.
+// Guards against `list` leaving set-ups that wait for a connection to a box that drains.
 #[test]
-fn a_drain_told_while_a_dial_is_under_way_sends_nothing_there_when_it_comes_up() {
-    let mut hands = Hands::new(2);
-    let node = hands.node("late-drain", |config| {
+fn a_drain_announced_during_a_dial_moves_the_request_away_at_once() {
+    let mut servers = ScriptedServers::new(2);
+    let node = servers.start_node("late-drain", |config| {
         config["settings"]["policy_limits"]["connect_timeout_ms"] = json!(10_000);
         (0..2).for_each(|at| config["settings"]["classes"][at]["aim_ms"] = json!(20_000));
     });
-    let fillers = hands.deafen(0);
+    let fillers = servers.fill_accept_queue(0);
     let mut viewer = node.viewer();
-    let message = request_at(1, "paid", 0);
-    let message = with(message, code::WAIT, "9000");
+    let message = request_for_cell(1, "paid", 0);
+    let message = with_parameter(message, code::WAIT, "9000");
     viewer.say(&message);
-    assert_eq!(test(&mut node.viewer()), Some(1));
-    hands.frame(2, &[(0, 1)]);
-    let answer = viewer.next(SECOND).expect("answered at once: no other holds it");
-    assert_eq!(released(&answer), Some(cause::FULL), "it never ran");
+    assert_eq!(health_test(&mut node.viewer()), Some(1));
+    servers.send_list_frame(2, &[(0, 1)]);
+    let answer = viewer.next(SECOND).expect("answered at once: no other server holds the title");
+    assert_eq!(release_cause(&answer), Some(cause::FULL), "the set-up never ran");
     drop(fillers);
     drop(node);
 }
 
-// Caught `ready`, which waited for the coordinator for ever.
+// Guards against `ready` waiting for the coordinator forever.
 #[test]
 fn a_start_while_the_coordinator_is_down_or_silent_is_ready_within_ten_seconds() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (_held, refuses) = refusing();
+    let (_held, refuses) = refusing_address();
     for (at, coordinator) in [silent.local_addr().unwrap(), refuses].into_iter().enumerate() {
         let platform = Platform::start(CELLS).unwrap();
-        let node = Node::start_by(&format!("no-list-{at}"), 256, |listen| {
+        let node = Node::start_with_config(&format!("no-list-{at}"), 256, |listen| {
             let mut config = platform.config(listen, 256);
             config["coordinator"] = json!(coordinator.to_string());
             config
         });
-        // Panics if it is not ready by then.
+        // Panics if the node is not ready in time.
         node.wait_ready();
-        assert_eq!(ask(&mut node.viewer(), 1, "paid").kind, kind::ANSWER);
+        assert_eq!(request_session(&mut node.viewer(), 1, "paid").kind, kind::ANSWER);
     }
 }
 
-// ---- Slow peers, and no room ----
+// ---- Slow peers and exhausted descriptors ----
 
 fn descriptors(node: &Node) -> usize {
     fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count()
 }
 
-/// Whether the front node holds a connection to whoever has this address.
-fn is_held(node: &Node, peer: SocketAddr) -> bool {
+/// Whether the front node holds a connection to this address.
+fn has_connection_to(node: &Node, peer: SocketAddr) -> bool {
     let text = fs::read_to_string(format!("/proc/{}/net/tcp", node.child.id())).unwrap();
-    let address = in_proc(peer);
-    // What the kernel still sends for somebody who has closed belongs to no inode.
+    let address = proc_net_address(peer);
+    // A connection that the process has closed, and the kernel still flushes, has inode 0.
     let held = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields[2] == address && fields[9] != "0"
@@ -429,49 +444,49 @@
     text.lines().skip(1).any(held)
 }
 
-// Caught the closing connection that waited for its peer without end.
+// Guards against a closing connection that waits for its peer forever.
 #[test]
-fn a_connection_whose_peer_reads_nothing_is_gone_soon_after_it_is_closed() {
+fn a_closed_connection_is_dropped_soon_although_its_peer_reads_nothing() {
     let platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "reads-nothing", 256);
-    let rude = node.viewer();
-    let at = rude.stream.local_addr().unwrap();
+    let silent_reader = node.viewer();
+    let at = silent_reader.stream.local_addr().unwrap();
     let (mut tests, mut answer) = (Vec::new(), Vec::new());
     Message::new(kind::TESTED, 0).with(code::CAUSE, [1]).write(&mut answer);
     (0..1_000).for_each(|id| Message::new(kind::TEST, id).with(code::CAUSE, [0]).write(&mut tests));
-    // Until the kernel takes no more of what is said to it, and some of that waits in the front node.
+    // Until the kernel's queues are full and some answers wait in the front node.
     let full = (1..1_000).any(|round| {
-        (&rude.stream).write_all(&tests).unwrap();
+        (&silent_reader.stream).write_all(&tests).unwrap();
         let until = Instant::now() + SECOND;
         let all = round * 1_000 * answer.len();
-        while kernel_holds(&node, at) < all && Instant::now() < until {
+        while bytes_in_kernel(&node, at) < all && Instant::now() < until {
             thread::sleep(MS);
         }
-        kernel_holds(&node, at) < all
+        bytes_in_kernel(&node, at) < all
     });
-    assert!(full && is_held(&node, at));
-    (&rude.stream).write_all(&[0xff; 16]).unwrap();
-    soon("it is closed though nobody reads", || !is_held(&node, at));
+    assert!(full && has_connection_to(&node, at));
+    (&silent_reader.stream).write_all(&[0xff; 16]).unwrap();
+    wait_until("the connection is closed although its peer reads nothing", || !has_connection_to(&node, at));
 }
 
-// Caught the sleep at each accept that failed, which all others waited for.
+// Guards against sleeping after each failed accept, which delayed all other connections.
 #[test]
-fn a_proper_viewer_is_served_while_no_descriptor_is_to_be_had_for_newcomers() {
+fn a_connected_viewer_is_served_while_no_descriptor_is_left_for_new_ones() {
     let platform = Platform::start(CELLS).unwrap();
-    let node = Node::start_by("no-room", 1_024, |listen| platform.config(listen, 1_024));
+    let node = Node::start_with_config("no-room", 1_024, |listen| platform.config(listen, 1_024));
     node.wait_ready();
-    let mut proper = node.viewer();
-    assert_eq!(ask(&mut proper, 1, "clip").kind, kind::ANSWER);
-    // As a limit of the machine, lower than what the configuration says.
+    let mut served_viewer = node.viewer();
+    assert_eq!(request_session(&mut served_viewer, 1, "clip").kind, kind::ANSWER);
+    // A process limit lower than the configured one.
     let limit = rustix::process::Rlimit { current: Some(40), maximum: Some(40) };
     let pid = rustix::process::Pid::from_child(&node.child);
     rustix::process::prlimit(Some(pid), rustix::process::Resource::Nofile, limit).unwrap();
     let crowd: Vec<Viewer> = (0..200).map(|_| node.viewer()).collect();
-    soon("it is full", || descriptors(&node) >= 40);
+    wait_until("the descriptors are used up", || descriptors(&node) >= 40);
     let mut slowest = Duration::ZERO;
     for id in 2..=100 {
         let since = Instant::now();
-        assert_eq!(ask(&mut proper, id, "clip").kind, kind::ANSWER);
+        assert_eq!(request_session(&mut served_viewer, id, "clip").kind, kind::ANSWER);
         slowest = slowest.max(since.elapsed());
     }
     assert!(slowest < SECOND / 4, "{slowest:?}");
@@ -484,7 +499,7 @@
     thread::sleep(SECOND / 2);
     assert!(waits() - since < 150, "{} waits in half a second", waits() - since);
     drop(crowd);
-    // Newcomers are taken again when there is room.
+    // New viewers are accepted again when descriptors are free.
     let mut next = node.viewer();
-    assert_eq!(ask(&mut next, 200, "clip").kind, kind::ANSWER);
+    assert_eq!(request_session(&mut next, 200, "clip").kind, kind::ANSWER);
 }
