--- a/crates/daemon/tests/front_node_gone.rs
+++ b/crates/daemon/tests/front_node_gone.rs
@@ -1,4 +1,5 @@
-//! Clients that close or cancel while the front node cannot look: nothing begins for who has gone, first or further.
+//! Clients that close or cancel while the front node is suspended: no attempt, first or further, begins for a client that
+//! has left.
 
 mod node;
 
@@ -6,8 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::{behind_others, plays, request_at, wait_for, Hands};
-use node::{answer, ask, Node, CELLS, SECOND};
+use node::hand::{
+    answer_set_up, request_for_cell, send_request_behind_tests, wait_for_message, ScriptedServers,
+};
+use node::{read_answer, request_session, Node, CELLS, SECOND};
 use rustix::process::Signal;
 use salttally_platform::wire::{cause, code, kind, Message};
 use salttally_standin::platform::{Platform, Viewer};
@@ -15,199 +18,204 @@
 
 const MS: Duration = Duration::from_millis(1);
 
+/// Sessions with these ids for which media servers received a set-up.
 fn set_ups(platform: &Platform, ids: impl Fn(u64) -> bool) -> Vec<u64> {
     let came = platform.came().into_iter().map(|came| came.message);
     came.filter(|message| message.kind == kind::SET_UP && ids(message.session)).map(|m| m.session).collect()
 }
 
-// Caught requests that were sent on as soon as they were read, ahead of the close or cancellation behind them.
+// Guards against sending on a request as soon as it is read, before the close or cancellation behind it.
 #[test]
-fn whoever_left_while_the_process_was_stopped_is_not_sent_on() {
+fn requests_of_clients_that_left_during_a_suspension_are_not_sent_on() {
     let platform = Platform::start(CELLS).unwrap();
-    // Room for all of them: none is closed to make room for another.
+    // Descriptors for all clients, so that none is closed to admit another.
     let node = Node::start(&platform, "gone-unread", 512);
-    let mut proper = node.viewer();
-    // Connections to all media servers are open, so that nothing waits for a dial.
+    let mut waiting_viewer = node.viewer();
+    // Open connections to all media servers, so that no request waits for a dial.
     for id in 1..=12 {
-        assert_eq!(ask(&mut proper, id, "clip").kind, kind::ANSWER);
+        assert_eq!(request_session(&mut waiting_viewer, id, "clip").kind, kind::ANSWER);
     }
     assert!((0..CELLS).all(|at| (1..=12).any(|id| platform.stands_at(id) == Some(at))));
     let viewers: Vec<Viewer> = (0..60).map(|_| node.viewer()).collect();
     let mut others: Vec<Viewer> = (0..60).map(|_| node.viewer()).collect();
-    others.iter_mut().chain([&mut proper]).for_each(|viewer| {
+    others.iter_mut().chain([&mut waiting_viewer]).for_each(|viewer| {
         viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
         assert!(viewer.next(SECOND).is_some());
     });
-    node.stop();
-    let mut kept = Vec::new();
+    node.suspend();
+    let mut open_connections = Vec::new();
     for (at, (viewer, other)) in viewers.into_iter().zip(others).enumerate() {
         let id = 1_000 + at as u64;
-        let ask = || viewer.say(&Viewer::request(id, "clip", CELLS));
+        let send_request = || viewer.say(&Viewer::request(id, "clip", CELLS));
         match at % 6 {
-            0 => ask(),
+            0 => send_request(),
             1 => {
-                ask();
+                send_request();
                 SockRef::from(&viewer.stream).set_linger(Some(Duration::ZERO)).unwrap();
             }
             2 => {
-                ask();
+                send_request();
                 viewer.say(&Message::release(id, cause::NORMAL));
-                kept.push((viewer, other));
+                open_connections.push((viewer, other));
                 continue;
             }
             3 => {
-                ask();
+                send_request();
                 other.say(&Message::release(id, cause::NORMAL));
-                kept.push((viewer, other));
+                open_connections.push((viewer, other));
                 continue;
             }
-            4 if at < 6 => behind_others(&viewer, id),
+            4 if at < 6 => send_request_behind_tests(&viewer, id),
             4 => {
-                ask();
+                send_request();
                 let new = node.viewer();
                 new.say(&Message::release(id, cause::NORMAL));
-                kept.push((viewer, new));
+                open_connections.push((viewer, new));
                 continue;
             }
             _ => {
-                // Half a message behind it, and gone.
-                ask();
+                // Half a message behind the request, then a close.
+                send_request();
                 (&viewer.stream).write_all(&[0, 200, 1]).unwrap();
             }
         }
-        kept.push((other, node.viewer()));
+        open_connections.push((other, node.viewer()));
     }
-    proper.say(&Viewer::request(500, "clip", CELLS));
+    waiting_viewer.say(&Viewer::request(500, "clip", CELLS));
     thread::sleep(SECOND);
     node.signal(Signal::CONT);
-    assert_eq!(answer(&mut proper, 500).kind, kind::ANSWER, "whoever waits is served");
+    assert_eq!(read_answer(&mut waiting_viewer, 500).kind, kind::ANSWER, "a client that waits is served");
     thread::sleep(300 * MS);
-    let sent = set_ups(&platform, |id| (1_000..2_000).contains(&id));
-    assert!(sent.is_empty(), "{} of 60 sent on: {sent:?}", sent.len());
+    let set_up_sessions = set_ups(&platform, |id| (1_000..2_000).contains(&id));
+    assert!(set_up_sessions.is_empty(), "{} of 60 sent on: {set_up_sessions:?}", set_up_sessions.len());
 }
 
-/// A node with connections to all media servers, and ten clients that ask and cancel on a new connection each while it is
-/// stopped, beside a flood that lies unread or that it is in the middle of; which of them were sent on.
-fn sent_on_beside_a_flood(name: &str, stopped_within: bool) -> Vec<u64> {
+/// Suspends a node that has connections to all media servers, while ten clients each send a request and cancel it on a new
+/// connection. A flood of other input is unread meanwhile, or the node is suspended in the middle of handling it. Returns
+/// the sessions whose set-ups were sent.
+fn set_ups_sent_despite_flood(name: &str, suspend_mid_turn: bool) -> Vec<u64> {
     let platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, name, 512);
-    let mut proper = node.viewer();
+    let mut waiting_viewer = node.viewer();
     for id in 1..=12 {
-        assert_eq!(ask(&mut proper, id, "clip").kind, kind::ANSWER);
+        assert_eq!(request_session(&mut waiting_viewer, id, "clip").kind, kind::ANSWER);
     }
     let viewers: Vec<Viewer> = (0..10).map(|_| node.viewer()).collect();
-    let floods: Vec<Viewer> = (0..30).map(|_| node.viewer()).collect();
-    proper.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
-    assert!(proper.next(SECOND).is_some());
-    node.stop();
-    floods.iter().zip(2_000..).for_each(|(flood, id)| behind_others(flood, id));
-    if stopped_within {
+    let flood_viewers: Vec<Viewer> = (0..30).map(|_| node.viewer()).collect();
+    waiting_viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+    assert!(waiting_viewer.next(SECOND).is_some());
+    node.suspend();
+    flood_viewers
+        .iter()
+        .zip(2_000..)
+        .for_each(|(flood_viewer, id)| send_request_behind_tests(flood_viewer, id));
+    if suspend_mid_turn {
         node.signal(Signal::CONT);
         thread::sleep(5 * MS);
-        node.stop();
+        node.suspend();
     }
-    let mut kept = Vec::new();
+    let mut open_connections = Vec::new();
     for (viewer, id) in viewers.iter().zip(1_000..) {
         viewer.say(&Viewer::request(id, "clip", CELLS));
         let new = node.viewer();
         new.say(&Message::release(id, cause::NORMAL));
-        kept.push(new);
+        open_connections.push(new);
     }
     thread::sleep(SECOND / 2);
     node.signal(Signal::CONT);
-    for (line, id) in kept.iter_mut().zip(1_000..) {
-        wait_for(line, kind::HEARD, id);
+    for (connection, id) in open_connections.iter_mut().zip(1_000..) {
+        wait_for_message(connection, kind::HEARD, id);
     }
     thread::sleep(300 * MS);
     set_ups(&platform, |id| (1_000..1_010).contains(&id))
 }
 
-// Caught the time for reading, which a flood used up in the first turn: what was said on connections that were accepted in
-// it was read after the decision.
+// Guards against a flood that uses up the read budget of the first turn: input on connections accepted in that turn was
+// read only after the decision.
 #[test]
-fn a_cancellation_on_a_new_connection_is_heard_though_others_flood_the_node() {
-    assert_eq!(sent_on_beside_a_flood("gone-flood", false), Vec::<u64>::new());
+fn a_cancellation_on_a_new_connection_is_read_before_the_request_is_sent_despite_a_flood() {
+    assert_eq!(set_ups_sent_despite_flood("gone-flood", false), Vec::<u64>::new());
 }
 
-// Caught a stop in the middle of a turn, which was taken for a look at the sockets just before: what was asked meanwhile was
-// decided before what took it back was read.
+// Guards against treating the sockets as freshly read after a suspension in the middle of a turn: requests that had arrived
+// meanwhile were decided before their cancellations were read.
 #[test]
-fn a_cancellation_is_heard_though_the_process_was_stopped_in_the_middle_of_its_work() {
-    assert_eq!(sent_on_beside_a_flood("gone-within", true), Vec::<u64>::new());
+fn a_cancellation_is_read_first_after_a_suspension_in_the_middle_of_a_turn() {
+    assert_eq!(set_ups_sent_despite_flood("gone-within", true), Vec::<u64>::new());
 }
 
-// Caught the refusal that was read ahead of the close of the client that had waited for it.
+// Guards against reading a refusal, and retrying, before the close of the client that waited.
 #[test]
-fn no_further_attempt_begins_for_who_left_while_the_process_was_stopped() {
-    let mut hands = Hands::new(2);
-    let node = hands.node("gone-between", |_| {});
+fn no_further_attempt_begins_for_a_client_that_left_during_a_suspension() {
+    let mut servers = ScriptedServers::new(2);
+    let node = servers.start_node("gone-between", |_| {});
     let mut viewer = node.viewer();
-    let mut lines = Vec::new();
-    // A connection to each, with nothing out on it.
+    let mut connections = Vec::new();
+    // An open connection to each server, with no attempt outstanding on it.
     for at in 0..2 {
-        viewer.say(&node::hand::request_at(1 + at as u64, "clip", at));
-        let mut line = hands.accept(at);
-        wait_for(&mut line, kind::SET_UP, 1 + at as u64);
-        line.say(&Message::release(1 + at as u64, cause::FULL));
+        viewer.say(&node::hand::request_for_cell(1 + at as u64, "clip", at));
+        let mut connection = servers.accept(at);
+        wait_for_message(&mut connection, kind::SET_UP, 1 + at as u64);
+        connection.say(&Message::release(1 + at as u64, cause::FULL));
         assert!(viewer.next(SECOND).is_some());
-        lines.push(line);
+        connections.push(connection);
     }
-    // What turned a set-up away is not asked again for a while.
+    // A server that refused a set-up gets no new one for a while.
     thread::sleep(3 * SECOND / 2);
     for (round, closes) in [true, false, true, false].into_iter().enumerate() {
         let id = 100 + round as u64;
-        let leaving = node.viewer();
-        leaving.say(&Viewer::request(id, "clip", 2));
+        let leaving_viewer = node.viewer();
+        leaving_viewer.say(&Viewer::request(id, "clip", 2));
         let until = Instant::now() + 2 * SECOND;
         let at = loop {
-            let has = |line: &mut Viewer| {
-                line.next(5 * MS).is_some_and(|m| m.kind == kind::SET_UP && m.session == id)
+            let has = |connection: &mut Viewer| {
+                connection.next(5 * MS).is_some_and(|m| m.kind == kind::SET_UP && m.session == id)
             };
-            if let Some(at) = (0..2).find(|at| has(&mut lines[*at])) {
+            if let Some(at) = (0..2).find(|at| has(&mut connections[*at])) {
                 break at;
             }
             assert!(Instant::now() < until, "no first attempt");
         };
-        node.stop();
-        lines[at].say(&Message::release(id, cause::MOOT));
-        let kept = match closes {
+        node.suspend();
+        connections[at].say(&Message::release(id, cause::MOOT));
+        let still_connected = match closes {
             true => {
-                drop(leaving);
+                drop(leaving_viewer);
                 None
             }
             false => {
-                leaving.say(&Message::release(id, cause::NORMAL));
-                Some(leaving)
+                leaving_viewer.say(&Message::release(id, cause::NORMAL));
+                Some(leaving_viewer)
             }
         };
         thread::sleep(SECOND);
         node.signal(Signal::CONT);
-        let other = node::hand::rest(&mut lines[1 - at], 300 * MS);
+        let other = node::hand::read_until_silent(&mut connections[1 - at], 300 * MS);
         assert!(other.iter().all(|m| m.kind != kind::SET_UP), "round {round}: {other:?}");
-        let same = node::hand::rest(&mut lines[at], 50 * MS);
+        let same = node::hand::read_until_silent(&mut connections[at], 50 * MS);
         assert!(same.iter().all(|m| m.kind != kind::SET_UP), "round {round}: {same:?}");
-        drop(kept);
+        drop(still_connected);
     }
 }
 
 #[test]
-fn the_end_of_a_session_said_by_a_server_that_hung_on_connections_ended_meanwhile_reaches_its_client() {
-    let mut hands = Hands::new(1);
-    let node =
-        hands.node("hung-end", |config| config["settings"]["policy_limits"]["conn_idle_ms"] = 900.into());
+fn a_session_end_from_a_server_that_hung_while_its_connections_closed_reaches_the_client() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers
+        .start_node("hung-end", |config| config["settings"]["policy_limits"]["conn_idle_ms"] = 900.into());
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
-    let mut first = hands.accept(0);
-    wait_for(&mut first, kind::SET_UP, 1);
-    plays(&first, 1);
-    wait_for(&mut viewer, kind::ANSWER, 1);
-    // It hangs: a request times out on the connection, which is of no more use then.
-    viewer.say(&request_at(2, "clip", 0));
-    wait_for(&mut viewer, kind::RELEASE, 2);
+    viewer.say(&request_for_cell(1, "clip", 0));
+    let mut first = servers.accept(0);
+    wait_for_message(&mut first, kind::SET_UP, 1);
+    answer_set_up(&first, 1);
+    wait_for_message(&mut viewer, kind::ANSWER, 1);
+    // The server hangs: a request times out on the connection, which is not used any more afterwards.
+    viewer.say(&request_for_cell(2, "clip", 0));
+    wait_for_message(&mut viewer, kind::RELEASE, 2);
     thread::sleep(4 * SECOND);
-    // It goes on, and says the end on what it takes for open, and for the next connection.
+    // The server resumes and reports the end on the connection it believes open, and on the next one.
     let end = Message::release(1, cause::NORMAL);
     first.say(&end);
-    hands.accepted(0).first().into_iter().for_each(|next| next.say(&end));
-    wait_for(&mut viewer, kind::RELEASE, 1);
+    servers.pending_connections(0).first().into_iter().for_each(|next| next.say(&end));
+    wait_for_message(&mut viewer, kind::RELEASE, 1);
 }
--- a/crates/daemon/tests/front_node_list.rs
+++ b/crates/daemon/tests/front_node_list.rs
@@ -1,5 +1,5 @@
-//! The list of a front node whose coordinator is out of reach for a while, over real connections: how soon a server
-//! that was announced as leaving meanwhile is sent nothing more.
+//! The list of a front node whose coordinator is unreachable for a while, over real connections. Checks how soon set-ups
+//! stop going to a server that is announced as leaving.
 
 mod node;
 
@@ -11,7 +11,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::{accept_within, behind_others, fillers, plays, refusing, request_at, wait_for, with, Hands};
+use node::hand::{
+    accept_within, answer_set_up, fill_listen_queue, refusing_address, request_for_cell,
+    send_request_behind_tests, wait_for_message, with_parameter, ScriptedServers,
+};
 use node::{Node, SECOND};
 use rustix::process::{prlimit, Pid, Resource, Rlimit, Signal};
 use salttally_platform::wire::{cause, code, kind, Message};
@@ -20,81 +23,90 @@
 use socket2::{Domain, SockRef, Socket, Type};
 
 const MS: Duration = Duration::from_millis(1);
-/// What the protocol adds to each limit of the settings.
-const SLACK: Duration = Duration::from_millis(50);
-/// Graces of deployments that lost requests to leaving servers, or would have.
-const GRACES: [u64; 2] = [350, 500];
+/// Tolerance that the protocol adds to each limit of the settings.
+const PROTOCOL_SLACK: Duration = Duration::from_millis(50);
+/// Drain graces with which deployments lost requests to leaving servers, or would have lost them, in ms.
+const GRACES_MS: [u64; 2] = [350, 500];
 
-fn grace(ms: u64) -> impl FnOnce(&mut Value) {
+fn with_grace(ms: u64) -> impl FnOnce(&mut Value) {
     move |config| config["settings"]["safety"]["drain_grace_ms"] = json!(ms)
 }
 
-/// A media server that turns every set-up away as moot, so that its title is asked for again and again; when each came.
-fn turns_away(hands: &Hands, at: usize) -> Arc<Mutex<Vec<Instant>>> {
-    let came = Arc::new(Mutex::new(Vec::new()));
-    let (listener, kept) = (hands.boxes[at].try_clone().unwrap(), Arc::clone(&came));
+/// Runs a media server that refuses every set-up as moot, so that requests for its title are repeated. Returns the arrival
+/// times of the set-ups.
+fn refuse_all_set_ups(servers: &ScriptedServers, at: usize) -> Arc<Mutex<Vec<Instant>>> {
+    let set_up_times = Arc::new(Mutex::new(Vec::new()));
+    let (listener, shared_times) = (servers.listeners[at].try_clone().unwrap(), Arc::clone(&set_up_times));
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let came = Arc::clone(&kept);
+            let set_up_times = Arc::clone(&shared_times);
             thread::spawn(move || {
-                let mut line = Viewer::over(stream);
-                while let Some(message) = line.next(60 * SECOND) {
+                let mut connection = Viewer::over(stream);
+                while let Some(message) = connection.next(60 * SECOND) {
                     if message.kind == kind::SET_UP {
-                        came.lock().unwrap().push(Instant::now());
-                        line.say(&Message::release(message.session, cause::MOOT));
+                        set_up_times.lock().unwrap().push(Instant::now());
+                        connection.say(&Message::release(message.session, cause::MOOT));
                     }
                 }
             });
         }
     });
-    came
+    set_up_times
 }
 
-/// A client that asks for the title of the first cell every 5 ms, until this value goes.
-struct Asks(Arc<AtomicBool>, Option<thread::JoinHandle<()>>);
+/// A client that requests the title of the first cell every 5 ms until this value is dropped.
+struct RequestLoop(Arc<AtomicBool>, Option<thread::JoinHandle<()>>);
 
-impl Drop for Asks {
+impl Drop for RequestLoop {
     fn drop(&mut self) {
         self.0.store(true, Ordering::Relaxed);
-        let asking = self.1.take().expect("asks until now").join();
-        assert!(asking.is_ok() || thread::panicking());
+        let request_loop = self.1.take().expect("the loop runs until the drop").join();
+        assert!(request_loop.is_ok() || thread::panicking());
     }
 }
 
-fn asks(node: &Node) -> Asks {
-    let over = Arc::new(AtomicBool::new(false));
-    let (flag, mut viewer) = (Arc::clone(&over), node.viewer());
-    let asking = thread::spawn(move || {
+fn start_request_loop(node: &Node) -> RequestLoop {
+    let stop_flag = Arc::new(AtomicBool::new(false));
+    let (thread_stop_flag, mut viewer) = (Arc::clone(&stop_flag), node.viewer());
+    let request_loop = thread::spawn(move || {
         let mut id = 1_000;
-        while !flag.load(Ordering::Relaxed) {
+        while !thread_stop_flag.load(Ordering::Relaxed) {
             id += 1;
-            viewer.say(&request_at(id, "clip", 0));
+            viewer.say(&request_for_cell(id, "clip", 0));
             while viewer.next(5 * MS).is_some() {}
         }
     });
-    Asks(over, Some(asking))
+    RequestLoop(stop_flag, Some(request_loop))
 }
 
-/// Asserts that the server was asked before it was announced as leaving, and nothing came to it later than it may then.
-fn is_kept(came: &Mutex<Vec<Instant>>, announced: Instant, grace: u64, way: &str) {
-    let allowed = Duration::from_millis(grace) + SLACK;
-    let came = came.lock().unwrap();
-    assert!(came.iter().any(|at| *at < announced), "{way}: nothing was asked for");
-    let after = came.iter().filter_map(|at| at.checked_duration_since(announced));
+/// Asserts that set-ups arrived before the server was announced as leaving, and none later than its grace allows.
+fn assert_drain_respected(
+    set_up_times: &Mutex<Vec<Instant>>,
+    announced: Instant,
+    grace: u64,
+    scenario: &str,
+) {
+    let allowed = Duration::from_millis(grace) + PROTOCOL_SLACK;
+    let set_up_times = set_up_times.lock().unwrap();
+    assert!(set_up_times.iter().any(|at| *at < announced), "{scenario}: no set-up arrived before the drain");
+    let after = set_up_times.iter().filter_map(|at| at.checked_duration_since(announced));
     let late: Vec<Duration> = after.filter(|late| *late > allowed).collect();
-    let (many, last) = (late.len(), late.last());
-    assert!(late.is_empty(), "{way}: {many} set-ups, the last {last:?} after it, grace {grace} ms");
+    let (count, latest) = (late.len(), late.last());
+    assert!(
+        late.is_empty(),
+        "{scenario}: {count} late set-ups, the last {latest:?} after the announcement, grace {grace} ms"
+    );
 }
 
-/// The first media server is announced as leaving on this connection, and set-ups may still come for longer than they may.
-fn drains(hands: &mut Hands, list: TcpStream) {
-    hands.take_list(list);
-    hands.frame(2, &[(0, 1)]);
+/// Announces the first media server as leaving on this connection, and waits for longer than set-ups are allowed to arrive.
+fn announce_drain(servers: &mut ScriptedServers, list: TcpStream) {
+    servers.use_list_connection(list);
+    servers.send_list_frame(2, &[(0, 1)]);
     thread::sleep(3 * SECOND / 2);
 }
 
-/// Takes the next call of the front node and reads the number of the last event from it.
-fn hello(coordinator: &TcpListener) -> (TcpStream, u64) {
+/// Accepts the front node's next connection to the coordinator and reads the number of its last event.
+fn accept_list_request(coordinator: &TcpListener) -> (TcpStream, u64) {
     let mut stream = accept_within(coordinator, 10 * SECOND);
     let mut bytes = [0; 8];
     stream.set_read_timeout(Some(5 * SECOND)).unwrap();
@@ -102,174 +114,179 @@
     (stream, u64::from_be_bytes(bytes))
 }
 
-// Caught pauses of up to 0.8 s between two calls: with a grace of 350 or 500 ms, requests went to servers that the
-// coordinator had announced as leaving as soon as it was there again.
-/// As many records as the page's largest fleet has.
+/// Number of records in a list of the largest fleet that the platform's page names.
 const LARGEST_FLEET: usize = 3_200;
 
 #[test]
-fn a_long_list_that_comes_in_pieces_is_heard_however_slowly() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("list-slow", |_| {});
-    let mut list = hands.list();
-    // The last record of a server counts: it leaves.
+fn a_long_list_that_arrives_in_slow_pieces_is_applied() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("list-slow", |_| {});
+    let mut list = servers.list_connection();
+    // The last record for a server counts, and says that it leaves.
     let records: Vec<(usize, u8)> =
         (0..LARGEST_FLEET).map(|at| (0, u8::from(at + 1 == LARGEST_FLEET))).collect();
-    let bytes = hands.record(2, 2, &records);
+    let bytes = servers.list_frame(2, 2, &records);
     for piece in bytes.chunks(bytes.len().div_ceil(20)) {
         list.write_all(piece).unwrap();
         thread::sleep(200 * MS);
     }
     let mut viewer = node.viewer();
-    viewer.say(&request_at(1, "clip", 0));
+    viewer.say(&request_for_cell(1, "clip", 0));
     let answer = viewer.next(SECOND).expect("an answer");
-    assert_eq!((answer.kind, answer.cause()), (kind::RELEASE, Some(cause::FULL)), "it was told to leave");
-    let coordinator = hands.coordinator();
+    assert_eq!(
+        (answer.kind, answer.cause()),
+        (kind::RELEASE, Some(cause::FULL)),
+        "the server was announced as leaving"
+    );
+    let coordinator = servers.coordinator();
     coordinator.set_nonblocking(true).unwrap();
-    assert!(coordinator.accept().is_err(), "and was not called anew");
+    assert!(coordinator.accept().is_err(), "and the node did not reconnect");
 }
 
+// Guards against pauses of up to 0.8 s between two connections to the coordinator: with a grace of 350 or 500 ms, requests
+// went to servers that the coordinator had announced as leaving as soon as it was back.
 #[test]
-fn a_drain_announced_while_the_coordinator_breaks_off_each_call_is_kept() {
-    for ms in GRACES {
-        let mut hands = Hands::new(2);
-        let node = hands.node(&format!("breaks-off-{ms}"), grace(ms));
-        let came = turns_away(&hands, 0);
-        let asking = asks(&node);
-        let coordinator = hands.coordinator();
-        hands.hang_up();
-        // Down: each call is closed as it comes, for long enough that pauses have grown as long as they get.
+fn a_drain_announced_while_the_coordinator_closes_each_connection_is_respected() {
+    for ms in GRACES_MS {
+        let mut servers = ScriptedServers::new(2);
+        let node = servers.start_node(&format!("breaks-off-{ms}"), with_grace(ms));
+        let set_up_times = refuse_all_set_ups(&servers, 0);
+        let request_loop = start_request_loop(&node);
+        let coordinator = servers.coordinator();
+        servers.drop_list_connection();
+        // Down: each connection is closed at once, for long enough that the pauses between them reach their maximum.
         let until = Instant::now() + 4 * SECOND;
         while Instant::now() < until {
-            drop(hello(&coordinator));
+            drop(accept_list_request(&coordinator));
         }
-        // The worst moment for the news is right after a call has been broken off.
+        // The worst moment for the announcement is right after a connection was closed.
         let announced = Instant::now();
-        let (list, last) = hello(&coordinator);
-        assert_eq!(last, 1);
-        drains(&mut hands, list);
-        drop(asking);
-        is_kept(&came, announced, ms, "");
+        let (list, last_number) = accept_list_request(&coordinator);
+        assert_eq!(last_number, 1);
+        announce_drain(&mut servers, list);
+        drop(request_loop);
+        assert_drain_respected(&set_up_times, announced, ms, "");
     }
 }
 
-// Caught calls that hung for up to 2.2 s, in which no other one began.
+// Guards against connection attempts that hang for up to 2.2 s while no other one is started.
 #[test]
-fn a_drain_announced_while_calls_to_the_coordinator_hang_is_kept() {
-    for ms in GRACES {
-        let mut hands = Hands::new(2);
-        // A listener whose queue is full: the kernel answers no call to it.
+fn a_drain_announced_while_connections_to_the_coordinator_hang_is_respected() {
+    for ms in GRACES_MS {
+        let mut servers = ScriptedServers::new(2);
+        // A listener whose queue is full: the kernel answers no connection request.
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(1).unwrap();
-        let deaf: TcpListener = socket.into();
-        let at = deaf.local_addr().unwrap();
-        let node = hands.node(&format!("hangs-{ms}"), grace(ms));
-        let came = turns_away(&hands, 0);
-        let asking = asks(&node);
-        let fillers = fillers(at);
-        hands.move_coordinator(&node, at);
+        let full_listener: TcpListener = socket.into();
+        let at = full_listener.local_addr().unwrap();
+        let node = servers.start_node(&format!("hangs-{ms}"), with_grace(ms));
+        let set_up_times = refuse_all_set_ups(&servers, 0);
+        let request_loop = start_request_loop(&node);
+        let fillers = fill_listen_queue(at);
+        servers.change_coordinator(&node, at);
         thread::sleep(4 * SECOND);
-        // It can be reached again: whoever waited in its queue is taken out of it.
+        // Makes the coordinator reachable again by closing the sockets that fill its queue.
         drop(fillers);
         let announced = Instant::now();
         let list = loop {
-            let mut stream = accept_within(&deaf, 10 * SECOND);
+            let mut stream = accept_within(&full_listener, 10 * SECOND);
             stream.set_read_timeout(Some(SECOND)).unwrap();
             if stream.read_exact(&mut [0; 8]).is_ok() {
                 break stream;
             }
         };
-        drains(&mut hands, list);
-        drop(asking);
-        is_kept(&came, announced, ms, "");
+        announce_drain(&mut servers, list);
+        drop(request_loop);
+        assert_drain_respected(&set_up_times, announced, ms, "");
     }
 }
 
-// Caught the crowd that was accepted in one turn: with the descriptors gone, neither list nor media server was called.
+// Guards against accepting a whole crowd in one turn: with all descriptors used up, neither the coordinator nor the media
+// servers could be dialled.
 #[test]
-fn idle_clients_in_any_number_leave_the_list_its_descriptors_while_the_coordinator_is_down() {
+fn idle_clients_leave_descriptors_for_the_list_while_the_coordinator_is_down() {
     const SOCKETS: u64 = 128;
-    let mut hands = Hands::new(2);
-    let node = hands.node_within("idle-crowd", SOCKETS as usize, grace(350));
+    let mut servers = ScriptedServers::new(2);
+    let node = servers.start_node_with_sockets("idle-crowd", SOCKETS as usize, with_grace(350));
     let limit = Rlimit { current: Some(SOCKETS), maximum: Some(SOCKETS) };
     prlimit(Some(Pid::from_child(&node.child)), Resource::Nofile, limit).unwrap();
-    let coordinator = hands.coordinator();
-    hands.hang_up();
-    let (over, listen) = (Arc::new(AtomicBool::new(false)), node.listen);
+    let coordinator = servers.coordinator();
+    servers.drop_list_connection();
+    let (stop_flag, listen) = (Arc::new(AtomicBool::new(false)), node.listen);
     let crowds: Vec<_> = (0..3)
         .map(|_| {
-            let over = Arc::clone(&over);
+            let stop_flag = Arc::clone(&stop_flag);
             thread::spawn(move || {
-                let mut idle = std::collections::VecDeque::new();
-                while !over.load(Ordering::Relaxed) {
-                    idle.extend((0..100).filter_map(|_| TcpStream::connect(listen).ok()));
-                    while idle.len() > 400 {
-                        idle.pop_front();
+                let mut idle_clients = std::collections::VecDeque::new();
+                while !stop_flag.load(Ordering::Relaxed) {
+                    idle_clients.extend((0..100).filter_map(|_| TcpStream::connect(listen).ok()));
+                    while idle_clients.len() > 400 {
+                        idle_clients.pop_front();
                     }
                     thread::sleep(10 * MS);
                 }
             })
         })
         .collect();
-    let held = || fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count() as u64;
-    let (until, mut most, mut longest, mut since) =
+    let descriptors = || fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count() as u64;
+    let (until, mut peak, mut longest, mut since) =
         (Instant::now() + 4 * SECOND, 0, Duration::ZERO, Instant::now());
     while Instant::now() < until {
-        drop(hello(&coordinator));
-        (longest, since, most) = (longest.max(since.elapsed()), Instant::now(), most.max(held()));
+        drop(accept_list_request(&coordinator));
+        (longest, since, peak) = (longest.max(since.elapsed()), Instant::now(), peak.max(descriptors()));
     }
-    over.store(true, Ordering::Relaxed);
+    stop_flag.store(true, Ordering::Relaxed);
     crowds.into_iter().for_each(|crowd| crowd.join().unwrap());
-    assert!(most > SOCKETS / 2, "{most} descriptors are no crowd");
-    assert!(most < SOCKETS, "{most} descriptors: none is left");
-    assert!(longest < 350 * MS, "{longest:?} between two calls");
-    // One that comes now is served.
-    hands.take_list(hello(&coordinator).0);
-    hands.frame(0, &[]);
-    let came = turns_away(&hands, 0);
+    assert!(peak > SOCKETS / 2, "{peak} descriptors: the crowd is too small");
+    assert!(peak < SOCKETS, "{peak} descriptors: none is left");
+    assert!(longest < 350 * MS, "{longest:?} between two connections");
+    // A client that arrives now is served.
+    servers.use_list_connection(accept_list_request(&coordinator).0);
+    servers.send_list_frame(0, &[]);
+    let set_up_times = refuse_all_set_ups(&servers, 0);
     let mut viewer = node.viewer();
-    viewer.say(&with(request_at(7, "clip", 0), code::WAIT, "1000"));
+    viewer.say(&with_parameter(request_for_cell(7, "clip", 0), code::WAIT, "1000"));
     assert!(viewer.next(2 * SECOND).is_some());
-    assert!(!came.lock().unwrap().is_empty());
+    assert!(!set_up_times.lock().unwrap().is_empty());
 }
 
 #[test]
-fn a_crowd_that_comes_at_once_takes_no_more_than_its_part_of_the_descriptors() {
+fn a_crowd_that_arrives_at_once_takes_no_more_than_its_share_of_the_descriptors() {
     const SOCKETS: usize = 128;
-    let mut hands = Hands::new(1);
-    let node = hands.node_within("crowd-at-once", SOCKETS, grace(350));
-    let of_process = format!("/proc/{}/fd", node.child.id());
-    let before = fs::read_dir(&of_process).unwrap().count();
-    let over = Arc::new(AtomicBool::new(false));
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node_with_sockets("crowd-at-once", SOCKETS, with_grace(350));
+    let fd_path = format!("/proc/{}/fd", node.child.id());
+    let before = fs::read_dir(&fd_path).unwrap().count();
+    let stop_flag = Arc::new(AtomicBool::new(false));
     let sampling = {
-        let (over, path) = (Arc::clone(&over), of_process.clone());
+        let (stop_flag, path) = (Arc::clone(&stop_flag), fd_path.clone());
         thread::spawn(move || {
-            let mut most = 0;
-            while !over.load(Ordering::Relaxed) {
-                most = most.max(fs::read_dir(&path).unwrap().count());
+            let mut peak = 0;
+            while !stop_flag.load(Ordering::Relaxed) {
+                peak = peak.max(fs::read_dir(&path).unwrap().count());
             }
-            most
+            peak
         })
     };
     for _ in 0..10 {
-        node.stop();
+        node.suspend();
         let crowd: Vec<TcpStream> = (0..200).filter_map(|_| TcpStream::connect(node.listen).ok()).collect();
         node.signal(Signal::CONT);
         thread::sleep(100 * MS);
         drop(crowd);
     }
-    over.store(true, Ordering::Relaxed);
-    let most = sampling.join().unwrap() - before;
-    // Half for clients, a twelfth for those that are closed and wait for their peers.
-    assert!((SOCKETS / 4..=SOCKETS / 2 + SOCKETS / 12).contains(&most), "{most} of {SOCKETS}");
+    stop_flag.store(true, Ordering::Relaxed);
+    let peak = sampling.join().unwrap() - before;
+    // Half are for clients, and a twelfth for closed connections that wait for their peers.
+    assert!((SOCKETS / 4..=SOCKETS / 2 + SOCKETS / 12).contains(&peak), "{peak} of {SOCKETS}");
 }
 
 #[test]
-fn a_configuration_that_is_still_being_written_at_sighup_is_used_once_it_is_whole() {
-    let mut hands = Hands::new(1);
-    let node = hands.node("half-written", |_| {});
-    let (new, at) = refusing();
+fn a_configuration_still_being_written_at_sighup_is_used_once_it_is_complete() {
+    let mut servers = ScriptedServers::new(1);
+    let node = servers.start_node("half-written", |_| {});
+    let (new, at) = refusing_address();
     new.listen(16).unwrap();
     let old = fs::read_to_string(&node.config).unwrap();
     for half in ["", &old[..old.len() / 2]] {
@@ -281,126 +298,130 @@
     config["coordinator"] = json!(at.to_string());
     fs::write(&node.config, config.to_string()).unwrap();
     let mut list = accept_within(&new.into(), SECOND);
-    let mut last = [0; 8];
-    list.read_exact(&mut last).unwrap();
-    assert_eq!(u64::from_be_bytes(last), 1, "the numbers carry on");
+    let mut last_number = [0; 8];
+    list.read_exact(&mut last_number).unwrap();
+    assert_eq!(u64::from_be_bytes(last_number), 1, "the numbers continue");
 }
 
-// A new configuration and a drain, in each order: told by the old coordinator before the change, by both, by the new one.
+// A new configuration and a drain in each order: the drain is announced by the old coordinator before the change, by the
+// new one after it, or by both.
 #[test]
-fn a_drain_told_before_during_or_after_a_new_configuration_is_kept() {
-    const MS_GRACE: u64 = 350;
-    for way in ["old, unread", "new at once", "new that comes up late", "new, and old once more"] {
-        let mut hands = Hands::new(2);
-        let node = hands.node(&format!("reload-drain-{}", way.len()), grace(MS_GRACE));
-        let came = turns_away(&hands, 0);
-        let asking = asks(&node);
+fn a_drain_announced_before_during_or_after_a_new_configuration_is_respected() {
+    const GRACE_MS: u64 = 350;
+    for scenario in ["old, unread", "new at once", "new that comes up late", "new, and old once more"] {
+        let mut servers = ScriptedServers::new(2);
+        let node = servers.start_node(&format!("reload-drain-{}", scenario.len()), with_grace(GRACE_MS));
+        let set_up_times = refuse_all_set_ups(&servers, 0);
+        let request_loop = start_request_loop(&node);
         thread::sleep(200 * MS);
-        let (new, at) = refusing();
-        if way != "new that comes up late" {
+        let (new, at) = refusing_address();
+        if scenario != "new that comes up late" {
             new.listen(16).unwrap();
         }
         let new: TcpListener = new.into();
-        let announced = match way {
+        let announced = match scenario {
             "old, unread" => {
-                // Both wait for a process that looks at neither until it goes on.
-                node.stop();
-                hands.frame(2, &[(0, 1)]);
-                hands.move_coordinator(&node, at);
+                // Both are unread while the process is suspended.
+                node.suspend();
+                servers.send_list_frame(2, &[(0, 1)]);
+                servers.change_coordinator(&node, at);
                 thread::sleep(100 * MS);
                 let announced = Instant::now();
                 node.signal(Signal::CONT);
-                let (list, last) = hello(&new);
-                hands.take_list(list);
-                if last == 1 {
-                    hands.tell_again(&[(0, 1)]);
+                let (list, last_number) = accept_list_request(&new);
+                servers.use_list_connection(list);
+                if last_number == 1 {
+                    servers.resend_changes(&[(0, 1)]);
                 }
                 announced
             }
             "new at once" => {
-                hands.move_coordinator(&node, at);
-                let (list, last) = hello(&new);
-                assert_eq!(last, 1, "the numbers carry on");
-                hands.take_list(list);
-                hands.frame(2, &[(0, 1)]);
+                servers.change_coordinator(&node, at);
+                let (list, last_number) = accept_list_request(&new);
+                assert_eq!(last_number, 1, "the numbers continue");
+                servers.use_list_connection(list);
+                servers.send_list_frame(2, &[(0, 1)]);
                 Instant::now()
             }
             "new that comes up late" => {
-                hands.move_coordinator(&node, at);
+                servers.change_coordinator(&node, at);
                 thread::sleep(2 * SECOND);
                 SockRef::from(&new).listen(16).unwrap();
                 let announced = Instant::now();
-                let (list, last) = hello(&new);
-                assert_eq!(last, 1);
-                hands.take_list(list);
-                hands.frame(2, &[(0, 1)]);
+                let (list, last_number) = accept_list_request(&new);
+                assert_eq!(last_number, 1);
+                servers.use_list_connection(list);
+                servers.send_list_frame(2, &[(0, 1)]);
                 announced
             }
             _ => {
-                let old = hands.list();
-                hands.move_coordinator(&node, at);
-                let (list, _) = hello(&new);
-                hands.take_list(list);
-                hands.frame(2, &[(0, 1)]);
-                // The old one says nothing that counts any more, least of all that the server is ready again.
-                let _ = (&old).write_all(&hands.record(3, 2, &[(0, 0)]));
+                let old = servers.list_connection();
+                servers.change_coordinator(&node, at);
+                let (list, _) = accept_list_request(&new);
+                servers.use_list_connection(list);
+                servers.send_list_frame(2, &[(0, 1)]);
+                // Updates of the old coordinator are ignored, in particular that the server is ready again.
+                let _ = (&old).write_all(&servers.list_frame(3, 2, &[(0, 0)]));
                 Instant::now()
             }
         };
         thread::sleep(SECOND);
-        drop(asking);
-        is_kept(&came, announced, MS_GRACE, way);
+        drop(request_loop);
+        assert_drain_respected(&set_up_times, announced, GRACE_MS, scenario);
     }
 }
 
-/// A drain lies unread behind 26 kB of frames, and a request beside it, while the node is stopped: at rest, or in the middle
-/// of its work.
-fn drain_behind_much_else(name: &str, stopped_within: bool) {
-    let mut hands = Hands::new(2);
-    let node = hands.node_within(name, 512, grace(350));
+/// Asserts that a request is not sent to a server whose drain is unread behind 26 kB of frames when the node resumes. The
+/// node is suspended while idle or in the middle of a turn.
+fn assert_drain_read_before_request(name: &str, suspend_mid_turn: bool) {
+    let mut servers = ScriptedServers::new(2);
+    let node = servers.start_node_with_sockets(name, 512, with_grace(350));
     let mut viewer = node.viewer();
-    // A connection to the server is open, so that a set-up waits for no dial.
-    viewer.say(&request_at(1, "clip", 0));
-    let mut line = hands.accept(0);
-    wait_for(&mut line, kind::SET_UP, 1);
-    plays(&line, 1);
+    // An open connection to the server, so that a set-up does not wait for a dial.
+    viewer.say(&request_for_cell(1, "clip", 0));
+    let mut connection = servers.accept(0);
+    wait_for_message(&mut connection, kind::SET_UP, 1);
+    answer_set_up(&connection, 1);
     assert_eq!(viewer.next(SECOND).map(|answer| answer.kind), Some(kind::ANSWER));
-    node.stop();
-    let floods: Vec<Viewer> = (0..30 * usize::from(stopped_within)).map(|_| node.viewer()).collect();
-    if stopped_within {
-        floods.iter().zip(2_000..).for_each(|(flood, id)| behind_others(flood, id));
+    node.suspend();
+    let flood_viewers: Vec<Viewer> = (0..30 * usize::from(suspend_mid_turn)).map(|_| node.viewer()).collect();
+    if suspend_mid_turn {
+        flood_viewers
+            .iter()
+            .zip(2_000..)
+            .for_each(|(flood_viewer, id)| send_request_behind_tests(flood_viewer, id));
         node.signal(Signal::CONT);
         thread::sleep(5 * MS);
-        node.stop();
+        node.suspend();
     }
-    let nothing = hands.record(1, 0, &[]);
-    hands.list().write_all(&nothing.repeat(2_000)).unwrap();
-    hands.frame(2, &[(0, 1)]);
-    viewer.say(&request_at(2, "clip", 0));
+    let nothing = servers.list_frame(1, 0, &[]);
+    servers.list_connection().write_all(&nothing.repeat(2_000)).unwrap();
+    servers.send_list_frame(2, &[(0, 1)]);
+    viewer.say(&request_for_cell(2, "clip", 0));
     thread::sleep(SECOND);
     node.signal(Signal::CONT);
     let until = Instant::now() + SECOND;
-    while let Some(message) = line.next(until.saturating_duration_since(Instant::now())) {
+    while let Some(message) = connection.next(until.saturating_duration_since(Instant::now())) {
         assert_ne!(
             (message.kind, message.session),
             (kind::SET_UP, 2),
-            "1 s after it was announced as leaving"
+            "set up at a server 1 s after it was announced as leaving"
         );
     }
-    viewer.say(&with(request_at(3, "clip", 1), code::WAIT, "1000"));
-    let mut other = hands.accept(1);
-    wait_for(&mut other, kind::SET_UP, 3);
+    viewer.say(&with_parameter(request_for_cell(3, "clip", 1), code::WAIT, "1000"));
+    let mut other = servers.accept(1);
+    wait_for_message(&mut other, kind::SET_UP, 3);
 }
 
-// Caught a look at the list that ended after 16 kB: a request that lay beside it was sent on to a server whose drain was
-// still unread.
+// Guards against reading only 16 kB of the list per turn: a request that arrived meanwhile was sent to a server whose drain
+// was still unread.
 #[test]
-fn a_drain_that_lies_unread_behind_much_else_is_heard_before_a_request_is_sent_on() {
-    drain_behind_much_else("drain-behind", false);
+fn an_unread_drain_behind_other_frames_is_applied_before_a_request_is_sent() {
+    assert_drain_read_before_request("drain-behind", false);
 }
 
-// Caught the time for reading, which was over when the process went on: of the list 16 kB had been read.
+// Guards against a read budget that expires during the suspension: only 16 kB of the list were read afterwards.
 #[test]
-fn a_drain_is_heard_before_a_request_though_the_process_was_stopped_in_the_middle_of_its_work() {
-    drain_behind_much_else("drain-within", true);
+fn a_drain_is_applied_before_a_request_after_a_suspension_in_the_middle_of_a_turn() {
+    assert_drain_read_before_request("drain-within", true);
 }
--- a/crates/daemon/tests/front_node_restart.rs
+++ b/crates/daemon/tests/front_node_restart.rs
@@ -1,4 +1,4 @@
-//! Front nodes that are started again: how soon they are ready, and that none is ready and serves nobody.
+//! Restarted front nodes: how soon they are ready, and that a node that is ready also serves sessions.
 
 mod node;
 
@@ -7,23 +7,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::refusing;
-use node::{ask, Node, CELLS, SECOND};
+use node::hand::refusing_address;
+use node::{request_session, Node, CELLS, SECOND};
 use salttally_platform::wire::kind;
 use salttally_standin::platform::{Platform, Viewer};
 use serde_json::json;
 
-/// Of which nine have to be ready within 10 s.
+/// The platform requires nine of them to be ready within 10 s.
 const NODES: usize = 10;
 
-/// A coordinator that takes calls and says its first word after this long, or never.
-fn says_after(span: Option<Duration>) -> SocketAddr {
+/// Starts a coordinator that accepts connections and sends its first frame after this delay, or never.
+fn start_coordinator_with_delay(delay: Option<Duration>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().map_while(Result::ok) {
             thread::spawn(move || {
-                thread::sleep(span.unwrap_or(60 * SECOND));
+                thread::sleep(delay.unwrap_or(60 * SECOND));
                 let mut frame = 9u32.to_be_bytes().to_vec();
                 frame.extend(1u64.to_be_bytes());
                 frame.push(0);
@@ -37,20 +37,20 @@
 }
 
 #[test]
-fn restarted_nodes_are_ready_in_time_whatever_the_coordinator_does_and_serve() {
-    let (_held, refuses) = refusing();
-    let ways = [
+fn restarted_nodes_are_ready_in_time_and_serve_whatever_the_coordinator_does() {
+    let (_held, refusing) = refusing_address();
+    let scenarios = [
         ("up", None),
-        ("refuses", Some(refuses)),
-        ("silent", Some(says_after(None))),
-        ("slow", Some(says_after(Some(SECOND)))),
+        ("refuses", Some(refusing)),
+        ("silent", Some(start_coordinator_with_delay(None))),
+        ("slow", Some(start_coordinator_with_delay(Some(SECOND)))),
     ];
-    for (way, coordinator) in ways {
+    for (scenario, coordinator) in scenarios {
         let platform = Platform::start(CELLS).unwrap();
         let started = Instant::now();
         let nodes: Vec<Node> = (0..NODES)
             .map(|at| {
-                Node::start_by(&format!("again-{way}-{at}"), 256, |listen| {
+                Node::start_with_config(&format!("again-{scenario}-{at}"), 256, |listen| {
                     let mut config = platform.config(listen, 256);
                     if let Some(at) = coordinator {
                         config["coordinator"] = json!(at.to_string());
@@ -59,11 +59,15 @@
                 })
             })
             .collect();
-        // Clients come at once, ready or not.
-        let early: Vec<Viewer> = nodes.iter().filter_map(|n| Viewer::connect(n.listen).ok()).collect();
-        early.iter().zip(1..).for_each(|(viewer, id)| viewer.say(&Viewer::request(id, "clip", CELLS)));
-        let mut times: Vec<Duration> = thread::scope(|scope| {
-            let waits: Vec<_> = nodes
+        // Clients connect at once, whether the node is ready or not.
+        let early_viewers: Vec<Viewer> =
+            nodes.iter().filter_map(|n| Viewer::connect(n.listen).ok()).collect();
+        early_viewers
+            .iter()
+            .zip(1..)
+            .for_each(|(viewer, id)| viewer.say(&Viewer::request(id, "clip", CELLS)));
+        let mut ready_times: Vec<Duration> = thread::scope(|scope| {
+            let waiters: Vec<_> = nodes
                 .iter()
                 .map(|node| {
                     scope.spawn(move || {
@@ -72,14 +76,17 @@
                     })
                 })
                 .collect();
-            waits.into_iter().map(|wait| wait.join().unwrap()).collect()
+            waiters.into_iter().map(|waiter| waiter.join().unwrap()).collect()
         });
-        times.sort();
-        println!("{way}: ready p50 {:?}, p90 {:?}, worst {:?}", times[4], times[8], times[9]);
-        assert!(times[8] < 6 * SECOND, "{way}: {times:?}");
+        ready_times.sort();
+        println!(
+            "{scenario}: ready p50 {:?}, p90 {:?}, worst {:?}",
+            ready_times[4], ready_times[8], ready_times[9]
+        );
+        assert!(ready_times[8] < 6 * SECOND, "{scenario}: {ready_times:?}");
         for (node, id) in nodes.iter().zip(1_000..) {
-            let got = ask(&mut node.viewer(), id, "clip");
-            assert_eq!(got.kind, kind::ANSWER, "{way}: ready, and serves nobody");
+            let answer = request_session(&mut node.viewer(), id, "clip");
+            assert_eq!(answer.kind, kind::ANSWER, "{scenario}: the node is ready but serves no session");
         }
     }
 }
--- a/crates/daemon/tests/front_node_shutdown.rs
+++ b/crates/daemon/tests/front_node_shutdown.rs
@@ -1,4 +1,4 @@
-//! Requests that go on coming after SIGTERM, up to the kill at the page's earliest.
+//! Requests that keep arriving after SIGTERM, until the earliest kill that the platform's page allows.
 
 mod node;
 
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::with;
+use node::hand::with_parameter;
 use node::{Node, CELLS};
 use rustix::process::Signal;
 use salttally_platform::wire::{code, kind, Message};
@@ -14,18 +14,19 @@
 use serde_json::json;
 
 const MS: Duration = Duration::from_millis(1);
-/// The kill comes so long after the longest deadline, which counts as this at most.
+/// Time from the longest deadline to the kill.
 const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-const LONGEST_DEADLINE_COUNTED: Duration = Duration::from_millis(3_000);
-/// A request that crosses the close of its connection so closely is sent once more, on a new one.
-const CROSSES_CLOSE: Duration = Duration::from_millis(50);
+/// Longer deadlines count as this one.
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3_000);
+/// A client repeats a request on a new connection if it was sent within this time of the close of its connection.
+const CLOSE_RACE_WINDOW: Duration = Duration::from_millis(50);
 
-/// Sends requests on one open connection until the kill; those that had no answer then, and when each was sent after
-/// SIGTERM.
-fn unanswered_at_the_kill(name: &str, deadline: Duration, answered_after: Duration) -> Vec<Duration> {
+/// Sends requests on one open connection until the kill. Returns how long after SIGTERM each request without an answer was
+/// sent.
+fn unanswered_at_the_kill(name: &str, deadline: Duration, answer_delay: Duration) -> Vec<Duration> {
     let platform = Platform::start(CELLS).unwrap();
     let deadline_ms = deadline.as_millis() as u64;
-    let mut node = Node::start_by(name, 256, |listen| {
+    let mut node = Node::start_with_config(name, 256, |listen| {
         let mut config = platform.config(listen, 256);
         for class in config["settings"]["classes"].as_array_mut().unwrap() {
             class["deadline_ms"] = json!(deadline_ms);
@@ -34,23 +35,25 @@
         config
     });
     node.wait_ready();
-    platform.script(std::iter::repeat_n(Deed::Late(answered_after), 1_000));
+    platform.script(std::iter::repeat_n(Deed::Late(answer_delay), 1_000));
     let mut viewer = node.viewer();
-    let mut open: BTreeMap<u64, Instant> = BTreeMap::new();
+    let mut unanswered: BTreeMap<u64, Instant> = BTreeMap::new();
     let mut closed = None;
     node.signal(Signal::TERM);
-    let told = Instant::now();
-    let kill = told + deadline.min(LONGEST_DEADLINE_COUNTED) + KILL_AFTER_DEADLINE;
+    let signalled = Instant::now();
+    let kill = signalled + deadline.min(MAX_COUNTED_DEADLINE) + KILL_AFTER_DEADLINE;
     let mut id = 1_000;
     while Instant::now() < kill && closed.is_none() {
         id += 1;
-        let request = with(Viewer::request(id, "paid", CELLS), code::WAIT, deadline_ms.to_string());
+        let request = with_parameter(Viewer::request(id, "paid", CELLS), code::WAIT, deadline_ms.to_string());
         viewer.say(&request);
-        open.insert(id, Instant::now());
-        let next = Instant::now() + 25 * MS;
-        while let Some(left) = next.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
-            match viewer.next(left) {
-                Some(message) => answered(&message, &mut open),
+        unanswered.insert(id, Instant::now());
+        let next_request = Instant::now() + 25 * MS;
+        while let Some(remaining) =
+            next_request.checked_duration_since(Instant::now()).filter(|remaining| !remaining.is_zero())
+        {
+            match viewer.next(remaining) {
+                Some(message) => remove_answered(&message, &mut unanswered),
                 None if viewer.ended() => closed = closed.or(Some(Instant::now())),
                 None => {}
             }
@@ -63,15 +66,15 @@
     let _ = node.child.kill();
     node.child.wait().unwrap();
     while let Some(message) = viewer.next(MS) {
-        answered(&message, &mut open);
+        remove_answered(&message, &mut unanswered);
     }
-    let crosses = |sent: &Instant| closed.is_some_and(|closed| *sent + CROSSES_CLOSE > closed);
-    open.into_values().filter(|sent| !crosses(sent)).map(|sent| sent - told).collect()
+    let races_close = |sent: &Instant| closed.is_some_and(|closed| *sent + CLOSE_RACE_WINDOW > closed);
+    unanswered.into_values().filter(|sent| !races_close(sent)).map(|sent| sent - signalled).collect()
 }
 
-fn answered(message: &Message, open: &mut BTreeMap<u64, Instant>) {
+fn remove_answered(message: &Message, unanswered: &mut BTreeMap<u64, Instant>) {
     if [kind::ANSWER, kind::RELEASE].contains(&message.kind) {
-        open.remove(&message.session);
+        unanswered.remove(&message.session);
     }
 }
 
@@ -80,6 +83,7 @@
     let unanswered = unanswered_at_the_kill("kill-short", 1_500 * MS, 1_400 * MS);
     assert!(unanswered.is_empty(), "sent so long after SIGTERM: {unanswered:?}");
 }
+
 #[test]
 fn no_request_is_unanswered_at_the_earliest_kill_with_deadlines_over_three_seconds() {
     let unanswered = unanswered_at_the_kill("kill-long", 5_000 * MS, 3_500 * MS);
--- a/crates/daemon/tests/front_node_stopped.rs
+++ b/crates/daemon/tests/front_node_stopped.rs
@@ -1,75 +1,81 @@
-//! A front node that is itself stopped for a while (SIGSTOP, then SIGCONT), as a machine that swaps or moves does it.
-//! Danger: it takes the time that went by for silence of others, or goes on acting on what has run out meanwhile.
+//! A front node that is suspended for a while (SIGSTOP, then SIGCONT), as on a machine that swaps or migrates. Guards
+//! against treating the elapsed time as silence of its peers, and against acting on state that expired meanwhile.
 
 mod node;
 
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::{ask, soon, Node, CELLS, SECOND};
+use node::{request_session, wait_until, Node, CELLS, SECOND};
 use rustix::process::Signal;
 use salttally_platform::wire::{cause, kind, Message};
 use salttally_standin::platform::{Deed, Platform, Viewer};
 
-fn stopped(node: &Node, span: Duration, meanwhile: impl FnOnce()) {
+/// Suspends the node for this long, running `action` right after the start.
+fn suspend_for(node: &Node, span: Duration, action: impl FnOnce()) {
     node.signal(Signal::STOP);
-    let since = Instant::now();
-    meanwhile();
-    thread::sleep(span.saturating_sub(since.elapsed()));
+    let begun = Instant::now();
+    action();
+    thread::sleep(span.saturating_sub(begun.elapsed()));
     node.signal(Signal::CONT);
 }
 
-/// All that is said until nothing comes for a while.
-fn rest(viewer: &mut Viewer) -> Vec<Message> {
+/// Reads until nothing arrives for 0.5 s.
+fn read_until_silent(viewer: &mut Viewer) -> Vec<Message> {
     std::iter::from_fn(|| viewer.next(SECOND / 2)).collect()
 }
 
 #[test]
-fn what_stands_goes_on_through_a_stop_and_through_silence_of_the_coordinator() {
+fn sessions_survive_a_suspension_and_a_silent_coordinator() {
     let platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "stop-stands", 256);
     let mut viewer = node.viewer();
     for id in 1..=60 {
-        assert_eq!(ask(&mut viewer, id, "paid").kind, kind::ANSWER);
+        assert_eq!(request_session(&mut viewer, id, "paid").kind, kind::ANSWER);
     }
-    // Shorter and longer than the silence after which boxes are looked at and the coordinator is called anew, and than
-    // the time for which idle connections are kept.
+    // Shorter and longer than the silence after which boxes are probed and the coordinator is reconnected, and than the
+    // lifetime of idle connections.
     for seconds in [3, 6, 12] {
         let calls = platform.asked().len();
-        stopped(&node, seconds * SECOND, || {});
-        assert_eq!(rest(&mut viewer), [], "nobody is told an end after {seconds} s");
+        suspend_for(&node, seconds * SECOND, || {});
+        assert_eq!(read_until_silent(&mut viewer), [], "no session end after {seconds} s");
         assert!((1..=60).all(|id| platform.stands_at(id).is_some()), "{seconds} s");
-        assert!(platform.asked().len() <= calls + 1, "one call more at most: {:?}", platform.asked());
+        assert!(platform.asked().len() <= calls + 1, "at most one reconnect: {:?}", platform.asked());
     }
-    assert_eq!(ask(&mut viewer, 61, "paid").kind, kind::ANSWER);
+    assert_eq!(request_session(&mut viewer, 61, "paid").kind, kind::ANSWER);
     platform.end(7, cause::NORMAL);
-    assert_eq!(viewer.next(SECOND), Some(Message::release(7, cause::NORMAL)), "and ends are still heard");
+    assert_eq!(
+        viewer.next(SECOND),
+        Some(Message::release(7, cause::NORMAL)),
+        "session ends are still forwarded"
+    );
 }
 
 #[test]
-fn a_set_up_that_is_out_over_a_stop_has_its_one_answer_at_once_and_never_plays_late() {
+fn set_ups_outstanding_during_a_suspension_are_answered_once_and_never_late() {
     let platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "stop-out", 256);
     let mut viewer = node.viewer();
-    // Answers that come while it is stopped: in time on waking, and long after the viewer's time of 1.5 s.
+    // Answers arrive during the suspension: still in time at the resume, and long after the viewer's patience of 1.5 s.
     for (round, span, plays) in [(0, SECOND / 2, true), (1, 3 * SECOND, false)] {
         let ids = 100 * (round + 1)..100 * (round + 1) + 10;
         platform.script(ids.clone().map(|_| Deed::Late(SECOND / 4)));
         ids.clone().for_each(|id| viewer.say(&Viewer::request(id, "paid", CELLS)));
-        soon("they are out", || {
+        wait_until("all set-ups are sent", || {
             platform.came().iter().filter(|c| ids.contains(&c.message.session)).count() == 10
         });
-        stopped(&node, span, || {});
-        let woken = Instant::now();
-        let said: Vec<Message> = (0..10).map(|_| viewer.next(SECOND).expect("an answer at once")).collect();
-        assert!(woken.elapsed() < SECOND / 2, "{:?}", woken.elapsed());
-        assert_eq!(rest(&mut viewer), [], "one answer each");
-        let played = said.iter().filter(|m| m.kind == kind::ANSWER).count();
-        assert_eq!(played, if plays { 10 } else { 0 }, "{said:?}");
+        suspend_for(&node, span, || {});
+        let resumed = Instant::now();
+        let answers: Vec<Message> =
+            (0..10).map(|_| viewer.next(SECOND).expect("an answer at once")).collect();
+        assert!(resumed.elapsed() < SECOND / 2, "{:?}", resumed.elapsed());
+        assert_eq!(read_until_silent(&mut viewer), [], "one answer each");
+        let played = answers.iter().filter(|m| m.kind == kind::ANSWER).count();
+        assert_eq!(played, if plays { 10 } else { 0 }, "{answers:?}");
         let set_ups = platform.came().iter().filter(|c| c.message.kind == kind::SET_UP).count();
         assert_eq!(set_ups, 10 * (round as usize + 1), "none was set up twice");
         if !plays {
-            soon("what played for nobody is ended", || {
+            wait_until("sessions without a viewer are ended", || {
                 ids.clone().all(|id| platform.stands_at(id).is_none())
             });
         }
@@ -77,7 +83,7 @@
 }
 
 #[test]
-fn dials_under_way_over_a_stop_are_answered_once() {
+fn requests_waiting_for_dials_during_a_suspension_are_answered_once() {
     let mut platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "stop-dials", 256);
     platform.deafen(0).unwrap();
@@ -86,43 +92,43 @@
     (1..=8).for_each(|id| viewer.say(&Viewer::request(id, if id % 2 == 0 { "paid" } else { "clip" }, CELLS)));
     thread::sleep(SECOND / 20);
     let before: Vec<Message> = std::iter::from_fn(|| viewer.next(SECOND / 50)).collect();
-    assert!(before.len() < 8, "some wait for a dial");
-    stopped(&node, 3 * SECOND, || {});
-    let woken = Instant::now();
+    assert!(before.len() < 8, "some requests wait for a dial");
+    suspend_for(&node, 3 * SECOND, || {});
+    let resumed = Instant::now();
     let after: Vec<Message> = (before.len()..8).map(|_| viewer.next(SECOND).expect("an answer")).collect();
-    assert!(woken.elapsed() < SECOND / 2, "{:?}", woken.elapsed());
-    assert!(after.iter().all(|m| m.kind == kind::RELEASE), "their time is up: {after:?}");
-    assert_eq!(rest(&mut viewer), []);
+    assert!(resumed.elapsed() < SECOND / 2, "{:?}", resumed.elapsed());
+    assert!(after.iter().all(|m| m.kind == kind::RELEASE), "their patience is over: {after:?}");
+    assert_eq!(read_until_silent(&mut viewer), []);
     let mut ids: Vec<u64> = before.iter().chain(&after).map(|m| m.session).collect();
     ids.sort_unstable();
     assert_eq!(ids, (1..=8).collect::<Vec<u64>>());
-    let asked = |id| {
+    let set_ups = |id| {
         platform.came().iter().filter(|c| c.message.kind == kind::SET_UP && c.message.session == id).count()
     };
-    assert!((1..=8).all(|id| asked(id) <= 1));
+    assert!((1..=8).all(|id| set_ups(id) <= 1));
 }
 
 #[test]
-fn a_box_that_died_meanwhile_is_missed_at_once_and_no_other() {
+fn only_the_sessions_of_a_box_that_died_during_a_suspension_are_ended_at_once() {
     let platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "stop-died", 256);
     let mut viewer = node.viewer();
     for id in 1..=30 {
-        assert_eq!(ask(&mut viewer, id, "paid").kind, kind::ANSWER);
+        assert_eq!(request_session(&mut viewer, id, "paid").kind, kind::ANSWER);
     }
     let at = platform.stands_at(1).unwrap();
     let lost: Vec<u64> = (1..=30).filter(|id| platform.stands_at(*id) == Some(at)).collect();
-    stopped(&node, 3 * SECOND, || platform.kill(at));
-    let woken = Instant::now();
-    let mut told: Vec<u64> = Vec::new();
+    suspend_for(&node, 3 * SECOND, || platform.kill(at));
+    let resumed = Instant::now();
+    let mut ended: Vec<u64> = Vec::new();
     for _ in &lost {
         let message = viewer.next(2 * SECOND).expect("an end");
         assert_eq!(message, Message::release(message.session, cause::BROKEN));
-        told.push(message.session);
+        ended.push(message.session);
     }
-    assert!(woken.elapsed() < 2 * SECOND, "{:?}", woken.elapsed());
-    told.sort_unstable();
-    assert_eq!(told, lost);
-    assert_eq!(rest(&mut viewer), []);
+    assert!(resumed.elapsed() < 2 * SECOND, "{:?}", resumed.elapsed());
+    ended.sort_unstable();
+    assert_eq!(ended, lost);
+    assert_eq!(read_until_silent(&mut viewer), []);
     assert!((1..=30).all(|id| lost.contains(&id) || platform.stands_at(id).is_some()));
 }
--- a/crates/daemon/tests/members.rs
+++ b/crates/daemon/tests/members.rs
@@ -1,4 +1,4 @@
-//! Membership of the daemon: settings that cannot hold, and what an operator is shown.
+//! Membership in the daemon: rejected settings, the view shown to operators, and key rotation.
 
 mod node;
 
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::{ask as open, Node, CELLS};
+use node::{request_session, Node, CELLS};
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_members::ask::{ask, Shown};
 use salttally_members::settings::Settings;
@@ -16,7 +16,7 @@
 use salttally_settings::Document;
 use salttally_standin::platform::Platform;
 
-const FRONT: &str = r#"front "NAME" { listen "IP:7011"; }
+const FRONT_SETTINGS: &str = r#"front "NAME" { listen "IP:7011"; }
 box-list "IP:9"
 fleet cells=1 link-kb=10000 links-kb=10000 refuses-from=1.0
 ladder { rung kb=200 worth=1.0; }
@@ -33,21 +33,21 @@
     format!("127.{}.9.{number}", 20 + std::process::id() % 200)
 }
 
-fn file(number: u8, members: &str) -> PathBuf {
-    let text = format!("{FRONT}members {{\n{members}\n}}\n").replace("NAME", &format!("m{number}"));
+fn write_settings(number: u8, members: &str) -> PathBuf {
+    let text = format!("{FRONT_SETTINGS}members {{\n{members}\n}}\n").replace("NAME", &format!("m{number}"));
     let path = std::env::temp_dir().join(format!("salttally-members-{number}-{}.kdl", std::process::id()));
     fs::write(&path, text.replace("IP", &ip(number))).unwrap();
     path
 }
 
-fn daemon(path: &Path) -> Command {
+fn daemon_command(path: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_salttallyd"));
     command.arg("--config").arg(path).stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
     command
 }
 
 #[test]
-fn settings_that_cannot_hold_are_refused_with_file_line_and_reason() {
+fn invalid_settings_are_rejected_with_file_line_and_reason() {
     let good = key("5a");
     let cases = [
         ("bind \"IP:7311\"\nkey \"5a5a\"".into(), "a key of 2 bytes"),
@@ -64,8 +64,8 @@
         (format!("bind \"IP:7311\"\n{good}\nperiod 3"), "no setting here"),
     ];
     for (number, (members, reason)) in cases.iter().enumerate() {
-        let path = file(number as u8 + 1, members);
-        let Output { status, stderr, .. } = daemon(&path).arg("--check").output().unwrap();
+        let path = write_settings(number as u8 + 1, members);
+        let Output { status, stderr, .. } = daemon_command(&path).arg("--check").output().unwrap();
         let text = String::from_utf8_lossy(&stderr);
         let first = text.lines().next().unwrap_or_default();
         assert_eq!(status.code(), Some(2), "{members}: {text}");
@@ -75,9 +75,10 @@
     }
 }
 
-struct Running(Child, PathBuf);
+/// A daemon and its settings file; killed and removed when dropped.
+struct RunningDaemon(Child, PathBuf);
 
-impl Drop for Running {
+impl Drop for RunningDaemon {
     fn drop(&mut self) {
         let _ = (self.0.kill(), self.0.wait(), fs::remove_file(&self.1));
     }
@@ -87,54 +88,58 @@
     Settings::read(&Document::load(path).unwrap()).unwrap().unwrap()
 }
 
-fn shows(path: &Path, so: impl Fn(&Shown) -> bool) -> Shown {
-    let until = Instant::now() + Duration::from_secs(10);
+/// Waits until the daemon shows a view that meets the condition, and returns it.
+fn wait_for_view(path: &Path, condition: impl Fn(&Shown) -> bool) -> Shown {
+    let deadline = Instant::now() + Duration::from_secs(10);
     loop {
         let shown = ask(&settings(path)).unwrap_or_default();
-        if so(&shown) {
+        if condition(&shown) {
             return shown;
         }
-        assert!(Instant::now() < until, "{shown:?}");
+        assert!(Instant::now() < deadline, "{shown:?}");
         thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn an_operator_sees_the_view_and_keys_change_in_service() {
+fn an_operator_sees_the_view_and_can_rotate_keys_without_a_restart() {
     let seeds = format!("seeds \"{}:7311\"", ip(101));
-    let with = |number: u8, keys: &str| file(number, &format!("bind \"IP:7311\"\n{seeds}\n{keys}"));
-    let start = |path: PathBuf| Running(daemon(&path).stderr(Stdio::null()).spawn().unwrap(), path);
-    let all: Vec<Running> = (101..104).map(|number| start(with(number, &key("5a")))).collect();
-    let three = |shown: &Shown| shown.members.len() == 3 && shown.head["stage"] == "in";
-    for running in &all {
-        let shown = shows(&running.1, three);
+    let write_with_keys =
+        |number: u8, keys: &str| write_settings(number, &format!("bind \"IP:7311\"\n{seeds}\n{keys}"));
+    let start =
+        |path: PathBuf| RunningDaemon(daemon_command(&path).stderr(Stdio::null()).spawn().unwrap(), path);
+    let daemons: Vec<RunningDaemon> =
+        (101..104).map(|number| start(write_with_keys(number, &key("5a")))).collect();
+    let sees_three = |shown: &Shown| shown.members.len() == 3 && shown.head["stage"] == "in";
+    for running in &daemons {
+        let shown = wait_for_view(&running.1, sees_three);
         assert_eq!(shown.head["high"], 2);
     }
-    // New keys go to all as second ones first, then to the front of the ring, then the old one goes.
+    // The new key is added to all rings in second place, then moved to the first place, then the old key is removed.
     for keys in [[key("5a"), key("6b")], [key("6b"), key("5a")], [key("6b"), String::new()]] {
-        for (number, running) in (101..104).zip(&all) {
-            with(number, &keys.join("\n"));
+        for (number, running) in (101..104).zip(&daemons) {
+            write_with_keys(number, &keys.join("\n"));
             kill_process(Pid::from_child(&running.0), Signal::HUP).unwrap();
         }
         thread::sleep(Duration::from_millis(300));
-        all.iter().for_each(|running| drop(shows(&running.1, three)));
+        daemons.iter().for_each(|running| drop(wait_for_view(&running.1, sees_three)));
     }
-    // Whoever has only the old key is nobody to them.
-    let stranger = start(with(104, &key("5a")));
+    // A process that has only the old key is not admitted.
+    let stranger = start(write_with_keys(104, &key("5a")));
     thread::sleep(Duration::from_secs(1));
-    assert!(shows(&all[0].1, three).members.iter().all(|member| member["name"] != "m104"));
-    assert_eq!(shows(&stranger.1, |shown| !shown.head.is_null()).head["stage"], "joining");
-    // One that ends in order says so, and is out at once.
-    kill_process(Pid::from_child(&all[2].0), Signal::TERM).unwrap();
+    assert!(wait_for_view(&daemons[0].1, sees_three).members.iter().all(|member| member["name"] != "m104"));
+    assert_eq!(wait_for_view(&stranger.1, |shown| !shown.head.is_null()).head["stage"], "joining");
+    // A process that shuts down gracefully announces it and is removed at once.
+    kill_process(Pid::from_child(&daemons[2].0), Signal::TERM).unwrap();
     let begun = Instant::now();
-    shows(&all[0].1, |shown| shown.members.len() == 2);
+    wait_for_view(&daemons[0].1, |shown| shown.members.len() == 2);
     assert!(begun.elapsed() < Duration::from_millis(900), "{:?}", begun.elapsed());
 }
 
 #[test]
-fn front_nodes_of_the_platform_know_each_other_by_a_file_beside_their_configuration() {
+fn front_nodes_join_each_other_by_a_members_file_beside_their_configuration() {
     let platform = Platform::start(CELLS).unwrap();
-    let beside = |name: &str, at: u8| {
+    let write_members_file = |name: &str, at: u8| {
         let config = std::env::temp_dir().join(format!("salttally-{name}-{}.json", std::process::id()));
         let path = config.with_extension("members.kdl");
         let (ip, seed, key) = (ip(at), ip(201), key("5a"));
@@ -143,16 +148,16 @@
         fs::write(&path, text).unwrap();
         path
     };
-    let paths = [beside("know-a", 201), beside("know-b", 202)];
+    let paths = [write_members_file("know-a", 201), write_members_file("know-b", 202)];
     let (first, mut second) = (Node::start(&platform, "know-a", 256), Node::start(&platform, "know-b", 256));
     for path in &paths {
-        shows(path, |shown| shown.members.len() == 2 && shown.head["stage"] == "in");
+        wait_for_view(path, |shown| shown.members.len() == 2 && shown.head["stage"] == "in");
     }
     for (id, node) in [(1, &first), (2, &second)] {
-        assert_eq!(open(&mut node.viewer(), id, "paid").kind, kind::ANSWER);
+        assert_eq!(request_session(&mut node.viewer(), id, "paid").kind, kind::ANSWER);
     }
     second.signal(Signal::TERM);
-    assert!(second.ends(Duration::from_secs(4)).is_some_and(|status| status.success()));
-    shows(&paths[0], |shown| shown.members.len() == 1);
+    assert!(second.wait_for_exit(Duration::from_secs(4)).is_some_and(|status| status.success()));
+    wait_for_view(&paths[0], |shown| shown.members.len() == 1);
     paths.iter().for_each(|path| drop(fs::remove_file(path)));
 }
--- a/crates/daemon/tests/node/hand.rs
+++ b/crates/daemon/tests/node/hand.rs
@@ -1,5 +1,5 @@
-//! Media servers and a coordinator led by hand: nothing is accepted, read or written but where the test says so, which
-//! forces the order of what crosses.
+//! Scripted media servers and a scripted coordinator. They accept, read and write only where a test tells them to, which
+//! forces the order of concurrent events.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -15,30 +15,37 @@
 
 use super::{Node, SECOND};
 
-/// One cell for each media server.
-pub struct Hands {
-    pub boxes: Vec<TcpListener>,
+/// Scripted media servers with one cell each, and their coordinator.
+pub struct ScriptedServers {
+    pub listeners: Vec<TcpListener>,
     coordinator: TcpListener,
-    list: Option<TcpStream>,
-    told: u64,
+    /// The connection on which the list is sent.
+    list_connection: Option<TcpStream>,
+    /// Number of the last list update.
+    list_number: u64,
 }
 
-impl Hands {
-    pub fn new(boxes: usize) -> Hands {
+impl ScriptedServers {
+    pub fn new(servers: usize) -> ScriptedServers {
         let host = own_host();
         let listener = |_| TcpListener::bind((host, 0)).unwrap();
         let coordinator = listener(0);
-        Hands { boxes: (0..boxes).map(listener).collect(), coordinator, list: None, told: 1 }
+        ScriptedServers {
+            listeners: (0..servers).map(listener).collect(),
+            coordinator,
+            list_connection: None,
+            list_number: 1,
+        }
     }
 
     pub fn address(&self, at: usize) -> SocketAddr {
-        self.boxes[at].local_addr().unwrap()
+        self.listeners[at].local_addr().unwrap()
     }
 
-    /// The configuration that the platform's stand-in gives, with these addresses.
+    /// The configuration of the platform's stand-in, with the addresses of the scripted servers.
     pub fn config(&self, listen: SocketAddr, sockets: usize) -> Value {
-        let mut config = Platform::start(self.boxes.len()).unwrap().config(listen, sockets);
-        for at in 0..self.boxes.len() {
+        let mut config = Platform::start(self.listeners.len()).unwrap().config(listen, sockets);
+        for at in 0..self.listeners.len() {
             let host = &mut config["known"]["updates"][0]["endpoints"]["hosts"][at];
             host["dial"] = json!(self.address(at).to_string());
         }
@@ -46,69 +53,75 @@
         config
     }
 
-    /// A node by these hands; `change` has the last word on its configuration. It has heard the list.
-    pub fn node(&mut self, name: &str, change: impl FnOnce(&mut Value)) -> Node {
-        self.node_within(name, 256, change)
+    /// Starts a node against these servers, with the configuration edited last by `edit_config`. Returns once the node is ready
+    /// and has received the list.
+    pub fn start_node(&mut self, name: &str, edit_config: impl FnOnce(&mut Value)) -> Node {
+        self.start_node_with_sockets(name, 256, edit_config)
     }
 
-    /// The same, with so many descriptors in its limits.
-    pub fn node_within(&mut self, name: &str, sockets: usize, change: impl FnOnce(&mut Value)) -> Node {
-        let node = Node::start_by(name, sockets, |listen| {
+    /// Like `start_node`, with this limit of descriptors.
+    pub fn start_node_with_sockets(
+        &mut self,
+        name: &str,
+        sockets: usize,
+        edit_config: impl FnOnce(&mut Value),
+    ) -> Node {
+        let node = Node::start_with_config(name, sockets, |listen| {
             let mut config = self.config(listen, sockets);
-            change(&mut config);
+            edit_config(&mut config);
             config
         });
-        let mut list = accept_within(&self.coordinator, 10 * SECOND);
-        list.read_exact(&mut [0; 8]).unwrap();
-        self.list = Some(list);
-        self.frame(0, &[]);
+        let mut list_connection = accept_within(&self.coordinator, 10 * SECOND);
+        list_connection.read_exact(&mut [0; 8]).unwrap();
+        self.list_connection = Some(list_connection);
+        self.send_list_frame(0, &[]);
         node.wait_ready();
         node
     }
 
-    /// Where the front node calls for the list.
+    /// The listener to which the front node connects for the list.
     pub fn coordinator(&self) -> TcpListener {
         self.coordinator.try_clone().unwrap()
     }
 
-    /// The list is told on this connection from now on.
-    pub fn take_list(&mut self, list: TcpStream) {
-        self.list = Some(list);
+    /// Sends the list on this connection from now on.
+    pub fn use_list_connection(&mut self, list_connection: TcpStream) {
+        self.list_connection = Some(list_connection);
     }
 
-    /// The connection on which the list is told breaks.
-    pub fn hang_up(&mut self) {
-        self.list = None;
+    /// Closes the connection on which the list is sent.
+    pub fn drop_list_connection(&mut self) {
+        self.list_connection = None;
     }
 
-    /// A new configuration names another coordinator.
-    pub fn move_coordinator(&mut self, node: &Node, to: SocketAddr) {
+    /// Writes a configuration with another coordinator and sends SIGHUP.
+    pub fn change_coordinator(&mut self, node: &Node, to: SocketAddr) {
         let mut config: Value = serde_json::from_str(&fs::read_to_string(&node.config).unwrap()).unwrap();
         config["coordinator"] = json!(to.to_string());
         fs::write(&node.config, config.to_string()).unwrap();
         node.signal(Signal::HUP);
     }
 
-    /// The connection on which the list is told.
-    pub fn list(&self) -> TcpStream {
-        self.list.as_ref().unwrap().try_clone().unwrap()
+    /// The connection on which the list is sent.
+    pub fn list_connection(&self) -> TcpStream {
+        self.list_connection.as_ref().unwrap().try_clone().unwrap()
     }
 
-    /// One frame: kind 0 says nothing new; records are of a media server and its state.
-    pub fn frame(&mut self, kind: u8, records: &[(usize, u8)]) {
-        self.told += u64::from(kind > 0);
-        let bytes = self.record(self.told, kind, records);
-        self.list().write_all(&bytes).unwrap();
+    /// Sends a frame of the list. Kind 0 carries no news; the records name media servers and their states.
+    pub fn send_list_frame(&mut self, kind: u8, records: &[(usize, u8)]) {
+        self.list_number += u64::from(kind > 0);
+        let bytes = self.list_frame(self.list_number, kind, records);
+        self.list_connection().write_all(&bytes).unwrap();
     }
 
-    /// The last changes once more, under their number.
-    pub fn tell_again(&mut self, records: &[(usize, u8)]) {
-        let bytes = self.record(self.told, 2, records);
-        self.list().write_all(&bytes).unwrap();
+    /// Sends the last changes again, under the same number.
+    pub fn resend_changes(&mut self, records: &[(usize, u8)]) {
+        let bytes = self.list_frame(self.list_number, 2, records);
+        self.list_connection().write_all(&bytes).unwrap();
     }
 
-    /// The bytes of a frame under this number.
-    pub fn record(&self, number: u64, kind: u8, records: &[(usize, u8)]) -> Vec<u8> {
+    /// The bytes of a list frame with this number.
+    pub fn list_frame(&self, number: u64, kind: u8, records: &[(usize, u8)]) -> Vec<u8> {
         let mut bytes = (9 + 27 * records.len() as u32).to_be_bytes().to_vec();
         bytes.extend(number.to_be_bytes());
         bytes.push(kind);
@@ -116,7 +129,7 @@
             bytes.extend((*at as u32 + 1).to_be_bytes());
             match self.address(*at).ip() {
                 IpAddr::V4(host) => bytes.extend(host.octets()),
-                IpAddr::V6(host) => panic!("{host} fits no record"),
+                IpAddr::V6(host) => panic!("{host} does not fit into a record"),
             }
             bytes.extend(self.address(*at).port().to_be_bytes());
             bytes.extend([*state, 0, 0]);
@@ -127,17 +140,17 @@
         bytes
     }
 
-    /// The next connection that is made to a media server, which has to come within 10 s.
+    /// Accepts the next connection to a media server, which has to arrive within 10 s.
     pub fn accept(&self, at: usize) -> Viewer {
-        let stream = accept_within(&self.boxes[at], 10 * SECOND);
+        let stream = accept_within(&self.listeners[at], 10 * SECOND);
         stream.set_nodelay(true).unwrap();
         Viewer::over(stream)
     }
 
-    /// The connections that were made to a media server by now and that nobody has accepted.
-    pub fn accepted(&self, at: usize) -> Vec<Viewer> {
-        self.boxes[at].set_nonblocking(true).unwrap();
-        let streams = std::iter::from_fn(|| self.boxes[at].accept().ok()).map(|(stream, _)| stream);
+    /// Accepts all connections to a media server that wait in its queue now.
+    pub fn pending_connections(&self, at: usize) -> Vec<Viewer> {
+        self.listeners[at].set_nonblocking(true).unwrap();
+        let streams = std::iter::from_fn(|| self.listeners[at].accept().ok()).map(|(stream, _)| stream);
         streams
             .map(|stream| {
                 stream.set_nonblocking(false).unwrap();
@@ -146,16 +159,17 @@
             .collect()
     }
 
-    /// A media server whose machine takes no connection while it holds these: dials to it come up late or never.
-    pub fn deafen(&self, at: usize) -> Vec<Socket> {
+    /// Fills the accept queue of a media server: while these sockets are held, dials to it succeed late or never.
+    pub fn fill_accept_queue(&self, at: usize) -> Vec<Socket> {
         let address = self.address(at);
-        SockRef::from(&self.boxes[at]).listen(1).unwrap();
-        fillers(address)
+        SockRef::from(&self.listeners[at]).listen(1).unwrap();
+        fill_listen_queue(address)
     }
 }
 
-/// Connections that fill the queue of a listener which holds one: the kernel answers no call to it while they are there.
-pub fn fillers(address: SocketAddr) -> Vec<Socket> {
+/// Opens connections that fill the queue of a listener with a backlog of one: while they are held, the kernel answers no
+/// further connection request.
+pub fn fill_listen_queue(address: SocketAddr) -> Vec<Socket> {
     let fill = |_| {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket.set_nonblocking(true).unwrap();
@@ -165,15 +179,15 @@
     (0..6).map(fill).collect()
 }
 
-/// The next connection, which has to come within this time. Danger: a test that waits for one that never comes, since
-/// the process has ended, hangs for ever and says nothing.
-pub fn accept_within(listener: &TcpListener, within: Duration) -> TcpStream {
+/// Accepts the next connection, with a timeout: without one, a test whose process has exited would wait for a connection
+/// forever and report nothing.
+pub fn accept_within(listener: &TcpListener, timeout: Duration) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
-    let until = Instant::now() + within;
+    let deadline = Instant::now() + timeout;
     let stream = loop {
         match listener.accept() {
             Ok((stream, _)) => break stream,
-            Err(error) => assert!(Instant::now() < until, "nobody connects: {error}"),
+            Err(error) => assert!(Instant::now() < deadline, "no connection arrived: {error}"),
         }
         thread::sleep(Duration::from_millis(1));
     };
@@ -181,27 +195,27 @@
     stream
 }
 
-/// An address at which calls are refused until this socket listens, and which nobody else can take meanwhile.
-pub fn refusing() -> (Socket, SocketAddr) {
+/// Reserves an address at which connections are refused until the returned socket listens.
+pub fn refusing_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from((own_host(), 0)).into()).unwrap();
     let at = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, at)
 }
 
-/// As many bytes of tests as one look at a socket does not read, then a request.
-pub fn behind_others(viewer: &Viewer, id: u64) {
+/// Sends more health tests than the node reads from a socket at once, and a request behind them.
+pub fn send_request_behind_tests(viewer: &Viewer, id: u64) {
     let mut bytes = Vec::new();
     (0..10_000).for_each(|test| Message::new(kind::TEST, test).with(code::CAUSE, [0]).write(&mut bytes));
     Viewer::request(id, "clip", 1).write(&mut bytes);
     (&viewer.stream).write_all(&bytes).unwrap();
 }
 
-/// Reads until a message of this kind; what else comes meanwhile is dropped.
-pub fn wait_for(line: &mut Viewer, kind: u8, id: u64) -> Message {
-    let until = Instant::now() + 5 * SECOND;
-    while Instant::now() < until {
-        match line.next(SECOND) {
+/// Reads until a message of this kind arrives for this session, and discards all others.
+pub fn wait_for_message(connection: &mut Viewer, kind: u8, id: u64) -> Message {
+    let deadline = Instant::now() + 5 * SECOND;
+    while Instant::now() < deadline {
+        match connection.next(SECOND) {
             Some(message) if message.kind == kind && message.session == id => return message,
             _ => {}
         }
@@ -209,23 +223,24 @@
     panic!("no message of kind {kind} for {id:x}");
 }
 
-/// All that comes until nothing does for so long.
-pub fn rest(line: &mut Viewer, within: Duration) -> Vec<Message> {
-    std::iter::from_fn(|| line.next(within)).collect()
+/// Reads until nothing arrives for this long.
+pub fn read_until_silent(connection: &mut Viewer, timeout: Duration) -> Vec<Message> {
+    std::iter::from_fn(|| connection.next(timeout)).collect()
 }
 
-pub fn plays(line: &Viewer, id: u64) {
-    line.say(&Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by hand"));
+/// Answers a set-up: the session plays.
+pub fn answer_set_up(connection: &Viewer, id: u64) {
+    connection.say(&Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by hand"));
 }
 
-/// With another value of a parameter.
-pub fn with(mut message: Message, code: u8, value: impl Into<Vec<u8>>) -> Message {
+/// Replaces the value of a parameter.
+pub fn with_parameter(mut message: Message, code: u8, value: impl Into<Vec<u8>>) -> Message {
     message.parameters.retain(|(other, _)| *other != code);
     message.with(code, value)
 }
 
-/// A request for a title that one cell holds.
-pub fn request_at(id: u64, class: &str, cell: usize) -> Message {
+/// A request for a title that only this cell holds.
+pub fn request_for_cell(id: u64, class: &str, cell: usize) -> Message {
     let figures = format!("home:{cell};copies:1;top:1;viewer:{id:016x}");
-    with(Viewer::request(id, class, 1), code::FIGURES, figures)
+    with_parameter(Viewer::request(id, class, 1), code::FIGURES, figures)
 }
--- a/crates/daemon/tests/node/mod.rs
+++ b/crates/daemon/tests/node/mod.rs
@@ -1,4 +1,4 @@
-//! A front node of the platform as a process, for the tests against the platform's stand-in.
+//! Runs a front node of the platform as a process, for tests against a stand-in of the platform.
 #![allow(dead_code)]
 
 pub mod hand;
@@ -18,7 +18,7 @@
 pub const SECOND: Duration = Duration::from_secs(1);
 pub const CELLS: usize = 3;
 
-/// A front node as a process of its own, ended with this value.
+/// A front node in a process of its own, killed when this value is dropped.
 pub struct Node {
     pub child: Child,
     pub listen: SocketAddr,
@@ -28,14 +28,14 @@
 
 impl Node {
     pub fn start(platform: &Platform, name: &str, sockets: usize) -> Node {
-        let node = Node::start_by(name, sockets, |listen| platform.config(listen, sockets));
+        let node = Node::start_with_config(name, sockets, |listen| platform.config(listen, sockets));
         node.wait_ready();
         node
     }
 
-    /// The same by any configuration, not waiting until it is ready.
-    pub fn start_by(name: &str, sockets: usize, config: impl FnOnce(SocketAddr) -> Value) -> Node {
-        // The address is free again when the listener is dropped, and nobody else has this host.
+    /// Starts a node with any configuration, without waiting until it is ready.
+    pub fn start_with_config(name: &str, sockets: usize, config: impl FnOnce(SocketAddr) -> Value) -> Node {
+        // Dropping the listener frees the address, and no other test process uses this host.
         let listen = TcpListener::bind((own_host(), 0)).unwrap().local_addr().unwrap();
         let file = format!("salttally-{name}-{}.json", std::process::id());
         let path = std::env::temp_dir().join(file);
@@ -44,9 +44,10 @@
         Node { child, listen, config: path, sockets }
     }
 
+    /// Waits until the node accepts connections and passes its health test.
     pub fn wait_ready(&self) {
-        let until = Instant::now() + 10 * SECOND;
-        while Instant::now() < until {
+        let deadline = Instant::now() + 10 * SECOND;
+        while Instant::now() < deadline {
             if let Ok(mut viewer) = Viewer::connect(self.listen) {
                 viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
                 if viewer.next(SECOND).and_then(|m| m.cause()) == Some(1) {
@@ -55,7 +56,7 @@
             }
             thread::sleep(Duration::from_millis(20));
         }
-        panic!("the front node is not ready");
+        panic!("the front node is not ready after 10 s");
     }
 
     pub fn viewer(&self) -> Viewer {
@@ -66,19 +67,20 @@
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
 
-    /// Stops the process, and returns when it has stopped: what is done after that it has not seen.
-    pub fn stop(&self) {
+    /// Sends SIGSTOP and returns once all threads have stopped, so that the process sees nothing that happens afterwards.
+    pub fn suspend(&self) {
         self.signal(Signal::STOP);
-        let tasks = format!("/proc/{}/task", self.child.id());
+        let tasks_path = format!("/proc/{}/task", self.child.id());
         let stopped = || {
-            fs::read_dir(&tasks).unwrap().flatten().all(|task| {
+            fs::read_dir(&tasks_path).unwrap().flatten().all(|task| {
                 let stat = fs::read_to_string(task.path().join("stat")).unwrap_or_default();
                 stat.rsplit(')').next().is_some_and(|rest| rest.trim_start().starts_with('T'))
             })
         };
-        soon("it stops", stopped);
+        wait_until("the process stops", stopped);
     }
 
+    /// Kills the process and starts it again at the same address.
     pub fn restart(&mut self, platform: &Platform) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -87,9 +89,10 @@
         self.wait_ready();
     }
 
-    pub fn ends(&mut self, within: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + within;
-        while Instant::now() < until {
+    /// Waits for the process to exit; `None` on timeout.
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
+        while Instant::now() < deadline {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return Some(status);
             }
@@ -110,22 +113,24 @@
     command.arg("--platform").env("GW_CONFIG", config).stderr(Stdio::null()).spawn().unwrap()
 }
 
-/// Asks for a session and waits for the one answer.
-pub fn ask(viewer: &mut Viewer, id: u64, class: &str) -> Message {
+/// Requests a session and waits for its answer.
+pub fn request_session(viewer: &mut Viewer, id: u64, class: &str) -> Message {
     viewer.say(&Viewer::request(id, class, CELLS));
-    answer(viewer, id)
+    read_answer(viewer, id)
 }
 
-pub fn answer(viewer: &mut Viewer, id: u64) -> Message {
-    let got = viewer.next(2 * SECOND).expect("an answer");
-    assert_eq!(got.session, id);
-    got
+/// Reads the next message, which has to belong to this request.
+pub fn read_answer(viewer: &mut Viewer, id: u64) -> Message {
+    let answer = viewer.next(2 * SECOND).expect("an answer");
+    assert_eq!(answer.session, id);
+    answer
 }
 
-pub fn soon(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + 5 * SECOND;
-    while !holds() {
-        assert!(Instant::now() < until, "{what}");
+/// Waits up to 5 s until the condition holds.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + 5 * SECOND;
+    while !condition() {
+        assert!(Instant::now() < deadline, "{what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/daemon/tests/rig/mod.rs
+++ b/crates/daemon/tests/rig/mod.rs
@@ -1,5 +1,5 @@
-//! A small fleet of stand-ins on loopback, fronts in this process, and players led by hand, all written to one
-//! record that the judge reads at the end.
+//! A test rig: a small fleet of stand-ins on loopback, fronts in this process, and scripted players. All of them write to
+//! one record, which the judge checks at the end.
 #![allow(dead_code)]
 
 use std::io;
@@ -16,7 +16,7 @@
 use salttally_standin::script::Script;
 use serde_json::{json, Value};
 
-/// Terms that every front of these tests has. `{limits}` is put in by the test.
+/// Terms of every front in these tests. `LIMITS` is replaced with the limits of the test.
 const TERMS: &str = r#"
 terms {
     ladder { rung kb=100 worth=0.2; rung kb=200 worth=0.5; rung kb=400 worth=1.0; }
@@ -28,15 +28,15 @@
 }
 "#;
 
-/// A day of this head (KDL nodes) with the terms of these tests.
+/// A script made of these KDL nodes and the terms of these tests.
 pub fn script(head: &str, limits: &str) -> Script {
     let text = format!("{head}\n{}", TERMS.replace("LIMITS", limits));
     let document = Document::parse("test.kdl", &text).unwrap_or_else(|e| panic!("{e}"));
     Script::read(&document).unwrap_or_else(|e| panic!("{e}"))
 }
 
-/// A head with so many boxes, and set-ups that take so long.
-pub fn head(boxes: u32, set_up_ms: u32) -> String {
+/// KDL nodes of a script with this many boxes, whose set-ups take this long.
+pub fn script_head(boxes: u32, set_up_ms: u32) -> String {
     format!(
         "day seconds=5 sessions=1\nfronts 1\nlist-lag-ms 20\ntitles 4 holders={boxes}\n\
          viewers \"clip\" share=1 length-s=1 patience-ms=2000\n\
@@ -44,11 +44,11 @@
     )
 }
 
-/// Fronts in this process.
+/// Runs fronts in this process.
 #[derive(Default)]
-pub struct InProcess(pub Vec<Option<Front>>);
+pub struct InProcessFronts(pub Vec<Option<Front>>);
 
-impl Fronts for InProcess {
+impl Fronts for InProcessFronts {
     fn start(&mut self, number: usize, settings: &str) -> io::Result<()> {
         let settings = Settings::parse("front.kdl", settings).map_err(|e| io::Error::other(e.to_string()))?;
         let front = Front::start(settings).map_err(|e| io::Error::other(e.to_string()))?;
@@ -64,46 +64,47 @@
     }
 }
 
-/// A fleet with its fronts.
+/// A fleet of stand-ins with its fronts.
 pub struct Rig {
     pub day: Day,
-    pub fronts: InProcess,
+    pub fronts: InProcessFronts,
     edit: fn(&str) -> String,
 }
 
 impl Rig {
-    /// Starts boxes, list and fronts, and waits until the fronts know the boxes.
+    /// Starts boxes, list and fronts, and waits until the fronts serve sessions.
     pub fn start(script: Script) -> Rig {
-        Rig::edited(script, str::to_owned)
+        Rig::start_with_settings(script, str::to_owned)
     }
 
-    /// The same, with the fronts' settings changed.
-    pub fn edited(script: Script, edit: fn(&str) -> String) -> Rig {
+    /// Like `start`, with the settings of the fronts edited by `edit`.
+    pub fn start_with_settings(script: Script, edit: fn(&str) -> String) -> Rig {
         let day = Day::start(script).expect("stand-ins start");
-        let mut rig = Rig { day, fronts: InProcess::default(), edit };
+        let mut rig = Rig { day, fronts: InProcessFronts::default(), edit };
         for number in 0..rig.day.script.fronts {
-            rig.up(number);
+            rig.start_front(number);
         }
         rig
     }
 
-    pub fn up(&mut self, number: u32) {
+    /// Starts a front and waits until it serves sessions.
+    pub fn start_front(&mut self, number: u32) {
         self.day.log.write(What::FrontUp { front: format!("f{number}") });
         let settings = (self.edit)(self.day.settings(number as usize));
         self.fronts.start(number as usize, &settings).expect("the front starts");
-        self.knows_boxes(number);
+        self.wait_until_serving(number);
     }
 
-    /// Waits until a session can be had: then the front knows the boxes.
-    pub fn knows_boxes(&self, number: u32) {
-        let until = Instant::now() + Duration::from_secs(10);
+    /// Waits until the front serves a session, which means that it knows the boxes.
+    pub fn wait_until_serving(&self, number: u32) {
+        let deadline = Instant::now() + Duration::from_secs(10);
         loop {
             let viewer = &mut Viewer::connect(self, number, "first");
             if viewer.open("title-0", "clip", 2000).is_plays() {
                 viewer.close();
                 return;
             }
-            assert!(Instant::now() < until, "the front never has a box");
+            assert!(Instant::now() < deadline, "the front never serves a session");
             std::thread::sleep(Duration::from_millis(20));
         }
     }
@@ -112,7 +113,8 @@
         self.fronts.0[number].as_ref().expect("the front runs")
     }
 
-    pub fn down(&mut self, number: usize) {
+    /// Kills a front without a graceful shutdown.
+    pub fn kill_front(&mut self, number: usize) {
         self.day.log.write(What::FrontDown { front: format!("f{number}") });
         self.fronts.kill(number);
     }
@@ -121,21 +123,21 @@
         self.day.front_address(number)
     }
 
-    /// Sessions that boxes hold now.
-    pub fn held(&self) -> usize {
+    /// Number of sessions that the boxes hold now.
+    pub fn held_sessions(&self) -> usize {
         self.day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum()
     }
 
-    /// Waits until the boxes hold so many sessions.
-    pub fn wait_held(&self, count: usize) {
-        wait(
+    /// Waits until the boxes hold this many sessions.
+    pub fn wait_for_held_sessions(&self, count: usize) {
+        wait_until(
             Duration::from_secs(10),
-            || self.held() == count,
-            || format!("boxes hold {}, not {count}", self.held()),
+            || self.held_sessions() == count,
+            || format!("the boxes hold {} sessions, not {count}", self.held_sessions()),
         );
     }
 
-    /// The boxes at which a session plays or is set up.
+    /// The boxes at which a session plays or is being set up.
     pub fn boxes_of(&self, session: &str) -> Vec<u32> {
         let fleet = self.day.boxes.fleet();
         let holds =
@@ -143,12 +145,13 @@
         fleet.boxes.iter().filter(|(_, state)| holds(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Ends the fronts in order and judges all that crossed; the lock must not have been needed.
-    pub fn end(mut self) {
-        for (at, front) in self.fronts.0.drain(..).enumerate() {
+    /// Shuts the fronts down gracefully and judges the whole record. The fronts' safety guard must not have stopped any
+    /// action.
+    pub fn shut_down_and_judge(mut self) {
+        for (number, front) in self.fronts.0.drain(..).enumerate() {
             let Some(front) = front else { continue };
-            self.day.log.write(What::FrontDown { front: format!("f{at}") });
-            let counts = front.shut_down(Duration::from_secs(5)).expect("all that played is released");
+            self.day.log.write(What::FrontDown { front: format!("f{number}") });
+            let counts = front.shut_down(Duration::from_secs(5)).expect("all sessions are released");
             assert_eq!(counts.stopped(), 0, "{counts:?}");
         }
         self.day.stop();
@@ -157,62 +160,77 @@
     }
 }
 
-/// Waits until something is so.
-pub fn wait(within: Duration, mut so: impl FnMut() -> bool, or: impl Fn() -> String) {
-    let until = Instant::now() + within;
-    while !so() {
-        assert!(Instant::now() < until, "{}", or());
+/// Waits until the condition holds, and panics with the message on timeout.
+pub fn wait_until(
+    timeout: Duration,
+    mut condition: impl FnMut() -> bool,
+    failure_message: impl Fn() -> String,
+) {
+    let deadline = Instant::now() + timeout;
+    while !condition() {
+        assert!(Instant::now() < deadline, "{}", failure_message());
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The one answer, as a test needs it.
+/// The answer to an open, reduced to what the tests check.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum OpenAnswer {
+    /// The session plays.
     Plays(String),
+    /// The session was refused, with the hold-off in ms.
     Refused(String, u64),
+    /// The session failed, with the reason.
     Failed(String, String),
-    Cut,
+    /// The connection was closed before the answer.
+    Disconnected,
 }
 
-impl Heard {
+impl OpenAnswer {
     pub fn is_plays(&self) -> bool {
-        matches!(self, Heard::Plays(_))
+        matches!(self, OpenAnswer::Plays(_))
     }
 }
 
-/// A player led by hand.
+/// A scripted player.
 pub struct Viewer<'a> {
     rig: &'a Rig,
-    pub line: Line,
+    pub connection: Line,
     front: String,
     name: String,
     pub session: Option<String>,
-    pub aside: Vec<Value>,
+    /// Messages read while waiting for another one.
+    pub other_messages: Vec<Value>,
 }
 
 impl<'a> Viewer<'a> {
     pub fn connect(rig: &'a Rig, front: u32, name: &str) -> Viewer<'a> {
-        let line =
-            Line::connect(rig.address(front), Duration::from_secs(3)).expect("the front takes players");
+        let connection =
+            Line::connect(rig.address(front), Duration::from_secs(3)).expect("the front accepts players");
         let (front, name) = (format!("f{front}"), name.to_owned());
-        Viewer { rig, line, front, name, session: None, aside: Vec::new() }
+        Viewer { rig, connection, front, name, session: None, other_messages: Vec::new() }
     }
 
-    /// Writes `session.open`; returns the id of the call.
-    pub fn ask(&mut self, title: &str, class: &str, patience_ms: u64) -> u64 {
-        self.ask_moved(title, class, patience_ms, None)
+    /// Sends `session.open` and returns the id of the call.
+    pub fn send_open(&mut self, title: &str, class: &str, patience_ms: u64) -> u64 {
+        self.send_open_moved(title, class, patience_ms, None)
     }
 
-    /// The same for a session that was moved.
-    pub fn ask_moved(&mut self, title: &str, class: &str, patience_ms: u64, from: Option<&str>) -> u64 {
+    /// Like `send_open`, for a session that was moved.
+    pub fn send_open_moved(
+        &mut self,
+        title: &str,
+        class: &str,
+        patience_ms: u64,
+        moved_from: Option<&str>,
+    ) -> u64 {
         let mut params = json!({
             "viewer": self.name, "title": title, "class": class, "top_rung": 2, "patience_ms": patience_ms
         });
-        if let Some(old) = from {
-            params["moved_from"] = Value::from(old);
+        if let Some(old_session) = moved_from {
+            params["moved_from"] = Value::from(old_session);
         }
-        let open = self.open_number();
+        let open = self.open_id();
         self.rig.day.log.write(What::Opened {
             open,
             front: self.front.clone(),
@@ -223,87 +241,90 @@
             length: 1_000_000,
             returned: false,
         });
-        let id = self.line.call("session.open", &params).expect("the call is written");
-        assert_eq!(self.open_number(), open, "one open at a time");
+        let id = self.connection.call("session.open", &params).expect("the call is written");
+        assert_eq!(self.open_id(), open, "one open at a time");
         id
     }
 
-    /// A number for the open call under way: no two players of a test have one name.
-    fn open_number(&self) -> u64 {
+    /// An id for the current open call; unique because no two players of a test share a name.
+    fn open_id(&self) -> u64 {
         let hash =
             self.name.bytes().fold(17u64, |hash, byte| hash.wrapping_mul(131).wrapping_add(u64::from(byte)));
-        hash.wrapping_mul(1000).wrapping_add(self.aside.len() as u64 * 7)
+        hash.wrapping_mul(1000).wrapping_add(self.other_messages.len() as u64 * 7)
     }
 
-    /// Reads the one answer to a call.
-    pub fn hear(&mut self, id: u64, within: Duration) -> Heard {
-        let open = self.open_number();
-        let mut aside = Vec::new();
-        let heard = match self.line.response(id, Instant::now() + within, &mut aside) {
+    /// Reads the answer to a call.
+    pub fn read_answer(&mut self, id: u64, timeout: Duration) -> OpenAnswer {
+        let open = self.open_id();
+        let mut other_messages = Vec::new();
+        let outcome = match self.connection.response(id, Instant::now() + timeout, &mut other_messages) {
             Ok(answer) => {
                 let text = |value: &Value| value.as_str().unwrap_or("").to_owned();
                 let error = &answer["error"];
                 let data = &error["data"];
-                let (kind, session, heard) = match error["code"].as_i64() {
+                let (kind, session, outcome) = match error["code"].as_i64() {
                     None => {
                         let session = text(&answer["result"]["session"]);
-                        (AnswerKind::Plays, session.clone(), Heard::Plays(session))
+                        (AnswerKind::Plays, session.clone(), OpenAnswer::Plays(session))
                     }
                     Some(-32001) => {
                         let hold_off = data["hold_off_ms"].as_u64().unwrap_or(0);
                         let session = text(&data["session"]);
-                        (AnswerKind::Refused, session.clone(), Heard::Refused(session, hold_off))
+                        (AnswerKind::Refused, session.clone(), OpenAnswer::Refused(session, hold_off))
                     }
                     _ => {
                         let session = text(&data["session"]);
                         let reason = data["reason"]
                             .as_str()
                             .unwrap_or_else(|| error["message"].as_str().unwrap_or(""));
-                        let heard = Heard::Failed(session.clone(), reason.to_owned());
-                        (AnswerKind::Failed, session, heard)
+                        let outcome = OpenAnswer::Failed(session.clone(), reason.to_owned());
+                        (AnswerKind::Failed, session, outcome)
                     }
                 };
                 self.rig.day.log.write(What::Answered { open, answer: kind, session });
-                heard
+                outcome
             }
-            Err(Silence::TimedOut) => panic!("no answer in {within:?}"),
+            Err(Silence::TimedOut) => panic!("no answer within {timeout:?}"),
             Err(Silence::Cut(_)) => {
                 self.rig.day.log.write(What::Cut { open });
-                Heard::Cut
+                OpenAnswer::Disconnected
             }
         };
-        self.aside.extend(aside);
-        if let Heard::Plays(session) = &heard {
+        self.other_messages.extend(other_messages);
+        if let OpenAnswer::Plays(session) = &outcome {
             self.session = Some(session.clone());
         }
-        heard
+        outcome
     }
 
     /// Opens a session and reads its answer.
-    pub fn open(&mut self, title: &str, class: &str, patience_ms: u64) -> Heard {
-        let id = self.ask(title, class, patience_ms);
-        let heard = self.hear(id, Duration::from_millis(patience_ms + 500));
-        // The next open of this player has another number.
-        self.aside.push(Value::Null);
-        heard
+    pub fn open(&mut self, title: &str, class: &str, patience_ms: u64) -> OpenAnswer {
+        let id = self.send_open(title, class, patience_ms);
+        let outcome = self.read_answer(id, Duration::from_millis(patience_ms + 500));
+        // Gives the next open of this player another id.
+        self.other_messages.push(Value::Null);
+        outcome
     }
 
-    /// Closes the session that plays.
+    /// Closes the playing session.
     pub fn close(&mut self) {
         let session = self.session.take().expect("a session plays");
-        let id = self.line.call("session.close", &json!({"session": session})).expect("the call is written");
-        let answer =
-            self.line.response(id, Instant::now() + Duration::from_secs(3), &mut self.aside).expect("closed");
+        let id =
+            self.connection.call("session.close", &json!({"session": session})).expect("the call is written");
+        let answer = self
+            .connection
+            .response(id, Instant::now() + Duration::from_secs(3), &mut self.other_messages)
+            .expect("closed");
         assert_eq!(answer["result"]["state"], "closed", "{answer}");
     }
 
-    /// Waits for a notification of this name.
-    pub fn news(&mut self, method: &str, within: Duration) -> Value {
-        let until = Instant::now() + within;
+    /// Waits for a notification of this method.
+    pub fn wait_for_notification(&mut self, method: &str, timeout: Duration) -> Value {
+        let deadline = Instant::now() + timeout;
         loop {
-            match self.line.next(until) {
+            match self.connection.next(deadline) {
                 Ok(message) if message["method"] == method => return message,
-                Ok(message) => self.aside.push(message),
+                Ok(message) => self.other_messages.push(message),
                 Err(silence) => panic!("no {method}: {silence:?}"),
             }
         }
--- a/crates/daemon/tests/stopped.rs
+++ b/crates/daemon/tests/stopped.rs
@@ -1,5 +1,5 @@
-//! A front of players over WebSocket that is itself stopped for a while, as a process, against the stand-ins. Danger:
-//! what was not heard meanwhile is taken for silence of the boxes, and every session for lost.
+//! A WebSocket front whose process is suspended for a while, against the stand-ins. Guards against treating the missing
+//! messages of that time as silence of the boxes, which would end every session as lost.
 
 mod rig;
 
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use rig::{head, script, wait};
+use rig::{script, script_head, wait_until};
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_standin::day::Day;
 use salttally_standin::players::Line;
@@ -34,7 +34,8 @@
         Front { child, config }
     }
 
-    fn stopped(&self, span: Duration) {
+    /// Suspends the process for this long.
+    fn suspend_for(&self, span: Duration) {
         let pid = Pid::from_child(&self.child);
         kill_process(pid, Signal::STOP).unwrap();
         thread::sleep(span);
@@ -48,102 +49,108 @@
     }
 }
 
-fn open(line: &mut Line, viewer: &str, class: &str, patience_ms: u64) -> u64 {
+fn send_open(connection: &mut Line, viewer: &str, class: &str, patience_ms: u64) -> u64 {
     let params = json!({"viewer": viewer, "title": "title-0", "class": class, "top_rung": 2, "patience_ms": patience_ms});
-    line.call("session.open", &params).unwrap()
+    connection.call("session.open", &params).unwrap()
 }
 
-fn opened(line: &mut Line, viewer: &str) -> Option<String> {
-    let id = open(line, viewer, "paid", 2000);
-    let answer = line.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).ok()?;
+fn open_paid_session(connection: &mut Line, viewer: &str) -> Option<String> {
+    let id = send_open(connection, viewer, "paid", 2000);
+    let answer = connection.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).ok()?;
     answer["result"]["session"].as_str().map(str::to_owned)
 }
 
-/// A front that serves, and a line to it.
-fn serving(day: &Day, name: &str) -> (Front, Line) {
+/// Starts a front, connects to it, and waits until it serves sessions.
+fn start_serving(day: &Day, name: &str) -> (Front, Line) {
     let front = Front::start(day, name);
-    let mut line = Line::connect(day.front_address(0), 3 * SECOND).unwrap();
-    wait(10 * SECOND, || opened(&mut line, "first").is_some(), || "the front never has a box".into());
-    (front, line)
+    let mut connection = Line::connect(day.front_address(0), 3 * SECOND).unwrap();
+    wait_until(
+        10 * SECOND,
+        || open_paid_session(&mut connection, "first").is_some(),
+        || "the front never serves a session".into(),
+    );
+    (front, connection)
 }
 
-/// Sessions that play, of so many that are asked for; at least this many must.
-fn playing(line: &mut Line, asked: usize, least: usize) -> Vec<String> {
+/// Opens sessions and returns those that play, which must be at least this many.
+fn open_sessions(connection: &mut Line, count: usize, minimum: usize) -> Vec<String> {
     let sessions: Vec<String> =
-        (0..asked).filter_map(|number| opened(line, &format!("viewer-{number}"))).collect();
-    assert!(sessions.len() >= least, "{} of {asked} play", sessions.len());
+        (0..count).filter_map(|number| open_paid_session(connection, &format!("viewer-{number}"))).collect();
+    assert!(sessions.len() >= minimum, "{} of {count} play", sessions.len());
     sessions
 }
 
 #[test]
-fn sessions_of_a_front_that_was_stopped_play_on() {
-    let day = Day::start(script(&head(8, 5), "")).unwrap();
-    let (front, mut line) = serving(&day, "stopped");
-    let sessions = playing(&mut line, 100, 95);
+fn sessions_survive_a_suspension_of_their_front() {
+    let day = Day::start(script(&script_head(8, 5), "")).unwrap();
+    let (front, mut connection) = start_serving(&day, "stopped");
+    let sessions = open_sessions(&mut connection, 100, 95);
     // Longer than the silence (0.9 s) and the loss (0.9 s) of these settings together.
-    front.stopped(5 * SECOND);
-    let mut told: Vec<Value> = Vec::new();
+    front.suspend_for(5 * SECOND);
+    let mut messages: Vec<Value> = Vec::new();
     let until = Instant::now() + 3 * SECOND;
-    while let Ok(message) = line.next(until) {
-        told.push(message);
+    while let Ok(message) = connection.next(until) {
+        messages.push(message);
     }
-    let ended = told.iter().filter(|message| message["method"] == "session.ended").count();
-    assert_eq!(ended, 0, "of {}: {:?}", sessions.len(), told.first());
+    let ended = messages.iter().filter(|message| message["method"] == "session.ended").count();
+    assert_eq!(ended, 0, "of {}: {:?}", sessions.len(), messages.first());
     let held = |session: &String| {
         let fleet = day.boxes.fleet();
         fleet.boxes.values().any(|state| state.plays.keys().any(|(id, _)| id == session))
     };
-    assert!(sessions.iter().all(held), "and their boxes hold them");
-    // A box that does die is still missed.
+    assert!(sessions.iter().all(held), "the boxes still hold the sessions");
+    // A box that really dies is still detected.
     let at = *day.boxes.fleet().boxes.iter().find(|(_, state)| !state.plays.is_empty()).unwrap().0;
     day.boxes.kill(at);
-    let end = line.next(Instant::now() + 3 * SECOND).expect("its sessions are told to be over");
+    let end = connection.next(Instant::now() + 3 * SECOND).expect("its sessions are reported as ended");
     assert_eq!(end["method"], "session.ended", "{end}");
 }
 
-// Caught two looks at the clock, one for pauses and one for what is due: stopped between them, in the middle of a batch, the
-// front took its own sleep for silence of all boxes.
+// Guards against reading the clock twice, once to detect pauses and once for due timers: suspended between the two, in the
+// middle of a batch, the front took its own suspension for silence of all boxes.
 #[test]
-fn sessions_of_a_front_that_was_stopped_in_the_middle_of_its_work_play_on() {
-    let day = Day::start(script(&head(8, 5), "")).unwrap();
-    let (front, mut line) = serving(&day, "stopped-busy");
-    let sessions = playing(&mut line, 30, 28);
+fn sessions_survive_a_suspension_of_their_front_in_the_middle_of_a_batch() {
+    let day = Day::start(script(&script_head(8, 5), "")).unwrap();
+    let (front, mut connection) = start_serving(&day, "stopped-busy");
+    let sessions = open_sessions(&mut connection, 30, 28);
     let mut other = Line::connect(day.front_address(0), 3 * SECOND).unwrap();
     let question = |id: u64| {
         json!({"jsonrpc": "2.0", "id": id, "method": "session.status",
             "params": {"session": format!("f0-00000000-{id:010}"), "viewer": "nobody"}})
     };
     let batch = Value::from((0..64).map(question).collect::<Vec<_>>()).to_string();
-    for stop in 1..=6 {
+    for round in 1..=6 {
         thread::sleep(SECOND / 2);
         other.send(&batch).unwrap();
-        // In the middle of the batch, at one of these moments.
-        thread::sleep(Duration::from_micros(250 * stop));
-        front.stopped(5 * SECOND / 2);
+        // Each round suspends the front at another moment of the batch.
+        thread::sleep(Duration::from_micros(250 * round));
+        front.suspend_for(5 * SECOND / 2);
         other.next(Instant::now() + SECOND).unwrap();
     }
-    let ended: Vec<Value> = std::iter::from_fn(|| line.next(Instant::now() + SECOND / 2).ok()).collect();
+    let ended: Vec<Value> =
+        std::iter::from_fn(|| connection.next(Instant::now() + SECOND / 2).ok()).collect();
     assert!(ended.is_empty(), "of {}: {ended:?}", sessions.len());
 }
 
 #[test]
-fn answers_that_came_while_a_front_was_stopped_are_passed_on_in_time_and_never_late() {
-    let day = Day::start(script(&head(4, 150), "")).unwrap();
-    let (front, mut line) = serving(&day, "stopped-out");
-    // The module gives a set-up half a second and more of these two seconds; the stop takes that and leaves a second.
+fn answers_that_arrive_during_a_suspension_are_forwarded_in_time_or_not_at_all() {
+    let day = Day::start(script(&script_head(4, 150), "")).unwrap();
+    let (front, mut connection) = start_serving(&day, "stopped-out");
+    // The module allows a set-up at least 0.5 s of the 2 s of patience; the short suspension uses that up and leaves 1 s.
     for (round, span, plays) in [(0, SECOND, true), (1, 4 * SECOND, false)] {
         let ids: Vec<u64> =
-            (0..8).map(|n| open(&mut line, &format!("out-{round}-{n}"), "paid", 2000)).collect();
+            (0..8).map(|n| send_open(&mut connection, &format!("out-{round}-{n}"), "paid", 2000)).collect();
         thread::sleep(SECOND / 20);
-        front.stopped(span);
-        let woken = Instant::now();
+        front.suspend_for(span);
+        let resumed = Instant::now();
         let until = Instant::now() + SECOND;
-        let mut said: Vec<Value> = (0..8).map(|_| line.next(until).expect("an answer each")).collect();
-        let late = woken.elapsed();
-        said.extend(std::iter::from_fn(|| line.next(Instant::now() + SECOND / 4).ok()));
-        let answers = |id: &u64| said.iter().filter(|m| m["id"] == *id).count();
-        assert!(ids.iter().all(|id| answers(id) == 1), "one answer each: {said:?}");
-        let played = said.iter().filter(|m| m["result"]["session"].is_string()).count();
+        let mut received: Vec<Value> =
+            (0..8).map(|_| connection.next(until).expect("an answer each")).collect();
+        let late = resumed.elapsed();
+        received.extend(std::iter::from_fn(|| connection.next(Instant::now() + SECOND / 4).ok()));
+        let answers = |id: &u64| received.iter().filter(|m| m["id"] == *id).count();
+        assert!(ids.iter().all(|id| answers(id) == 1), "one answer each: {received:?}");
+        let played = received.iter().filter(|m| m["result"]["session"].is_string()).count();
         assert!(late < SECOND, "{late:?}");
         assert_eq!(played, if plays { 8 } else { 0 });
     }
--- a/crates/daemon/tests/suite.rs
+++ b/crates/daemon/tests/suite.rs
@@ -1,5 +1,5 @@
-//! One suite against the library's own handle, the library over loopback and the daemon over loopback: the same
-//! answers and the same decisions.
+//! Runs the same steps against the library's handle, the library over loopback and the daemon over loopback, and checks
+//! that all three give the same answers by the same decisions.
 
 mod rig;
 
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use rig::{head, script, wait};
+use rig::{script, script_head, wait_until};
 use salttally_front::core::{Answer, Reply};
 use salttally_front::record::lines::{Done, Line as RecordLine, Told};
 use salttally_front::record::replay;
@@ -22,34 +22,34 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// What one step of the suite was answered, in words that are the same at every door.
-type Said = String;
-
-/// A way to a front.
-trait Door {
-    /// Asks for a session and does not wait.
-    fn ask(&mut self, viewer: &str, title: &str, class: &str);
-    /// The answer to the session asked for last.
-    fn answer(&mut self) -> Said;
-    /// Gives up the session asked for last, and returns its answer.
-    fn cancel(&mut self) -> Said;
-    /// Closes the session of this place in the row of those that were asked for.
-    fn close(&mut self, place: usize) -> Said;
-    /// Waits for the news that the session of this place is over.
-    fn ended(&mut self, place: usize) -> Said;
-    /// Leaves without a word.
-    fn leave(&mut self, place: usize);
-    /// Ends the front in order.
-    fn end(&mut self);
+/// The result of one step, in a form that does not depend on the client.
+type StepResult = String;
+
+/// A way to reach a front.
+trait FrontClient {
+    /// Requests a session without waiting for the answer.
+    fn send_open(&mut self, viewer: &str, title: &str, class: &str);
+    /// Reads the answer to the latest request.
+    fn answer(&mut self) -> StepResult;
+    /// Cancels the latest request and returns its answer.
+    fn cancel(&mut self) -> StepResult;
+    /// Closes the session of this index, counted in the order of the requests.
+    fn close(&mut self, index: usize) -> StepResult;
+    /// Waits for the notification that the session of this index has ended.
+    fn wait_for_end(&mut self, index: usize) -> StepResult;
+    /// Closes the connection of this session without notice.
+    fn disconnect(&mut self, index: usize);
+    /// Shuts the front down gracefully.
+    fn shut_down(&mut self);
 }
 
-/// The library's handle.
-struct Handle {
+/// Uses the handle of the library.
+struct LibraryClient {
     front: Option<Front>,
     sessions: Vec<(Option<Session>, String)>,
 }
 
-fn spoken(answer: &Answer) -> (String, Said) {
+fn describe(answer: &Answer) -> (String, StepResult) {
     match answer {
         Answer::Plays { session, server, rung, .. } => {
             (session.0.to_string(), format!("plays at box {} on rung {rung}", server.0))
@@ -63,8 +63,8 @@
     }
 }
 
-impl Door for Handle {
-    fn ask(&mut self, viewer: &str, title: &str, class: &str) {
+impl FrontClient for LibraryClient {
+    fn send_open(&mut self, viewer: &str, title: &str, class: &str) {
         let asked = Asked {
             viewer: viewer.into(),
             title: title.into(),
@@ -77,28 +77,28 @@
         self.sessions.push((Some(session), String::new()));
     }
 
-    fn answer(&mut self) -> Said {
+    fn answer(&mut self) -> StepResult {
         let (session, name) = self.sessions.last_mut().expect("asked");
         let answer = session.as_ref().expect("there").answer(SECOND * 3).expect("answered");
-        let (id, said) = spoken(&answer);
+        let (id, result) = describe(&answer);
         *name = id;
-        said
+        result
     }
 
-    fn cancel(&mut self) -> Said {
+    fn cancel(&mut self) -> StepResult {
         self.sessions.last().and_then(|(session, _)| session.as_ref()).expect("asked").cancel();
         self.answer()
     }
 
-    fn close(&mut self, place: usize) -> Said {
-        let (session, name) = &mut self.sessions[place];
+    fn close(&mut self, index: usize) -> StepResult {
+        let (session, name) = &mut self.sessions[index];
         let id = salttally::interface::SessionId(name.as_str().into());
         let closed = session.take().expect("there").close(&id, SECOND * 3);
         format!("closed: {closed}")
     }
 
-    fn ended(&mut self, place: usize) -> Said {
-        let session = self.sessions[place].0.as_ref().expect("there");
+    fn wait_for_end(&mut self, index: usize) -> StepResult {
+        let session = self.sessions[index].0.as_ref().expect("there");
         match session.next(SECOND * 5) {
             Some(ToCaller::News(salttally_front::core::News::Ended(_, reason))) => {
                 format!("ended: {reason:?}").to_lowercase()
@@ -107,41 +107,42 @@
         }
     }
 
-    fn leave(&mut self, place: usize) {
-        self.sessions[place].0 = None;
+    fn disconnect(&mut self, index: usize) {
+        self.sessions[index].0 = None;
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         self.front.take().expect("runs").shut_down(SECOND * 5).expect("ends in time");
     }
 }
 
-/// A player on loopback, and what its front runs in.
-struct Socket {
-    front: Host,
+/// A player on loopback, and the host of its front.
+struct WebSocketClient {
+    front: FrontHost,
     address: std::net::SocketAddr,
-    /// One connection a session, as leaving is by connection.
+    /// One connection for each session, since disconnecting affects all sessions of a connection.
     sessions: Vec<(Option<Line>, u64, String)>,
 }
 
-enum Host {
+enum FrontHost {
     Library(Option<Front>),
     Daemon(Child),
 }
 
-impl Door for Socket {
-    fn ask(&mut self, viewer: &str, title: &str, class: &str) {
-        let mut line = Line::connect(self.address, SECOND * 3).expect("connects");
+impl FrontClient for WebSocketClient {
+    fn send_open(&mut self, viewer: &str, title: &str, class: &str) {
+        let mut connection = Line::connect(self.address, SECOND * 3).expect("connects");
         let params =
             json!({"viewer": viewer, "title": title, "class": class, "top_rung": 2, "patience_ms": 2000});
-        let id = line.call("session.open", &params).expect("written");
-        self.sessions.push((Some(line), id, String::new()));
+        let id = connection.call("session.open", &params).expect("written");
+        self.sessions.push((Some(connection), id, String::new()));
     }
 
-    fn answer(&mut self) -> Said {
-        let (line, id, name) = self.sessions.last_mut().expect("asked");
-        let line = line.as_mut().expect("there");
-        let answer = line.response(*id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
+    fn answer(&mut self) -> StepResult {
+        let (connection, id, name) = self.sessions.last_mut().expect("asked");
+        let connection = connection.as_mut().expect("there");
+        let answer =
+            connection.response(*id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
         let (result, data) = (&answer["result"], &answer["error"]["data"]);
         let id = if result.is_null() { &data["session"] } else { &result["session"] };
         *name = id.as_str().expect("named").to_owned();
@@ -152,23 +153,23 @@
         }
     }
 
-    fn cancel(&mut self) -> Said {
-        let (line, id, _) = self.sessions.last_mut().expect("asked");
-        line.as_mut().expect("there").call("session.cancel", &json!({"open": *id})).expect("written");
+    fn cancel(&mut self) -> StepResult {
+        let (connection, id, _) = self.sessions.last_mut().expect("asked");
+        connection.as_mut().expect("there").call("session.cancel", &json!({"open": *id})).expect("written");
         self.answer()
     }
 
-    fn close(&mut self, place: usize) -> Said {
-        let (line, _, name) = &mut self.sessions[place];
-        let line = line.as_mut().expect("there");
-        let id = line.call("session.close", &json!({"session": name})).expect("written");
-        let answer = line.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
+    fn close(&mut self, index: usize) -> StepResult {
+        let (connection, _, name) = &mut self.sessions[index];
+        let connection = connection.as_mut().expect("there");
+        let id = connection.call("session.close", &json!({"session": name})).expect("written");
+        let answer = connection.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
         format!("closed: {}", answer["result"]["state"] == "closed")
     }
 
-    fn ended(&mut self, place: usize) -> Said {
-        let line = self.sessions[place].0.as_mut().expect("there");
-        match line.next(Instant::now() + SECOND * 5) {
+    fn wait_for_end(&mut self, index: usize) -> StepResult {
+        let connection = self.sessions[index].0.as_mut().expect("there");
+        match connection.next(Instant::now() + SECOND * 5) {
             Ok(told) if told["method"] == "session.ended" => {
                 format!("ended: {}", told["params"]["reason"].as_str().unwrap_or(""))
             }
@@ -176,25 +177,25 @@
         }
     }
 
-    fn leave(&mut self, place: usize) {
-        self.sessions[place].0 = None;
+    fn disconnect(&mut self, index: usize) {
+        self.sessions[index].0 = None;
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         match &mut self.front {
-            Host::Library(front) => {
+            FrontHost::Library(front) => {
                 front.take().expect("runs").shut_down(SECOND * 5).expect("ends in time");
             }
-            Host::Daemon(child) => {
+            FrontHost::Daemon(child) => {
                 let sent = Command::new("kill").args(["-TERM", &child.id().to_string()]).status();
                 assert!(sent.expect("sent").success());
-                assert!(child.wait().expect("ended").success(), "the daemon ends in order");
+                assert!(child.wait().expect("ended").success(), "the daemon shuts down gracefully");
             }
         }
     }
 }
 
-/// Settings for these tests: no figures that depend on the moment they were made in.
+/// Settings that record decisions and leave out `reports`, which depends on the timing of each run.
 fn settings(day: &Day, record: &Path) -> String {
     let text: Vec<&str> =
         day.settings(0).lines().filter(|line| !line.trim().starts_with("reports ")).collect();
@@ -202,85 +203,87 @@
     text.join("\n").replacen("    listen ", &record, 1)
 }
 
-fn daemon(config: &Path) -> Child {
+fn start_daemon(config: &Path) -> Child {
     let mut child = Command::new(env!("CARGO_BIN_EXE_salttallyd"))
         .args(["--config", &config.display().to_string(), "--log-level", "warn"])
         .stdout(Stdio::piped())
         .spawn()
         .expect("the daemon starts");
     let mut line = String::new();
-    BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line).expect("it speaks");
+    BufReader::new(child.stdout.take().expect("piped"))
+        .read_line(&mut line)
+        .expect("the daemon prints a line");
     assert!(line.starts_with("listening "), "{line}");
     child
 }
 
-/// One by one, so that what the front hears comes in one order whatever the door.
-fn suite(day: &Day, door: &mut dyn Door) -> Vec<Said> {
-    let mut said = Vec::new();
+/// Runs the steps one after another, so that the front receives its events in the same order from every client.
+fn run_steps(day: &Day, client: &mut dyn FrontClient) -> Vec<StepResult> {
+    let mut results = Vec::new();
     std::thread::sleep(Duration::from_millis(400));
     for number in 0..5 {
-        door.ask(&format!("v-{number}"), &format!("title-{}", number % 4), "clip");
-        said.push(door.answer());
+        client.send_open(&format!("v-{number}"), &format!("title-{}", number % 4), "clip");
+        results.push(client.answer());
     }
-    said.push(door.close(1));
-    door.ask("p", "title-2", "paid");
-    said.push(door.answer());
-    // A viewer leaves without a word.
-    door.leave(2);
-    let held = |count| {
+    results.push(client.close(1));
+    client.send_open("p", "title-2", "paid");
+    results.push(client.answer());
+    // A viewer disconnects without notice.
+    client.disconnect(2);
+    let wait_for_held = |count| {
         let now = || day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
-        wait(SECOND * 3, || now() == count, || format!("boxes hold {}", now()));
+        wait_until(SECOND * 3, || now() == count, || format!("the boxes hold {} sessions", now()));
     };
-    held(4);
-    // One gives up while its set-up is out.
+    wait_for_held(4);
+    // A viewer cancels while its set-up is outstanding.
     day.boxes.fleet().nature.set_up = 200_000;
-    door.ask("c", "title-1", "clip");
+    client.send_open("c", "title-1", "clip");
     std::thread::sleep(Duration::from_millis(80));
-    said.push(door.cancel());
+    results.push(client.cancel());
     std::thread::sleep(Duration::from_millis(250));
-    held(4);
+    wait_for_held(4);
     day.boxes.fleet().nature.set_up = 5_000;
     // A drain.
-    let line = day.list.line(3).expect("listed");
-    day.list.set(ListLine { state: State::Draining, ..line });
+    let entry = day.list.line(3).expect("listed");
+    day.list.set(ListLine { state: State::Draining, ..entry });
     std::thread::sleep(Duration::from_millis(250));
-    door.ask("d", "title-3", "clip");
-    said.push(door.answer());
-    // The box of the first session dies, and the list does not tell.
-    let dead = said[0].split_whitespace().nth(3).and_then(|id| id.parse().ok()).expect("a box");
+    client.send_open("d", "title-3", "clip");
+    results.push(client.answer());
+    // The box of the first session dies, and the list does not report it.
+    let dead = results[0].split_whitespace().nth(3).and_then(|id| id.parse().ok()).expect("a box");
     day.boxes.kill(dead);
-    said.push(door.ended(0));
+    results.push(client.wait_for_end(0));
     for number in 0..3 {
-        door.ask(&format!("e-{number}"), "title-0", "paid");
-        said.push(door.answer());
+        client.send_open(&format!("e-{number}"), "title-0", "paid");
+        results.push(client.answer());
     }
-    // Every set-up fails: a clip is tried elsewhere and refused in the end, a paid one fails.
+    // Every set-up fails: a clip is retried at other boxes and finally refused, a paid session fails.
     day.boxes.fleet().boxes.values_mut().for_each(|state| state.errors = 1.0);
-    door.ask("f", "title-1", "clip");
-    said.push(door.answer());
-    door.ask("g", "title-1", "paid");
-    said.push(door.answer());
+    client.send_open("f", "title-1", "clip");
+    results.push(client.answer());
+    client.send_open("g", "title-1", "paid");
+    results.push(client.answer());
     day.boxes.fleet().boxes.values_mut().for_each(|state| (state.errors, state.draining) = (0.0, true));
-    door.ask("h", "title-2", "paid");
-    said.push(door.answer());
-    said
+    client.send_open("h", "title-2", "paid");
+    results.push(client.answer());
+    results
 }
 
-/// The decisions of a record without what differs between any two runs: times, and ids that hold the start's.
+/// The decisions of a record without what differs between any two runs: times, and the front's start in session ids.
 fn decisions(record: &Path) -> Vec<Value> {
     let text = fs::read_to_string(record).expect("a record");
     let mut decisions = Vec::new();
     let mut ending = false;
-    for line in text.lines() {
-        let RecordLine::Step(mut step) = serde_json::from_str(line).expect("a line") else { continue };
+    for record_line in text.lines() {
+        let RecordLine::Step(mut step) = serde_json::from_str(record_line).expect("a line") else { continue };
         match &mut step.told {
-            // Wake-ups come by the clock; in this suite they decide nothing, which is asserted here.
+            // Wake-ups depend on the clock. In these steps they must lead to no decision, which is asserted here.
             Told::Wake { .. } => {
-                assert!(step.did.iter().all(|did| matches!(did, Done::WakeAt { .. })), "{line}");
+                assert!(step.did.iter().all(|did| matches!(did, Done::WakeAt { .. })), "{record_line}");
                 continue;
             }
             Told::Started { took, .. } => *took = 0,
-            // The front's end has the sessions that still play ended; which, is the order of ids.
+            // The shutdown ends the sessions that still play, in the order of their ids, which differs between runs.
             Told::Ended { outcome, .. } if outcome == "withdrawn" => ending |= decisions.len() > 30,
             _ => {}
         }
@@ -306,91 +309,95 @@
 fn library_and_daemon_give_the_same_answers_by_the_same_decisions() {
     let folder = std::env::temp_dir().join(format!("salttally-suite-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
-    let mut runs: Vec<(&str, Vec<Said>, Vec<Value>)> = Vec::new();
+    let mut runs: Vec<(&str, Vec<StepResult>, Vec<Value>)> = Vec::new();
     for name in ["handle", "library", "daemon"] {
-        let day = Day::start(script(&head(4, 5), "")).expect("stand-ins start");
+        let day = Day::start(script(&script_head(4, 5), "")).expect("stand-ins start");
         let record: PathBuf = folder.join(format!("{name}.jsonl"));
         let config = folder.join(format!("{name}.kdl"));
         fs::write(&config, settings(&day, &record)).expect("written");
         let library = || Front::start(Settings::load(&config).expect("holds")).expect("starts");
         let address = day.front_address(0);
-        let mut door: Box<dyn Door> = match name {
-            "handle" => Box::new(Handle { front: Some(library()), sessions: Vec::new() }),
+        let mut client: Box<dyn FrontClient> = match name {
+            "handle" => Box::new(LibraryClient { front: Some(library()), sessions: Vec::new() }),
             "library" => {
-                let front = Host::Library(Some(library()));
-                Box::new(Socket { front, address, sessions: Vec::new() })
+                let front = FrontHost::Library(Some(library()));
+                Box::new(WebSocketClient { front, address, sessions: Vec::new() })
             }
             _ => {
-                let front = Host::Daemon(daemon(&config));
-                Box::new(Socket { front, address, sessions: Vec::new() })
+                let front = FrontHost::Daemon(start_daemon(&config));
+                Box::new(WebSocketClient { front, address, sessions: Vec::new() })
             }
         };
-        let said = suite(&day, door.as_mut());
-        door.end();
+        let results = run_steps(&day, client.as_mut());
+        client.shut_down();
         day.stop();
         let settings = Settings::load(&config).expect("holds");
         let file = BufReader::new(fs::File::open(&record).expect("a record"));
-        replay(file, &settings.module).expect("each step as the module alone decides it");
-        runs.push((name, said, decisions(&record)));
+        replay(file, &settings.module).expect("each step replays as the module decides it");
+        runs.push((name, results, decisions(&record)));
     }
-    let (_, said, decided) = &runs[0];
-    assert!(said.iter().filter(|said| said.starts_with("plays")).count() >= 8, "{said:#?}");
-    assert!(decided.len() > 30, "{decided:#?}");
-    for (name, other, others) in &runs[1..] {
-        assert_eq!(said, other, "answers of {name}");
-        for (at, (one, two)) in decided.iter().zip(others).enumerate() {
-            assert_eq!(one, two, "decision {at} of {name}");
+    let (_, results, decisions_made) = &runs[0];
+    assert!(results.iter().filter(|result| result.starts_with("plays")).count() >= 8, "{results:#?}");
+    assert!(decisions_made.len() > 30, "{decisions_made:#?}");
+    for (name, other_results, other_decisions) in &runs[1..] {
+        assert_eq!(results, other_results, "answers of {name}");
+        for (position, (one, two)) in decisions_made.iter().zip(other_decisions).enumerate() {
+            assert_eq!(one, two, "decision {position} of {name}");
         }
-        assert_eq!(decided.len(), others.len(), "{name}");
+        assert_eq!(decisions_made.len(), other_decisions.len(), "{name}");
     }
     fs::remove_dir_all(&folder).expect("removed");
 }
 
 #[test]
-fn a_daemon_killed_with_sessions_playing_finds_them_again() {
+fn a_daemon_restarted_after_a_kill_resumes_its_sessions() {
     let folder = std::env::temp_dir().join(format!("salttally-killed-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder");
-    let day = Day::start(script(&head(3, 5), "claim-within-ms 1500")).expect("stand-ins start");
+    let day = Day::start(script(&script_head(3, 5), "claim-within-ms 1500")).expect("stand-ins start");
     let (record, config) = (folder.join("f0.jsonl"), folder.join("f0.kdl"));
     fs::write(&config, settings(&day, &record)).expect("written");
-    let mut first = daemon(&config);
+    let mut first = start_daemon(&config);
     std::thread::sleep(Duration::from_millis(300));
     let address = day.front_address(0);
-    let mut names = Vec::new();
+    let mut sessions = Vec::new();
     for number in 0..5 {
-        let mut line = Line::connect(address, SECOND * 3).expect("connects");
+        let mut connection = Line::connect(address, SECOND * 3).expect("connects");
         let params = json!({
             "viewer": format!("v-{number}"), "title": "title-0", "class": "paid", "top_rung": 2, "patience_ms": 2000
         });
-        let id = line.call("session.open", &params).expect("written");
-        let answer = line.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
-        names.push(answer["result"]["session"].as_str().expect("plays").to_owned());
-        std::mem::forget(line);
+        let id = connection.call("session.open", &params).expect("written");
+        let answer = connection.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
+        sessions.push(answer["result"]["session"].as_str().expect("plays").to_owned());
+        std::mem::forget(connection);
     }
     first.kill().expect("killed");
     first.wait().expect("gone");
-    let held = || day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+    let held_sessions = || day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(held(), 5, "they play on");
-    let mut second = daemon(&config);
-    let mut claimed = None;
-    wait(
+    assert_eq!(held_sessions(), 5, "the sessions play on at the boxes");
+    let mut second = start_daemon(&config);
+    let mut claimed_connection = None;
+    wait_until(
         SECOND * 3,
         || {
-            let Ok(mut line) = Line::connect(address, SECOND) else { return false };
-            let params = json!({"session": names[2], "viewer": "v-2"});
-            let id = line.call("session.status", &params).expect("written");
-            let status = line.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
-            claimed = (status["result"]["state"] == "playing").then_some(line);
-            claimed.is_some()
+            let Ok(mut connection) = Line::connect(address, SECOND) else { return false };
+            let params = json!({"session": sessions[2], "viewer": "v-2"});
+            let id = connection.call("session.status", &params).expect("written");
+            let status = connection.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
+            claimed_connection = (status["result"]["state"] == "playing").then_some(connection);
+            claimed_connection.is_some()
         },
-        || "the session is not found again".into(),
+        || "the session is not resumed".into(),
     );
-    wait(SECOND * 4, || held() == 1, || format!("{} still play; four have nobody", held()));
-    let mut line = claimed.expect("claimed");
-    let id = line.call("session.close", &json!({"session": names[2]})).expect("written");
-    line.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
-    wait(SECOND * 2, || held() == 0, || format!("{} still play", held()));
+    wait_until(
+        SECOND * 4,
+        || held_sessions() == 1,
+        || format!("{} still play; four have no viewer", held_sessions()),
+    );
+    let mut connection = claimed_connection.expect("claimed");
+    let id = connection.call("session.close", &json!({"session": sessions[2]})).expect("written");
+    connection.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
+    wait_until(SECOND * 2, || held_sessions() == 0, || format!("{} still play", held_sessions()));
     let _ = Command::new("kill").args(["-TERM", &second.id().to_string()]).status();
     assert!(second.wait().expect("ended").success());
     day.stop();
@@ -398,13 +405,13 @@
 }
 
 #[test]
-fn the_settings_that_come_with_the_repository_hold() {
+fn the_settings_in_the_repository_are_valid() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/front.kdl");
     Settings::load(Path::new(path)).unwrap_or_else(|error| panic!("{error}"));
 }
 
 #[test]
-fn a_daemon_refuses_bad_settings_with_file_line_and_reason() {
+fn a_daemon_rejects_invalid_settings_with_file_line_and_reason() {
     let path = std::env::temp_dir().join(format!("salttally-bad-{}.kdl", std::process::id()));
     fs::write(&path, "front \"f1\" {\n    listen \"nowhere\"\n}\n").expect("written");
     for check in [&["--check"][..], &[]] {
--- a/crates/daemon/tests/trials.rs
+++ b/crates/daemon/tests/trials.rs
@@ -1,5 +1,5 @@
-//! Several processes of the daemon with faults between them, judged from their histories. Bounds are wide: these tell
-//! that the whole holds together; the many orderings are played in virtual time (crates/trial).
+//! Runs several processes of the daemon with injected faults and judges their histories. Bounds are wide: these tests check
+//! that the parts work together, while crates/trial covers the many event orderings in virtual time.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -9,11 +9,11 @@
 use salttally_trial::describe::Trial;
 use salttally_trial::{plan, processes};
 
-/// One trial at a time: they share the addresses of this process, and the cores.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serializes the trials, which share the addresses of this process and the cores.
+static TRIAL_LOCK: Mutex<()> = Mutex::new(());
 
-fn played(text: &str) -> Verdict {
-    let _alone = ALONE.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+fn judge_trial(text: &str) -> Verdict {
+    let _guard = TRIAL_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let document = Document::parse("trial.kdl", text).unwrap();
     let trial = Trial::read(&document).unwrap_or_else(|error| panic!("{error}"));
     let daemon = Path::new(env!("CARGO_BIN_EXE_salttallyd"));
@@ -23,25 +23,28 @@
     verdict
 }
 
-const STATED: &str = "stated removed-ms=8000 equal-ms=7000; quiet-ms 9000; seeds 2";
+const BOUNDS: &str = "stated removed-ms=8000 equal-ms=7000; quiet-ms 9000; seeds 2";
 
 #[test]
-fn a_killed_process_leaves_every_view_and_its_next_start_enters_them() {
-    let verdict = played(&format!(
-        "trial \"kill\" {{ fronts 4; lasts-ms 9000; {STATED}; link loss=0.05
+fn a_killed_process_leaves_all_views_and_rejoins_them_after_its_restart() {
+    let verdict = judge_trial(&format!(
+        "trial \"kill\" {{ fronts 4; lasts-ms 9000; {BOUNDS}; link loss=0.05
             fault \"kill\" fronts=\"2\" from-ms=500 to-ms=9000 }}"
     ));
     assert_eq!(verdict.crash_to_each.len(), 3, "{verdict:?}");
 }
 
 #[test]
-fn a_stopped_process_accuses_nobody_on_waking_and_one_cut_one_way_removes_nobody() {
-    let verdict = played(&format!(
-        "trial \"stop\" {{ fronts 5; lasts-ms 6000; {STATED}
+fn neither_a_resumed_process_nor_a_one_way_partition_removes_healthy_members() {
+    let verdict = judge_trial(&format!(
+        "trial \"stop\" {{ fronts 5; lasts-ms 6000; {BOUNDS}
             fault \"stop\" fronts=\"3\" from-ms=500 to-ms=4500
             fault \"cut\" from=\"0\" to=\"1\" one-sided=#true
             fault \"clock\" fronts=\"2\" offset-s=3600 }}"
     ));
     assert!(verdict.decided[Property::ViewsBecomeEqual.words()] == 5, "{verdict:?}");
-    assert!(verdict.stopped_removed > 0, "it was stopped for longer than is borne: {verdict:?}");
+    assert!(
+        verdict.stopped_removed > 0,
+        "it was suspended for longer than the tolerated silence: {verdict:?}"
+    );
 }
