--- a/crates/daemon/tests/accord.rs
+++ b/crates/daemon/tests/accord.rs
@@ -298,8 +298,8 @@
     }
 }
 
-/// Not in CI: prints the answer latency added by accord. `cargo test --release -p salttally-daemon --test accord -- --ignored
-/// --nocapture`.
+/// Not in CI: prints the answer latency added by accord.
+/// `cargo test --release -p salttally-daemon --test accord -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn measure_what_accord_costs_an_answer() {
--- a/crates/daemon/tests/front_node_gone.rs
+++ b/crates/daemon/tests/front_node_departed_clients.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::{
+use node::scripted::{
     answer_set_up, request_for_cell, send_request_behind_tests, wait_for_message, ScriptedServers,
 };
 use node::{read_answer, request_session, Node, CELLS, SECOND};
@@ -153,7 +153,7 @@
     let mut connections = Vec::new();
     // An open connection to each server, with no attempt outstanding on it.
     for at in 0..2 {
-        viewer.say(&node::hand::request_for_cell(1 + at as u64, "clip", at));
+        viewer.say(&node::scripted::request_for_cell(1 + at as u64, "clip", at));
         let mut connection = servers.accept(at);
         wait_for_message(&mut connection, kind::SET_UP, 1 + at as u64);
         connection.say(&Message::release(1 + at as u64, cause::FULL));
@@ -190,9 +190,9 @@
         };
         thread::sleep(SECOND);
         node.signal(Signal::CONT);
-        let other = node::hand::read_until_silent(&mut connections[1 - at], 300 * MS);
+        let other = node::scripted::read_until_silent(&mut connections[1 - at], 300 * MS);
         assert!(other.iter().all(|m| m.kind != kind::SET_UP), "round {round}: {other:?}");
-        let same = node::hand::read_until_silent(&mut connections[at], 50 * MS);
+        let same = node::scripted::read_until_silent(&mut connections[at], 50 * MS);
         assert!(same.iter().all(|m| m.kind != kind::SET_UP), "round {round}: {same:?}");
         drop(still_connected);
     }
--- a/crates/daemon/tests/front_node_scale.rs
+++ b/crates/daemon/tests/front_node_idle_cpu.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::Duration;
 
-use node::hand::ScriptedServers;
+use node::scripted::ScriptedServers;
 use node::{Node, SECOND};
 use serde_json::{json, Value};
 
--- a/crates/daemon/tests/front_node_list.rs
+++ b/crates/daemon/tests/front_node_list.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::{
+use node::scripted::{
     accept_within, answer_set_up, fill_listen_queue, refusing_address, request_for_cell,
     send_request_behind_tests, wait_for_message, with_parameter, ScriptedServers,
 };
--- a/crates/daemon/tests/front_node_size.rs
+++ b/crates/daemon/tests/front_node_many_servers.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::request_for_cell;
+use node::scripted::request_for_cell;
 use node::{read_answer, wait_until, Node, SECOND};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use salttally_platform::wire::{cause, kind, Message};
--- a/crates/daemon/tests/front_node_crossings.rs
+++ b/crates/daemon/tests/front_node_races.rs
@@ -9,7 +9,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::{
+use node::scripted::{
     answer_set_up, read_until_silent, refusing_address, request_for_cell, wait_for_message, with_parameter,
     ScriptedServers,
 };
@@ -43,7 +43,8 @@
 
 // ---- Shutdown of the process ----
 
-// Guards against an event loop that ends at the first tick after 0.8 s, without reading the connections accepted in that turn.
+// Guards against an event loop that ends at the first tick after 0.8 s, without reading the connections that it accepted in
+// that turn.
 #[test]
 fn requests_that_wait_in_sockets_and_in_the_listen_queue_at_the_end_are_answered() {
     let platform = Platform::start(CELLS).unwrap();
--- a/crates/daemon/tests/front_node_restart.rs
+++ b/crates/daemon/tests/front_node_restart.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::refusing_address;
+use node::scripted::refusing_address;
 use node::{request_session, Node, CELLS, SECOND};
 use salttally_platform::wire::kind;
 use salttally_standin::platform::{Platform, Viewer};
--- a/crates/daemon/tests/front_node_retries.rs
+++ b/crates/daemon/tests/front_node_retries.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use node::hand::{answer_set_up, request_for_cell, wait_for_message, ScriptedServers};
+use node::scripted::{answer_set_up, request_for_cell, wait_for_message, ScriptedServers};
 use node::SECOND;
 use salttally_platform::wire::{cause, code, kind, Message};
 use salttally_standin::platform::Viewer;
--- a/crates/daemon/tests/front_node_shutdown.rs
+++ b/crates/daemon/tests/front_node_shutdown.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use node::hand::with_parameter;
+use node::scripted::with_parameter;
 use node::{Node, CELLS};
 use rustix::process::Signal;
 use salttally_platform::wire::{code, kind, Message};
--- a/crates/daemon/tests/node/mod.rs
+++ b/crates/daemon/tests/node/mod.rs
@@ -1,7 +1,7 @@
 //! Runs a front node of the platform as a process, for tests against a stand-in of the platform.
 #![allow(dead_code)]
 
-pub mod hand;
+pub mod scripted;
 
 use std::fs;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/daemon/tests/node/hand.rs
+++ b/crates/daemon/tests/node/scripted.rs
@@ -53,8 +53,8 @@
         config
     }
 
-    /// Starts a node against these servers, with the configuration edited last by `edit_config`. Returns once the node is ready
-    /// and has received the list.
+    /// Starts a node against these servers, with the configuration edited last by `edit_config`. Returns once the node is
+    /// ready and has received the list.
     pub fn start_node(&mut self, name: &str, edit_config: impl FnOnce(&mut Value)) -> Node {
         self.start_node_with_sockets(name, 256, edit_config)
     }
