--- a/crates/daemon/tests/front_node.rs
+++ b/crates/daemon/tests/front_node.rs
@@ -38,7 +38,7 @@
     (0..CELLS).for_each(|at| platform.break_connections(at));
     let mut other = node.viewer();
     other.say(&Message::release(2, cause::NORMAL));
-    assert_eq!(other.next(SECOND), Some(Message::new(kind::HEARD, 2)));
+    assert_eq!(other.next(SECOND), Some(Message::new(kind::RELEASE_ACK, 2)));
     wait_until("the session ends at its box", || platform.stands_at(2).is_none());
     assert!((3..=20).all(|id| platform.stands_at(id).is_some()));
     assert_eq!(viewer.next(SECOND / 4), None);
@@ -108,9 +108,12 @@
     assert_rejected(&[0, 3, 1]);
     assert_rejected(&[0, 200, 1, 0, 0]);
     assert_rejected(&[0, 12, 1, 0, 0, 0, 0, 0, 0, 0, 1, 3, 0xff, 0xff]);
-    for (code, value) in
-        [(code::CLASS, "none"), (code::WAIT, "1e9999"), (code::FIGURES, "home:-1"), (code::TITLE, "")]
-    {
+    for (code, value) in [
+        (code::CLASS, "none"),
+        (code::WAIT_MS, "1e9999"),
+        (code::REQUEST_FIELDS, "home:-1"),
+        (code::TITLE, ""),
+    ] {
         let mut message = Viewer::request(7, "clip", CELLS);
         message.parameters.iter_mut().filter(|(c, _)| *c == code).for_each(|p| p.1 = value.into());
         let mut bytes = Vec::new();
@@ -119,7 +122,7 @@
     }
     let mut busy_viewer = node.viewer();
     (1_000..1_400).for_each(|id| busy_viewer.say(&Message::release(id, cause::NORMAL)));
-    assert!((0..400).all(|_| busy_viewer.next(SECOND).is_some_and(|m| m.kind == kind::HEARD)));
+    assert!((0..400).all(|_| busy_viewer.next(SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK)));
     for id in 1..=30 {
         assert_eq!(request_session(&mut viewer, id, "clip").kind, kind::ANSWER);
     }
@@ -166,7 +169,7 @@
     hand_over
         .parameters
         .iter_mut()
-        .filter(|(c, _)| *c == code::FIGURES)
+        .filter(|(c, _)| *c == code::REQUEST_FIELDS)
         .for_each(|p| p.1 = figures.clone().into());
     viewer.say(&hand_over);
     viewer.say(&hand_over);
--- a/crates/daemon/tests/front_node_departed_clients.rs
+++ b/crates/daemon/tests/front_node_departed_clients.rs
@@ -124,7 +124,7 @@
     thread::sleep(SECOND / 2);
     node.signal(Signal::CONT);
     for (connection, id) in open_connections.iter_mut().zip(1_000..) {
-        wait_for_message(connection, kind::HEARD, id);
+        wait_for_message(connection, kind::RELEASE_ACK, id);
     }
     thread::sleep(300 * MS);
     set_ups(&platform, |id| (1_000..1_010).contains(&id))
@@ -177,7 +177,7 @@
             assert!(Instant::now() < until, "no first attempt");
         };
         node.suspend();
-        connections[at].say(&Message::release(id, cause::MOOT));
+        connections[at].say(&Message::release(id, cause::NOT_SENT));
         let still_connected = match closes {
             true => {
                 drop(leaving_viewer);
--- a/crates/daemon/tests/front_node_list.rs
+++ b/crates/daemon/tests/front_node_list.rs
@@ -32,7 +32,7 @@
     move |config| config["settings"]["safety"]["drain_grace_ms"] = json!(ms)
 }
 
-/// Runs a media server that refuses every set-up as moot, so that requests for its title are repeated. Returns the arrival
+/// Runs a media server that refuses every set-up as not sent, so that requests for its title are repeated. Returns the arrival
 /// times of the set-ups.
 fn refuse_all_set_ups(servers: &ScriptedServers, at: usize) -> Arc<Mutex<Vec<Instant>>> {
     let set_up_times = Arc::new(Mutex::new(Vec::new()));
@@ -45,7 +45,7 @@
                 while let Some(message) = connection.next(60 * SECOND) {
                     if message.kind == kind::SET_UP {
                         set_up_times.lock().unwrap().push(Instant::now());
-                        connection.say(&Message::release(message.session, cause::MOOT));
+                        connection.say(&Message::release(message.session, cause::NOT_SENT));
                     }
                 }
             });
@@ -246,7 +246,7 @@
     servers.send_list_frame(0, &[]);
     let set_up_times = refuse_all_set_ups(&servers, 0);
     let mut viewer = node.viewer();
-    viewer.say(&with_parameter(request_for_cell(7, "clip", 0), code::WAIT, "1000"));
+    viewer.say(&with_parameter(request_for_cell(7, "clip", 0), code::WAIT_MS, "1000"));
     assert!(viewer.next(2 * SECOND).is_some());
     assert!(!set_up_times.lock().unwrap().is_empty());
 }
@@ -408,7 +408,7 @@
             "set up at a server 1 s after it was announced as leaving"
         );
     }
-    viewer.say(&with_parameter(request_for_cell(3, "clip", 1), code::WAIT, "1000"));
+    viewer.say(&with_parameter(request_for_cell(3, "clip", 1), code::WAIT_MS, "1000"));
     let mut other = servers.accept(1);
     wait_for_message(&mut other, kind::SET_UP, 3);
 }
--- a/crates/daemon/tests/front_node_process.rs
+++ b/crates/daemon/tests/front_node_process.rs
@@ -101,7 +101,8 @@
             (first..first + 10)
                 .for_each(|id| viewer.say(&salttally_platform::wire::Message::release(id, 16)));
         }
-        let ended = |viewer: &mut Viewer| viewer.next(5 * SECOND).is_some_and(|m| m.kind == kind::HEARD);
+        let ended =
+            |viewer: &mut Viewer| viewer.next(5 * SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK);
         assert!(viewers.iter_mut().all(|viewer| (0..10).all(|_| ended(viewer))));
     };
     // The first burst grows the allocator's pools; later ones must reuse them.
--- a/crates/daemon/tests/front_node_races.rs
+++ b/crates/daemon/tests/front_node_races.rs
@@ -24,7 +24,7 @@
 /// The result of a health test: 1 while the node accepts work, 0 once it shuts down.
 fn health_test(viewer: &mut Viewer) -> Option<u8> {
     viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
-    wait_for_message(viewer, kind::TESTED, 1).cause()
+    wait_for_message(viewer, kind::TEST_RESULT, 1).cause()
 }
 
 /// Sends SIGTERM and returns once the health test fails.
@@ -224,7 +224,7 @@
         let mut message = request_for_cell(id, "paid", 0);
         for (code, value) in &mut message.parameters {
             match *code {
-                code::WAIT => *value = b"90000".to_vec(),
+                code::WAIT_MS => *value = b"90000".to_vec(),
                 code::DESCRIPTION => *value = vec![b'x'; 15_000],
                 _ => {}
             }
@@ -257,7 +257,7 @@
     });
     let last = last.expect("the kernel's queues are full at last");
     viewer.say(&Message::release(last, cause::NORMAL));
-    wait_for_message(&mut viewer, kind::HEARD, last);
+    wait_for_message(&mut viewer, kind::RELEASE_ACK, last);
     let received = read_until_silent(&mut connection, SECOND);
     let set_ups: Vec<u64> = received.iter().filter(|m| m.kind == kind::SET_UP).map(|m| m.session).collect();
     assert!(set_ups.len() > 10 && !set_ups.contains(&last), "{last}: {:?}", set_ups.last());
@@ -298,7 +298,7 @@
     wait_for_message(&mut first, kind::SET_UP, 1);
     // No answer arrives; the attempt times out, is released and is repeated.
     wait_for_message(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::HEARD, 1));
+    first.say(&Message::new(kind::RELEASE_ACK, 1));
     let mut second = servers.accept(0);
     wait_for_message(&mut second, kind::SET_UP, 1);
     first.say(&Message::release(1, cause::FULL));
@@ -362,7 +362,7 @@
     viewer.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(viewer.next(SECOND), None, "the front node has closed the connection");
     connection.say(&Message::release(1, cause::NORMAL));
-    wait_for_message(&mut connection, kind::HEARD, 1);
+    wait_for_message(&mut connection, kind::RELEASE_ACK, 1);
     let mut next = node.viewer();
     next.say(&Message::new(kind::TEST, 9).with(code::CAUSE, [0]));
     assert_eq!(next.next(SECOND), Some(Message::release(1, cause::NORMAL)));
@@ -378,9 +378,9 @@
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     connection.say(&Message::release(77, cause::NORMAL));
-    wait_for_message(&mut connection, kind::HEARD, 77);
+    wait_for_message(&mut connection, kind::RELEASE_ACK, 77);
     let figures = "home:0;copies:1;top:1;viewer:000000000000004d;at:s-00000001";
-    let hand_over = with_parameter(request_for_cell(77, "clip", 0), code::FIGURES, figures);
+    let hand_over = with_parameter(request_for_cell(77, "clip", 0), code::REQUEST_FIELDS, figures);
     let mut other = node.viewer();
     other.say(&hand_over);
     assert_eq!(other.next(SECOND), Some(Message::release(77, cause::NORMAL)));
@@ -399,7 +399,7 @@
     let fillers = servers.fill_accept_queue(0);
     let mut viewer = node.viewer();
     let message = request_for_cell(1, "paid", 0);
-    let message = with_parameter(message, code::WAIT, "9000");
+    let message = with_parameter(message, code::WAIT_MS, "9000");
     viewer.say(&message);
     assert_eq!(health_test(&mut node.viewer()), Some(1));
     servers.send_list_frame(2, &[(0, 1)]);
@@ -453,7 +453,7 @@
     let silent_reader = node.viewer();
     let at = silent_reader.stream.local_addr().unwrap();
     let (mut tests, mut answer) = (Vec::new(), Vec::new());
-    Message::new(kind::TESTED, 0).with(code::CAUSE, [1]).write(&mut answer);
+    Message::new(kind::TEST_RESULT, 0).with(code::CAUSE, [1]).write(&mut answer);
     (0..1_000).for_each(|id| Message::new(kind::TEST, id).with(code::CAUSE, [0]).write(&mut tests));
     // Until the kernel's queues are full and some answers wait in the front node.
     let full = (1..1_000).any(|round| {
--- a/crates/daemon/tests/front_node_retries.rs
+++ b/crates/daemon/tests/front_node_retries.rs
@@ -46,7 +46,7 @@
     let mut viewer = node.viewer();
     let mut first = first_attempt_given_up(&mut servers, &viewer);
     wait_for_message(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::HEARD, 1));
+    first.say(&Message::new(kind::RELEASE_ACK, 1));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     let late = Message::new(kind::ANSWER, 1).with(code::DESCRIPTION, "made by the first attempt");
--- a/crates/daemon/tests/front_node_shutdown.rs
+++ b/crates/daemon/tests/front_node_shutdown.rs
@@ -45,7 +45,8 @@
     let mut id = 1_000;
     while Instant::now() < kill && closed.is_none() {
         id += 1;
-        let request = with_parameter(Viewer::request(id, "paid", CELLS), code::WAIT, deadline_ms.to_string());
+        let request =
+            with_parameter(Viewer::request(id, "paid", CELLS), code::WAIT_MS, deadline_ms.to_string());
         viewer.say(&request);
         unanswered.insert(id, Instant::now());
         let next_request = Instant::now() + 25 * MS;
--- a/crates/daemon/tests/node/scripted.rs
+++ b/crates/daemon/tests/node/scripted.rs
@@ -242,5 +242,5 @@
 /// A request for a title that only this cell holds.
 pub fn request_for_cell(id: u64, class: &str, cell: usize) -> Message {
     let figures = format!("home:{cell};copies:1;top:1;viewer:{id:016x}");
-    with_parameter(Viewer::request(id, class, 1), code::FIGURES, figures)
+    with_parameter(Viewer::request(id, class, 1), code::REQUEST_FIELDS, figures)
 }
