--- a/crates/daemon/tests/accord.rs
+++ b/crates/daemon/tests/accord.rs
@@ -219,7 +219,7 @@
     fleet.wait_until_status(0, "its new vote", |status| {
         status["epoch"] == 2 && status["votes"] == true && has_lease(status)
     });
-    // The whole fleet loses power at once.
+    // All fronts are killed at once, as in a power loss, and started again.
     (0..3).for_each(|front| fleet.kill(front));
     (0..3).for_each(|front| fleet.start(front, ""));
     (0..3).for_each(|front| {
--- a/crates/daemon/tests/front_suspended.rs
+++ b/crates/daemon/tests/front_suspended.rs
@@ -85,7 +85,7 @@
     let day = Day::start(script(&script_head(8, 5), "")).unwrap();
     let (front, mut connection) = start_serving(&day, "stopped");
     let sessions = open_sessions(&mut connection, 100, 95);
-    // Longer than the silence (0.9 s) and the loss (0.9 s) of these settings together.
+    // Longer than `silent-after-ms` and `lost-after-ms` (0.9 s each) of these settings together.
     front.suspend_for(5 * SECOND);
     let mut messages: Vec<Value> = Vec::new();
     let until = Instant::now() + 3 * SECOND;
--- a/crates/daemon/tests/library_and_daemon.rs
+++ b/crates/daemon/tests/library_and_daemon.rs
@@ -243,7 +243,7 @@
     std::thread::sleep(Duration::from_millis(250));
     wait_for_held(4);
     day.boxes.fleet().nature.set_up = 5_000;
-    // A drain.
+    // A box drains.
     let entry = day.list.line(3).expect("listed");
     day.list.set(ListLine { state: State::Draining, ..entry });
     std::thread::sleep(Duration::from_millis(250));
--- a/crates/daemon/tests/node/mod.rs
+++ b/crates/daemon/tests/node/mod.rs
@@ -16,17 +16,22 @@
 use serde_json::Value;
 
 pub const SECOND: Duration = Duration::from_secs(1);
+/// Number of cells, with one media server each.
 pub const CELLS: usize = 3;
 
 /// A front node in a process of its own, killed when this value is dropped.
 pub struct Node {
     pub child: Child,
+    /// Address at which the node accepts clients.
     pub listen: SocketAddr,
+    /// Its configuration file.
     pub config: PathBuf,
+    /// Descriptor limit in its configuration.
     sockets: usize,
 }
 
 impl Node {
+    /// Starts a node configured by the stand-in of the platform, and waits until it is ready.
     pub fn start(platform: &Platform, name: &str, sockets: usize) -> Node {
         let node = Node::start_with_config(name, sockets, |listen| platform.config(listen, sockets));
         node.wait_ready();
@@ -59,10 +64,12 @@
         panic!("the front node is not ready after 10 s");
     }
 
+    /// Opens a new client connection.
     pub fn viewer(&self) -> Viewer {
         Viewer::connect(self.listen).unwrap()
     }
 
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         kill_process(Pid::from_child(&self.child), signal).unwrap();
     }
--- a/crates/daemon/tests/node/scripted.rs
+++ b/crates/daemon/tests/node/scripted.rs
@@ -26,6 +26,7 @@
 }
 
 impl ScriptedServers {
+    /// Listeners of this many media servers and of the coordinator.
     pub fn new(servers: usize) -> ScriptedServers {
         let host = own_host();
         let listener = |_| TcpListener::bind((host, 0)).unwrap();
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Address of a media server.
     pub fn address(&self, at: usize) -> SocketAddr {
         self.listeners[at].local_addr().unwrap()
     }
