--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -14,7 +14,7 @@
 use salttally_accord::settings::Settings as Accord;
 use salttally_copies::edge as copies;
 use salttally_copies::settings::Settings as Copies;
-use salttally_front::settings::{room, Settings};
+use salttally_front::settings::{process_limits, Settings};
 use salttally_front::Front;
 use salttally_members::edge::{Known, Listener, Running};
 use salttally_members::settings::Settings as Members;
@@ -64,7 +64,7 @@
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
     let Some(config) = &arguments.config else { return run_front_node(&arguments) };
-    let mut settings = match Settings::load_within(config, &room::of_process()) {
+    let mut settings = match Settings::load_for_process(config, &process_limits::raise_and_read()) {
         Ok(settings) => settings,
         Err(error) => return report_bad_settings(*error),
     };
@@ -88,7 +88,7 @@
         Err(error) => return exit_with_error(&format!("cannot install the signal handlers: {error}")),
     };
     let copies_line = peer_settings.copies.is_some().then(copies::Line::default);
-    let front = match Front::start_kept(settings, copies_line.as_ref().map(copies::Line::teller)) {
+    let front = match Front::start_replicated(settings, copies_line.as_ref().map(copies::Line::teller)) {
         Ok(front) => front,
         Err(error) => return exit_with_error(&error.to_string()),
     };
@@ -146,7 +146,7 @@
     ) -> Result<PeerServices, String> {
         let copies_sender = copies_line.as_ref().map(copies::Line::teller);
         let on_accord_state = front.map(|front| {
-            let (apply, copies) = (front.stands(), copies_sender.clone());
+            let (apply, copies) = (front.coordination_sink(), copies_sender.clone());
             Box::new(move |stand: Stand| {
                 if let Some(copies) = &copies {
                     copies.stands(&stand);
@@ -164,13 +164,17 @@
         let accord = self.accord.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
         let copies = match (copies_line, front, &accord, &self.copies) {
             (Some(copies_line), Some(front), Some(accord), Some(settings)) => {
-                let started =
-                    copies_line.start(settings, front.life(), accord.teller(), Box::new(front.kept()));
+                let started = copies_line.start(
+                    settings,
+                    front.incarnation(),
+                    accord.teller(),
+                    Box::new(front.replication_sink()),
+                );
                 Some(started.map_err(|e| e.to_string())?)
             }
             _ => None,
         };
-        let update_peers = front.map(Front::others);
+        let update_peers = front.map(Front::peers_sink);
         let listener = accord.as_ref().map(|running| {
             let running = running.teller();
             Box::new(move |known_members: Vec<Known>| {
--- a/crates/daemon/tests/admission_control.rs
+++ b/crates/daemon/tests/admission_control.rs
@@ -160,8 +160,8 @@
         let _ = slow_client.set_read_timeout(Some(SECOND * 2));
         assert!(matches!(slow_client.read(&mut [0; 64]), Ok(0) | Err(_)), "a slow handshake gets no reply");
     }
-    let admission_counts = rig.front(0).look().door;
-    assert!(admission_counts.turned.values().sum::<u64>() >= 5, "{admission_counts:?}");
+    let admission_counts = rig.front(0).status().door;
+    assert!(admission_counts.dropped.values().sum::<u64>() >= 5, "{admission_counts:?}");
     rig.shut_down_and_judge();
 }
 
@@ -191,13 +191,13 @@
         panic!("the client stays connected")
     };
     assert!(close_reason.contains("1013") || close_reason.contains("again"), "{close_reason}");
-    assert_eq!(rig.front(0).look().playing, 3);
+    assert_eq!(rig.front(0).status().playing, 3);
     // The restarted front gets many new connections at once, and still has seats for its own viewers.
     rig.kill_front(0);
     rig.day.log.write(salttally_judge::record::What::FrontUp { front: "f0".into() });
     let settings = rig.day.settings(0).to_owned();
     salttally_standin::day::Fronts::start(&mut rig.fronts, 0, &settings).expect("starts");
-    wait_until(SECOND * 3, || rig.front(0).look().playing == 3, || "the sessions are not resumed".into());
+    wait_until(SECOND * 3, || rig.front(0).status().playing == 3, || "the sessions are not resumed".into());
     let _newcomers: Vec<Option<RawClient>> = (0..12).map(|_| RawClient::connect(rig.address(0))).collect();
     for (at, (_, session)) in seated.iter().enumerate() {
         let mut connection = Line::connect(rig.address(0), SECOND).expect("admitted");
--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -8,7 +8,7 @@
 
 use rig::{script, script_head, wait_until, OpenAnswer, Rig, Viewer};
 use salttally_front::settings::Settings;
-use salttally_front::{Asked, Front};
+use salttally_front::{Front, SessionRequest};
 use salttally_standin::players::{Line, Silence};
 use salttally_standin::siege::frame_of as frame;
 use serde_json::{json, Value};
@@ -178,7 +178,7 @@
     let begun = Instant::now();
     assert_eq!(send_raw("GET / HTTP/1.1\r\n"), "", "the request head is never completed");
     assert!(begun.elapsed() < SECOND, "and the front does not wait for it");
-    wait_until(SECOND, || rig.front(0).look().clients == 0, || "a client is left".into());
+    wait_until(SECOND, || rig.front(0).status().clients == 0, || "a client is left".into());
     rig.shut_down_and_judge();
 }
 
@@ -308,13 +308,13 @@
         );
         let front = Front::start(Settings::parse("crooked.kdl", &text).expect("holds")).expect("starts");
         std::thread::sleep(Duration::from_millis(200));
-        let asked = Asked {
+        let asked = SessionRequest {
             viewer: "v".into(),
             title: "a".into(),
             class: "paid".into(),
             top_rung: 1,
             patience_ms: 1000,
-            ..Asked::default()
+            ..SessionRequest::default()
         };
         let session = front.open(&asked).expect("accepted");
         let answer = format!("{:?}", session.answer(SECOND * 2).expect("answered"));
@@ -347,7 +347,7 @@
         });
         let (front, answer) = scripted_box.open_paid();
         assert!(answer.starts_with("Failed"), "{answer}");
-        let counts = front.look().counts;
+        let counts = front.status().counts;
         assert_eq!((counts.attempts, counts.failed), (1, 1), "{counts:?}");
         front.shut_down(SECOND);
     }
@@ -387,11 +387,11 @@
     });
     let (front, answer) = scripted_box.open_paid_with_limits("box-events-at-once 1000; box-events-per-s 100");
     assert!(answer.starts_with("Plays"), "{answer}");
-    wait_until(SECOND, || front.look().counts.faults >= 1, || "the event stream is not closed".into());
+    wait_until(SECOND, || front.status().counts.faults >= 1, || "the event stream is not closed".into());
     std::thread::sleep(Duration::from_millis(500));
     let tries = stream_requests.load(std::sync::atomic::Ordering::Relaxed);
     assert!(tries <= 2, "the event stream was opened {tries} times in half a second");
-    assert_eq!(front.look().counts.lost, 0);
+    assert_eq!(front.status().counts.lost, 0);
     front.shut_down(SECOND * 5);
 }
 
@@ -416,7 +416,7 @@
     assert!(answer.starts_with("Plays"), "{answer}");
     assert!(begun.elapsed() < SECOND * 2, "{:?}", begun.elapsed());
     // An event stream may be opened each time the box becomes ready; only few are.
-    let faults = front.look();
+    let faults = front.status();
     assert!(faults.connections.iter().sum::<usize>() < 20, "{faults:?}");
     front.shut_down(SECOND * 5);
 }
@@ -446,13 +446,13 @@
         let (front, answer) = scripted_box.open_paid();
         assert!(answer.starts_with("Refused"), "no box is taken from such a list: {answer}");
         std::thread::sleep(Duration::from_millis(600));
-        let asked = Asked {
+        let asked = SessionRequest {
             viewer: "w".into(),
             title: "a".into(),
             class: "paid".into(),
             top_rung: 1,
             patience_ms: 1000,
-            ..Asked::default()
+            ..SessionRequest::default()
         };
         let session = front.open(&asked).expect("accepted");
         let answer = format!("{:?}", session.answer(SECOND * 2));
--- a/crates/daemon/tests/event_orderings.rs
+++ b/crates/daemon/tests/event_orderings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rig::{script, script_head, wait_until, OpenAnswer, Rig, Viewer};
-use salttally_front::Asked;
+use salttally_front::SessionRequest;
 use salttally_judge::record::{SetUpEnd, What};
 use salttally_standin::list::State;
 use serde_json::json;
@@ -241,7 +241,7 @@
     }
     wait_until(
         SECOND * 20,
-        || disconnected || rig.front(0).look().clients == 0,
+        || disconnected || rig.front(0).status().clients == 0,
         || "the player that reads nothing is still connected".into(),
     );
     let mut other = Viewer::connect(&rig, 0, "other");
@@ -270,8 +270,8 @@
     rig.start_front(0);
     wait_until(
         SECOND * 3,
-        || rig.front(0).look().counts.resumed == 6,
-        || format!("{:?}", rig.front(0).look()),
+        || rig.front(0).status().counts.resumed == 6,
+        || format!("{:?}", rig.front(0).status()),
     );
     let mut thief = Viewer::connect(&rig, 0, "thief");
     let status = |viewer: &mut Viewer<'_>, session: &str, name: &str| {
@@ -293,13 +293,13 @@
 #[test]
 fn a_caller_that_drops_its_session_leaves_nothing_unanswered_and_nothing_playing() {
     let rig = Rig::start(script(&script_head(2, 60), ""));
-    let asked = Asked {
+    let asked = SessionRequest {
         viewer: "caller".into(),
         title: "title-0".into(),
         class: "clip".into(),
         top_rung: 2,
         patience_ms: 2000,
-        ..Asked::default()
+        ..SessionRequest::default()
     };
     let front = rig.front(0);
     drop(front.open(&asked).expect("accepted"));
@@ -309,7 +309,7 @@
     let out = front.open(&asked).expect("accepted");
     std::thread::sleep(Duration::from_millis(20));
     drop(out);
-    wait_until(SECOND * 3, || front.look().sessions == 0, || format!("{:?}", front.look()));
+    wait_until(SECOND * 3, || front.status().sessions == 0, || format!("{:?}", front.status()));
     rig.wait_for_held_sessions(0);
     rig.shut_down_and_judge();
 }
@@ -357,7 +357,7 @@
     }
     // Requests for that title fill its box, until a session of another title is moved away.
     let mut crowd = Vec::new();
-    while rig.front(0).look().counts.moved == 0 {
+    while rig.front(0).status().counts.moved == 0 {
         assert!(crowd.len() < 80, "no session is ever moved");
         let mut viewer = Viewer::connect(&rig, 0, &format!("crowd-{}", crowd.len()));
         viewer.open("title-0", "clip", 1000);
@@ -390,10 +390,10 @@
     });
     // Long enough for the last reports to become stale.
     std::thread::sleep(Duration::from_millis(2_200));
-    let before = rig.front(0).look().counts.probes;
+    let before = rig.front(0).status().counts.probes;
     let mut viewer = Viewer::connect(&rig, 0, "probed");
     assert!(viewer.open("title-0", "clip", 2000).is_plays());
-    assert!(rig.front(0).look().counts.probes > before, "{:?}", rig.front(0).look());
+    assert!(rig.front(0).status().counts.probes > before, "{:?}", rig.front(0).status());
     viewer.close();
     rig.shut_down_and_judge();
 }
--- a/crates/daemon/tests/fault_days.rs
+++ b/crates/daemon/tests/fault_days.rs
@@ -94,7 +94,7 @@
     assert!(worth(&lines).part() > 0.1, "{:?}", worth(&lines));
     let settings = fronts.settings.expect("f1 was started");
     let file = std::fs::File::open(&file).expect("a record");
-    let steps = replay(std::io::BufReader::new(file), &settings.module)
+    let steps = replay(std::io::BufReader::new(file), &settings.decision)
         .expect("each step replays as the module decides it");
     assert!(steps > 100, "{steps}");
     std::fs::remove_dir_all(&record).expect("removed");
--- a/crates/daemon/tests/library_and_daemon.rs
+++ b/crates/daemon/tests/library_and_daemon.rs
@@ -11,10 +11,10 @@
 
 use rig::{script, script_head, wait_until};
 use salttally_front::core::{Answer, Reply};
-use salttally_front::record::lines::{Done, Line as RecordLine, Told};
+use salttally_front::record::lines::{Line as RecordLine, RecordedAction, RecordedEvent};
 use salttally_front::record::replay;
 use salttally_front::settings::Settings;
-use salttally_front::{Asked, Front, Session, ToCaller};
+use salttally_front::{CallerMessage, Front, Session, SessionRequest};
 use salttally_standin::day::Day;
 use salttally_standin::list::{Line as ListLine, State};
 use salttally_standin::players::Line;
@@ -65,13 +65,13 @@
 
 impl FrontClient for LibraryClient {
     fn send_open(&mut self, viewer: &str, title: &str, class: &str) {
-        let asked = Asked {
+        let asked = SessionRequest {
             viewer: viewer.into(),
             title: title.into(),
             class: class.into(),
             top_rung: 2,
             patience_ms: 2000,
-            ..Asked::default()
+            ..SessionRequest::default()
         };
         let session = self.front.as_ref().expect("runs").open(&asked).expect("accepted");
         self.sessions.push((Some(session), String::new()));
@@ -100,10 +100,10 @@
     fn wait_for_end(&mut self, index: usize) -> StepResult {
         let session = self.sessions[index].0.as_ref().expect("there");
         match session.next(SECOND * 5) {
-            Some(ToCaller::News(salttally_front::core::News::Ended(_, reason))) => {
+            Some(CallerMessage::Notification(salttally_front::core::Notification::Ended(_, reason))) => {
                 format!("ended: {reason:?}").to_lowercase()
             }
-            Some(ToCaller::Reply(Reply::Unknown)) | Some(_) | None => "nothing".into(),
+            Some(CallerMessage::Reply(Reply::Unknown)) | Some(_) | None => "nothing".into(),
         }
     }
 
@@ -276,28 +276,31 @@
     let mut ending = false;
     for record_line in text.lines() {
         let RecordLine::Step(mut step) = serde_json::from_str(record_line).expect("a line") else { continue };
-        match &mut step.told {
+        match &mut step.event {
             // Wake-ups depend on the clock. In these steps they must lead to no decision, which is asserted here.
-            Told::Wake { .. } => {
-                assert!(step.did.iter().all(|did| matches!(did, Done::WakeAt { .. })), "{record_line}");
+            RecordedEvent::Wake { .. } => {
+                assert!(
+                    step.actions.iter().all(|did| matches!(did, RecordedAction::WakeAt { .. })),
+                    "{record_line}"
+                );
                 continue;
             }
-            Told::Started { took, .. } => *took = 0,
+            RecordedEvent::Started { took, .. } => *took = 0,
             // The shutdown ends the sessions that still play, in the order of their ids, which differs between runs.
-            Told::Ended { outcome, .. } if outcome == "withdrawn" => ending |= decisions.len() > 30,
+            RecordedEvent::Ended { outcome, .. } if outcome == "withdrawn" => ending |= decisions.len() > 30,
             _ => {}
         }
         if ending {
             break;
         }
-        for did in &mut step.did {
+        for did in &mut step.actions {
             match did {
-                Done::SetUp { time_out, .. } => *time_out = 0,
-                Done::WakeAt { at, .. } => *at = 0,
+                RecordedAction::SetUp { time_out, .. } => *time_out = 0,
+                RecordedAction::WakeAt { at, .. } => *at = 0,
                 _ => {}
             }
         }
-        let value = json!([step.told, step.did]).to_string();
+        let value = json!([step.event, step.actions]).to_string();
         let start = value.find("f0-").map(|at| value[at..at + 12].to_owned());
         let value = start.map_or(value.clone(), |start| value.replace(&start, "f0-"));
         decisions.push(serde_json::from_str(&value).expect("JSON"));
@@ -333,7 +336,7 @@
         day.stop();
         let settings = Settings::load(&config).expect("holds");
         let file = BufReader::new(fs::File::open(&record).expect("a record"));
-        replay(file, &settings.module).expect("each step replays as the module decides it");
+        replay(file, &settings.decision).expect("each step replays as the module decides it");
         runs.push((name, results, decisions(&record)));
     }
     let (_, results, decisions_made) = &runs[0];
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,7 +1,7 @@
-//! All decisions of salttally; the words used here (settings, events, actions) are in `src/interface.rs`.
+//! All decisions of salttally. The settings, events and actions used here are defined in `src/interface.rs`.
 //!
-//! Read from the top: REM, then the guarded send and answer paths, the load account, the rungs, health,
-//! the pace of cold servers, and last the events. A front's `Controller` knows only what its own events told it.
+//! From the top: random early migration (REM), guarded set-ups and answers, load measurement, rungs, health,
+//! the pace of cold servers, and events. A front's `Controller` knows only what its own events report.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -10,425 +10,441 @@
 
 use crate::fleet::Fleet;
 use crate::interface::*;
-use crate::state::{hear, Heard, Rack, Server, Session};
+use crate::state::{record_measurement, Measurement, Rack, Server, Session};
 
 const SECOND: Micros = 1_000_000; // us
 
-// REM. Loads are shares of a link, an uplink or places; 1 is all of it.
-const MIN_TH: f64 = 0.8; // Min.th: over the rungs' aim, so that moves answer a lasting crowd
-const MAX_TH: f64 = 1.0; // Max.th: just past the point from which delivery falls short
-const P_MAX: f64 = 0.8; // where a move is free; the told price of a move takes from it
-const MOVE_SPACING: Micros = 5 * SECOND; // per server: the account must see the last move first
-const SESSION_MOVE_SPACING: Micros = 30 * SECOND; // per session: a viewer is not passed around
-const MOVE_WORTHY: f64 = 12.0; // s that a moved session must be expected to play yet
-const SHED: f64 = 1.05; // load, and a move's price, from which a server with all rungs down sheds a session
-const NEAR: f64 = 0.05; // loads this close are told apart by a draw: all fronts would choose the same
-const AWAY: f64 = 2.5; // prices of crossing by which a holder elsewhere counts as fuller: a cut ends sessions
+// REM. A load is the demand on a link, an uplink or the places of a server as a share of its capacity.
+const MIN_TH: f64 = 0.8; // Min.th; above the load that rungs lead to, so that moves answer a lasting crowd
+const MAX_TH: f64 = 1.0; // Max.th; just past the load at which delivery starts to fall short
+const P_MAX: f64 = 0.8; // probability of a move at Max.th if moves cost nothing; the move price lowers it
+const SERVER_MOVE_INTERVAL: Micros = 5 * SECOND; // per server: the load must show the last move first
+const VIEWER_MOVE_INTERVAL: Micros = 30 * SECOND; // per viewer: none is passed from server to server
+const MOVE_MIN_REMAINING_S: f64 = 12.0; // s; sessions expected to end sooner are not moved
+const SHED_MIN_LOAD: f64 = 1.05; // plus the move price; a server with all rungs down then moves a session
+const LOAD_JITTER: f64 = 0.05; // random addition to a load, so that fronts do not all choose the same server
+const CROSS_ZONE_FACTOR: f64 = 2.5; // cross prices added to the load of other zones: a cut ends sessions
 
 // Probes.
-const PROBES: usize = 2; // before a set-up, at most
-const PROBE_PRICE_MOST: f64 = 0.02; // part of a session's worth; a dearer probe is not sent
-const PROBE_FROM: Micros = 2 * SECOND; // a younger figure needs no probe
-const PROBE_WAIT: Micros = SECOND / 10; // a live server answers in a few ms
+const MAX_PROBES: usize = 2; // per set-up
+const MAX_PROBE_PRICE: f64 = 0.02; // as a share of a session's worth; dearer probes are not sent
+const PROBE_MIN_AGE: Micros = 2 * SECOND; // a server with a younger load measurement is not probed
+const PROBE_TIMEOUT: Micros = SECOND / 10; // a live server answers in a few ms
 
 // Rungs.
-const MARGIN: f64 = 0.06; // of a link or uplink left free by rungs where nearly all demand is of other fronts
-const ROOM_PART: f64 = 0.45; // of the room for a newcomer above its lowest rung: others will come
-const OVER: f64 = 0.06; // over what rungs are fitted to, playing sessions are stepped down
-const LOW: f64 = 0.72; // load below which they may be stepped up; the gap is the hysteresis
-const RAISE_TO: f64 = 0.93; // load up to which steps up may fill
-const STEP_PAYS: f64 = 5.0; // times its price that a step up must earn
-const DWELL: Micros = 15 * SECOND; // no step up so soon after another change: a swing costs at each turn
-const LENGTH: f64 = 30.0; // s, expected length until sessions have been seen to end
-
-// Load account.
-const SHORT: f64 = 0.98; // delivered share under which a link or uplink is short
-const NOTE_GAP: Micros = 3 * SECOND / 2; // notes of short delivery come once a second: an older one is over
-const LONE_PART: f64 = 0.85; // of what is short: a link's fresh figure under it shows that its uplink is
-const LEARN_FROM: f64 = 0.90; // load from which an uplink that delivers in full is taken to carry more
-const LEARN: f64 = 0.01; // by so much of the told uplink per tick
-const QUIET: Micros = 3 * SECOND; // in which nothing was short there
-const SCALE_MIN: f64 = 0.4; // least that an uplink is taken to carry, in told means: racks differ by less
-const SCALE_MAX: f64 = 1.5; // most, likewise
-const OWN_PART: f64 = 0.7; // of what own sessions ask is there at least: true rates may be lower
-const FIGURE_FADES: Micros = 30 * SECOND; // figures and own changes give way to the usual load: sessions go
-const USUAL_PART: f64 = 0.05; // weight of each figure heard in the usual load
-const USUAL_MOST: f64 = 0.95; // the usual load is never taken for full: what nobody asked has not refused
-const REPORT_AGE: Micros = SECOND / 2; // of a report in an answer: refreshed now and then, and under way
+const LOAD_MARGIN: f64 = 0.06; // of a link or uplink, left free when nearly all demand is from other fronts
+const NEWCOMER_SHARE: f64 = 0.45; // of the free capacity, for rungs above the lowest: more sessions will come
+const STEP_DOWN_EXCESS: f64 = 0.06; // load above the target from which playing sessions are stepped down
+const STEP_UP_MAX_LOAD: f64 = 0.72; // load up to which sessions are stepped up; the gap is hysteresis
+const STEP_UP_TARGET: f64 = 0.93; // load up to which steps up may fill a server
+const STEP_UP_MIN_RETURN: f64 = 5.0; // worth that a step up must earn, in multiples of its cost
+const STEP_UP_DWELL: Micros = 15 * SECOND; // after another change of rung, as each swing costs twice
+const DEFAULT_LENGTH_S: f64 = 30.0; // s; expected session length until sessions have ended
+
+// Load measurement.
+const FULL_DELIVERY_SHARE: f64 = 0.98; // a link or uplink that delivers less of the demand is short
+const SHORT_NOTE_TTL: Micros = 3 * SECOND / 2; // notes of it come once a second; older ones no longer count
+const LONE_LINK_MAX_SHARE: f64 = 0.85; // of the overload; a link measured below it means a short uplink
+const UPLINK_GROWTH_MIN_LOAD: f64 = 0.90; // an uplink that delivers in full above this load may carry more
+const UPLINK_GROWTH_PER_TICK: f64 = 0.01; // growth of the estimated uplink capacity, of the configured mean
+const UPLINK_GROWTH_QUIET: Micros = 3 * SECOND; // without short delivery before the estimate grows
+const MIN_UPLINK_SCALE: f64 = 0.4; // bounds of the estimated uplink capacity, in configured means;
+const MAX_UPLINK_SCALE: f64 = 1.5; // racks differ by less
+const MIN_OWN_DEMAND_SHARE: f64 = 0.7; // of own demand is taken to be present: true rates may be lower
+const LOAD_FADE_TIME: Micros = 30 * SECOND; // a measurement gives way to the usual load: sessions end
+const USUAL_LOAD_WEIGHT: f64 = 0.05; // weight of each new measurement in the usual load
+const MAX_USUAL_LOAD: f64 = 0.95; // the usual load alone never makes a server full: it has refused nothing
+const REPORT_AGE: Micros = SECOND / 2; // of a load report in an answer: refresh interval and transit time
 
 // Health and attempts.
-const OUT_FIRST: Micros = 2 * SECOND; // out after a failure; doubles with each further one
-const OUT_LONGEST: Micros = 8 * SECOND; // a healed server is found again within this
-const DOUBT: Micros = 15 * SECOND; // after a failure in which a server comes last
-const KIN_DOWN: u32 = 3; // set-ups in a row that found a zone's servers down: all there are doubted
-const FULL: Micros = SECOND; // a server that turned a set-up away is sent others last for this long
-const ATTEMPT_PART: f64 = 0.45; // of the aim for an attempt while another could follow within it
-const TICK: Micros = SECOND / 10; // regular look; a held session is answered this long before its end
-const RESOLVE_WAIT: Micros = SECOND / 10; // a live server hears of a give-up, or closes, in a few ms
-const ANSWERS_KEPT: Micros = 5 * SECOND; // over which errors are held against good answers
-const ERRORS_BORNE: f64 = 0.2; // share of errors that is the requests' fault: sick servers err more
-const NEVER: Micros = Micros::MAX; // a bar that does not pass
+const MIN_BACKOFF: Micros = 2 * SECOND; // after the first failure; doubles with each further one
+const MAX_BACKOFF: Micros = 8 * SECOND; // a recovered server is used again within this time
+const DISTRUST_TIME: Micros = 15 * SECOND; // after a failure, in which a server is ranked last
+const ZONE_MAX_FAILURES: u32 = 3; // in a row, that find a zone's servers down: all there are distrusted
+const FULL_BACKOFF: Micros = SECOND; // a server that turned a set-up away counts as full for this long
+const ATTEMPT_TIMEOUT_SHARE: f64 = 0.45; // of the aim, so that another attempt fits within it
+const TICK_INTERVAL: Micros = SECOND / 10; // a waiting session is answered this long before its deadline
+const IN_DOUBT_WAIT: Micros = SECOND / 10; // a live server confirms a give-up, or closes, in a few ms
+const ERROR_WINDOW: Micros = 5 * SECOND; // in which errors are compared with good answers
+const MAX_REQUEST_ERROR_SHARE: f64 = 0.2; // share of errors blamed on requests; failing servers have more
+const PERMANENT: Micros = Micros::MAX; // end of a block that does not expire
 
 // Cold servers.
-const COLD_PART: f64 = 0.4; // of the pace that makes one fall, for all fronts together
-const AGAIN: usize = 5; // requests that a returning viewer stands for: it asks every 2 s until it plays
-const TAKEN_KEPT: Micros = 10 * SECOND; // over which the own rate of requests is taken
+const COLD_PACE_SHARE: f64 = 0.4; // of the pace at which a cold server fails, for all fronts together
+const REQUESTS_PER_RETURNING_VIEWER: usize = 5; // a returning viewer asks every 2 s until it plays
+const REQUEST_RATE_WINDOW: Micros = 10 * SECOND; // over which the front's own request rate is measured
 
 /// The session controller of one front.
 #[derive(Clone)]
 pub struct Controller {
-    set: Settings,
+    settings: Settings,
     rng: Pcg32,
     now: Micros,
     servers: Fleet,
     racks: Vec<Rack>,
-    /// Mean of the figures heard lately of any link, and of any uplink: what is known of the others.
-    usual: [Option<f64>; 2],
-    /// Servers of a zone that were found down since one there last worked, and when.
-    downs: BTreeMap<u32, (u32, Micros)>,
+    /// Moving means of the loads reported of links and of uplinks; the estimate for servers without a report.
+    usual_load: [Option<f64>; 2],
+    /// By zone, the servers found down since one there last worked, and the time of the latest.
+    zone_failures: BTreeMap<u32, (u32, Micros)>,
     sessions: BTreeMap<SessionId, Session>,
-    /// Where moved viewers go when they come back, and who has been moved lately.
-    plans: BTreeMap<ViewerId, (ServerId, Micros)>,
-    lengths: Vec<f64>,
-    /// Requests taken lately: when, and the cells that hold their titles, the first and how many.
-    taken: VecDeque<(Micros, u32, u32)>,
-    further: VecDeque<Micros>,
-    /// True until the list is known to be fresh: servers of unknown age count as cold.
-    unsure: bool,
-    ticking: bool,
-    /// Sessions stepped by the event in hand; each is told once, whatever the number of steps.
-    stepped: BTreeSet<SessionId>,
+    /// By moved viewer, the server to use when it comes back, and the time of the move.
+    planned_moves: BTreeMap<ViewerId, (ServerId, Micros)>,
+    /// Mean session length of each class, in s.
+    mean_lengths: Vec<f64>,
+    /// Recent requests: time, and the cells that hold the title (the first one and their number).
+    requests: VecDeque<(Micros, u32, u32)>,
+    /// Times of recent attempts beyond each session's first.
+    retries: VecDeque<Micros>,
+    /// True until the list is known to be fresh: until then servers of unknown age count as cold.
+    list_may_be_stale: bool,
+    tick_scheduled: bool,
+    /// Sessions whose rung was changed by the current event; each is reported once, after all its steps.
+    changed_rungs: BTreeSet<SessionId>,
 }
 
-/// What it remembers, without settings and draws: two that show the same decide the same on the same draws.
+/// Shows the state without settings and random generator: controllers that show the same decide the same on
+/// the same random numbers.
 impl std::fmt::Debug for Controller {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let load = (&self.servers, &self.racks, &self.usual, &self.downs, &self.lengths);
-        write!(f, "{load:?} {:?} {:?}", self.sessions, (&self.plans, &self.taken, &self.further, self.unsure))
+        let load = (&self.servers, &self.racks, &self.usual_load, &self.zone_failures, &self.mean_lengths);
+        write!(
+            f,
+            "{load:?} {:?} {:?}",
+            self.sessions,
+            (&self.planned_moves, &self.requests, &self.retries, self.list_may_be_stale)
+        )
     }
 }
 
 impl Controller {
-    /// A front that has just started.
-    pub fn new(set: Settings, seed: u64) -> Self {
-        let set = Settings { fronts: set.fronts.max(1), ..set };
+    /// The controller of a front that has just started.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let settings = Settings { fronts: settings.fronts.max(1), ..settings };
         let rack = || Rack { scale: 1.0, ..Rack::default() };
-        let racks = (0..set.racks.min(set.cells)).map(|_| rack()).collect();
-        let lengths = vec![LENGTH; set.classes.len()];
+        let racks = (0..settings.racks.min(settings.cells)).map(|_| rack()).collect();
+        let mean_lengths = vec![DEFAULT_LENGTH_S; settings.classes.len()];
         Controller {
-            servers: Fleet::new(set.racks),
-            set,
+            servers: Fleet::new(settings.racks),
+            settings,
             rng: Pcg32::seed_from_u64(seed),
             now: 0,
             racks,
-            usual: [None, None],
-            downs: BTreeMap::new(),
+            usual_load: [None, None],
+            zone_failures: BTreeMap::new(),
             sessions: BTreeMap::new(),
-            plans: BTreeMap::new(),
-            lengths,
-            taken: VecDeque::new(),
-            further: VecDeque::new(),
-            unsure: true,
-            ticking: false,
-            stepped: BTreeSet::new(),
+            planned_moves: BTreeMap::new(),
+            mean_lengths,
+            requests: VecDeque::new(),
+            retries: VecDeque::new(),
+            list_may_be_stale: true,
+            tick_scheduled: false,
+            changed_rungs: BTreeSet::new(),
         }
     }
 
-    /// Begins the draws anew: a search through all orderings of events goes through the draws too.
+    /// Restarts the random generator, for a search over all orders of events and all random numbers.
     pub fn reseed(&mut self, seed: u64) {
         self.rng = Pcg32::seed_from_u64(seed);
     }
 
-    /// What is believed of a server: its load, its tier of health (0 is trusted), own sessions there.
+    /// The estimate for a server: its load, its health tier (0 is trusted), and own sessions there.
     pub fn server_estimate(&self, id: ServerId) -> Option<(f64, u32, i32)> {
-        self.servers.get(id).map(|server| (self.load(id), self.tier(id), server.own))
+        self.servers.get(id).map(|server| (self.server_load(id), self.health_tier(id), server.own_sessions))
     }
 
     // ---- REM: random early migration ----
 
-    /// REM's probability of moving a session away, by the load of the chosen holder.
+    /// REM's probability of moving a session off the chosen holder, by the holder's load.
     pub fn move_probability(&self, load: f64) -> f64 {
-        let p_max = P_MAX * (1.0 - 4.0 * self.set.move_price).clamp(0.1, 1.0);
+        let p_max = P_MAX * (1.0 - 4.0 * self.settings.move_price).clamp(0.1, 1.0);
         if load >= MAX_TH {
             return 1.0;
         }
         (p_max * (load - MIN_TH) / (MAX_TH - MIN_TH)).max(0.0)
     }
 
-    fn draw(&mut self) -> f64 {
+    fn draw_uniform(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / 4_294_967_296.0
     }
 
-    /// The ordinary path of a session: the least loaded holder, and REM's move when that one is loaded.
-    fn place(&mut self, id: &SessionId, out: &mut Vec<Action>) {
+    /// Sends a session to the least loaded holder; if that is loaded, REM may move another session off it.
+    fn place_session(&mut self, id: &SessionId, out: &mut Vec<Action>) {
         let Some(session) = self.sessions.get(id) else { return };
-        let (viewer, floor) = (session.request.viewer, session.rate(session.class.floor));
-        let back = session.request.moved && session.attempts == 0;
-        let plan = self.plans.get(&viewer).filter(|_| back).map(|plan| plan.0);
-        if let Some(server) = plan.filter(|to| self.barred(id, *to).is_none()) {
-            return self.send(id, server, out);
-        }
-        let ranked = self.ranked(id);
-        if self.look(id, &ranked, out) {
+        let (viewer, floor_rate) = (session.request.viewer, session.rate(session.class.floor));
+        let after_move = session.request.moved && session.attempts == 0;
+        let planned = self.planned_moves.get(&viewer).filter(|_| after_move).map(|planned| planned.0);
+        if let Some(server) = planned.filter(|to| self.blocked_until(id, *to).is_none()) {
+            return self.send_set_up(id, server, out);
+        }
+        let ranked = self.ranked_holders(id);
+        if self.probe_holders(id, &ranked, out) {
             return;
         }
-        let Some(chosen) = ranked.first().copied() else { return self.no_holder(id, out) };
-        let (load, draw) = (self.load(chosen), self.draw());
-        if draw < self.move_probability(load) && !self.shift(chosen, out) && load >= 1.0 {
-            // No move possible and full: refused, unless the rungs there can make the room.
-            let room = self.room(chosen, 1.0) + self.can_free(chosen, load);
-            if self.places(chosen) >= 1.0 || room < floor {
+        let Some(chosen) = ranked.first().copied() else { return self.wait_or_refuse(id, out) };
+        let (load, draw) = (self.server_load(chosen), self.draw_uniform());
+        if draw < self.move_probability(load) && !self.move_one_session(chosen, out) && load >= 1.0 {
+            // Full, and no session could be moved: refused, unless lower rungs there would make room.
+            let free = self.free_capacity(chosen, 1.0) + self.freeable_demand(chosen, load);
+            if self.stream_load(chosen) >= 1.0 || free < floor_rate {
                 return self.refuse(id, out);
             }
         }
-        self.send(id, chosen, out);
+        self.send_set_up(id, chosen, out);
     }
 
-    /// Moves one own session off the server to the least loaded holder below Min.th, if there is one.
-    fn shift(&mut self, from: ServerId, out: &mut Vec<Action>) -> bool {
+    /// Moves one own session off a server to the least loaded holder below Min.th; false if none can move.
+    fn move_one_session(&mut self, from: ServerId, out: &mut Vec<Action>) -> bool {
         let Some(server) = self.servers.get(from) else { return false };
-        if server.moved_at.is_some_and(|at| at + MOVE_SPACING > self.now) {
+        if server.moved_at.is_some_and(|at| at + SERVER_MOVE_INTERVAL > self.now) {
             return false;
         }
         let mut best: Option<(f64, SessionId, ServerId)> = None;
         for (id, session) in &self.sessions {
-            let recent = |at: Micros| at + SESSION_MOVE_SPACING > self.now;
-            let moved = self.plans.get(&session.request.viewer).is_some_and(|plan| recent(plan.1));
-            if session.at != Some(from) || session.playing.is_none() || session.moving || moved {
+            let is_recent = |at: Micros| at + VIEWER_MOVE_INTERVAL > self.now;
+            let moved = self.planned_moves.get(&session.request.viewer).is_some_and(|plan| is_recent(plan.1));
+            if session.server != Some(from) || session.playing_since.is_none() || session.moving || moved {
                 continue;
             }
-            let left = self.left(session);
-            // The most demand for the longest time, at one price for any session.
-            let value = left * session.rate(session.rung);
-            if left < MOVE_WORTHY || best.as_ref().is_some_and(|(most, _, _)| value <= *most) {
+            let remaining_s = self.expected_remaining_s(session);
+            // Each move has the same price, so the session with the most remaining demand is moved.
+            let remaining_kb = remaining_s * session.rate(session.rung);
+            if remaining_s < MOVE_MIN_REMAINING_S
+                || best.as_ref().is_some_and(|(most, _, _)| remaining_kb <= *most)
+            {
                 continue;
             }
-            let free = |to: &ServerId| {
-                let warm = self.servers.get(*to).is_some_and(|s| self.cold(s).is_none());
-                *to != from && warm && self.tier(*to) == 0 && self.load(*to) < MIN_TH
+            let is_suitable = |to: &ServerId| {
+                let is_warm = self.servers.get(*to).is_some_and(|s| self.warm_up_start(s).is_none());
+                *to != from && is_warm && self.health_tier(*to) == 0 && self.server_load(*to) < MIN_TH
             };
-            let holders = self.holders(&session.request).into_iter().filter(free);
-            let least = holders.min_by(|a, b| self.load(*a).total_cmp(&self.load(*b)));
-            if let Some(to) = least {
-                best = Some((value, id.clone(), to));
+            let holders = self.holders(&session.request).into_iter().filter(is_suitable);
+            let least_loaded = holders.min_by(|a, b| self.server_load(*a).total_cmp(&self.server_load(*b)));
+            if let Some(to) = least_loaded {
+                best = Some((remaining_kb, id.clone(), to));
             }
         }
         let Some((_, id, to)) = best else { return false };
         let Some(session) = self.sessions.get_mut(&id) else { return false };
         session.moving = true;
-        self.plans.insert(session.request.viewer, (to, self.now));
+        self.planned_moves.insert(session.request.viewer, (to, self.now));
         self.servers.modify(from, |server| server.moved_at = Some(self.now));
         out.push(Action::Move(id));
         true
     }
 
-    /// Holders that may be sent this session now, the least loaded first; doubted ones come last.
-    fn ranked(&mut self, id: &SessionId) -> Vec<ServerId> {
+    /// Holders that may be sent the session now, the least loaded first; distrusted ones come last.
+    fn ranked_holders(&mut self, id: &SessionId) -> Vec<ServerId> {
         let Some(session) = self.sessions.get(id) else { return Vec::new() };
-        let (mut free, tried) = (self.holders(&session.request), session.tried.clone());
-        free.retain(|server| self.barred(id, *server).is_none());
+        let (mut holders, tried) = (self.holders(&session.request), session.tried.clone());
+        holders.retain(|server| self.blocked_until(id, *server).is_none());
         let mut ranked = Vec::new();
-        for to in free {
-            let away = self.servers.get(to).is_some_and(|s| s.entry.zone != self.set.zone);
-            let bias = if away { self.set.cross_price * AWAY } else { 0.0 };
-            let load = self.load(to) + bias + self.draw() * NEAR;
-            ranked.push((self.tier(to), tried.contains(&to), load, to));
+        for to in holders {
+            let in_other_zone = self.servers.get(to).is_some_and(|s| s.entry.zone != self.settings.zone);
+            let penalty = if in_other_zone { self.settings.cross_price * CROSS_ZONE_FACTOR } else { 0.0 };
+            let load = self.server_load(to) + penalty + self.draw_uniform() * LOAD_JITTER;
+            ranked.push((self.health_tier(to), tried.contains(&to), load, to));
         }
         ranked.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2)));
         ranked.into_iter().map(|(_, _, _, server)| server).collect()
     }
 
-    /// Probes the least loaded holders before a set-up where nothing was heard of them lately and probes are
-    /// cheap. Danger: each of many fronts knows few servers; a paid session is lost on a dead one. Harm: a
-    /// crowd's probes cost more than they tell; returning viewers of a loaded fleet have none.
-    fn look(&mut self, id: &SessionId, ranked: &[ServerId], out: &mut Vec<Action>) -> bool {
-        let heard = |at: &ServerId| self.servers.get(*at).and_then(|s| s.asked).map_or(0, |asked| asked.1);
-        let mut stale: Vec<ServerId> = ranked.iter().take(PROBES).copied().collect();
-        stale.retain(|at| heard(at) + PROBE_FROM < self.now);
+    /// Before a set-up, probes the least loaded holders without a recent measurement, if probes are cheap.
+    /// True if the session has to wait for the answers. Danger: each of many fronts knows few servers, and a
+    /// paid session is lost on a dead one. In a loaded fleet, returning viewers cause no probes: those of a
+    /// crowd would cost more than they are worth.
+    fn probe_holders(&mut self, id: &SessionId, ranked: &[ServerId], out: &mut Vec<Action>) -> bool {
+        let measured_at =
+            |at: &ServerId| self.servers.get(*at).and_then(|s| s.measured_load).map_or(0, |m| m.1);
+        let mut stale: Vec<ServerId> = ranked.iter().take(MAX_PROBES).copied().collect();
+        stale.retain(|at| measured_at(at) + PROBE_MIN_AGE < self.now);
         let Some(session) = self.sessions.get_mut(id) else { return false };
-        let loaded = self.usual[0].is_some_and(|usual| usual > MIN_TH) && session.request.returning;
-        let cheap = self.set.probes && self.set.probe_price <= PROBE_PRICE_MOST && !loaded;
-        if !cheap || session.looked || ranked.len() < 2 || stale.is_empty() {
+        let crowded = self.usual_load[0].is_some_and(|usual| usual > MIN_TH) && session.request.returning;
+        let allowed = self.settings.probes && self.settings.probe_price <= MAX_PROBE_PRICE && !crowded;
+        if !allowed || session.probed || ranked.len() < 2 || stale.is_empty() {
             return false;
         }
         out.extend(stale.iter().map(|server| Action::Probe(*server)));
-        out.push(Action::WakeAt(1, self.now + PROBE_WAIT));
-        (session.looked, session.probed, session.wait_until) = (true, stale, Some(self.now + PROBE_WAIT));
+        out.push(Action::WakeAt(1, self.now + PROBE_TIMEOUT));
+        (session.probed, session.pending_probes, session.wait_until) =
+            (true, stale, Some(self.now + PROBE_TIMEOUT));
         true
     }
 
-    /// A probe was answered, or not: the last one lets the sessions go that wait for it.
-    fn looked(&mut self, at: ServerId, outcome: Outcome, out: &mut Vec<Action>) {
+    /// Handles the end of a probe: sessions that wait for no other probe are placed.
+    fn probe_ended(&mut self, at: ServerId, outcome: Outcome, out: &mut Vec<Action>) {
         if matches!(outcome, Outcome::TimedOut | Outcome::NoConnection | Outcome::Broken) {
-            self.failed(at, true);
+            self.record_failure(at, true);
         }
-        for session in self.sessions.values_mut().filter(|s| s.probed.contains(&at)) {
-            session.probed.retain(|server| *server != at);
-            if session.probed.is_empty() {
+        for session in self.sessions.values_mut().filter(|s| s.pending_probes.contains(&at)) {
+            session.pending_probes.retain(|server| *server != at);
+            if session.pending_probes.is_empty() {
                 session.wait_until = session.wait_until.map(|_| self.now);
             }
         }
-        self.serve_waiting(out);
+        self.place_waiting(out);
     }
 
-    /// Listed servers that hold the title.
+    /// Listed servers that hold the requested title.
     fn holders(&self, request: &Request) -> Vec<ServerId> {
-        self.servers.holders(request, self.set.cells)
+        self.servers.holders(request, self.settings.cells)
     }
 
-    // ---- The one way to a server, and the one way to an answer ----
+    // ---- Guarded paths: every set-up and every final answer passes here ----
 
-    /// Until when this session must not be sent to this server. All rules on sending stand here.
-    fn barred(&self, id: &SessionId, to: ServerId) -> Option<Micros> {
+    /// Until when the session must not be sent to the server, by all rules on set-ups; `None` if it may be.
+    fn blocked_until(&self, id: &SessionId, to: ServerId) -> Option<Micros> {
         let (Some(session), Some(server)) = (self.sessions.get(id), self.servers.get(to)) else {
-            return Some(NEVER);
+            return Some(PERMANENT);
         };
-        let (class, top) = (&session.class, session.top);
-        let over = session.answered || session.at.is_some() || self.now >= session.deadline;
-        let held = session.request.held_in(server.entry.cell, self.set.cells);
-        let fit = held && top >= class.floor && server.entry.state == ServerState::Ready;
-        if over || !fit || session.attempts >= self.set.max_attempts {
-            return Some(NEVER);
-        }
-        if let Some((ran, sent)) = session.ran {
+        let (class, top) = (&session.class, session.top_rung);
+        let is_over = session.answered || session.server.is_some() || self.now >= session.deadline;
+        let is_holder = session.request.held_in(server.entry.cell, self.settings.cells);
+        let is_suitable = is_holder && top >= class.floor && server.entry.state == ServerState::Ready;
+        if is_over || !is_suitable || session.attempts >= self.settings.max_attempts {
+            return Some(PERMANENT);
+        }
+        if let Some((earlier, sent_at)) = session.may_have_run {
             let same = |get: fn(&ServerEntry) -> u32| {
-                self.servers.get(ran).is_some_and(|s| get(&s.entry) == get(&server.entry))
+                self.servers.get(earlier).is_some_and(|s| get(&s.entry) == get(&server.entry))
             };
-            let known = match class.group {
+            let recognised = match class.group {
                 Group::All => true,
                 Group::Zone => same(|entry| entry.zone),
                 Group::Cell => same(|entry| entry.cell),
             };
             match class.effect {
                 Effect::Safe => {}
-                Effect::Deduplicated if known && self.now < sent + class.window => {}
-                _ => return Some(NEVER),
+                Effect::Deduplicated if recognised && self.now < sent_at + class.window => {}
+                _ => return Some(PERMANENT),
             }
         }
         if session.in_doubt.contains(&to) {
-            return Some(session.resolved_by.filter(|at| *at > self.now).unwrap_or(NEVER));
+            return Some(session.in_doubt_until.filter(|at| *at > self.now).unwrap_or(PERMANENT));
         }
         if class.seats > 0 {
             let title = (session.request.title, session.request.class);
-            let same = |s: &&Session| s.at.is_some() && (s.request.title, s.request.class) == title;
+            let same = |s: &&Session| s.server.is_some() && (s.request.title, s.request.class) == title;
             if self.sessions.values().filter(same).count() >= class.seats {
-                return Some(NEVER);
+                return Some(PERMANENT);
             }
         }
-        if let (Some(budget), true) = (self.set.budget, session.attempts > 0) {
-            let taken = self.taken.iter().filter(|(at, ..)| at + budget.window > self.now).count();
-            let further = self.further.iter().filter(|at| **at + budget.window >= self.now).count();
-            if (further + 1) as f64 > budget.free + budget.share * taken as f64 {
-                return Some(NEVER);
+        if let (Some(budget), true) = (self.settings.budget, session.attempts > 0) {
+            let requests = self.requests.iter().filter(|(at, ..)| at + budget.window > self.now).count();
+            let retries = self.retries.iter().filter(|at| **at + budget.window >= self.now).count();
+            if (retries + 1) as f64 > budget.free + budget.share * requests as f64 {
+                return Some(PERMANENT);
             }
         }
-        self.pace(session, to)
+        self.cold_pace_block(session, to)
     }
 
-    /// Sends the session, if no rule bars it.
-    fn send(&mut self, id: &SessionId, to: ServerId, out: &mut Vec<Action>) {
-        if self.barred(id, to).is_some() {
-            return self.no_holder(id, out);
+    /// Sends a set-up of the session, unless a rule blocks it.
+    fn send_set_up(&mut self, id: &SessionId, to: ServerId, out: &mut Vec<Action>) {
+        if self.blocked_until(id, to).is_some() {
+            return self.wait_or_refuse(id, out);
         }
-        let rung = self.fit(id, to);
-        let kb = self.sessions.get(id).map_or(0.0, |s| s.rate(rung));
+        let rung = self.choose_rung(id, to);
+        let rate = self.sessions.get(id).map_or(0.0, |s| s.rate(rung));
         let now = self.now;
         let Some(session) = self.sessions.get_mut(id) else { return };
         let class = &session.class;
-        let to_aim = (session.taken + class.aim).saturating_sub(now);
-        let whole = session.deadline.saturating_sub(now);
-        // A time-out of a safe attempt leaves time for another within the aim; one that cannot be sent again
-        // ends with the aim, since a later start earns nothing and a later failure is priced.
+        let until_aim = (session.requested_at + class.aim).saturating_sub(now);
+        let until_deadline = session.deadline.saturating_sub(now);
+        // The time-out of a repeatable attempt leaves time for another within the aim. One that cannot be
+        // repeated ends with the aim, since a later start earns nothing and a later failure costs.
         let time_out = match class.effect {
-            Effect::Once => to_aim,
-            _ if session.attempts + 1 >= self.set.max_attempts => to_aim,
-            _ => ((class.aim as f64 * ATTEMPT_PART) as Micros).min(to_aim),
+            Effect::Once => until_aim,
+            _ if session.attempts + 1 >= self.settings.max_attempts => until_aim,
+            _ => ((class.aim as f64 * ATTEMPT_TIMEOUT_SHARE) as Micros).min(until_aim),
         };
-        let time_out = if time_out < class.aim / 5 { class.aim } else { time_out }.min(whole);
+        let time_out = if time_out < class.aim / 5 { class.aim } else { time_out }.min(until_deadline);
         if session.attempts > 0 {
-            self.further.push_back(now);
+            self.retries.push_back(now);
         }
         session.attempts += 1;
-        (session.at, session.sent, session.rung, session.wait_until) = (Some(to), now, rung, None);
+        (session.server, session.sent_at, session.rung, session.wait_until) = (Some(to), now, rung, None);
         session.tried.push(to);
-        self.servers.modify(to, |server| server.cold_sent = Some(now));
-        self.add(to, kb, 1);
+        self.servers.modify(to, |server| server.last_set_up_at = Some(now));
+        self.add_demand(to, rate, 1);
         out.push(Action::SetRung(id.clone(), rung));
         out.push(Action::SetUp(id.clone(), to, time_out));
     }
 
-    /// No holder may be sent the session now: it waits for its turn at a cold one in its aim, or is refused.
-    fn no_holder(&mut self, id: &SessionId, out: &mut Vec<Action>) {
+    /// No holder may be sent the session now: it waits until one may, within half its aim, or is refused.
+    fn wait_or_refuse(&mut self, id: &SessionId, out: &mut Vec<Action>) {
         let Some(session) = self.sessions.get(id) else { return };
         let aim = session.class.aim;
-        let waits = (session.taken + aim / 2).max(session.resolved_by.map_or(0, |at| at + 1));
-        let last = waits.min(session.deadline.saturating_sub(TICK));
-        let worth_waiting = |at: &ServerId| self.tier(*at) < 2 || session.in_doubt.contains(at);
-        let holders = self.holders(&session.request).into_iter().filter(worth_waiting);
-        let turns = holders.filter_map(|server| self.barred(id, server)).filter(|at| *at < last);
-        let Some(turn) = turns.min() else { return self.refuse(id, out) };
-        self.sessions.entry(id.clone()).and_modify(|session| session.wait_until = Some(turn));
-        out.push(Action::WakeAt(1, turn));
-    }
-
-    /// The final answer: a refusal with a hold-off, or a failure where a set-up may have run that must not be
-    /// offered again.
+        let wait_limit = (session.requested_at + aim / 2).max(session.in_doubt_until.map_or(0, |at| at + 1));
+        let latest = wait_limit.min(session.deadline.saturating_sub(TICK_INTERVAL));
+        let is_worth_waiting = |at: &ServerId| self.health_tier(*at) < 2 || session.in_doubt.contains(at);
+        let holders = self.holders(&session.request).into_iter().filter(is_worth_waiting);
+        let times = holders.filter_map(|server| self.blocked_until(id, server)).filter(|at| *at < latest);
+        let Some(earliest) = times.min() else { return self.refuse(id, out) };
+        self.sessions.entry(id.clone()).and_modify(|session| session.wait_until = Some(earliest));
+        out.push(Action::WakeAt(1, earliest));
+    }
+
+    /// Gives the final answer: a refusal with a hold-off, or a failure if an attempt may have run that must
+    /// not be repeated.
     fn refuse(&mut self, id: &SessionId, out: &mut Vec<Action>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        if session.answered || session.playing.is_some() {
+        if session.answered || session.playing_since.is_some() {
             return;
         }
-        let may_have_run = session.ran.is_some() || session.at.is_some();
-        let harmless = match session.class.effect {
+        let may_have_run = session.may_have_run.is_some() || session.server.is_some();
+        let is_repeatable = match session.class.effect {
             Effect::Safe => true,
             Effect::Deduplicated => session.class.group == Group::All,
             Effect::Once => false,
         };
         session.answered = true;
-        let refused = Action::Refuse(id.clone(), self.set.max_hold_off);
-        out.push(if harmless || !may_have_run { refused } else { Action::Fail(id.clone()) });
-        if session.at.is_none() {
+        let refusal = Action::Refuse(id.clone(), self.settings.max_hold_off);
+        out.push(if is_repeatable || !may_have_run { refusal } else { Action::Fail(id.clone()) });
+        if session.server.is_none() {
             self.sessions.remove(id);
         }
     }
 
-    // ---- Load account ----
+    // ---- Load measurement ----
 
-    /// Load of a server as REM sees it: of its link or of its rack's uplink, whichever is fuller.
-    fn load(&self, id: ServerId) -> f64 {
-        self.link_load(id).max(self.rack_of(id).map_or(0.0, |rack| self.rack_load(rack))).max(self.places(id))
+    /// Load of a server for REM: the highest of the loads of its link, its rack's uplink and its places.
+    fn server_load(&self, id: ServerId) -> f64 {
+        self.link_load(id)
+            .max(self.rack_of(id).map_or(0.0, |rack| self.uplink_load(rack)))
+            .max(self.stream_load(id))
     }
 
-    /// Share of its places that a server has in use: full if it said so just now, else as reported with own
-    /// changes since, else by own sessions.
-    fn places(&self, id: ServerId) -> f64 {
+    /// Share of its places that a server has in use: all if it has just turned a set-up away, else the last
+    /// report with own changes since, and at least the own sessions.
+    fn stream_load(&self, id: ServerId) -> f64 {
         let Some(server) = self.servers.get(id) else { return 0.0 };
-        let Some(places) = self.set.kind_streams.get(server.entry.kind as usize) else { return 0.0 };
+        let Some(places) = self.settings.kind_streams.get(server.entry.kind as usize) else { return 0.0 };
         if server.full_until > self.now {
             return 1.0;
         }
         let since = |at| server.changes.iter().filter(move |c| c.0 > at).map(|c| f64::from(c.2)).sum::<f64>();
-        let used = server.streams.map_or(0.0, |(used, at)| used + since(at));
-        used.max(f64::from(server.own)) / f64::from((*places).max(1))
+        let used = server.measured_streams.map_or(0.0, |(used, at)| used + since(at));
+        used.max(f64::from(server.own_sessions)) / f64::from((*places).max(1))
     }
 
-    /// Share of the told link that is asked: the latest figure and own changes since, giving way with age to
-    /// what the others usually ask of a link and own sessions.
+    /// Demand on a server's link as a share of its capacity: the latest measurement with own changes since;
+    /// as it ages, it gives way to the usual demand of other fronts plus own demand.
     fn link_load(&self, id: ServerId) -> f64 {
         self.servers.get(id).map_or(0.0, |server| self.link_load_of(server))
     }
 
     fn link_load_of(&self, server: &Server) -> f64 {
-        let link = self.link(server);
-        let (own, weight) = (server.own_kb / link, self.weight(server.asked));
-        let known = server.asked.map_or(0.0, |(asked, at)| asked + server.since(at) / link);
-        weight * known.max(own * OWN_PART) + (1.0 - weight) * (self.others(server) + own)
+        let capacity = self.link_capacity(server);
+        let (own_load, weight) = (server.own_kb / capacity, self.measurement_weight(server.measured_load));
+        let known = server.measured_load.map_or(0.0, |(load, at)| load + server.change_since(at) / capacity);
+        weight * known.max(own_load * MIN_OWN_DEMAND_SHARE)
+            + (1.0 - weight) * (self.others_link_load(server) + own_load)
     }
 
-    /// How far a figure still counts. Danger: the last word on what was lost keeps its successors empty.
-    fn weight(&self, heard: Heard) -> f64 {
-        heard.map_or(0.0, |(_, at)| {
-            (1.0 - self.seconds_since(at) * SECOND as f64 / FIGURE_FADES as f64).max(0.0)
+    /// Weight of a measurement by its age. Danger: the last one before a loss keeps the replacement empty.
+    fn measurement_weight(&self, measurement: Measurement) -> f64 {
+        measurement.map_or(0.0, |(_, at)| {
+            (1.0 - self.seconds_since(at) * SECOND as f64 / LOAD_FADE_TIME as f64).max(0.0)
         })
     }
 
@@ -436,528 +452,560 @@
         self.now.saturating_sub(at) as f64 / SECOND as f64
     }
 
-    /// What others are taken to ask of a link: their part of the usual load, from nothing on a new process.
-    /// Danger: an unknown server taken for empty draws all newcomers; taken for full, it stays empty.
-    fn others(&self, server: &Server) -> f64 {
+    /// Estimated load of a link by other fronts: their share of the usual load, from 0 on a new process.
+    /// Danger: an unknown server taken for empty attracts all newcomers; taken for full, it stays empty.
+    fn others_link_load(&self, server: &Server) -> f64 {
         let own = self.servers.own_kb();
-        let usual =
-            self.usual[0].unwrap_or_else(|| own * f64::from(self.set.fronts) / self.set.links_kb.max(1.0));
-        let since = server.cold_since.max(server.entry.started);
-        let filled = since.map_or(1.0, |at| (self.seconds_since(at) / LENGTH).min(1.0));
-        usual.min(USUAL_MOST) * filled * (1.0 - 1.0 / f64::from(self.set.fronts))
+        let usual = self.usual_load[0]
+            .unwrap_or_else(|| own * f64::from(self.settings.fronts) / self.settings.links_kb.max(1.0));
+        let started = server.cold_since.max(server.entry.started);
+        let fill = started.map_or(1.0, |at| (self.seconds_since(at) / DEFAULT_LENGTH_S).min(1.0));
+        usual.min(MAX_USUAL_LOAD) * fill * (1.0 - 1.0 / f64::from(self.settings.fronts))
     }
 
-    fn link(&self, server: &Server) -> f64 {
-        let cold = self.cold(server).is_some();
-        server.link_kb * if cold { self.set.cold_from.clamp(0.1, 1.0) } else { 1.0 }
+    /// Capacity of a server's link, in kB/s.
+    fn link_capacity(&self, server: &Server) -> f64 {
+        let is_cold = self.warm_up_start(server).is_some();
+        server.link_kb * if is_cold { self.settings.cold_from.clamp(0.1, 1.0) } else { 1.0 }
     }
 
     fn rack_of(&self, id: ServerId) -> Option<usize> {
-        self.servers.get(id).map(|s| s.entry.rack(self.set.racks))?
+        self.servers.get(id).map(|s| s.entry.rack(self.settings.racks))?
     }
 
-    fn uplink(&self, rack: usize) -> f64 {
-        self.racks.get(rack).map_or(1.0, |r| (self.set.uplink_kb * r.scale).max(1.0))
+    /// Estimated capacity of a rack's uplink, in kB/s.
+    fn uplink_capacity(&self, rack: usize) -> f64 {
+        self.racks.get(rack).map_or(1.0, |r| (self.settings.uplink_kb * r.scale).max(1.0))
     }
 
-    /// Share of the rack's uplink that is asked: measured where it is told, else summed over its links.
-    fn rack_load(&self, rack: usize) -> f64 {
-        let Some(state) = self.racks.get(rack).filter(|_| self.set.uplink_kb > 0.0) else { return 0.0 };
-        let (uplink, weight) = (self.uplink(rack), self.weight(state.asked));
-        let since = |at| self.servers.in_rack(rack).map(|(_, s)| s.since(at)).sum::<f64>();
-        let known = state.asked.map_or(0.0, |(asked, at)| asked + since(at) / uplink);
-        let links =
-            || self.servers.in_rack(rack).map(|(_, s)| self.link_load_of(s) * self.link(s)).sum::<f64>();
-        match self.usual[1] {
+    /// Demand on a rack's uplink as a share of its capacity: measured if known, else summed over its links.
+    fn uplink_load(&self, rack: usize) -> f64 {
+        let Some(state) = self.racks.get(rack).filter(|_| self.settings.uplink_kb > 0.0) else { return 0.0 };
+        let (capacity, weight) = (self.uplink_capacity(rack), self.measurement_weight(state.measured_load));
+        let changes_since = |at| self.servers.in_rack(rack).map(|(_, s)| s.change_since(at)).sum::<f64>();
+        let known = state.measured_load.map_or(0.0, |(load, at)| load + changes_since(at) / capacity);
+        let links_demand = || {
+            self.servers.in_rack(rack).map(|(_, s)| self.link_load_of(s) * self.link_capacity(s)).sum::<f64>()
+        };
+        match self.usual_load[1] {
             _ if weight == 1.0 => known,
-            Some(usual) => weight * known + (1.0 - weight) * usual.min(USUAL_MOST),
-            None if self.servers.in_rack(rack).all(|(_, s)| s.own == 0) => (links() / uplink).min(USUAL_MOST),
-            None => links() / uplink,
+            Some(usual) => weight * known + (1.0 - weight) * usual.min(MAX_USUAL_LOAD),
+            None if self.servers.in_rack(rack).all(|(_, s)| s.own_sessions == 0) => {
+                (links_demand() / capacity).min(MAX_USUAL_LOAD)
+            }
+            None => links_demand() / capacity,
         }
     }
 
-    /// Books a change of own demand at a server.
-    fn add(&mut self, id: ServerId, kb: f64, streams: i32) {
+    /// Adds a change of own demand at a server, in kB/s and streams.
+    fn add_demand(&mut self, id: ServerId, kb: f64, streams: i32) {
         let now = self.now;
-        let Some(server) = self.servers.add_own(now, id, kb, streams) else { return };
-        while server.changes.front().is_some_and(|c| c.0 + FIGURE_FADES < now) {
+        let Some(server) = self.servers.add_own_demand(now, id, kb, streams) else { return };
+        while server.changes.front().is_some_and(|c| c.0 + LOAD_FADE_TIME < now) {
             server.changes.pop_front();
         }
     }
 
-    /// Takes in a figure on a link, or on the uplink there, as it was at a moment.
-    fn hear_asked(&mut self, id: ServerId, uplink: bool, asked: f64, at: Micros) {
+    /// Records the load of a server's link, or of its rack's uplink, measured at a time.
+    fn record_load(&mut self, id: ServerId, uplink: bool, load: f64, at: Micros) {
         let rack = self.rack_of(id).and_then(|rack| self.racks.get_mut(rack)).filter(|_| uplink);
-        let link = self.servers.get_mut(id).filter(|_| !uplink).map(|server| &mut server.asked);
-        let Some(slot) = link.or(rack.map(|rack| &mut rack.asked)).filter(|_| asked.is_finite()) else {
+        let link = self.servers.get_mut(id).filter(|_| !uplink).map(|server| &mut server.measured_load);
+        let Some(slot) = link.or(rack.map(|r| &mut r.measured_load)).filter(|_| load.is_finite()) else {
             return;
         };
-        hear(slot, asked, at);
-        let usual = self.usual[usize::from(uplink)].get_or_insert(asked);
-        *usual += USUAL_PART * (asked.clamp(0.0, 2.0) - *usual);
+        record_measurement(slot, load, at);
+        let usual = self.usual_load[usize::from(uplink)].get_or_insert(load);
+        *usual += USUAL_LOAD_WEIGHT * (load.clamp(0.0, 2.0) - *usual);
     }
 
-    /// Takes in a load report that came with an answer.
-    fn hear_report(&mut self, id: ServerId, report: &[f64]) {
+    /// Records the load report of an answer.
+    fn record_report(&mut self, id: ServerId, report: &[f64]) {
         let at = self.now.saturating_sub(REPORT_AGE);
-        for (field, value) in self.set.reports.clone().into_iter().zip(report.iter().copied()) {
+        for (field, value) in self.settings.reports.clone().into_iter().zip(report.iter().copied()) {
             match field {
-                ReportField::LinkCapped | ReportField::Link => self.hear_asked(id, false, value, at),
-                ReportField::Uplink => self.hear_asked(id, true, value, at),
+                ReportField::LinkCapped | ReportField::Link => self.record_load(id, false, value, at),
+                ReportField::Uplink => self.record_load(id, true, value, at),
                 ReportField::Streams => {
-                    self.servers.modify(id, |server| hear(&mut server.streams, value, at));
+                    self.servers.modify(id, |s| record_measurement(&mut s.measured_streams, value, at));
                 }
                 ReportField::Other => {}
             }
         }
     }
 
-    /// Short delivery: a rack's uplink is short for all its servers at once, a link alone. A lone server
-    /// that stays short is over, whatever its reports say: they may be late, frozen or wrong.
-    /// Danger: one slow link taken for a full rack starves the rack; the other way round costs one server.
-    fn hear_delivered(&mut self, id: ServerId, share: f64) {
-        let (at, now) = (self.now.saturating_sub(self.set.note_age), self.now);
+    /// Records the share of demand that a server delivered. A full uplink makes all servers of its rack
+    /// short, a full link its own. A single server that stays short is overloaded, whatever its reports say:
+    /// they may be late, frozen or wrong. Danger: one slow link taken for a full uplink starves the rack; the
+    /// opposite error costs one server.
+    fn record_delivered(&mut self, id: ServerId, share: f64) {
+        let (at, now) = (self.now.saturating_sub(self.settings.note_age), self.now);
         let Some(server) = self.servers.get_mut(id) else { return };
-        let again = server.short.is_some_and(|(_, last)| last + NOTE_GAP > now && last < now);
-        server.short = (0.01..SHORT).contains(&share).then_some((share, now));
-        if server.short.is_none() {
+        let repeats =
+            server.short_delivery.is_some_and(|(_, last)| last + SHORT_NOTE_TTL > now && last < now);
+        server.short_delivery = (0.01..FULL_DELIVERY_SHARE).contains(&share).then_some((share, now));
+        if server.short_delivery.is_none() {
             return;
         }
-        let over = 1.0 / share;
+        let overload = 1.0 / share;
         let Some(rack) = self.rack_of(id) else {
-            return self.hear_asked(id, false, over.max(self.link_load(id)), at);
+            return self.record_load(id, false, overload.max(self.link_load(id)), at);
         };
-        let short = |s: &Server| s.short.is_some_and(|(_, last)| last + NOTE_GAP > now);
+        let short = |s: &Server| s.short_delivery.is_some_and(|(_, last)| last + SHORT_NOTE_TTL > now);
         let short = self.servers.in_rack(rack).filter(|(_, s)| short(s)).count();
-        let using = self.servers.in_rack(rack).filter(|(_, s)| s.own_kb > 0.0).count();
-        // The only server with own sessions in its rack is told from its rack by its own link's figure.
-        let fresh = |heard: &(f64, Micros)| heard.1 + self.set.note_interval > at;
-        let fresh = self.servers.get(id).is_some_and(|s| s.asked.as_ref().is_some_and(fresh));
-        let lone = using == 1 && fresh && self.link_load(id) < LONE_PART * over;
-        if short * 2 > using && (short > 1 || lone) {
-            let since: f64 = self.servers.in_rack(rack).map(|(_, s)| s.since(at)).sum();
-            let load = self.rack_load(rack) - since / self.uplink(rack);
-            let Some(state) = self.racks.get_mut(rack).filter(|state| at > state.relieved) else { return };
-            if state.asked.is_some() {
-                return self.hear_asked(id, true, over, at);
+        let in_use = self.servers.in_rack(rack).filter(|(_, s)| s.own_kb > 0.0).count();
+        // If no other server of the rack has own sessions, the link's load shows if link or uplink is short.
+        let fresh = |measured: &(f64, Micros)| measured.1 + self.settings.note_interval > at;
+        let fresh = self.servers.get(id).is_some_and(|s| s.measured_load.as_ref().is_some_and(fresh));
+        let uplink_is_short = in_use == 1 && fresh && self.link_load(id) < LONE_LINK_MAX_SHARE * overload;
+        if short * 2 > in_use && (short > 1 || uplink_is_short) {
+            let change: f64 = self.servers.in_rack(rack).map(|(_, s)| s.change_since(at)).sum();
+            let load = self.uplink_load(rack) - change / self.uplink_capacity(rack);
+            let Some(state) = self.racks.get_mut(rack).filter(|r| at > r.stepped_down_at) else { return };
+            if state.measured_load.is_some() {
+                return self.record_load(id, true, overload, at);
             }
-            state.scale = (state.scale * load / over).clamp(SCALE_MIN, SCALE_MAX);
+            state.scale = (state.scale * load / overload).clamp(MIN_UPLINK_SCALE, MAX_UPLINK_SCALE);
             state.short_at = at;
-        } else if self.link_load(id) < over
-            && self.rack_load(rack) < self.aim() + OVER
-            && (again || self.link_load(id) > 0.9)
+        } else if self.link_load(id) < overload
+            && self.uplink_load(rack) < self.target_load() + STEP_DOWN_EXCESS
+            && (repeats || self.link_load(id) > 0.9)
         {
-            self.hear_asked(id, false, over, at);
+            self.record_load(id, false, overload, at);
         }
     }
 
     // ---- Rungs ----
 
-    /// Seconds that the session is expected to play yet.
-    fn left(&self, session: &Session) -> f64 {
-        let mean = self.lengths.get(session.request.class).copied().unwrap_or(LENGTH);
-        let age = session.playing.map_or(0.0, |at| self.seconds_since(at));
+    /// Expected remaining playing time of a session, in s.
+    fn expected_remaining_s(&self, session: &Session) -> f64 {
+        let mean_s = self.mean_lengths.get(session.request.class).copied().unwrap_or(DEFAULT_LENGTH_S);
+        let age_s = session.playing_since.map_or(0.0, |at| self.seconds_since(at));
         match session.request.length_hint {
-            // A hint is rough: a session past it plays on for a while.
-            Some(length) => (length as f64 / SECOND as f64 - age).max(0.15 * mean),
-            None => mean,
+            // Hints are rough: a session that has passed its hint is expected to play on for a while.
+            Some(hint) => (hint as f64 / SECOND as f64 - age_s).max(0.15 * mean_s),
+            None => mean_s,
         }
     }
 
-    /// Load that rungs are fitted to. What other fronts do is not known in time, so it falls with their part.
-    fn aim(&self) -> f64 {
-        1.0 - MARGIN * (1.0 - 1.0 / f64::from(self.set.fronts)).powi(3)
+    /// Load that rungs are fitted to; falls with the share of other fronts, whose changes are known too late.
+    fn target_load(&self) -> f64 {
+        1.0 - LOAD_MARGIN * (1.0 - 1.0 / f64::from(self.settings.fronts)).powi(3)
     }
 
-    /// kB a second that server and rack can take below a share.
-    fn room(&self, id: ServerId, aim: f64) -> f64 {
-        let rack = self.rack_of(id).map_or(f64::MAX, |rack| (aim - self.rack_load(rack)) * self.uplink(rack));
-        let link = self.servers.get(id).map_or(0.0, |s| (aim - self.link_load(id)) * self.link(s));
-        link.min(rack)
+    /// Demand that a server and its rack can take up to a load, in kB/s.
+    fn free_capacity(&self, id: ServerId, up_to: f64) -> f64 {
+        let uplink =
+            self.rack_of(id).map_or(f64::MAX, |r| (up_to - self.uplink_load(r)) * self.uplink_capacity(r));
+        let link = self.servers.get(id).map_or(0.0, |s| (up_to - self.link_load(id)) * self.link_capacity(s));
+        link.min(uplink)
     }
 
-    /// Demand at a server that steps down could free: the part of all that is asked there as of own sessions.
-    fn can_free(&self, at: ServerId, load: f64) -> f64 {
-        let own = self.sessions.values().filter(|s| s.playing.is_some());
-        let (all, least) =
-            own.fold((1.0, 1.0), |sum, s| (sum.0 + s.rate(s.rung), sum.1 + s.rate(s.class.floor)));
-        self.servers.get(at).map_or(0.0, |s| (1.0 - least / all) * load * self.link(s))
+    /// Demand at a server that steps down could free, if all sessions there have rungs like this front's own.
+    fn freeable_demand(&self, at: ServerId, load: f64) -> f64 {
+        let playing = self.sessions.values().filter(|s| s.playing_since.is_some());
+        let (total, lowest) =
+            playing.fold((1.0, 1.0), |sum, s| (sum.0 + s.rate(s.rung), sum.1 + s.rate(s.class.floor)));
+        self.servers.get(at).map_or(0.0, |s| (1.0 - lowest / total) * load * self.link_capacity(s))
     }
 
-    /// The own playing session whose step down loses the least worth for each kB.
-    fn cheapest(&self, within: impl Fn(&Session) -> bool) -> Option<SessionId> {
-        let able = |s: &Session| s.playing.is_some() && !s.moving && s.rung > s.class.floor;
+    /// The playing session whose step down loses the least worth per kB.
+    fn cheapest_step(&self, is_candidate: impl Fn(&Session) -> bool) -> Option<SessionId> {
+        let can_step = |s: &Session| s.playing_since.is_some() && !s.moving && s.rung > s.class.floor;
         let loss = |s: &Session| {
-            let kb = s.rate(s.rung) - s.rate(s.rung - 1);
-            // The change is paid once for any number of steps.
-            let change = if s.changed == self.now { 0.0 } else { s.class.gain * self.set.change_cost_s };
-            (s.worth(s.rung) - s.worth(s.rung - 1) + change / self.left(s).max(1.0)) / kb.max(1.0)
+            let freed_kb = s.rate(s.rung) - s.rate(s.rung - 1);
+            // A change of rung has its price once for any number of steps.
+            let price =
+                if s.rung_set_at == self.now { 0.0 } else { s.class.gain * self.settings.change_cost_s };
+            (s.worth(s.rung) - s.worth(s.rung - 1) + price / self.expected_remaining_s(s).max(1.0))
+                / freed_kb.max(1.0)
         };
-        let steps = self.sessions.iter().filter(|(_, s)| able(s) && within(s));
-        steps.min_by(|a, b| loss(a.1).total_cmp(&loss(b.1))).map(|(id, _)| id.clone())
+        let candidates = self.sessions.iter().filter(|(_, s)| can_step(s) && is_candidate(s));
+        candidates.min_by(|a, b| loss(a.1).total_cmp(&loss(b.1))).map(|(id, _)| id.clone())
     }
 
-    /// The rung for a newcomer: as high as its part of the room allows; where there is not even room for the
-    /// lowest, own sessions make it.
-    fn fit(&mut self, id: &SessionId, to: ServerId) -> usize {
+    /// The rung for a new session: as high as its share of the free capacity allows. If not even the lowest
+    /// fits, own sessions are stepped down to make room.
+    fn choose_rung(&mut self, id: &SessionId, to: ServerId) -> usize {
         let Some(session) = self.sessions.get(id) else { return 0 };
-        let room = self.room(to, self.aim()) * ROOM_PART;
+        let free = self.free_capacity(to, self.target_load()) * NEWCOMER_SHARE;
         let floor = session.class.floor;
-        let fits = |rung: &usize| session.rate(*rung) <= room;
-        let rung = (floor + 1..=session.top).take_while(fits).last().unwrap_or(floor);
-        let mut over = session.rate(rung) - self.room(to, self.aim() + OVER);
-        while over > 0.0 {
-            let Some(other) = self.cheapest(|s| s.at == Some(to)) else { break };
-            let lower = self.sessions.get(&other).map_or(0, |s| s.rung.saturating_sub(1));
-            over -= self.step(&other, lower);
+        let fits = |rung: &usize| session.rate(*rung) <= free;
+        let rung = (floor + 1..=session.top_rung).take_while(fits).last().unwrap_or(floor);
+        let mut excess = session.rate(rung) - self.free_capacity(to, self.target_load() + STEP_DOWN_EXCESS);
+        while excess > 0.0 {
+            let Some(lowered) = self.cheapest_step(|s| s.server == Some(to)) else { break };
+            let lower_rung = self.sessions.get(&lowered).map_or(0, |s| s.rung.saturating_sub(1));
+            excess -= self.set_rung(&lowered, lower_rung);
         }
         rung
     }
 
-    /// Sets another rung for a playing session; the demand that this frees.
-    fn step(&mut self, id: &SessionId, to: usize) -> f64 {
+    /// Changes the rung of a playing session and returns the demand that this frees, in kB/s.
+    fn set_rung(&mut self, id: &SessionId, to: usize) -> f64 {
         let Some(session) = self.sessions.get_mut(id) else { return 0.0 };
         let freed = session.rate(session.rung) - session.rate(to);
-        (session.rung, session.changed) = (to, self.now);
-        if let Some(at) = session.at {
-            self.add(at, -freed, 0);
+        (session.rung, session.rung_set_at) = (to, self.now);
+        if let Some(at) = session.server {
+            self.add_demand(at, -freed, 0);
         }
-        self.stepped.insert(id.clone());
+        self.changed_rungs.insert(id.clone());
         freed
     }
 
-    /// Lowers own demand where a link or uplink is too full, once for each figure heard.
-    fn relieve(&mut self, at: ServerId, out: &mut Vec<Action>) {
+    /// Lowers own demand on an overloaded link or uplink, once per measurement.
+    fn relieve_overload(&mut self, at: ServerId, out: &mut Vec<Action>) {
         let load = self.link_load(at);
         let Some(server) = self.servers.get(at) else { return };
-        if load > self.aim() + OVER && server.asked.is_some_and(|asked| asked.1 > server.relieved) {
-            self.correct(load, &[at], out);
-            self.servers.modify(at, |server| server.relieved = self.now);
+        if load > self.target_load() + STEP_DOWN_EXCESS
+            && server.measured_load.is_some_and(|measured| measured.1 > server.stepped_down_at)
+        {
+            self.reduce_own_demand(load, &[at], out);
+            self.servers.modify(at, |server| server.stepped_down_at = self.now);
         }
         let Some(rack) = self.rack_of(at) else { return };
-        let (load, summed) = (self.rack_load(rack), self.set.note_interval + self.set.note_age);
+        let (load, note_lag) = (self.uplink_load(rack), self.settings.note_interval + self.settings.note_age);
         let Some(state) = self.racks.get(rack) else { return };
-        let heard = state.asked.map_or(state.short_at.max(self.now.saturating_sub(summed)), |asked| asked.1);
-        if load > self.aim() + OVER && heard > state.relieved {
-            let inside: Vec<ServerId> = self.servers.in_rack(rack).map(|(id, _)| id).collect();
-            self.correct(load, &inside, out);
-            self.racks[rack].relieved = self.now;
+        let measured_at = state
+            .measured_load
+            .map_or(state.short_at.max(self.now.saturating_sub(note_lag)), |measured| measured.1);
+        if load > self.target_load() + STEP_DOWN_EXCESS && measured_at > state.stepped_down_at {
+            let servers: Vec<ServerId> = self.servers.in_rack(rack).map(|(id, _)| id).collect();
+            self.reduce_own_demand(load, &servers, out);
+            self.racks[rack].stepped_down_at = self.now;
         }
     }
 
-    /// Takes own sessions' part of the excess off these servers. All fronts hear of it at the same time: each
-    /// takes its part only, and the last step is drawn for, so that they free the excess together.
-    fn correct(&mut self, load: f64, within: &[ServerId], out: &mut Vec<Action>) {
-        let own: f64 = within.iter().filter_map(|at| self.servers.get(*at)).map(|s| s.own_kb).sum();
-        let mut need = own * (1.0 - self.aim() / load);
-        while need > 0.0 {
-            let Some(id) = self.cheapest(|s| s.at.is_some_and(|at| within.contains(&at))) else { break };
+    /// Frees own sessions' share of the excess on these servers. All fronts learn of it at the same time:
+    /// each frees only its share, with a random draw on the last step, so that together they free the excess.
+    fn reduce_own_demand(&mut self, load: f64, ids: &[ServerId], out: &mut Vec<Action>) {
+        let own: f64 = ids.iter().filter_map(|at| self.servers.get(*at)).map(|s| s.own_kb).sum();
+        let mut excess = own * (1.0 - self.target_load() / load);
+        while excess > 0.0 {
+            let Some(id) = self.cheapest_step(|s| s.server.is_some_and(|at| ids.contains(&at))) else {
+                break;
+            };
             let Some(session) = self.sessions.get(&id) else { break };
-            let lower = session.rung.saturating_sub(1);
-            if need < (session.rate(session.rung) - session.rate(lower)) * self.draw() {
+            let lower_rung = session.rung.saturating_sub(1);
+            if excess < (session.rate(session.rung) - session.rate(lower_rung)) * self.draw_uniform() {
                 return;
             }
-            need -= self.step(&id, lower);
+            excess -= self.set_rung(&id, lower_rung);
         }
-        // Exception to REM: the ladder is used up and the link still short, so a session moves as above
-        // Max.th, though no newcomer has come. Danger: a crowd on few holders starves them all.
-        if need > 0.0 && load >= SHED + self.set.move_price {
-            for at in within {
-                self.shift(*at, out);
+        // Exception to REM: with all rungs down and the link still short, a session moves as above Max.th,
+        // although no new one has arrived. Danger: a crowd on few holders starves them all.
+        if excess > 0.0 && load >= SHED_MIN_LOAD + self.settings.move_price {
+            for at in ids {
+                self.move_one_session(*at, out);
             }
         }
     }
 
-    /// Steps own sessions up where there is lasting room and the time left pays for the change.
-    fn raise(&mut self) {
-        let mine = self.servers.in_use().map(|(id, _)| id);
-        for at in mine.collect::<Vec<_>>() {
+    /// Steps own sessions up where capacity stays free and the remaining time pays for the change.
+    fn step_rungs_up(&mut self) {
+        let in_use = self.servers.in_use().map(|(id, _)| id);
+        for at in in_use.collect::<Vec<_>>() {
             let Some(server) = self.servers.get(at) else { continue };
-            let heard = server.asked.filter(|asked| asked.1 > server.stepped_up);
-            let Some((asked, _)) = heard.filter(|_| self.load(at) <= LOW) else { continue };
-            // All fronts with sessions here hear the same: each takes its part of what is asked.
-            let part = (server.own_kb / (asked * self.link(server)).max(1.0)).min(1.0);
-            let room = self.room(at, RAISE_TO);
+            let fresh = server.measured_load.filter(|load| load.1 > server.stepped_up_at);
+            let Some((load, _)) = fresh.filter(|_| self.server_load(at) <= STEP_UP_MAX_LOAD) else {
+                continue;
+            };
+            // All fronts with sessions here get the same measurement: each uses its share of the demand.
+            let own_share = (server.own_kb / (load * self.link_capacity(server)).max(1.0)).min(1.0);
+            let free = self.free_capacity(at, STEP_UP_TARGET);
             let step = |(id, s): (&SessionId, &Session)| {
-                let kb = |rung| s.rate(rung) - s.rate(s.rung);
-                let fits = |rung: &usize| kb(*rung) <= room;
-                let to = (s.rung + 1..=s.top).take_while(fits).last()?;
-                let more = s.worth(to) - s.worth(s.rung);
-                let pays = more * self.left(s) > STEP_PAYS * self.set.change_cost_s * s.class.gain;
-                let able = s.playing.is_some() && !s.moving && s.changed + DWELL < self.now;
-                (able && pays).then(|| (id.clone(), to, kb(to), more / kb(to).max(1.0)))
+                let added_kb = |rung| s.rate(rung) - s.rate(s.rung);
+                let fits = |rung: &usize| added_kb(*rung) <= free;
+                let to = (s.rung + 1..=s.top_rung).take_while(fits).last()?;
+                let added_worth = s.worth(to) - s.worth(s.rung);
+                let pays = added_worth * self.expected_remaining_s(s)
+                    > STEP_UP_MIN_RETURN * self.settings.change_cost_s * s.class.gain;
+                let able = s.playing_since.is_some() && !s.moving && s.rung_set_at + STEP_UP_DWELL < self.now;
+                (able && pays).then(|| (id.clone(), to, added_kb(to), added_worth / added_kb(to).max(1.0)))
             };
-            let here = self.sessions.iter().filter(|(_, s)| s.at == Some(at));
+            let here = self.sessions.iter().filter(|(_, s)| s.server == Some(at));
             let best = here.filter_map(step).max_by(|a, b| a.3.total_cmp(&b.3));
-            let Some((id, to, kb, _)) = best else { continue };
-            let draw = self.draw();
-            self.servers.modify(at, |server| server.stepped_up = self.now);
-            if room * part > kb * draw {
-                self.step(&id, to);
+            let Some((id, to, added_kb, _)) = best else { continue };
+            let draw = self.draw_uniform();
+            self.servers.modify(at, |server| server.stepped_up_at = self.now);
+            if free * own_share > added_kb * draw {
+                self.set_rung(&id, to);
             }
         }
     }
 
     // ---- Health ----
 
-    /// 0: trusted; 1: has failed not long ago; 2: out for now.
-    fn tier(&self, id: ServerId) -> u32 {
+    /// 0: trusted; 1: distrusted after a recent failure there or in its zone; 2: in backoff.
+    fn health_tier(&self, id: ServerId) -> u32 {
         let Some(server) = self.servers.get(id) else { return 2 };
-        if server.out_until > self.now {
+        if server.backoff_until > self.now {
             return 2;
         }
-        let failed = server.failures > 0 && server.failed_at.is_some_and(|at| at + DOUBT > self.now);
-        let kin = |(many, at): &(u32, Micros)| *many >= KIN_DOWN && at + OUT_LONGEST > self.now;
-        u32::from(failed || self.downs.get(&server.entry.zone).is_some_and(kin))
+        let failed = server.failures > 0 && server.failed_at.is_some_and(|at| at + DISTRUST_TIME > self.now);
+        let down = |(count, at): &(u32, Micros)| *count >= ZONE_MAX_FAILURES && at + MAX_BACKOFF > self.now;
+        u32::from(failed || self.zone_failures.get(&server.entry.zone).is_some_and(down))
     }
 
-    /// One record of trouble from all that ends badly: errors, silence, broken connections.
-    fn failed(&mut self, id: ServerId, down: bool) {
+    /// Records a failure of any kind: an error, silence or a broken connection; `down` for the last two.
+    fn record_failure(&mut self, id: ServerId, down: bool) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(id) else { return };
         (server.failures, server.failed_at) = ((server.failures + 1).min(8), Some(now));
-        let time = (OUT_FIRST << (server.failures - 1).min(4)).min(OUT_LONGEST);
-        server.out_until = server.out_until.max(now + time);
+        let backoff = (MIN_BACKOFF << (server.failures - 1).min(4)).min(MAX_BACKOFF);
+        server.backoff_until = server.backoff_until.max(now + backoff);
         if down {
-            let kin = self.downs.entry(server.entry.zone).or_default();
-            *kin = (kin.0 + 1, now);
-            // It may be back at any time, and cold: what the list says of its age is void.
+            let zone = self.zone_failures.entry(server.entry.zone).or_default();
+            *zone = (zone.0 + 1, now);
+            // It may restart at any time and then be cold, whatever start time is listed.
             server.cold_since = Some(now);
         }
     }
 
-    /// A request with errors at two servers is at fault: the first is taken back, the next uncounted. Nor is
-    /// an error among many good answers. Danger: a client's useless requests empty all holders of a title.
-    fn erred(&mut self, at: &[ServerId]) {
+    /// Records errors of one request at the servers in `at`. If two servers fail it, the request is at fault:
+    /// the first failure is undone and the next not counted; nor is an error among many good answers.
+    /// Danger: one client's invalid requests would put all holders of a title out of use.
+    fn record_errors(&mut self, at: &[ServerId]) {
         match at {
             [first, second] if first != second => {
                 let Some(server) = self.servers.get_mut(*first) else { return };
-                (server.failures, server.out_until) = (server.failures.saturating_sub(1), 0);
+                (server.failures, server.backoff_until) = (server.failures.saturating_sub(1), 0);
             }
             [.., last] if at.iter().all(|other| other == last) => {
-                self.answered(*last, true);
+                self.record_answer(*last, true);
                 let answers = self.servers.get(*last).map(|server| &server.answers).into_iter().flatten();
-                let (all, errors) =
+                let (total, errors) =
                     answers.fold((0.0, 0.0), |sum, answer| (sum.0 + 1.0, sum.1 + f64::from(answer.1)));
-                if errors > all * ERRORS_BORNE {
-                    self.failed(*last, false);
+                if errors > total * MAX_REQUEST_ERROR_SHARE {
+                    self.record_failure(*last, false);
                 }
             }
             _ => {}
         }
     }
 
-    fn answered(&mut self, id: ServerId, error: bool) {
+    fn record_answer(&mut self, id: ServerId, error: bool) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(id) else { return };
         server.answers.push_back((now, error));
-        server.answers.retain(|answer| answer.0 + ANSWERS_KEPT > now);
+        server.answers.retain(|answer| answer.0 + ERROR_WINDOW > now);
     }
 
-    fn worked(&mut self, id: ServerId) {
-        self.answered(id, false);
+    /// Records a set-up that led to a playing session.
+    fn record_success(&mut self, id: ServerId) {
+        self.record_answer(id, false);
         let Some(server) = self.servers.get_mut(id) else { return };
-        (server.failures, server.out_until) = (server.failures.saturating_sub(1), 0);
-        self.downs.remove(&server.entry.zone);
+        (server.failures, server.backoff_until) = (server.failures.saturating_sub(1), 0);
+        self.zone_failures.remove(&server.entry.zone);
     }
 
-    /// A session tells of its server: the process has run since that session began, whatever was feared.
-    /// Danger: one broken connection empties a server and takes it for cold, while all else there plays on.
-    fn lives(&mut self, id: ServerId, since: Micros) {
-        let told = self.now.saturating_sub(self.set.note_age);
+    /// A note on a session shows that its server has run since that session began, even if it was found down.
+    /// Danger: one broken connection would empty a server and mark it cold while its other sessions play on.
+    fn record_sign_of_life(&mut self, id: ServerId, since: Micros) {
+        let noted_at = self.now.saturating_sub(self.settings.note_age);
         let Some(server) = self.servers.get_mut(id) else { return };
-        let Some(down) = server.cold_since.filter(|at| since < *at && *at < told) else { return };
+        let Some(down_at) = server.cold_since.filter(|at| since < *at && *at < noted_at) else { return };
         server.cold_since = Some(since);
-        if server.failed_at == Some(down) {
-            (server.failures, server.out_until) = (0, 0);
-            self.downs.remove(&server.entry.zone);
+        if server.failed_at == Some(down_at) {
+            (server.failures, server.backoff_until) = (0, 0);
+            self.zone_failures.remove(&server.entry.zone);
         }
     }
 
-    /// When the warm-up of a server began, if it may be cold.
-    fn cold(&self, server: &Server) -> Option<Micros> {
-        let told = server.entry.started.or(self.unsure.then_some(self.now));
-        server.cold_since.max(told).filter(|at| at + self.set.warm_up > self.now)
+    /// When the warm-up of a server began, if the server may be cold.
+    fn warm_up_start(&self, server: &Server) -> Option<Micros> {
+        let listed = server.entry.started.or(self.list_may_be_stale.then_some(self.now));
+        server.cold_since.max(listed).filter(|at| at + self.settings.warm_up > self.now)
     }
 
-    /// Until when a server that may be cold bars a session. Each front keeps to the pace, and in a window to
-    /// its part of what makes the server fall. Where that is less than one, it lets a drawn part of its
-    /// sessions in: its share of the pace over what it would send, so that all together stay under a fall.
-    /// Danger: a returning wave pushes it over; it raises the own rate, so lowers the part. Harm: idle room.
-    fn pace(&self, session: &Session, id: ServerId) -> Option<Micros> {
+    /// Until when the pace of a server that may be cold blocks a session. Each front keeps to the pace and,
+    /// in a window, to its share of the set-ups that overload the server. If that is less than one, it admits
+    /// a random part of its sessions: its share of the pace over its own rate, so that all fronts stay below.
+    /// Danger: a wave of returning viewers overloads it; the wave raises the own rate and so lowers the part.
+    /// The cost is idle capacity.
+    fn cold_pace_block(&self, session: &Session, id: ServerId) -> Option<Micros> {
         let server = self.servers.get(id)?;
-        self.cold(server)?;
-        let streams = self.set.kind_streams.get(server.entry.kind as usize).copied().unwrap_or(1).max(1);
-        let multiple = (self.set.fall_multiple * COLD_PART).max(COLD_PART);
-        let pace = f64::from(streams) * self.set.cold_from.max(0.05) * multiple;
-        let length = ((self.set.warm_up as f64 / pace) as Micros).max(1);
-        let (window, fronts) = (self.set.fall_window, f64::from(self.set.fronts));
-        let part = (window as f64 / length as f64 / COLD_PART / fronts).floor();
-        let spacing = length.max((window as f64 / part.max(1.0)) as Micros);
-        let turn = server.cold_sent.map(|at| at + spacing).filter(|next| *next > self.now);
-        if turn.is_some() || part >= 1.0 {
-            return turn;
-        }
-        // What this front would send there: all that it was lately asked for and the server holds, since the
-        // least loaded draws them all. A returning viewer shows that others ask for it in vain. A crowd shows
-        // in the other requests of a window first; a front that has just started has no long run.
-        let asked = |span: Micros| {
-            let here = |first, many| is_held_in(first, many, server.entry.cell, self.set.cells);
-            let lately =
-                self.taken.iter().filter(|(at, first, many)| at + span > self.now && here(*first, *many));
-            lately.count() as f64
+        self.warm_up_start(server)?;
+        let streams = self.settings.kind_streams.get(server.entry.kind as usize).copied().unwrap_or(1).max(1);
+        let multiple = (self.settings.fall_multiple * COLD_PACE_SHARE).max(COLD_PACE_SHARE);
+        let pace = f64::from(streams) * self.settings.cold_from.max(0.05) * multiple;
+        let interval = ((self.settings.warm_up as f64 / pace) as Micros).max(1);
+        let (window, fronts) = (self.settings.fall_window, f64::from(self.settings.fronts));
+        let per_window = (window as f64 / interval as f64 / COLD_PACE_SHARE / fronts).floor();
+        let spacing = interval.max((window as f64 / per_window.max(1.0)) as Micros);
+        let next_turn = server.last_set_up_at.map(|at| at + spacing).filter(|next| *next > self.now);
+        if next_turn.is_some() || per_window >= 1.0 {
+            return next_turn;
+        }
+        // The rate at which this front would send there: all recent requests for titles on the server, as the
+        // least loaded holder attracts them all. A returning viewer shows that others were refused. The rate
+        // in one window shows a crowd first, and a front that has just started has no long history.
+        let requests_in = |span: Micros| {
+            let held = |first, count| is_held_in(first, count, server.entry.cell, self.settings.cells);
+            let recent = self
+                .requests
+                .iter()
+                .filter(|(at, first, count)| at + span > self.now && held(*first, *count));
+            recent.count() as f64
         };
-        let again = (usize::from(session.request.returning) * AGAIN) as f64;
-        let since = self.taken.front().map_or(0, |(at, ..)| self.now - at);
-        let sends = (asked(TAKEN_KEPT) + again) / since.min(TAKEN_KEPT).max(window).max(1) as f64;
-        let sends = sends.max((asked(window) - 1.0) / window.max(1) as f64);
-        let share = 1.0 / (length as f64 * fronts);
-        (session.luck * sends > share).then_some(NEVER)
+        let returning = (usize::from(session.request.returning) * REQUESTS_PER_RETURNING_VIEWER) as f64;
+        let history = self.requests.front().map_or(0, |(at, ..)| self.now - at);
+        let rate = (requests_in(REQUEST_RATE_WINDOW) + returning)
+            / history.min(REQUEST_RATE_WINDOW).max(window).max(1) as f64;
+        let rate = rate.max((requests_in(window) - 1.0) / window.max(1) as f64);
+        let share = 1.0 / (interval as f64 * fronts);
+        (session.cold_draw * rate > share).then_some(PERMANENT)
     }
 
     // ---- Events ----
 
-    /// Takes in one event; what is to be done is added to `out`.
+    /// Handles one event and adds the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Servers(kind, entries) => self.list(*kind, entries, out),
-            Event::Request(request) => match self.set.classes.get(request.class) {
-                None => out.push(Action::Refuse(request.session.clone(), self.set.max_hold_off)),
+            Event::Servers(kind, entries) => self.update_list(*kind, entries, out),
+            Event::Request(request) => match self.settings.classes.get(request.class) {
+                None => out.push(Action::Refuse(request.session.clone(), self.settings.max_hold_off)),
                 Some(class) => {
-                    self.taken.push_back((self.now, request.first_cell, request.cell_count));
-                    let mut session = Session::new(request, class, &self.set.ladder, self.now);
-                    session.luck = self.draw();
+                    self.requests.push_back((self.now, request.first_cell, request.cell_count));
+                    let mut session = Session::new(request, class, &self.settings.ladder, self.now);
+                    session.cold_draw = self.draw_uniform();
                     self.sessions.insert(request.session.clone(), session);
-                    self.place(&request.session, out);
+                    self.place_session(&request.session, out);
                 }
             },
             Event::Resumed(request, server) => {
-                let Some(class) = self.set.classes.get(request.class) else { return };
-                let mut session = Session::new(request, class, &self.set.ladder, self.now);
-                (session.at, session.attempts, session.playing) = (Some(*server), 1, Some(self.now));
-                let kb = session.rate(session.rung);
+                let Some(class) = self.settings.classes.get(request.class) else { return };
+                let mut session = Session::new(request, class, &self.settings.ladder, self.now);
+                (session.server, session.attempts, session.playing_since) =
+                    (Some(*server), 1, Some(self.now));
+                let rate = session.rate(session.rung);
                 self.sessions.insert(request.session.clone(), session);
-                self.add(*server, kb, 1);
-                self.unsure = false;
+                self.add_demand(*server, rate, 1);
+                self.list_may_be_stale = false;
             }
             Event::Started { session, server, .. } => {
-                self.worked(*server);
-                self.sessions.entry(session.clone()).and_modify(|s| s.playing = Some(self.now));
+                self.record_success(*server);
+                self.sessions.entry(session.clone()).and_modify(|s| s.playing_since = Some(self.now));
             }
             Event::Ended { session, attempt, server, outcome, last, report } => {
-                self.hear_report(*server, report);
-                self.ended(session, *attempt, *outcome, *last, out);
-                self.relieve(*server, out);
+                self.record_report(*server, report);
+                self.finish(session, *attempt, *outcome, *last, out);
+                self.relieve_overload(*server, out);
             }
             Event::InDoubt { session, server } => {
-                let by = self.now + RESOLVE_WAIT;
+                let until = self.now + IN_DOUBT_WAIT;
                 self.sessions.entry(session.clone()).and_modify(|session| {
                     session.in_doubt.push(*server);
-                    session.resolved_by = Some(by);
+                    session.in_doubt_until = Some(until);
                 });
             }
-            Event::Resolved { session, server } => self.resolved(session, *server, out),
+            Event::Resolved { session, server } => self.doubt_resolved(session, *server, out),
             Event::ClientLeft(id) => {
-                // An attempt that is out still holds its seat until it ends.
-                self.sessions.retain(|other, s| other != id || s.at.is_some());
+                // A pending attempt keeps its seat until it ends.
+                self.sessions.retain(|other, s| other != id || s.server.is_some());
                 self.sessions.entry(id.clone()).and_modify(|s| s.answered = true);
             }
             Event::Note { session, server, note } => {
-                let since =
-                    self.sessions.get(session).and_then(|s| s.playing.filter(|_| s.at == Some(*server)));
+                let since = self
+                    .sessions
+                    .get(session)
+                    .and_then(|s| s.playing_since.filter(|_| s.server == Some(*server)));
                 if let Some(since) = since {
-                    self.lives(*server, since);
+                    self.record_sign_of_life(*server, since);
                 }
-                let fresh = since == Some(self.now);
-                let at = if fresh { self.now } else { self.now.saturating_sub(self.set.note_age) };
+                let is_new = since == Some(self.now);
+                let at = if is_new { self.now } else { self.now.saturating_sub(self.settings.note_age) };
                 match note {
-                    Note::Delivered(share) => self.hear_delivered(*server, *share),
+                    Note::Delivered(share) => self.record_delivered(*server, *share),
                     Note::Rung(rung) => {
-                        let Some(known) = self.sessions.get(session) else { return };
-                        let more = known.rate(*rung) - known.rate(known.rung);
+                        let Some(playing) = self.sessions.get(session) else { return };
+                        let added_kb = playing.rate(*rung) - playing.rate(playing.rung);
                         self.sessions.entry(session.clone()).and_modify(|s| s.rung = *rung);
-                        self.add(*server, more, 0);
+                        self.add_demand(*server, added_kb, 0);
                     }
-                    Note::Link(asked) => self.hear_asked(*server, false, *asked, at),
-                    Note::Uplink(asked) => self.hear_asked(*server, true, *asked, at),
+                    Note::Link(load) => self.record_load(*server, false, *load, at),
+                    Note::Uplink(load) => self.record_load(*server, true, *load, at),
                 }
-                self.relieve(*server, out);
+                self.relieve_overload(*server, out);
             }
             Event::Probed { server, report, outcome } => {
-                self.hear_report(*server, report);
-                self.looked(*server, *outcome, out);
+                self.record_report(*server, report);
+                self.probe_ended(*server, *outcome, out);
             }
-            Event::Wake(tag) => self.tick(*tag, out),
+            Event::Wake(tag) => self.wake(*tag, out),
             Event::Peer(_) => {}
         }
-        for id in std::mem::take(&mut self.stepped) {
+        for id in std::mem::take(&mut self.changed_rungs) {
             if let Some(session) = self.sessions.get(&id) {
                 out.push(Action::SetRung(id, session.rung));
             }
         }
-        if !self.ticking {
-            self.ticking = true;
-            out.push(Action::WakeAt(0, self.now + TICK));
+        if !self.tick_scheduled {
+            self.tick_scheduled = true;
+            out.push(Action::WakeAt(0, self.now + TICK_INTERVAL));
         }
     }
 
-    fn ended(&mut self, id: &SessionId, attempt: u32, outcome: Outcome, last: bool, out: &mut Vec<Action>) {
+    /// Handles the end of a session's latest attempt; the session may get another one.
+    fn finish(&mut self, id: &SessionId, attempt: u32, outcome: Outcome, last: bool, out: &mut Vec<Action>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
-        let (Some(at), true) = (session.at, attempt + 1 == session.attempts) else { return };
-        let (playing, answered) = (session.playing, session.answered);
-        session.at = None;
+        let (Some(server), true) = (session.server, attempt + 1 == session.attempts) else { return };
+        let (playing_since, answered) = (session.playing_since, session.answered);
+        session.server = None;
         if outcome == Outcome::Failed {
-            session.erred.push(at);
+            session.error_servers.push(server);
         }
-        let erred = session.erred.clone();
+        let error_servers = session.error_servers.clone();
         if !outcome.never_ran() {
-            session.ran = Some((at, session.sent));
+            session.may_have_run = Some((server, session.sent_at));
         }
-        let (class, kb) = (session.request.class, session.rate(session.rung));
-        self.add(at, -kb, -1);
-        let draining = self.servers.get(at).is_some_and(|s| s.entry.state != ServerState::Ready);
+        let (class, rate) = (session.request.class, session.rate(session.rung));
+        self.add_demand(server, -rate, -1);
+        let draining = self.servers.get(server).is_some_and(|s| s.entry.state != ServerState::Ready);
         match outcome {
             Outcome::Ok => {
-                let length = playing.map(|at| self.seconds_since(at));
-                if let (Some(length), Some(mean)) = (length, self.lengths.get_mut(class)) {
-                    *mean += 0.05 * (length - *mean);
+                let length_s = playing_since.map(|since| self.seconds_since(since));
+                if let (Some(length_s), Some(mean_s)) = (length_s, self.mean_lengths.get_mut(class)) {
+                    *mean_s += 0.05 * (length_s - *mean_s);
                 }
             }
-            Outcome::Failed => self.erred(&erred),
-            Outcome::Full if draining => self.failed(at, false),
+            Outcome::Failed => self.record_errors(&error_servers),
+            Outcome::Full if draining => self.record_failure(server, false),
             Outcome::Full => {
-                self.servers.modify(at, |server| server.full_until = self.now + FULL);
+                self.servers.modify(server, |server| server.full_until = self.now + FULL_BACKOFF);
+            }
+            Outcome::TimedOut | Outcome::NoConnection | Outcome::Broken if !draining => {
+                self.record_failure(server, true)
             }
-            Outcome::TimedOut | Outcome::NoConnection | Outcome::Broken if !draining => self.failed(at, true),
             _ => {}
         }
-        if playing.is_some() || last || answered {
+        if playing_since.is_some() || last || answered {
             self.sessions.remove(id);
         } else {
-            self.place(id, out);
+            self.place_session(id, out);
         }
     }
 
-    /// An attempt that was given up is over at its server, which may be sent the session again.
-    fn resolved(&mut self, id: &SessionId, server: ServerId, out: &mut Vec<Action>) {
+    /// An attempt that was given up has ended at its server, which may be sent the session again.
+    fn doubt_resolved(&mut self, id: &SessionId, server: ServerId, out: &mut Vec<Action>) {
         let Some(session) = self.sessions.get_mut(id) else { return };
         if let Some(at) = session.in_doubt.iter().position(|other| *other == server) {
             session.in_doubt.remove(at);
         }
-        let waits = session.wait_until.is_some() && session.probed.is_empty();
-        if waits && session.at.is_none() && !session.answered {
-            self.place(id, out);
+        let waits = session.wait_until.is_some() && session.pending_probes.is_empty();
+        if waits && session.server.is_none() && !session.answered {
+            self.place_session(id, out);
         }
     }
 
-    fn list(&mut self, kind: ListKind, entries: &[ServerEntry], out: &mut Vec<Action>) {
+    /// Applies a server list or changes of it.
+    fn update_list(&mut self, kind: ListKind, entries: &[ServerEntry], out: &mut Vec<Action>) {
         if kind == ListKind::FetchFailed {
             out.push(Action::WakeAt(2, self.now + SECOND / 2));
             return;
         }
-        self.unsure &= kind == ListKind::Cached;
-        if kind == ListKind::Cached && self.set.list_on_demand {
+        self.list_may_be_stale &= kind == ListKind::Cached;
+        if kind == ListKind::Cached && self.settings.list_on_demand {
             out.push(Action::FollowList);
         }
         if kind != ListKind::Changes {
@@ -969,49 +1017,54 @@
                 self.servers.remove(entry.server);
                 continue;
             }
-            let server = self.servers.list(entry);
-            server.link_kb = (entry.units * self.set.link_kb_per_unit).max(1.0);
+            let server = self.servers.upsert(entry);
+            server.link_kb = (entry.units * self.settings.link_kb_per_unit).max(1.0);
             server.entry.started = entry.started.map(|at| at.min(self.now));
         }
     }
 
-    /// No short delivery for a while: an uplink carries what it is asked, and perhaps more.
+    /// An uplink without short delivery for a while carries its demand, and perhaps more: its estimate grows.
     fn learn_uplinks(&mut self) {
-        let learns = |rack: &Rack| rack.short_at + QUIET < self.now && rack.scale < SCALE_MAX;
-        let mut full: BTreeSet<usize> =
-            self.servers.in_use().filter_map(|(_, server)| server.entry.rack(self.set.racks)).collect();
-        full.retain(|at| self.racks.get(*at).is_some_and(learns) && self.rack_load(*at) > LEARN_FROM);
+        let may_grow =
+            |rack: &Rack| rack.short_at + UPLINK_GROWTH_QUIET < self.now && rack.scale < MAX_UPLINK_SCALE;
+        let mut loaded: BTreeSet<usize> =
+            self.servers.in_use().filter_map(|(_, server)| server.entry.rack(self.settings.racks)).collect();
+        loaded.retain(|at| {
+            self.racks.get(*at).is_some_and(may_grow) && self.uplink_load(*at) > UPLINK_GROWTH_MIN_LOAD
+        });
         for (at, rack) in self.racks.iter_mut().enumerate() {
-            let full = full.contains(&at);
-            if rack.short_at + QUIET < self.now && (full || rack.scale < 1.0) {
-                rack.scale = (rack.scale + if full { LEARN } else { LEARN / 5.0 }).min(SCALE_MAX);
+            let loaded = loaded.contains(&at);
+            if rack.short_at + UPLINK_GROWTH_QUIET < self.now && (loaded || rack.scale < 1.0) {
+                rack.scale = (rack.scale
+                    + if loaded { UPLINK_GROWTH_PER_TICK } else { UPLINK_GROWTH_PER_TICK / 5.0 })
+                .min(MAX_UPLINK_SCALE);
             }
         }
     }
 
-    fn serve_waiting(&mut self, out: &mut Vec<Action>) {
+    fn place_waiting(&mut self, out: &mut Vec<Action>) {
         let due = |s: &Session| s.wait_until.is_some_and(|at| at <= self.now);
         let due = self.sessions.iter().filter(|(_, s)| due(s)).map(|(id, _)| id.clone());
         for id in due.collect::<Vec<_>>() {
-            self.place(&id, out);
+            self.place_session(&id, out);
         }
     }
 
-    fn tick(&mut self, tag: u64, out: &mut Vec<Action>) {
+    fn wake(&mut self, tag: u64, out: &mut Vec<Action>) {
         if tag == 2 {
             out.push(Action::FollowList);
             return;
         }
-        self.serve_waiting(out);
+        self.place_waiting(out);
         if tag == 0 {
-            self.ticking = false;
-            self.raise();
+            self.tick_scheduled = false;
+            self.step_rungs_up();
             self.learn_uplinks();
             let now = self.now;
-            self.plans.retain(|_, plan| plan.1 + SESSION_MOVE_SPACING > now);
-            let window = self.set.budget.map_or(0, |budget| budget.window).max(TAKEN_KEPT);
-            self.taken.retain(|(at, ..)| at + window >= now);
-            self.further.retain(|at| at + window >= now);
+            self.planned_moves.retain(|_, plan| plan.1 + VIEWER_MOVE_INTERVAL > now);
+            let window = self.settings.budget.map_or(0, |budget| budget.window).max(REQUEST_RATE_WINDOW);
+            self.requests.retain(|(at, ..)| at + window >= now);
+            self.retries.retain(|at| at + window >= now);
         }
     }
 }
