--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -308,7 +308,7 @@
         );
         let front = Front::start(Settings::parse("crooked.kdl", &text).expect("holds")).expect("starts");
         std::thread::sleep(Duration::from_millis(200));
-        let asked = SessionRequest {
+        let request = SessionRequest {
             viewer: "v".into(),
             title: "a".into(),
             class: "paid".into(),
@@ -316,7 +316,7 @@
             patience_ms: 1000,
             ..SessionRequest::default()
         };
-        let session = front.open(&asked).expect("accepted");
+        let session = front.open(&request).expect("accepted");
         let answer = format!("{:?}", session.answer(SECOND * 2).expect("answered"));
         (front, answer)
     }
@@ -446,7 +446,7 @@
         let (front, answer) = scripted_box.open_paid();
         assert!(answer.starts_with("Refused"), "no box is taken from such a list: {answer}");
         std::thread::sleep(Duration::from_millis(600));
-        let asked = SessionRequest {
+        let request = SessionRequest {
             viewer: "w".into(),
             title: "a".into(),
             class: "paid".into(),
@@ -454,7 +454,7 @@
             patience_ms: 1000,
             ..SessionRequest::default()
         };
-        let session = front.open(&asked).expect("accepted");
+        let session = front.open(&request).expect("accepted");
         let answer = format!("{:?}", session.answer(SECOND * 2));
         assert!(answer.starts_with("Some(Plays"), "{answer}");
         drop(session);
--- a/crates/daemon/tests/event_orderings.rs
+++ b/crates/daemon/tests/event_orderings.rs
@@ -293,7 +293,7 @@
 #[test]
 fn a_caller_that_drops_its_session_leaves_nothing_unanswered_and_nothing_playing() {
     let rig = Rig::start(script(&script_head(2, 60), ""));
-    let asked = SessionRequest {
+    let request = SessionRequest {
         viewer: "caller".into(),
         title: "title-0".into(),
         class: "clip".into(),
@@ -302,11 +302,11 @@
         ..SessionRequest::default()
     };
     let front = rig.front(0);
-    drop(front.open(&asked).expect("accepted"));
-    let played = front.open(&asked).expect("accepted");
+    drop(front.open(&request).expect("accepted"));
+    let played = front.open(&request).expect("accepted");
     assert!(played.answer(SECOND * 2).is_some());
     drop(played);
-    let out = front.open(&asked).expect("accepted");
+    let out = front.open(&request).expect("accepted");
     std::thread::sleep(Duration::from_millis(20));
     drop(out);
     wait_until(SECOND * 3, || front.status().sessions == 0, || format!("{:?}", front.status()));
--- a/crates/daemon/tests/library_and_daemon.rs
+++ b/crates/daemon/tests/library_and_daemon.rs
@@ -65,7 +65,7 @@
 
 impl FrontClient for LibraryClient {
     fn send_open(&mut self, viewer: &str, title: &str, class: &str) {
-        let asked = SessionRequest {
+        let request = SessionRequest {
             viewer: viewer.into(),
             title: title.into(),
             class: class.into(),
@@ -73,7 +73,7 @@
             patience_ms: 2000,
             ..SessionRequest::default()
         };
-        let session = self.front.as_ref().expect("runs").open(&asked).expect("accepted");
+        let session = self.front.as_ref().expect("runs").open(&request).expect("accepted");
         self.sessions.push((Some(session), String::new()));
     }
 
@@ -280,7 +280,7 @@
             // Wake-ups depend on the clock. In these steps they must lead to no decision, which is asserted here.
             RecordedEvent::Wake { .. } => {
                 assert!(
-                    step.actions.iter().all(|did| matches!(did, RecordedAction::WakeAt { .. })),
+                    step.actions.iter().all(|action| matches!(action, RecordedAction::WakeAt { .. })),
                     "{record_line}"
                 );
                 continue;
@@ -293,8 +293,8 @@
         if ending {
             break;
         }
-        for did in &mut step.actions {
-            match did {
+        for action in &mut step.actions {
+            match action {
                 RecordedAction::SetUp { time_out, .. } => *time_out = 0,
                 RecordedAction::WakeAt { at, .. } => *at = 0,
                 _ => {}
