--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -16,11 +16,11 @@
 use salttally_copies::settings::Settings as Copies;
 use salttally_front::settings::{process_limits, Settings};
 use salttally_front::Front;
-use salttally_members::edge::{Known, Listener, Running};
+use salttally_members::edge::{KnownFront, Running, ViewListener};
 use salttally_members::settings::Settings as Members;
 use salttally_platform::config::ConfigError;
 use salttally_platform::node;
-use salttally_settings::{BadSetting, Document, Read};
+use salttally_settings::{Document, Read, SettingError};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing_subscriber::EnvFilter;
@@ -177,7 +177,7 @@
         let update_peers = front.map(Front::peers_sink);
         let listener = accord.as_ref().map(|running| {
             let running = running.teller();
-            Box::new(move |known_members: Vec<Known>| {
+            Box::new(move |known_members: Vec<KnownFront>| {
                 if let Some(copies) = &copies_sender {
                     copies.known(known_members.clone());
                 }
@@ -185,9 +185,9 @@
                     update_peers(&known_members);
                 }
                 running.known(known_members);
-            }) as Listener
+            }) as ViewListener
         });
-        let start = |members: &Members| Running::start_heard(members, listener);
+        let start = |members: &Members| Running::start_with_listener(members, listener);
         let members = self.members.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
         Ok(PeerServices { members, accord, copies })
     }
@@ -209,7 +209,7 @@
                 if let Some(accord) = &self.accord {
                     accord.keys(members.keys.clone());
                 }
-                running.keys(members.keys);
+                running.set_keys(members.keys);
                 tracing::info!("members: keys reloaded");
             }
             Ok(_) => tracing::warn!("members: the settings have no `members` any more; keeping the old keys"),
@@ -291,7 +291,7 @@
 }
 
 /// Prints why the settings are invalid, with the place in their file.
-fn report_bad_settings(error: BadSetting) -> ExitCode {
+fn report_bad_settings(error: SettingError) -> ExitCode {
     eprintln!("salttallyd: {error}");
     eprintln!("{:?}", Report::new(error));
     ExitCode::from(2)
--- a/crates/daemon/tests/admission_control.rs
+++ b/crates/daemon/tests/admission_control.rs
@@ -194,7 +194,7 @@
     assert_eq!(rig.front(0).status().playing, 3);
     // The restarted front gets many new connections at once, and still has seats for its own viewers.
     rig.kill_front(0);
-    rig.day.log.write(salttally_judge::record::What::FrontUp { front: "f0".into() });
+    rig.day.log.write(salttally_judge::record::Event::FrontUp { front: "f0".into() });
     let settings = rig.day.settings(0).to_owned();
     salttally_standin::day::Fronts::start(&mut rig.fronts, 0, &settings).expect("starts");
     wait_until(SECOND * 3, || rig.front(0).status().playing == 3, || "the sessions are not resumed".into());
--- a/crates/daemon/tests/membership_faults.rs
+++ b/crates/daemon/tests/membership_faults.rs
@@ -42,7 +42,7 @@
             fault \"cut\" from=\"0\" to=\"1\" one-sided=#true
             fault \"clock\" fronts=\"2\" offset-s=3600 }}"
     ));
-    assert!(verdict.decided[Property::ViewsBecomeEqual.words()] == 5, "{verdict:?}");
+    assert!(verdict.decided[Property::ViewsBecomeEqual.description()] == 5, "{verdict:?}");
     assert!(
         verdict.stopped_removed > 0,
         "it was suspended for longer than the tolerated silence: {verdict:?}"
--- a/crates/daemon/tests/rig/mod.rs
+++ b/crates/daemon/tests/rig/mod.rs
@@ -9,7 +9,7 @@
 use salttally_front::settings::Settings;
 use salttally_front::Front;
 use salttally_judge::judge;
-use salttally_judge::record::{AnswerKind, What};
+use salttally_judge::record::{AnswerKind, Event};
 use salttally_settings::Document;
 use salttally_standin::day::{Day, Fronts};
 use salttally_standin::players::{Line, Silence};
@@ -89,7 +89,7 @@
 
     /// Starts a front and waits until it serves sessions.
     pub fn start_front(&mut self, number: u32) {
-        self.day.log.write(What::FrontUp { front: format!("f{number}") });
+        self.day.log.write(Event::FrontUp { front: format!("f{number}") });
         let settings = (self.edit)(self.day.settings(number as usize));
         self.fronts.start(number as usize, &settings).expect("the front starts");
         self.wait_until_serving(number);
@@ -115,7 +115,7 @@
 
     /// Kills a front without a graceful shutdown.
     pub fn kill_front(&mut self, number: usize) {
-        self.day.log.write(What::FrontDown { front: format!("f{number}") });
+        self.day.log.write(Event::FrontDown { front: format!("f{number}") });
         self.fronts.kill(number);
     }
 
@@ -150,7 +150,7 @@
     pub fn shut_down_and_judge(mut self) {
         for (number, front) in self.fronts.0.drain(..).enumerate() {
             let Some(front) = front else { continue };
-            self.day.log.write(What::FrontDown { front: format!("f{number}") });
+            self.day.log.write(Event::FrontDown { front: format!("f{number}") });
             let counts = front.shut_down(Duration::from_secs(5)).expect("all sessions are released");
             assert_eq!(counts.stopped(), 0, "{counts:?}");
         }
@@ -231,7 +231,7 @@
             params["moved_from"] = Value::from(old_session);
         }
         let open = self.open_id();
-        self.rig.day.log.write(What::Opened {
+        self.rig.day.log.write(Event::Opened {
             open,
             front: self.front.clone(),
             viewer: self.name.clone(),
@@ -281,12 +281,12 @@
                         (AnswerKind::Failed, session, outcome)
                     }
                 };
-                self.rig.day.log.write(What::Answered { open, answer: kind, session });
+                self.rig.day.log.write(Event::Answered { open, answer: kind, session });
                 outcome
             }
             Err(Silence::TimedOut) => panic!("no answer within {timeout:?}"),
             Err(Silence::Cut(_)) => {
-                self.rig.day.log.write(What::Cut { open });
+                self.rig.day.log.write(Event::Cut { open });
                 OpenAnswer::Disconnected
             }
         };
