--- a/crates/daemon/benches/front.rs
+++ b/crates/daemon/benches/front.rs
@@ -14,7 +14,7 @@
 use salttally_settings::Document;
 use salttally_standin::day::Day;
 use salttally_standin::http;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use salttally_standin::script::Script;
 use serde_json::{json, Value};
 
@@ -94,7 +94,7 @@
             }
         }
     });
-    let mut connection = Line::connect(address, Duration::from_secs(2)).expect("connects");
+    let mut connection = PlayerConnection::connect(address, Duration::from_secs(2)).expect("connects");
     let text = json!({"id": 1, "pad": "x".repeat(160)}).to_string();
     let mut times = histogram();
     for round in 0..rounds + 500 {
@@ -190,20 +190,20 @@
     })
 }
 
-fn open_session(connection: &mut Line, viewer: usize) -> Option<String> {
+fn open_session(connection: &mut PlayerConnection, viewer: usize) -> Option<String> {
     let id = connection.call("session.open", &open_params(viewer)).ok()?;
     let answer = connection.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new()).ok()?;
     answer["result"]["session"].as_str().map(str::to_owned)
 }
 
-fn close_session(connection: &mut Line, session: &str) {
+fn close_session(connection: &mut PlayerConnection, session: &str) {
     if let Ok(id) = connection.call("session.close", &json!({"session": session})) {
         let _ = connection.response(id, Instant::now() + Duration::from_secs(3), &mut Vec::new());
     }
 }
 
 fn measure_opens(front: &FrontProcess, rounds: usize) -> Histogram<u64> {
-    let mut connection = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
+    let mut connection = PlayerConnection::connect(front.address, Duration::from_secs(2)).expect("connects");
     let mut times = histogram();
     for round in 0..rounds + 500 {
         let begun = Instant::now();
@@ -223,7 +223,8 @@
         .map(|player| {
             let ready = Arc::clone(&ready);
             thread::spawn(move || {
-                let mut connection = Line::connect(address, Duration::from_secs(2)).expect("connects");
+                let mut connection =
+                    PlayerConnection::connect(address, Duration::from_secs(2)).expect("connects");
                 ready.wait();
                 let (begun, mut times) = (Instant::now(), histogram());
                 let mut number = player * 1_000_000;
@@ -256,8 +257,9 @@
     };
     let start = usage();
     let idle = 4_000;
-    let connections: Vec<Line> =
-        (0..idle).map_while(|_| Line::connect(front.address, Duration::from_secs(2)).ok()).collect();
+    let connections: Vec<PlayerConnection> = (0..idle)
+        .map_while(|_| PlayerConnection::connect(front.address, Duration::from_secs(2)).ok())
+        .collect();
     thread::sleep(Duration::from_millis(300));
     print(
         &format!("idle connection ({} of {idle} held)", connections.len()),
@@ -269,7 +271,7 @@
     thread::sleep(Duration::from_secs(1));
     let before = usage();
     let held = 10_000;
-    let mut connection = Line::connect(front.address, Duration::from_secs(2)).expect("connects");
+    let mut connection = PlayerConnection::connect(front.address, Duration::from_secs(2)).expect("connects");
     let begun = Instant::now();
     let plays = (0..held).filter(|viewer| open_session(&mut connection, *viewer).is_some()).count();
     let elapsed = begun.elapsed();
--- a/crates/daemon/tests/accord.rs
+++ b/crates/daemon/tests/accord.rs
@@ -25,7 +25,7 @@
 use salttally_judge::accord::judge;
 use salttally_settings::Document;
 use salttally_standin::day::Day;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use salttally_trial::describe::Trial;
 use salttally_trial::{plan, processes};
 use serde_json::Value;
@@ -246,7 +246,7 @@
     (fleet, day)
 }
 
-fn open_paid_session(connection: &mut Line, viewer: &str) -> Value {
+fn open_paid_session(connection: &mut PlayerConnection, viewer: &str) -> Value {
     let open_params = serde_json::json!({"viewer": viewer, "title": "title-0", "class": "paid", "top_rung": 2,
         "patience_ms": 2000});
     let begun = Instant::now();
@@ -270,7 +270,7 @@
 fn a_front_without_voters_refuses_new_sessions_or_goes_on_as_configured() {
     for (extra_settings, refuses) in [("", true), ("without-lease \"go-on\"", false)] {
         let (mut fleet, day) = start_serving(if refuses { "refuses" } else { "goes-on" }, extra_settings);
-        let mut connection = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+        let mut connection = PlayerConnection::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
         wait_until(
             Duration::from_secs(10),
             || is_playing(&open_paid_session(&mut connection, "first")),
@@ -289,7 +289,7 @@
             refused_at_once(&open_paid_session(&mut connection, "eve")),
             "the last version stays in force"
         );
-        let held = day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+        let held = day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
         assert!(held >= 1, "the sessions play on");
         // The voters are back: sessions are accepted again.
         (0..2).for_each(|front| fleet.start(front, extra_settings));
@@ -304,7 +304,7 @@
 #[ignore = "a measurement"]
 fn measure_what_accord_costs_an_answer() {
     let measure = |day: &Day, what: &str| {
-        let mut connection = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+        let mut connection = PlayerConnection::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
         wait_until(
             Duration::from_secs(10),
             || is_playing(&open_paid_session(&mut connection, "first")),
@@ -341,13 +341,14 @@
 #[test]
 fn a_process_suspended_beyond_its_lease_sends_no_set_up_when_it_resumes() {
     let (fleet, day) = start_serving("sleeps", "");
-    let mut connection = Line::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
+    let mut connection = PlayerConnection::connect(day.front_address(0), Duration::from_secs(3)).unwrap();
     wait_until(
         Duration::from_secs(10),
         || is_playing(&open_paid_session(&mut connection, "first")),
         || "no box".into(),
     );
-    let set_ups = |day: &Day| day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+    let set_ups =
+        |day: &Day| day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
     let before = set_ups(&day);
     let pid = Pid::from_child(fleet.children[2].as_ref().unwrap());
     kill_process(pid, Signal::STOP).unwrap();
--- a/crates/daemon/tests/admission_control.rs
+++ b/crates/daemon/tests/admission_control.rs
@@ -9,8 +9,8 @@
 
 use rig::{script, script_head, wait_until, Rig, Viewer};
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
-use salttally_standin::players::{Line, Silence};
-use salttally_standin::siege::frame;
+use salttally_standin::attack::frame;
+use salttally_standin::players::{PlayerConnection, ReceiveError};
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -85,7 +85,7 @@
     // A client that reads also answers pings, and stays connected.
     let assert_connected_and_idle = |reading_viewer: &mut Viewer| {
         let quiet = reading_viewer.connection.next(Instant::now() + Duration::from_millis(10));
-        assert!(matches!(quiet, Err(Silence::TimedOut)), "{quiet:?}");
+        assert!(matches!(quiet, Err(ReceiveError::TimedOut)), "{quiet:?}");
     };
     let reader = std::thread::spawn(move || vanished.read_text_to_end());
     while !reader.is_finished() {
@@ -96,7 +96,7 @@
     let detected_after = begun.elapsed();
     assert!((Duration::from_millis(200)..SECOND).contains(&detected_after), "{detected_after:?}");
     assert_eq!(rig.boxes_of(&session).len(), 1, "the session plays on for a while");
-    let mut returning = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut returning = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let status = json!({"session": session, "viewer": "vanished"});
     let id = returning.call("session.status", &status).expect("written");
     let found = returning.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
@@ -109,7 +109,7 @@
         assert_connected_and_idle(&mut reading_viewer);
     }
     println!("the session of a vanished viewer is released {:?} after its last message", released.elapsed());
-    let mut late = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut late = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let id = late.call("session.status", &status).expect("written");
     let expired = late.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
     assert_eq!(expired["error"]["code"], -32003, "{expired}");
@@ -160,7 +160,7 @@
         let _ = slow_client.set_read_timeout(Some(SECOND * 2));
         assert!(matches!(slow_client.read(&mut [0; 64]), Ok(0) | Err(_)), "a slow handshake gets no reply");
     }
-    let admission_counts = rig.front(0).status().door;
+    let admission_counts = rig.front(0).status().admission;
     assert!(admission_counts.dropped.values().sum::<u64>() >= 5, "{admission_counts:?}");
     rig.shut_down_and_judge();
 }
@@ -171,23 +171,23 @@
     let mut rig = Rig::start(script(&script_head(3, 5), limits));
     let name = |n: usize| format!("viewer-{n}");
     let open_for = |rig: &Rig, n: usize| {
-        let mut connection = Line::connect(rig.address(0), SECOND).expect("admitted");
+        let mut connection = PlayerConnection::connect(rig.address(0), SECOND).expect("admitted");
         let mut call = open(&name(n), "clip");
         call["params"]["patience_ms"] = json!(2000);
         let id = connection.call("session.open", &call["params"]).expect("written");
         let answer = connection.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).expect("answered");
         (connection, session_id_in(&answer.to_string()))
     };
-    let seated: Vec<(Line, String)> = (0..3).map(|n| open_for(&rig, n)).collect();
+    let seated: Vec<(PlayerConnection, String)> = (0..3).map(|n| open_for(&rig, n)).collect();
     // A client in the reserve can open no new session and is told so; without a session to return to it is disconnected.
-    let mut newcomer = Line::connect(rig.address(0), SECOND).expect("the reserve admits it");
+    let mut newcomer = PlayerConnection::connect(rig.address(0), SECOND).expect("the reserve admits it");
     let id = newcomer.call("session.open", &open("new", "clip")["params"]).expect("written");
     let answer = newcomer.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
     assert_eq!(
         (&answer["error"]["code"], &answer["error"]["data"]["hold_off_ms"]),
         (&json!(-32006), &json!(300))
     );
-    let Err(Silence::Cut(close_reason)) = newcomer.next(Instant::now() + SECOND * 2) else {
+    let Err(ReceiveError::Closed(close_reason)) = newcomer.next(Instant::now() + SECOND * 2) else {
         panic!("the client stays connected")
     };
     assert!(close_reason.contains("1013") || close_reason.contains("again"), "{close_reason}");
@@ -196,11 +196,11 @@
     rig.kill_front(0);
     rig.day.log.write(salttally_judge::record::Event::FrontUp { front: "f0".into() });
     let settings = rig.day.settings(0).to_owned();
-    salttally_standin::day::Fronts::start(&mut rig.fronts, 0, &settings).expect("starts");
+    salttally_standin::day::FrontController::start(&mut rig.fronts, 0, &settings).expect("starts");
     wait_until(SECOND * 3, || rig.front(0).status().playing == 3, || "the sessions are not resumed".into());
     let _newcomers: Vec<Option<RawClient>> = (0..12).map(|_| RawClient::connect(rig.address(0))).collect();
     for (at, (_, session)) in seated.iter().enumerate() {
-        let mut connection = Line::connect(rig.address(0), SECOND).expect("admitted");
+        let mut connection = PlayerConnection::connect(rig.address(0), SECOND).expect("admitted");
         let params = json!({"session": session, "viewer": name(at)});
         let id = connection.call("session.status", &params).expect("written");
         let found = connection.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
@@ -246,8 +246,8 @@
         line.trim().strip_prefix("listening ").expect("its address").parse().expect("one");
     let daemon = DaemonProcess(child, address);
     // The limit is set while the daemon runs: descriptors that it already has stay open.
-    let try_open = |name: &str| -> Option<(Line, String)> {
-        let mut connection = Line::connect(daemon.1, SECOND).ok()?;
+    let try_open = |name: &str| -> Option<(PlayerConnection, String)> {
+        let mut connection = PlayerConnection::connect(daemon.1, SECOND).ok()?;
         let id = connection.call("session.open", &open(name, "clip")["params"]).ok()?;
         let answer = connection.response(id, Instant::now() + SECOND * 3, &mut Vec::new()).ok()?;
         let session = answer["result"]["session"].as_str()?.to_owned();
--- a/crates/daemon/tests/bad_input.rs
+++ b/crates/daemon/tests/bad_input.rs
@@ -9,22 +9,22 @@
 use rig::{script, script_head, wait_until, OpenAnswer, Rig, Viewer};
 use salttally_front::settings::Settings;
 use salttally_front::{Front, SessionRequest};
-use salttally_standin::players::{Line, Silence};
-use salttally_standin::siege::frame_of as frame;
+use salttally_standin::attack::frame_of as frame;
+use salttally_standin::players::{PlayerConnection, ReceiveError};
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Sends a text message and returns the answer.
-fn answer_to(connection: &mut Line, text: &str) -> Value {
+fn answer_to(connection: &mut PlayerConnection, text: &str) -> Value {
     connection.send(text).expect("written");
     connection.next(Instant::now() + SECOND).expect("answered")
 }
 
 /// Waits for the connection to be closed and returns the reason.
-fn read_close_reason(connection: &mut Line) -> String {
+fn read_close_reason(connection: &mut PlayerConnection) -> String {
     match connection.next(Instant::now() + SECOND * 2) {
-        Err(Silence::Cut(close_reason)) => close_reason,
+        Err(ReceiveError::Closed(close_reason)) => close_reason,
         other => panic!("the connection stays open: {other:?}"),
     }
 }
@@ -36,7 +36,7 @@
     let OpenAnswer::Plays(session) = playing.open("title-0", "clip", 2000) else {
         panic!("the session plays")
     };
-    let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut connection = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let call = |method: &str, params: Value| {
         json!({"jsonrpc": "2.0", "id": 5, "method": method, "params": params}).to_string()
     };
@@ -129,13 +129,13 @@
         ("7.4.1 a binary message", frame(0x82, b"binary"), "1003"),
     ];
     for (case, bytes, code) in &cases {
-        let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
+        let mut connection = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
         connection.stream().write_all(bytes).expect("written");
         let close_reason = read_close_reason(&mut connection);
         assert!(close_reason.contains(code), "{case}: {close_reason}");
     }
     // What the RFC allows is accepted: fragments, a ping between them, a character split over two, an unsolicited pong.
-    let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut connection = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     let call = r#"{"jsonrpc":"2.0","id":"\u20ac €","method":"session.status","params":{"session":"x"}}"#;
     let at = call.find('€').expect("there") + 1;
     let parts = [
@@ -149,7 +149,7 @@
     let answer = connection.next(Instant::now() + SECOND).expect("answered");
     assert_eq!((&answer["id"], &answer["error"]["code"]), (&json!("€ €"), &json!(-32003)));
     for code in [1000, 1001, 3000, 4999] {
-        let mut connection = Line::connect(rig.address(0), SECOND).expect("connects");
+        let mut connection = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
         connection.stream().write_all(&close(code)).expect("written");
         let close_reason = read_close_reason(&mut connection);
         assert!(close_reason.contains(&code.to_string()), "a valid close code is echoed: {close_reason}");
@@ -185,7 +185,7 @@
 #[test]
 fn a_flood_of_calls_is_rate_limited_and_does_not_delay_others() {
     let rig = Rig::start(script(&script_head(2, 5), "calls-per-s 50; calls-at-once 20; calls-surplus 60"));
-    let mut flooding = Line::connect(rig.address(0), SECOND).expect("connects");
+    let mut flooding = PlayerConnection::connect(rig.address(0), SECOND).expect("connects");
     for _ in 0..60 {
         flooding.call("session.status", &json!({"session": "x"})).expect("written");
     }
@@ -215,7 +215,7 @@
     flooding.send(&Value::from(vec![batch; 64]).to_string()).expect("written");
     wait_until(
         SECOND * 2,
-        || matches!(flooding.next(Instant::now() + SECOND), Err(Silence::Cut(_))),
+        || matches!(flooding.next(Instant::now() + SECOND), Err(ReceiveError::Closed(_))),
         || "the connection stays open".into(),
     );
     rig.shut_down_and_judge();
@@ -235,8 +235,8 @@
     let entry = |id: u32| json!({"box": id, "address": address.to_string(), "cell": 0, "state": "ready"});
     let lines: Vec<Value> = std::iter::once(0).chain(also).map(entry).collect();
     let boxes = json!({"revision": 1, "as_of_ms": now + 100, "boxes": lines});
-    let event = salttally_standin::http::event("whole", &boxes);
-    [salttally_standin::http::EVENTS, event.as_bytes()].concat()
+    let event = salttally_standin::http::server_sent_event("whole", &boxes);
+    [salttally_standin::http::EVENT_STREAM_HEAD, event.as_bytes()].concat()
 }
 
 impl ScriptedBox {
@@ -403,7 +403,7 @@
         let state = if flip.is_multiple_of(2) { "ready" } else { "gone" };
         let entry = json!({"box": 1, "address": "127.0.0.1:1", "cell": 0, "state": state});
         let change = json!({"revision": 2 + flip, "as_of_ms": now, "boxes": [entry]});
-        salttally_standin::http::event("changes", &change).into_bytes()
+        salttally_standin::http::server_sent_event("changes", &change).into_bytes()
     };
     let flips: Vec<u8> = (0..20_000).flat_map(change).collect();
     let scripted_box =
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -19,7 +19,7 @@
 use salttally_accord::wire::Question;
 use salttally_judge::{judge, Rule};
 use salttally_standin::day::Day;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use salttally_trial::net::{Net, Quality};
 use salttally_trial::processes::Clock;
 use salttally_trial::relay::Relay;
@@ -189,8 +189,9 @@
         );
     }
 
-    fn connect(&self, front: usize) -> Line {
-        Line::connect(self.day.front_address(front as u32), 3 * SECOND).expect("the front accepts players")
+    fn connect(&self, front: usize) -> PlayerConnection {
+        PlayerConnection::connect(self.day.front_address(front as u32), 3 * SECOND)
+            .expect("the front accepts players")
     }
 
     fn kill(&mut self, front: usize) {
@@ -208,7 +209,12 @@
     }
 
     /// Opens this many sessions of class `paid`, which is set up at most once, at a front.
-    fn open_sessions(&self, front: usize, connection: &mut Line, count: usize) -> Vec<OpenSession> {
+    fn open_sessions(
+        &self,
+        front: usize,
+        connection: &mut PlayerConnection,
+        count: usize,
+    ) -> Vec<OpenSession> {
         let opened: Vec<OpenSession> = (0..count)
             .filter_map(|number| open_session(connection, &format!("v{front}-{number}"), "paid"))
             .collect();
@@ -217,10 +223,15 @@
     }
 
     /// Looks a session up as its viewer would, following redirects between the fronts. `None` if no front has it.
-    fn find_session(&self, session: &OpenSession, first: usize, until: Instant) -> Option<(Line, Value)> {
+    fn find_session(
+        &self,
+        session: &OpenSession,
+        first: usize,
+        until: Instant,
+    ) -> Option<(PlayerConnection, Value)> {
         let mut front_address = self.day.front_address(first as u32);
         while Instant::now() < until {
-            let Ok(mut connection) = Line::connect(front_address, SECOND) else {
+            let Ok(mut connection) = PlayerConnection::connect(front_address, SECOND) else {
                 // A viewer that was redirected to a dead front returns to its first one.
                 front_address = self.day.front_address(first as u32);
                 thread::sleep(SECOND / 20);
@@ -248,7 +259,7 @@
     /// Number of boxes that hold a session.
     fn boxes_of(&self, session: &str) -> usize {
         let fleet = self.day.boxes.fleet();
-        fleet.boxes.values().filter(|state| state.plays.keys().any(|(id, _)| id == session)).count()
+        fleet.boxes.values().filter(|state| state.sessions.keys().any(|(id, _)| id == session)).count()
     }
 
     /// Asserts that no paid session was set up twice, or while another attempt was outstanding.
@@ -260,7 +271,7 @@
     }
 }
 
-fn open_session(connection: &mut Line, viewer: &str, class: &str) -> Option<OpenSession> {
+fn open_session(connection: &mut PlayerConnection, viewer: &str, class: &str) -> Option<OpenSession> {
     let params =
         json!({"viewer": viewer, "title": "title-0", "class": class, "top_rung": 2, "patience_ms": 2000});
     let id = connection.call("session.open", &params).ok()?;
@@ -269,13 +280,13 @@
     Some(OpenSession { id: session, viewer: viewer.to_owned() })
 }
 
-fn close_session(connection: &mut Line, session: &OpenSession) -> bool {
+fn close_session(connection: &mut PlayerConnection, session: &OpenSession) -> bool {
     let Ok(id) = connection.call("session.close", &json!({"session": session.id})) else { return false };
     let answer = connection.response(id, Instant::now() + 3 * SECOND, &mut Vec::new());
     answer.is_ok_and(|answer| answer["result"]["state"] == "closed")
 }
 
-fn session_status(connection: &mut Line, session: &OpenSession) -> Value {
+fn session_status(connection: &mut PlayerConnection, session: &OpenSession) -> Value {
     let params = json!({"session": session.id, "viewer": session.viewer});
     let Ok(id) = connection.call("session.status", &params) else { return Value::Null };
     connection.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).unwrap_or_default()
@@ -392,7 +403,7 @@
         );
     }
     fleet.cut(3, one_sided, false);
-    let opens_new_session = |connection: &mut Line| {
+    let opens_new_session = |connection: &mut PlayerConnection| {
         open_session(connection, "anew", "paid").is_some_and(|session| close_session(connection, &session))
     };
     wait_until(15 * SECOND, || opens_new_session(&mut connection), || fleet.log(3));
@@ -441,7 +452,7 @@
 fn sessions_with_two_copies_survive_the_loss_of_two_machines_and_their_disks() {
     let mut fleet = Fleet::start("two", 5, "enough 2;");
     let mut sessions = Vec::new();
-    let mut connections: Vec<Line> = [3, 4].iter().map(|front| fleet.connect(*front)).collect();
+    let mut connections: Vec<PlayerConnection> = [3, 4].iter().map(|front| fleet.connect(*front)).collect();
     for (connection, front) in connections.iter_mut().zip([3, 4]) {
         sessions.extend(fleet.open_sessions(front, connection, 25));
     }
--- a/crates/daemon/tests/event_orderings.rs
+++ b/crates/daemon/tests/event_orderings.rs
@@ -7,7 +7,7 @@
 use rig::{script, script_head, wait_until, OpenAnswer, Rig, Viewer};
 use salttally_front::SessionRequest;
 use salttally_judge::record::{Event, SetUpEnd};
-use salttally_standin::list::State;
+use salttally_standin::list::ListState;
 use serde_json::json;
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -26,7 +26,7 @@
     let at = || {
         let fleet = rig.day.boxes.fleet();
         let begins =
-            |state: &salttally_standin::fleet::BoxState| state.plays.values().any(|play| !play.begun);
+            |state: &salttally_standin::fleet::BoxState| state.sessions.values().any(|play| !play.is_playing);
         fleet.boxes.iter().find(|(_, state)| begins(state)).map(|(id, _)| *id)
     };
     wait_until(SECOND * 2, || at().is_some(), || "no set-up is outstanding".into());
@@ -117,12 +117,12 @@
         fleet
             .boxes
             .iter()
-            .find(|(_, state)| !state.plays.is_empty())
+            .find(|(_, state)| !state.sessions.is_empty())
             .map(|(id, _)| *id)
             .expect("a set-up is outstanding")
     };
-    let entry = rig.day.list.line(at).expect("listed");
-    rig.day.list.set(salttally_standin::list::Line { state: State::Draining, ..entry });
+    let entry = rig.day.list.entry(at).expect("listed");
+    rig.day.list.set(salttally_standin::list::ListEntry { state: ListState::Draining, ..entry });
     assert!(viewer.read_answer(id, SECOND * 2).is_plays(), "the set-up was sent before the drain notice");
     std::thread::sleep(Duration::from_millis(300));
     for number in 0..4 {
@@ -143,7 +143,7 @@
     let mut viewer = Viewer::connect(&rig, 0, "again");
     let id = viewer.send_open("title-0", "clip", 2000);
     let at = kill_box_with_outstanding_set_up(&rig);
-    let address = rig.day.list.line(at).expect("listed").address;
+    let address = rig.day.list.entry(at).expect("listed").address;
     rig.day.boxes.restart(at, address).expect("the box restarts");
     let first = viewer.read_answer(id, SECOND * 3);
     assert!(matches!(first, OpenAnswer::Plays(_) | OpenAnswer::Refused(..)), "{first:?}");
@@ -162,7 +162,7 @@
     // The set-up takes longer than the whole aim: its answer goes to a connection that is closed.
     let rig = Rig::start(script(&script_head(3, 5), ""));
     for id in 0..3 {
-        rig.day.boxes.fleet().nature.set_up = 1_200_000;
+        rig.day.boxes.fleet().model.set_up_time = 1_200_000;
         let mut viewer = Viewer::connect(&rig, 0, &format!("lost-{id}"));
         let outcome = viewer.open("title-0", "paid", 1500);
         let OpenAnswer::Failed(session, _) = outcome else {
@@ -207,13 +207,13 @@
         .map(|(n, viewer)| rig.boxes_of(viewer.session.as_deref().expect("plays")) != [n as u32 % 2])
         .collect();
     assert!(crossing.contains(&true), "with two holders some sessions cross zones");
-    rig.day.boxes.cut(Some(0));
+    rig.day.boxes.cut_zone(Some(0));
     for (viewer, crosses) in viewers.iter_mut().zip(&crossing) {
         if *crosses {
             assert_eq!(viewer.wait_for_notification("session.ended", SECOND * 6)["params"]["reason"], "lost");
         }
     }
-    rig.day.boxes.cut(None);
+    rig.day.boxes.cut_zone(None);
     // During the partition the boxes played on; the fronts find these sessions and release them.
     rig.wait_for_held_sessions(crossing.iter().filter(|crosses| !**crosses).count());
     drop(viewers);
@@ -318,10 +318,10 @@
 fn a_graceful_shutdown_answers_open_requests_and_releases_sessions() {
     let mut rig = Rig::start(script(&script_head(2, 400), ""));
     let played = {
-        rig.day.boxes.fleet().nature.set_up = 5_000;
+        rig.day.boxes.fleet().model.set_up_time = 5_000;
         let mut plays = Viewer::connect(&rig, 0, "plays");
         assert!(plays.open("title-0", "clip", 2000).is_plays());
-        rig.day.boxes.fleet().nature.set_up = 400_000;
+        rig.day.boxes.fleet().model.set_up_time = 400_000;
         let mut waiting = Viewer::connect(&rig, 0, "owed");
         let id = waiting.send_open("title-0", "clip", 2000);
         std::thread::sleep(Duration::from_millis(100));
--- a/crates/daemon/tests/fault_days.rs
+++ b/crates/daemon/tests/fault_days.rs
@@ -107,7 +107,7 @@
     settings: Option<salttally_front::settings::Settings>,
 }
 
-impl salttally_standin::day::Fronts for RecordedFronts {
+impl salttally_standin::day::FrontController for RecordedFronts {
     fn start(&mut self, number: usize, settings: &str) -> std::io::Result<()> {
         if number != 1 {
             return self.fronts.start(number, settings);
--- a/crates/daemon/tests/front_node.rs
+++ b/crates/daemon/tests/front_node.rs
@@ -12,11 +12,11 @@
 use node::{request_session, wait_until, Node, CELLS, SECOND};
 use rustix::process::Signal;
 use salttally_platform::wire::{cause, code, kind, Message};
-use salttally_standin::platform::{Deed, Platform, Viewer};
+use salttally_standin::platform::{Platform, ScriptedReply, Viewer};
 
 /// Set-ups that media servers have received for this session.
 fn set_ups(platform: &Platform, id: u64) -> usize {
-    platform.came().iter().filter(|c| c.message.kind == kind::SET_UP && c.message.session == id).count()
+    platform.received().iter().filter(|c| c.message.kind == kind::SET_UP && c.message.session == id).count()
 }
 
 #[test]
@@ -26,21 +26,21 @@
     let mut viewer = node.viewer();
     for id in 1..=20 {
         let answer = request_session(&mut viewer, id, if id % 2 == 0 { "paid" } else { "clip" });
-        let at = platform.stands_at(id).unwrap();
+        let at = platform.box_of_session(id).unwrap();
         assert_eq!(
             (answer.kind, answer.text(code::DESCRIPTION)),
             (kind::ANSWER, Some(format!("box {at}").as_str()))
         );
     }
-    platform.end(1, cause::NORMAL);
+    platform.end_session(1, cause::NORMAL);
     assert_eq!(viewer.next(SECOND), Some(Message::release(1, cause::NORMAL)));
     // Broken connections to the boxes end no session, and the end of a session still reaches its viewer.
     (0..CELLS).for_each(|at| platform.break_connections(at));
     let mut other = node.viewer();
-    other.say(&Message::release(2, cause::NORMAL));
+    other.send(&Message::release(2, cause::NORMAL));
     assert_eq!(other.next(SECOND), Some(Message::new(kind::RELEASE_ACK, 2)));
-    wait_until("the session ends at its box", || platform.stands_at(2).is_none());
-    assert!((3..=20).all(|id| platform.stands_at(id).is_some()));
+    wait_until("the session ends at its box", || platform.box_of_session(2).is_none());
+    assert!((3..=20).all(|id| platform.box_of_session(id).is_some()));
     assert_eq!(viewer.next(SECOND / 4), None);
 }
 
@@ -50,34 +50,34 @@
     three_gb[2] = kind::ANSWER;
     let no_description = [0, 9, kind::ANSWER, 0, 0, 0, 0, 0, 0, 0, 0];
     let deeds = [
-        Deed::Spoilt(b"HTTP/1.1 200 OK\r\n\r\nnoise".to_vec()),
-        Deed::Spoilt(three_gb),
-        Deed::Spoilt(no_description.to_vec()),
-        Deed::Spoilt(vec![0x20]),
-        Deed::Breaks,
-        Deed::Silent,
-        Deed::Late(SECOND),
+        ScriptedReply::Malformed(b"HTTP/1.1 200 OK\r\n\r\nnoise".to_vec()),
+        ScriptedReply::Malformed(three_gb),
+        ScriptedReply::Malformed(no_description.to_vec()),
+        ScriptedReply::Malformed(vec![0x20]),
+        ScriptedReply::Disconnects,
+        ScriptedReply::Silent,
+        ScriptedReply::Late(SECOND),
     ];
     for (id, deed) in (100..).zip(deeds) {
         // A new node for each case, so that no box is distrusted because of an earlier fault.
         let platform = Platform::start(CELLS).unwrap();
         let node = Node::start(&platform, &format!("spoilt-{id}"), 256);
         let mut viewer = node.viewer();
-        platform.script([deed.clone()]);
+        platform.script_replies([deed.clone()]);
         let answer = request_session(&mut viewer, id, "paid");
         assert!(
             answer.kind == kind::RELEASE && ![34, 42, 102].contains(&answer.cause().unwrap()),
             "{deed:?}: {answer:?}"
         );
         assert_eq!(set_ups(&platform, id), 1, "{id}");
-        platform.script([deed.clone()]);
+        platform.script_replies([deed.clone()]);
         let answer = request_session(&mut viewer, id + 100, "clip");
         assert_eq!((answer.kind, set_ups(&platform, id + 100)), (kind::ANSWER, 2), "{id}");
     }
     let platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "copies", 256);
     let mut viewer = node.viewer();
-    platform.script([Deed::Copies, Deed::Releases(cause::FULL)]);
+    platform.script_replies([ScriptedReply::Duplicates, ScriptedReply::Releases(cause::FULL)]);
     assert_eq!(request_session(&mut viewer, 300, "paid").kind, kind::ANSWER);
     assert_eq!(
         request_session(&mut viewer, 301, "paid").kind,
@@ -121,7 +121,7 @@
         assert_rejected(&bytes);
     }
     let mut busy_viewer = node.viewer();
-    (1_000..1_400).for_each(|id| busy_viewer.say(&Message::release(id, cause::NORMAL)));
+    (1_000..1_400).for_each(|id| busy_viewer.send(&Message::release(id, cause::NORMAL)));
     assert!((0..400).all(|_| busy_viewer.next(SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK)));
     for id in 1..=30 {
         assert_eq!(request_session(&mut viewer, id, "clip").kind, kind::ANSWER);
@@ -136,8 +136,8 @@
     let node = Node::start(&platform, "list", 256);
     let mut viewer = node.viewer();
     platform.cut_next_event(30);
-    platform.tell(0, 2);
-    wait_until("the list is requested again from the last number", || platform.asked() == [1, 1]);
+    platform.announce(0, 2);
+    wait_until("the list is requested again from the last number", || platform.requested_numbers() == [1, 1]);
     platform.add_coordinator().unwrap();
     platform.close_first_coordinator();
     // A truncated configuration file changes nothing, and the process goes on.
@@ -146,12 +146,12 @@
     thread::sleep(SECOND / 10);
     fs::write(&node.config, platform.config(node.listen, 256).to_string()).unwrap();
     node.signal(Signal::HUP);
-    wait_until("the new coordinator is asked", || !platform.asked().is_empty());
-    platform.tell(1, 1);
+    wait_until("the new coordinator is asked", || !platform.requested_numbers().is_empty());
+    platform.announce(1, 1);
     thread::sleep(SECOND / 10);
     for id in 1..=20 {
         assert_eq!(request_session(&mut viewer, id, "clip").kind, kind::ANSWER);
-        assert_eq!(platform.stands_at(id), Some(2), "the other two have left or drain");
+        assert_eq!(platform.box_of_session(id), Some(2), "the other two have left or drain");
     }
 }
 
@@ -161,7 +161,7 @@
     let mut node = Node::start(&platform, "end", 256);
     let mut viewer = node.viewer();
     assert_eq!(request_session(&mut viewer, 1, "paid").kind, kind::ANSWER);
-    let at = platform.stands_at(1).unwrap();
+    let at = platform.box_of_session(1).unwrap();
     node.restart(&platform);
     let mut viewer = node.viewer();
     let mut hand_over = Viewer::request(1, "paid", CELLS);
@@ -171,14 +171,14 @@
         .iter_mut()
         .filter(|(c, _)| *c == code::REQUEST_FIELDS)
         .for_each(|p| p.1 = figures.clone().into());
-    viewer.say(&hand_over);
-    viewer.say(&hand_over);
+    viewer.send(&hand_over);
+    viewer.send(&hand_over);
     assert_eq!(viewer.next(SECOND / 4), None, "a hand-over is not answered");
     assert_eq!(set_ups(&platform, 1), 1, "and the session is not set up again");
 
     node.signal(Signal::TERM);
     thread::sleep(SECOND / 5);
-    platform.script([Deed::Late(SECOND / 2)]);
+    platform.script_replies([ScriptedReply::Late(SECOND / 2)]);
     let mut late = node.viewer();
     assert_eq!(request_session(&mut late, 2, "clip").kind, kind::ANSWER);
     assert!(node.wait_for_exit(3 * SECOND).is_some_and(|status| status.success()));
--- a/crates/daemon/tests/front_node_departed_clients.rs
+++ b/crates/daemon/tests/front_node_departed_clients.rs
@@ -20,7 +20,7 @@
 
 /// Sessions with these ids for which media servers received a set-up.
 fn set_ups(platform: &Platform, ids: impl Fn(u64) -> bool) -> Vec<u64> {
-    let came = platform.came().into_iter().map(|came| came.message);
+    let came = platform.received().into_iter().map(|came| came.message);
     came.filter(|message| message.kind == kind::SET_UP && ids(message.session)).map(|m| m.session).collect()
 }
 
@@ -35,18 +35,18 @@
     for id in 1..=12 {
         assert_eq!(request_session(&mut waiting_viewer, id, "clip").kind, kind::ANSWER);
     }
-    assert!((0..CELLS).all(|at| (1..=12).any(|id| platform.stands_at(id) == Some(at))));
+    assert!((0..CELLS).all(|at| (1..=12).any(|id| platform.box_of_session(id) == Some(at))));
     let viewers: Vec<Viewer> = (0..60).map(|_| node.viewer()).collect();
     let mut others: Vec<Viewer> = (0..60).map(|_| node.viewer()).collect();
     others.iter_mut().chain([&mut waiting_viewer]).for_each(|viewer| {
-        viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+        viewer.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
         assert!(viewer.next(SECOND).is_some());
     });
     node.suspend();
     let mut open_connections = Vec::new();
     for (at, (viewer, other)) in viewers.into_iter().zip(others).enumerate() {
         let id = 1_000 + at as u64;
-        let send_request = || viewer.say(&Viewer::request(id, "clip", CELLS));
+        let send_request = || viewer.send(&Viewer::request(id, "clip", CELLS));
         match at % 6 {
             0 => send_request(),
             1 => {
@@ -55,13 +55,13 @@
             }
             2 => {
                 send_request();
-                viewer.say(&Message::release(id, cause::NORMAL));
+                viewer.send(&Message::release(id, cause::NORMAL));
                 open_connections.push((viewer, other));
                 continue;
             }
             3 => {
                 send_request();
-                other.say(&Message::release(id, cause::NORMAL));
+                other.send(&Message::release(id, cause::NORMAL));
                 open_connections.push((viewer, other));
                 continue;
             }
@@ -69,7 +69,7 @@
             4 => {
                 send_request();
                 let new = node.viewer();
-                new.say(&Message::release(id, cause::NORMAL));
+                new.send(&Message::release(id, cause::NORMAL));
                 open_connections.push((viewer, new));
                 continue;
             }
@@ -81,7 +81,7 @@
         }
         open_connections.push((other, node.viewer()));
     }
-    waiting_viewer.say(&Viewer::request(500, "clip", CELLS));
+    waiting_viewer.send(&Viewer::request(500, "clip", CELLS));
     thread::sleep(SECOND);
     node.signal(Signal::CONT);
     assert_eq!(read_answer(&mut waiting_viewer, 500).kind, kind::ANSWER, "a client that waits is served");
@@ -102,7 +102,7 @@
     }
     let viewers: Vec<Viewer> = (0..10).map(|_| node.viewer()).collect();
     let flood_viewers: Vec<Viewer> = (0..30).map(|_| node.viewer()).collect();
-    waiting_viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+    waiting_viewer.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
     assert!(waiting_viewer.next(SECOND).is_some());
     node.suspend();
     flood_viewers
@@ -116,9 +116,9 @@
     }
     let mut open_connections = Vec::new();
     for (viewer, id) in viewers.iter().zip(1_000..) {
-        viewer.say(&Viewer::request(id, "clip", CELLS));
+        viewer.send(&Viewer::request(id, "clip", CELLS));
         let new = node.viewer();
-        new.say(&Message::release(id, cause::NORMAL));
+        new.send(&Message::release(id, cause::NORMAL));
         open_connections.push(new);
     }
     thread::sleep(SECOND / 2);
@@ -153,10 +153,10 @@
     let mut connections = Vec::new();
     // An open connection to each server, with no attempt outstanding on it.
     for at in 0..2 {
-        viewer.say(&node::scripted::request_for_cell(1 + at as u64, "clip", at));
+        viewer.send(&node::scripted::request_for_cell(1 + at as u64, "clip", at));
         let mut connection = servers.accept(at);
         wait_for_message(&mut connection, kind::SET_UP, 1 + at as u64);
-        connection.say(&Message::release(1 + at as u64, cause::FULL));
+        connection.send(&Message::release(1 + at as u64, cause::FULL));
         assert!(viewer.next(SECOND).is_some());
         connections.push(connection);
     }
@@ -165,7 +165,7 @@
     for (round, closes) in [true, false, true, false].into_iter().enumerate() {
         let id = 100 + round as u64;
         let leaving_viewer = node.viewer();
-        leaving_viewer.say(&Viewer::request(id, "clip", 2));
+        leaving_viewer.send(&Viewer::request(id, "clip", 2));
         let until = Instant::now() + 2 * SECOND;
         let at = loop {
             let has = |connection: &mut Viewer| {
@@ -177,14 +177,14 @@
             assert!(Instant::now() < until, "no first attempt");
         };
         node.suspend();
-        connections[at].say(&Message::release(id, cause::NOT_SENT));
+        connections[at].send(&Message::release(id, cause::NOT_SENT));
         let still_connected = match closes {
             true => {
                 drop(leaving_viewer);
                 None
             }
             false => {
-                leaving_viewer.say(&Message::release(id, cause::NORMAL));
+                leaving_viewer.send(&Message::release(id, cause::NORMAL));
                 Some(leaving_viewer)
             }
         };
@@ -204,18 +204,18 @@
     let node = servers
         .start_node("hung-end", |config| config["settings"]["policy_limits"]["conn_idle_ms"] = 900.into());
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let mut first = servers.accept(0);
     wait_for_message(&mut first, kind::SET_UP, 1);
     answer_set_up(&first, 1);
     wait_for_message(&mut viewer, kind::ANSWER, 1);
     // The server hangs: a request times out on the connection, which is not used any more afterwards.
-    viewer.say(&request_for_cell(2, "clip", 0));
+    viewer.send(&request_for_cell(2, "clip", 0));
     wait_for_message(&mut viewer, kind::RELEASE, 2);
     thread::sleep(4 * SECOND);
     // The server resumes and reports the end on the connection it believes open, and on the next one.
     let end = Message::release(1, cause::NORMAL);
-    first.say(&end);
-    servers.pending_connections(0).first().into_iter().for_each(|next| next.say(&end));
+    first.send(&end);
+    servers.pending_connections(0).first().into_iter().for_each(|next| next.send(&end));
     wait_for_message(&mut viewer, kind::RELEASE, 1);
 }
--- a/crates/daemon/tests/front_node_list.rs
+++ b/crates/daemon/tests/front_node_list.rs
@@ -41,11 +41,11 @@
         for stream in listener.incoming().map_while(Result::ok) {
             let set_up_times = Arc::clone(&shared_times);
             thread::spawn(move || {
-                let mut connection = Viewer::over(stream);
+                let mut connection = Viewer::from_stream(stream);
                 while let Some(message) = connection.next(60 * SECOND) {
                     if message.kind == kind::SET_UP {
                         set_up_times.lock().unwrap().push(Instant::now());
-                        connection.say(&Message::release(message.session, cause::NOT_SENT));
+                        connection.send(&Message::release(message.session, cause::NOT_SENT));
                     }
                 }
             });
@@ -72,7 +72,7 @@
         let mut id = 1_000;
         while !thread_stop_flag.load(Ordering::Relaxed) {
             id += 1;
-            viewer.say(&request_for_cell(id, "clip", 0));
+            viewer.send(&request_for_cell(id, "clip", 0));
             while viewer.next(5 * MS).is_some() {}
         }
     });
@@ -131,7 +131,7 @@
         thread::sleep(200 * MS);
     }
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let answer = viewer.next(SECOND).expect("an answer");
     assert_eq!(
         (answer.kind, answer.cause()),
@@ -246,7 +246,7 @@
     servers.send_list_frame(0, &[]);
     let set_up_times = refuse_all_set_ups(&servers, 0);
     let mut viewer = node.viewer();
-    viewer.say(&with_parameter(request_for_cell(7, "clip", 0), code::WAIT_MS, "1000"));
+    viewer.send(&with_parameter(request_for_cell(7, "clip", 0), code::WAIT_MS, "1000"));
     assert!(viewer.next(2 * SECOND).is_some());
     assert!(!set_up_times.lock().unwrap().is_empty());
 }
@@ -378,7 +378,7 @@
     let node = servers.start_node_with_sockets(name, 512, with_grace(350));
     let mut viewer = node.viewer();
     // An open connection to the server, so that a set-up does not wait for a dial.
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     answer_set_up(&connection, 1);
@@ -397,7 +397,7 @@
     let nothing = servers.list_frame(1, 0, &[]);
     servers.list_connection().write_all(&nothing.repeat(2_000)).unwrap();
     servers.send_list_frame(2, &[(0, 1)]);
-    viewer.say(&request_for_cell(2, "clip", 0));
+    viewer.send(&request_for_cell(2, "clip", 0));
     thread::sleep(SECOND);
     node.signal(Signal::CONT);
     let until = Instant::now() + SECOND;
@@ -408,7 +408,7 @@
             "set up at a server 1 s after it was announced as leaving"
         );
     }
-    viewer.say(&with_parameter(request_for_cell(3, "clip", 1), code::WAIT_MS, "1000"));
+    viewer.send(&with_parameter(request_for_cell(3, "clip", 1), code::WAIT_MS, "1000"));
     let mut other = servers.accept(1);
     wait_for_message(&mut other, kind::SET_UP, 3);
 }
--- a/crates/daemon/tests/front_node_many_servers.rs
+++ b/crates/daemon/tests/front_node_many_servers.rs
@@ -49,7 +49,7 @@
         prlimit(Some(Pid::from_child(&node.child)), Resource::Nofile, limit).unwrap();
         node.wait_ready();
         if scenario == "changes" {
-            platform.tell(SERVERS - 1, 0);
+            platform.announce(SERVERS - 1, 0);
             thread::sleep(SECOND / 5);
         }
         let mut viewer = node.viewer();
@@ -57,10 +57,10 @@
         let mut peak = 0;
         for at in 0..SERVERS {
             let id = first + at as u64;
-            viewer.say(&request_for_cell(id, "clip", at));
+            viewer.send(&request_for_cell(id, "clip", at));
             let answer = read_answer(&mut viewer, id);
             assert_eq!(
-                (answer.kind, platform.stands_at(id)),
+                (answer.kind, platform.box_of_session(id)),
                 (kind::ANSWER, Some(at)),
                 "{scenario}, server {at}"
             );
@@ -72,7 +72,7 @@
             assert_ends_are_forwarded(&platform, &mut viewer, first);
         }
         let ids = first..first + SERVERS as u64;
-        ids.for_each(|id| platform.end(id, cause::NORMAL));
+        ids.for_each(|id| platform.end_session(id, cause::NORMAL));
     }
 }
 
@@ -82,7 +82,7 @@
     assert_eq!(viewer.next(5 * SECOND), None, "a session was reported as lost");
     let ended: Vec<u64> = (0..SERVERS as u64).step_by(100).map(|at| first + at).collect();
     let begun = Instant::now();
-    ended.iter().for_each(|id| platform.end(*id, cause::NORMAL));
+    ended.iter().for_each(|id| platform.end_session(*id, cause::NORMAL));
     let mut received: Vec<Message> = Vec::new();
     wait_until("all session ends reach the viewer", || {
         received.extend(viewer.next(SECOND / 10));
--- a/crates/daemon/tests/front_node_process.rs
+++ b/crates/daemon/tests/front_node_process.rs
@@ -89,7 +89,7 @@
         let mut viewers: Vec<Viewer> = (0..100).map(|_| node.viewer()).collect();
         for (at, viewer) in viewers.iter_mut().enumerate() {
             let first = from + at as u64 * 10;
-            (first..first + 10).for_each(|id| viewer.say(&Viewer::request(id, "clip", CELLS)));
+            (first..first + 10).for_each(|id| viewer.send(&Viewer::request(id, "clip", CELLS)));
         }
         for viewer in &mut viewers {
             assert!((0..10).all(|_| viewer.next(5 * SECOND).is_some()), "each request has its answer");
@@ -99,7 +99,7 @@
         for (at, viewer) in viewers.iter().enumerate() {
             let first = from + at as u64 * 10;
             (first..first + 10)
-                .for_each(|id| viewer.say(&salttally_platform::wire::Message::release(id, 16)));
+                .for_each(|id| viewer.send(&salttally_platform::wire::Message::release(id, 16)));
         }
         let ended =
             |viewer: &mut Viewer| viewer.next(5 * SECOND).is_some_and(|m| m.kind == kind::RELEASE_ACK);
--- a/crates/daemon/tests/front_node_races.rs
+++ b/crates/daemon/tests/front_node_races.rs
@@ -23,7 +23,7 @@
 
 /// The result of a health test: 1 while the node accepts work, 0 once it shuts down.
 fn health_test(viewer: &mut Viewer) -> Option<u8> {
-    viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+    viewer.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
     wait_for_message(viewer, kind::TEST_RESULT, 1).cause()
 }
 
@@ -61,7 +61,7 @@
     let mut queued: Vec<Viewer> = (100..180)
         .map(|id| {
             let viewer = node.viewer();
-            viewer.say(&Viewer::request(id, if id % 2 == 0 { "clip" } else { "paid" }, CELLS));
+            viewer.send(&Viewer::request(id, if id % 2 == 0 { "clip" } else { "paid" }, CELLS));
             viewer
         })
         .collect();
@@ -90,7 +90,7 @@
         config["settings"]["policy_limits"]["conn_idle_ms"] = json!(150);
     });
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "paid", 0));
+    viewer.send(&request_for_cell(1, "paid", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     answer_set_up(&connection, 1);
@@ -136,7 +136,7 @@
     let mut servers = ScriptedServers::new(1);
     let node = servers.start_node("half-closed", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "paid", 0));
+    viewer.send(&request_for_cell(1, "paid", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     viewer.stream.shutdown(Shutdown::Write).unwrap();
@@ -174,7 +174,7 @@
     let (_gives_up, _buried) = (send_request(3, &give_up), send_request(5, &behind));
     drop(closes);
     half_closed.stream.shutdown(Shutdown::Write).unwrap();
-    early_viewer.say(&request_for_cell(6, "paid", 0));
+    early_viewer.send(&request_for_cell(6, "paid", 0));
     node.signal(Signal::CONT);
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 6);
@@ -229,7 +229,7 @@
                 _ => {}
             }
         }
-        viewer.say(&message);
+        viewer.send(&message);
     };
     send_large_request(&viewer, 1);
     let mut connection = servers.accept(0);
@@ -241,7 +241,7 @@
     let last = (40..2_000u64).find(|id| {
         send_large_request(&viewer, *id);
         // Progress reports keep the server alive for the node, so that no probe opens another connection.
-        connection.say(&Message::new(kind::PROGRESS, 1));
+        connection.send(&Message::new(kind::PROGRESS, 1));
         // This test is answered after the request, which has then been handed to the kernel as far as it accepts it.
         assert_eq!(health_test(&mut viewer), Some(1));
         let all = first.len() * (*id as usize - 1);
@@ -256,7 +256,7 @@
         !all_in_kernel(SECOND)
     });
     let last = last.expect("the kernel's queues are full at last");
-    viewer.say(&Message::release(last, cause::NORMAL));
+    viewer.send(&Message::release(last, cause::NORMAL));
     wait_for_message(&mut viewer, kind::RELEASE_ACK, last);
     let received = read_until_silent(&mut connection, SECOND);
     let set_ups: Vec<u64> = received.iter().filter(|m| m.kind == kind::SET_UP).map(|m| m.session).collect();
@@ -272,7 +272,7 @@
         config["settings"]["policy_limits"]["conn_idle_ms"] = json!(3_000);
     });
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     answer_set_up(&connection, 1);
@@ -281,7 +281,7 @@
     let mut byte = [0];
     connection.stream.set_read_timeout(Some(5 * SECOND)).unwrap();
     assert_eq!((&connection.stream).read(&mut byte).unwrap(), 0, "the node closes the connection");
-    connection.say(&Message::release(1, cause::NORMAL));
+    connection.send(&Message::release(1, cause::NORMAL));
     wait_for_message(&mut viewer, kind::RELEASE, 1);
 }
 
@@ -293,15 +293,15 @@
     let mut servers = ScriptedServers::new(1);
     let node = servers.start_node("late-refusal", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let mut first = servers.accept(0);
     wait_for_message(&mut first, kind::SET_UP, 1);
     // No answer arrives; the attempt times out, is released and is repeated.
     wait_for_message(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::RELEASE_ACK, 1));
+    first.send(&Message::new(kind::RELEASE_ACK, 1));
     let mut second = servers.accept(0);
     wait_for_message(&mut second, kind::SET_UP, 1);
-    first.say(&Message::release(1, cause::FULL));
+    first.send(&Message::release(1, cause::FULL));
     assert!(
         second.next(100 * MS).is_none_or(|message| message.kind == kind::RUNG),
         "the second attempt is not given up"
@@ -318,7 +318,7 @@
     let mut servers = ScriptedServers::new(1);
     let node = servers.start_node("answer-close", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "paid", 0));
+    viewer.send(&request_for_cell(1, "paid", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     node.signal(Signal::STOP);
@@ -335,7 +335,7 @@
     let mut servers = ScriptedServers::new(1);
     let node = servers.start_node("answer-end", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "paid", 0));
+    viewer.send(&request_for_cell(1, "paid", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     let mut bytes = Vec::new();
@@ -354,17 +354,17 @@
     let mut servers = ScriptedServers::new(1);
     let node = servers.start_node("untold", |_| {});
     let mut viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     answer_set_up(&connection, 1);
     assert_eq!(viewer.next(SECOND).map(|m| m.kind), Some(kind::ANSWER));
     viewer.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(viewer.next(SECOND), None, "the front node has closed the connection");
-    connection.say(&Message::release(1, cause::NORMAL));
+    connection.send(&Message::release(1, cause::NORMAL));
     wait_for_message(&mut connection, kind::RELEASE_ACK, 1);
     let mut next = node.viewer();
-    next.say(&Message::new(kind::TEST, 9).with(code::CAUSE, [0]));
+    next.send(&Message::new(kind::TEST, 9).with(code::CAUSE, [0]));
     assert_eq!(next.next(SECOND), Some(Message::release(1, cause::NORMAL)));
 }
 
@@ -374,15 +374,15 @@
     let mut servers = ScriptedServers::new(1);
     let node = servers.start_node("early-end", |_| {});
     let viewer = node.viewer();
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
-    connection.say(&Message::release(77, cause::NORMAL));
+    connection.send(&Message::release(77, cause::NORMAL));
     wait_for_message(&mut connection, kind::RELEASE_ACK, 77);
     let figures = "home:0;copies:1;top:1;viewer:000000000000004d;at:s-00000001";
     let hand_over = with_parameter(request_for_cell(77, "clip", 0), code::REQUEST_FIELDS, figures);
     let mut other = node.viewer();
-    other.say(&hand_over);
+    other.send(&hand_over);
     assert_eq!(other.next(SECOND), Some(Message::release(77, cause::NORMAL)));
 }
 
@@ -400,7 +400,7 @@
     let mut viewer = node.viewer();
     let message = request_for_cell(1, "paid", 0);
     let message = with_parameter(message, code::WAIT_MS, "9000");
-    viewer.say(&message);
+    viewer.send(&message);
     assert_eq!(health_test(&mut node.viewer()), Some(1));
     servers.send_list_frame(2, &[(0, 1)]);
     let answer = viewer.next(SECOND).expect("answered at once: no other server holds the title");
--- a/crates/daemon/tests/front_node_restart.rs
+++ b/crates/daemon/tests/front_node_restart.rs
@@ -65,7 +65,7 @@
         early_viewers
             .iter()
             .zip(1..)
-            .for_each(|(viewer, id)| viewer.say(&Viewer::request(id, "clip", CELLS)));
+            .for_each(|(viewer, id)| viewer.send(&Viewer::request(id, "clip", CELLS)));
         let mut ready_times: Vec<Duration> = thread::scope(|scope| {
             let waiters: Vec<_> = nodes
                 .iter()
--- a/crates/daemon/tests/front_node_retries.rs
+++ b/crates/daemon/tests/front_node_retries.rs
@@ -15,7 +15,7 @@
 
 /// Returns the server's connection on which the first attempt of request 1 has just timed out.
 fn first_attempt_given_up(servers: &mut ScriptedServers, viewer: &Viewer) -> Viewer {
-    viewer.say(&request_for_cell(1, "clip", 0));
+    viewer.send(&request_for_cell(1, "clip", 0));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     std::thread::sleep(ATTEMPT_TIMEOUT);
@@ -46,11 +46,11 @@
     let mut viewer = node.viewer();
     let mut first = first_attempt_given_up(&mut servers, &viewer);
     wait_for_message(&mut first, kind::RELEASE, 1);
-    first.say(&Message::new(kind::RELEASE_ACK, 1));
+    first.send(&Message::new(kind::RELEASE_ACK, 1));
     let mut connection = servers.accept(0);
     wait_for_message(&mut connection, kind::SET_UP, 1);
     let late = Message::new(kind::ANSWER, 1).with(code::DESCRIPTION, "made by the first attempt");
-    first.say(&late);
+    first.send(&late);
     answer_set_up(&connection, 1);
     let answer = viewer.next(SECOND).expect("an answer");
     assert_eq!(answer.text(code::DESCRIPTION), Some("made by hand"));
--- a/crates/daemon/tests/front_node_shutdown.rs
+++ b/crates/daemon/tests/front_node_shutdown.rs
@@ -10,7 +10,7 @@
 use node::{Node, CELLS};
 use rustix::process::Signal;
 use salttally_platform::wire::{code, kind, Message};
-use salttally_standin::platform::{Deed, Platform, Viewer};
+use salttally_standin::platform::{Platform, ScriptedReply, Viewer};
 use serde_json::json;
 
 const MS: Duration = Duration::from_millis(1);
@@ -35,7 +35,7 @@
         config
     });
     node.wait_ready();
-    platform.script(std::iter::repeat_n(Deed::Late(answer_delay), 1_000));
+    platform.script_replies(std::iter::repeat_n(ScriptedReply::Late(answer_delay), 1_000));
     let mut viewer = node.viewer();
     let mut unanswered: BTreeMap<u64, Instant> = BTreeMap::new();
     let mut closed = None;
@@ -47,7 +47,7 @@
         id += 1;
         let request =
             with_parameter(Viewer::request(id, "paid", CELLS), code::WAIT_MS, deadline_ms.to_string());
-        viewer.say(&request);
+        viewer.send(&request);
         unanswered.insert(id, Instant::now());
         let next_request = Instant::now() + 25 * MS;
         while let Some(remaining) =
@@ -55,7 +55,7 @@
         {
             match viewer.next(remaining) {
                 Some(message) => remove_answered(&message, &mut unanswered),
-                None if viewer.ended() => closed = closed.or(Some(Instant::now())),
+                None if viewer.is_closed() => closed = closed.or(Some(Instant::now())),
                 None => {}
             }
             if closed.is_some() {
--- a/crates/daemon/tests/front_node_suspended.rs
+++ b/crates/daemon/tests/front_node_suspended.rs
@@ -9,7 +9,7 @@
 use node::{request_session, wait_until, Node, CELLS, SECOND};
 use rustix::process::Signal;
 use salttally_platform::wire::{cause, kind, Message};
-use salttally_standin::platform::{Deed, Platform, Viewer};
+use salttally_standin::platform::{Platform, ScriptedReply, Viewer};
 
 /// Suspends the node for this long, running `action` right after the start.
 fn suspend_for(node: &Node, span: Duration, action: impl FnOnce()) {
@@ -36,14 +36,18 @@
     // Shorter and longer than the silence after which boxes are probed and the coordinator is reconnected, and than the
     // lifetime of idle connections.
     for seconds in [3, 6, 12] {
-        let calls = platform.asked().len();
+        let calls = platform.requested_numbers().len();
         suspend_for(&node, seconds * SECOND, || {});
         assert_eq!(read_until_silent(&mut viewer), [], "no session end after {seconds} s");
-        assert!((1..=60).all(|id| platform.stands_at(id).is_some()), "{seconds} s");
-        assert!(platform.asked().len() <= calls + 1, "at most one reconnect: {:?}", platform.asked());
+        assert!((1..=60).all(|id| platform.box_of_session(id).is_some()), "{seconds} s");
+        assert!(
+            platform.requested_numbers().len() <= calls + 1,
+            "at most one reconnect: {:?}",
+            platform.requested_numbers()
+        );
     }
     assert_eq!(request_session(&mut viewer, 61, "paid").kind, kind::ANSWER);
-    platform.end(7, cause::NORMAL);
+    platform.end_session(7, cause::NORMAL);
     assert_eq!(
         viewer.next(SECOND),
         Some(Message::release(7, cause::NORMAL)),
@@ -59,10 +63,10 @@
     // Answers arrive during the suspension: still in time at the resume, and long after the viewer's patience of 1.5 s.
     for (round, span, plays) in [(0, SECOND / 2, true), (1, 3 * SECOND, false)] {
         let ids = 100 * (round + 1)..100 * (round + 1) + 10;
-        platform.script(ids.clone().map(|_| Deed::Late(SECOND / 4)));
-        ids.clone().for_each(|id| viewer.say(&Viewer::request(id, "paid", CELLS)));
+        platform.script_replies(ids.clone().map(|_| ScriptedReply::Late(SECOND / 4)));
+        ids.clone().for_each(|id| viewer.send(&Viewer::request(id, "paid", CELLS)));
         wait_until("all set-ups are sent", || {
-            platform.came().iter().filter(|c| ids.contains(&c.message.session)).count() == 10
+            platform.received().iter().filter(|c| ids.contains(&c.message.session)).count() == 10
         });
         suspend_for(&node, span, || {});
         let resumed = Instant::now();
@@ -72,11 +76,11 @@
         assert_eq!(read_until_silent(&mut viewer), [], "one answer each");
         let played = answers.iter().filter(|m| m.kind == kind::ANSWER).count();
         assert_eq!(played, if plays { 10 } else { 0 }, "{answers:?}");
-        let set_ups = platform.came().iter().filter(|c| c.message.kind == kind::SET_UP).count();
+        let set_ups = platform.received().iter().filter(|c| c.message.kind == kind::SET_UP).count();
         assert_eq!(set_ups, 10 * (round as usize + 1), "none was set up twice");
         if !plays {
             wait_until("sessions without a viewer are ended", || {
-                ids.clone().all(|id| platform.stands_at(id).is_none())
+                ids.clone().all(|id| platform.box_of_session(id).is_none())
             });
         }
     }
@@ -86,10 +90,11 @@
 fn requests_waiting_for_dials_during_a_suspension_are_answered_once() {
     let mut platform = Platform::start(CELLS).unwrap();
     let node = Node::start(&platform, "stop-dials", 256);
-    platform.deafen(0).unwrap();
-    platform.deafen(1).unwrap();
+    platform.stop_accepting(0).unwrap();
+    platform.stop_accepting(1).unwrap();
     let mut viewer = node.viewer();
-    (1..=8).for_each(|id| viewer.say(&Viewer::request(id, if id % 2 == 0 { "paid" } else { "clip" }, CELLS)));
+    (1..=8)
+        .for_each(|id| viewer.send(&Viewer::request(id, if id % 2 == 0 { "paid" } else { "clip" }, CELLS)));
     thread::sleep(SECOND / 20);
     let before: Vec<Message> = std::iter::from_fn(|| viewer.next(SECOND / 50)).collect();
     assert!(before.len() < 8, "some requests wait for a dial");
@@ -103,7 +108,11 @@
     ids.sort_unstable();
     assert_eq!(ids, (1..=8).collect::<Vec<u64>>());
     let set_ups = |id| {
-        platform.came().iter().filter(|c| c.message.kind == kind::SET_UP && c.message.session == id).count()
+        platform
+            .received()
+            .iter()
+            .filter(|c| c.message.kind == kind::SET_UP && c.message.session == id)
+            .count()
     };
     assert!((1..=8).all(|id| set_ups(id) <= 1));
 }
@@ -116,8 +125,8 @@
     for id in 1..=30 {
         assert_eq!(request_session(&mut viewer, id, "paid").kind, kind::ANSWER);
     }
-    let at = platform.stands_at(1).unwrap();
-    let lost: Vec<u64> = (1..=30).filter(|id| platform.stands_at(*id) == Some(at)).collect();
+    let at = platform.box_of_session(1).unwrap();
+    let lost: Vec<u64> = (1..=30).filter(|id| platform.box_of_session(*id) == Some(at)).collect();
     suspend_for(&node, 3 * SECOND, || platform.kill(at));
     let resumed = Instant::now();
     let mut ended: Vec<u64> = Vec::new();
@@ -130,5 +139,5 @@
     ended.sort_unstable();
     assert_eq!(ended, lost);
     assert_eq!(read_until_silent(&mut viewer), []);
-    assert!((1..=30).all(|id| lost.contains(&id) || platform.stands_at(id).is_some()));
+    assert!((1..=30).all(|id| lost.contains(&id) || platform.box_of_session(id).is_some()));
 }
--- a/crates/daemon/tests/front_suspended.rs
+++ b/crates/daemon/tests/front_suspended.rs
@@ -11,7 +11,7 @@
 use rig::{script, script_head, wait_until};
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_standin::day::Day;
-use salttally_standin::players::Line;
+use salttally_standin::players::PlayerConnection;
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -49,21 +49,21 @@
     }
 }
 
-fn send_open(connection: &mut Line, viewer: &str, class: &str, patience_ms: u64) -> u64 {
+fn send_open(connection: &mut PlayerConnection, viewer: &str, class: &str, patience_ms: u64) -> u64 {
     let params = json!({"viewer": viewer, "title": "title-0", "class": class, "top_rung": 2, "patience_ms": patience_ms});
     connection.call("session.open", &params).unwrap()
 }
 
-fn open_paid_session(connection: &mut Line, viewer: &str) -> Option<String> {
+fn open_paid_session(connection: &mut PlayerConnection, viewer: &str) -> Option<String> {
     let id = send_open(connection, viewer, "paid", 2000);
     let answer = connection.response(id, Instant::now() + 3 * SECOND, &mut Vec::new()).ok()?;
     answer["result"]["session"].as_str().map(str::to_owned)
 }
 
 /// Starts a front, connects to it, and waits until it serves sessions.
-fn start_serving(day: &Day, name: &str) -> (Front, Line) {
+fn start_serving(day: &Day, name: &str) -> (Front, PlayerConnection) {
     let front = Front::start(day, name);
-    let mut connection = Line::connect(day.front_address(0), 3 * SECOND).unwrap();
+    let mut connection = PlayerConnection::connect(day.front_address(0), 3 * SECOND).unwrap();
     wait_until(
         10 * SECOND,
         || open_paid_session(&mut connection, "first").is_some(),
@@ -73,7 +73,7 @@
 }
 
 /// Opens sessions and returns those that play, which must be at least this many.
-fn open_sessions(connection: &mut Line, count: usize, minimum: usize) -> Vec<String> {
+fn open_sessions(connection: &mut PlayerConnection, count: usize, minimum: usize) -> Vec<String> {
     let sessions: Vec<String> =
         (0..count).filter_map(|number| open_paid_session(connection, &format!("viewer-{number}"))).collect();
     assert!(sessions.len() >= minimum, "{} of {count} play", sessions.len());
@@ -96,11 +96,11 @@
     assert_eq!(ended, 0, "of {}: {:?}", sessions.len(), messages.first());
     let held = |session: &String| {
         let fleet = day.boxes.fleet();
-        fleet.boxes.values().any(|state| state.plays.keys().any(|(id, _)| id == session))
+        fleet.boxes.values().any(|state| state.sessions.keys().any(|(id, _)| id == session))
     };
     assert!(sessions.iter().all(held), "the boxes still hold the sessions");
     // A box that really dies is still detected.
-    let at = *day.boxes.fleet().boxes.iter().find(|(_, state)| !state.plays.is_empty()).unwrap().0;
+    let at = *day.boxes.fleet().boxes.iter().find(|(_, state)| !state.sessions.is_empty()).unwrap().0;
     day.boxes.kill(at);
     let end = connection.next(Instant::now() + 3 * SECOND).expect("its sessions are reported as ended");
     assert_eq!(end["method"], "session.ended", "{end}");
@@ -113,7 +113,7 @@
     let day = Day::start(script(&script_head(8, 5), "")).unwrap();
     let (front, mut connection) = start_serving(&day, "stopped-busy");
     let sessions = open_sessions(&mut connection, 30, 28);
-    let mut other = Line::connect(day.front_address(0), 3 * SECOND).unwrap();
+    let mut other = PlayerConnection::connect(day.front_address(0), 3 * SECOND).unwrap();
     let question = |id: u64| {
         json!({"jsonrpc": "2.0", "id": id, "method": "session.status",
             "params": {"session": format!("f0-00000000-{id:010}"), "viewer": "nobody"}})
--- a/crates/daemon/tests/library_and_daemon.rs
+++ b/crates/daemon/tests/library_and_daemon.rs
@@ -16,8 +16,8 @@
 use salttally_front::settings::Settings;
 use salttally_front::{CallerMessage, Front, Session, SessionRequest};
 use salttally_standin::day::Day;
-use salttally_standin::list::{Line as ListLine, State};
-use salttally_standin::players::Line;
+use salttally_standin::list::{ListEntry, ListState};
+use salttally_standin::players::PlayerConnection;
 use serde_json::{json, Value};
 
 const SECOND: Duration = Duration::from_secs(1);
@@ -121,7 +121,7 @@
     front: FrontHost,
     address: std::net::SocketAddr,
     /// One connection for each session, since disconnecting affects all sessions of a connection.
-    sessions: Vec<(Option<Line>, u64, String)>,
+    sessions: Vec<(Option<PlayerConnection>, u64, String)>,
 }
 
 enum FrontHost {
@@ -131,7 +131,7 @@
 
 impl FrontClient for WebSocketClient {
     fn send_open(&mut self, viewer: &str, title: &str, class: &str) {
-        let mut connection = Line::connect(self.address, SECOND * 3).expect("connects");
+        let mut connection = PlayerConnection::connect(self.address, SECOND * 3).expect("connects");
         let params =
             json!({"viewer": viewer, "title": title, "class": class, "top_rung": 2, "patience_ms": 2000});
         let id = connection.call("session.open", &params).expect("written");
@@ -231,21 +231,21 @@
     // A viewer disconnects without notice.
     client.disconnect(2);
     let wait_for_held = |count| {
-        let now = || day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+        let now = || day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
         wait_until(SECOND * 3, || now() == count, || format!("the boxes hold {} sessions", now()));
     };
     wait_for_held(4);
     // A viewer cancels while its set-up is outstanding.
-    day.boxes.fleet().nature.set_up = 200_000;
+    day.boxes.fleet().model.set_up_time = 200_000;
     client.send_open("c", "title-1", "clip");
     std::thread::sleep(Duration::from_millis(80));
     results.push(client.cancel());
     std::thread::sleep(Duration::from_millis(250));
     wait_for_held(4);
-    day.boxes.fleet().nature.set_up = 5_000;
+    day.boxes.fleet().model.set_up_time = 5_000;
     // A box drains.
-    let entry = day.list.line(3).expect("listed");
-    day.list.set(ListLine { state: State::Draining, ..entry });
+    let entry = day.list.entry(3).expect("listed");
+    day.list.set(ListEntry { state: ListState::Draining, ..entry });
     std::thread::sleep(Duration::from_millis(250));
     client.send_open("d", "title-3", "clip");
     results.push(client.answer());
@@ -258,12 +258,12 @@
         results.push(client.answer());
     }
     // Every set-up fails: a clip is retried at other boxes and finally refused, a paid session fails.
-    day.boxes.fleet().boxes.values_mut().for_each(|state| state.errors = 1.0);
+    day.boxes.fleet().boxes.values_mut().for_each(|state| state.error_share = 1.0);
     client.send_open("f", "title-1", "clip");
     results.push(client.answer());
     client.send_open("g", "title-1", "paid");
     results.push(client.answer());
-    day.boxes.fleet().boxes.values_mut().for_each(|state| (state.errors, state.draining) = (0.0, true));
+    day.boxes.fleet().boxes.values_mut().for_each(|state| (state.error_share, state.draining) = (0.0, true));
     client.send_open("h", "title-2", "paid");
     results.push(client.answer());
     results
@@ -364,7 +364,7 @@
     let address = day.front_address(0);
     let mut sessions = Vec::new();
     for number in 0..5 {
-        let mut connection = Line::connect(address, SECOND * 3).expect("connects");
+        let mut connection = PlayerConnection::connect(address, SECOND * 3).expect("connects");
         let params = json!({
             "viewer": format!("v-{number}"), "title": "title-0", "class": "paid", "top_rung": 2, "patience_ms": 2000
         });
@@ -375,7 +375,7 @@
     }
     first.kill().expect("killed");
     first.wait().expect("gone");
-    let held_sessions = || day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum::<usize>();
+    let held_sessions = || day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum::<usize>();
     std::thread::sleep(Duration::from_millis(100));
     assert_eq!(held_sessions(), 5, "the sessions play on at the boxes");
     let mut second = start_daemon(&config);
@@ -383,7 +383,7 @@
     wait_until(
         SECOND * 3,
         || {
-            let Ok(mut connection) = Line::connect(address, SECOND) else { return false };
+            let Ok(mut connection) = PlayerConnection::connect(address, SECOND) else { return false };
             let params = json!({"session": sessions[2], "viewer": "v-2"});
             let id = connection.call("session.status", &params).expect("written");
             let status = connection.response(id, Instant::now() + SECOND, &mut Vec::new()).expect("answered");
--- a/crates/daemon/tests/node/mod.rs
+++ b/crates/daemon/tests/node/mod.rs
@@ -12,7 +12,7 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 use salttally_platform::wire::{code, kind, Message};
-use salttally_standin::platform::{own_host, Platform, Viewer};
+use salttally_standin::platform::{unique_loopback_host, Platform, Viewer};
 use serde_json::Value;
 
 pub const SECOND: Duration = Duration::from_secs(1);
@@ -41,7 +41,7 @@
     /// Starts a node with any configuration, without waiting until it is ready.
     pub fn start_with_config(name: &str, sockets: usize, config: impl FnOnce(SocketAddr) -> Value) -> Node {
         // Dropping the listener frees the address, and no other test process uses this host.
-        let listen = TcpListener::bind((own_host(), 0)).unwrap().local_addr().unwrap();
+        let listen = TcpListener::bind((unique_loopback_host(), 0)).unwrap().local_addr().unwrap();
         let file = format!("salttally-{name}-{}.json", std::process::id());
         let path = std::env::temp_dir().join(file);
         fs::write(&path, config(listen).to_string()).unwrap();
@@ -54,7 +54,7 @@
         let deadline = Instant::now() + 10 * SECOND;
         while Instant::now() < deadline {
             if let Ok(mut viewer) = Viewer::connect(self.listen) {
-                viewer.say(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
+                viewer.send(&Message::new(kind::TEST, 1).with(code::CAUSE, [0]));
                 if viewer.next(SECOND).and_then(|m| m.cause()) == Some(1) {
                     return;
                 }
@@ -122,7 +122,7 @@
 
 /// Requests a session and waits for its answer.
 pub fn request_session(viewer: &mut Viewer, id: u64, class: &str) -> Message {
-    viewer.say(&Viewer::request(id, class, CELLS));
+    viewer.send(&Viewer::request(id, class, CELLS));
     read_answer(viewer, id)
 }
 
--- a/crates/daemon/tests/node/scripted.rs
+++ b/crates/daemon/tests/node/scripted.rs
@@ -9,7 +9,7 @@
 
 use rustix::process::Signal;
 use salttally_platform::wire::{code, kind, Message};
-use salttally_standin::platform::{own_host, Platform, Viewer};
+use salttally_standin::platform::{unique_loopback_host, Platform, Viewer};
 use serde_json::{json, Value};
 use socket2::{Domain, SockRef, Socket, Type};
 
@@ -28,7 +28,7 @@
 impl ScriptedServers {
     /// Listeners of this many media servers and of the coordinator.
     pub fn new(servers: usize) -> ScriptedServers {
-        let host = own_host();
+        let host = unique_loopback_host();
         let listener = |_| TcpListener::bind((host, 0)).unwrap();
         let coordinator = listener(0);
         ScriptedServers {
@@ -146,7 +146,7 @@
     pub fn accept(&self, at: usize) -> Viewer {
         let stream = accept_within(&self.listeners[at], 10 * SECOND);
         stream.set_nodelay(true).unwrap();
-        Viewer::over(stream)
+        Viewer::from_stream(stream)
     }
 
     /// Accepts all connections to a media server that wait in its queue now.
@@ -156,7 +156,7 @@
         streams
             .map(|stream| {
                 stream.set_nonblocking(false).unwrap();
-                Viewer::over(stream)
+                Viewer::from_stream(stream)
             })
             .collect()
     }
@@ -200,7 +200,7 @@
 /// Reserves an address at which connections are refused until the returned socket listens.
 pub fn refusing_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-    socket.bind(&SocketAddr::from((own_host(), 0)).into()).unwrap();
+    socket.bind(&SocketAddr::from((unique_loopback_host(), 0)).into()).unwrap();
     let at = socket.local_addr().unwrap().as_socket().unwrap();
     (socket, at)
 }
@@ -232,7 +232,7 @@
 
 /// Answers a set-up: the session plays.
 pub fn answer_set_up(connection: &Viewer, id: u64) {
-    connection.say(&Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by hand"));
+    connection.send(&Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by hand"));
 }
 
 /// Replaces the value of a parameter.
--- a/crates/daemon/tests/rig/mod.rs
+++ b/crates/daemon/tests/rig/mod.rs
@@ -11,8 +11,8 @@
 use salttally_judge::judge;
 use salttally_judge::record::{AnswerKind, Event};
 use salttally_settings::Document;
-use salttally_standin::day::{Day, Fronts};
-use salttally_standin::players::{Line, Silence};
+use salttally_standin::day::{Day, FrontController};
+use salttally_standin::players::{PlayerConnection, ReceiveError};
 use salttally_standin::script::Script;
 use serde_json::{json, Value};
 
@@ -48,7 +48,7 @@
 #[derive(Default)]
 pub struct InProcessFronts(pub Vec<Option<Front>>);
 
-impl Fronts for InProcessFronts {
+impl FrontController for InProcessFronts {
     fn start(&mut self, number: usize, settings: &str) -> io::Result<()> {
         let settings = Settings::parse("front.kdl", settings).map_err(|e| io::Error::other(e.to_string()))?;
         let front = Front::start(settings).map_err(|e| io::Error::other(e.to_string()))?;
@@ -125,7 +125,7 @@
 
     /// Number of sessions that the boxes hold now.
     pub fn held_sessions(&self) -> usize {
-        self.day.boxes.fleet().boxes.values().map(|state| state.plays.len()).sum()
+        self.day.boxes.fleet().boxes.values().map(|state| state.sessions.len()).sum()
     }
 
     /// Waits until the boxes hold this many sessions.
@@ -141,7 +141,7 @@
     pub fn boxes_of(&self, session: &str) -> Vec<u32> {
         let fleet = self.day.boxes.fleet();
         let holds =
-            |state: &salttally_standin::fleet::BoxState| state.plays.keys().any(|(id, _)| id == session);
+            |state: &salttally_standin::fleet::BoxState| state.sessions.keys().any(|(id, _)| id == session);
         fleet.boxes.iter().filter(|(_, state)| holds(state)).map(|(id, _)| *id).collect()
     }
 
@@ -195,7 +195,7 @@
 /// A scripted player.
 pub struct Viewer<'a> {
     rig: &'a Rig,
-    pub connection: Line,
+    pub connection: PlayerConnection,
     front: String,
     name: String,
     pub session: Option<String>,
@@ -205,8 +205,8 @@
 
 impl<'a> Viewer<'a> {
     pub fn connect(rig: &'a Rig, front: u32, name: &str) -> Viewer<'a> {
-        let connection =
-            Line::connect(rig.address(front), Duration::from_secs(3)).expect("the front accepts players");
+        let connection = PlayerConnection::connect(rig.address(front), Duration::from_secs(3))
+            .expect("the front accepts players");
         let (front, name) = (format!("f{front}"), name.to_owned());
         Viewer { rig, connection, front, name, session: None, other_messages: Vec::new() }
     }
@@ -284,8 +284,8 @@
                 self.rig.day.log.write(Event::Answered { open, answer: kind, session });
                 outcome
             }
-            Err(Silence::TimedOut) => panic!("no answer within {timeout:?}"),
-            Err(Silence::Cut(_)) => {
+            Err(ReceiveError::TimedOut) => panic!("no answer within {timeout:?}"),
+            Err(ReceiveError::Closed(_)) => {
                 self.rig.day.log.write(Event::Cut { open });
                 OpenAnswer::Disconnected
             }
--- a/crates/front/tests/decoders.rs
+++ b/crates/front/tests/decoders.rs
@@ -131,7 +131,7 @@
         let length = length % response.len();
         prop_assert_eq!(http::parse_response(&response[..length]), Ok(None));
         let with_surplus = [response.as_slice(), b"x"].concat();
-        prop_assert_eq!(http::parse_response(&with_surplus), Err(http::HttpError::Surplus(1)));
+        prop_assert_eq!(http::parse_response(&with_surplus), Err(http::HttpError::TrailingBytes(1)));
     }
 
     #[test]
@@ -194,11 +194,11 @@
 #[test]
 fn responses_with_two_lengths_transfer_codings_or_a_long_head_are_errors() {
     let two_lengths = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nab";
-    assert_eq!(http::parse_response(two_lengths), Err(http::HttpError::Length));
+    assert_eq!(http::parse_response(two_lengths), Err(http::HttpError::ContentLength));
     let chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    assert_eq!(http::parse_response(chunked), Err(http::HttpError::Coding));
+    assert_eq!(http::parse_response(chunked), Err(http::HttpError::TransferCoding));
     let long_head = [b"HTTP/1.1 200 OK\r\nX: ".as_slice(), &[b'a'; 9000]].concat();
-    assert_eq!(http::parse_response(&long_head), Err(http::HttpError::LongHead));
+    assert_eq!(http::parse_response(&long_head), Err(http::HttpError::HeadTooLong));
 }
 
 #[test]
