--- a/crates/accord/src/store.rs
+++ b/crates/accord/src/store.rs
@@ -1,9 +1,9 @@
-//! The store of one front: a file of the embedded database `redb`, which keeps checksums of its pages and commits in one
-//! piece.
+//! The store of one front: a file of the embedded database `redb`, which keeps checksums of its pages and
+//! commits atomically.
 //!
-//! What it promises after a crash: all writes of a batch are there or none; a batch that [promises](Write::promises) is
-//! there once [`Store::write`] has returned. A file that is torn, foreign, damaged or copied is never voted from: it is set
-//! aside or counts as a new disk.
+//! Guarantees after a crash: all writes of a batch are present or none; a batch that [needs a
+//! flush](Write::needs_flush) is present once [`Store::write`] has returned. A truncated, foreign, damaged or
+//! copied file is never used to vote: it is set aside, or counts as a new disk.
 #![allow(clippy::disallowed_types, clippy::disallowed_methods)]
 
 use std::fs;
@@ -18,40 +18,42 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::core::disk::{Image, Vote, Write};
+use crate::core::disk::{Image, VoterState, Write};
 
-/// Number of the form in which things are stored.
-const FORM: u32 = 2;
+/// Version of the storage format.
+const STORE_FORMAT: u32 = 2;
 const HEAD: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("head");
 const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 
-/// Why nothing can be kept.
+/// Why the store cannot be used.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Another process has the file open.
     #[error("{0} is in use by another process")]
     InUse(String),
-    /// A version of this program that is not known here wrote it.
-    #[error("{0} has form {1}, and this program knows form {FORM}: it was written by another version")]
+    /// The file was written by a version of this program with another format.
+    #[error(
+        "{0} has form {1}, and this program knows form {STORE_FORMAT}: it was written by another version"
+    )]
     Form(String, u32),
     /// The disk is full, read-only or broken.
     #[error("{0} cannot be written: {1}")]
     Io(String, String),
-    /// Its pages do not hold what they should.
+    /// The file is damaged.
     #[error("{0} is damaged: {1}")]
     Damaged(String, String),
 }
 
-/// What was found at the start, beside the image.
+/// What opening the store found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Found {
-    /// Nothing: a new file.
+pub enum OpenOutcome {
+    /// No file: a new one was created.
     New,
-    /// All as it was left.
-    Whole,
-    /// A damaged file, set aside under this name; a new one was begun.
+    /// The file as it was left.
+    Intact,
+    /// A damaged file, renamed to this path; a new one was created.
     SetAside(PathBuf, String),
-    /// A file that is not where it was written first: what it voted with is forgotten, the history stays.
+    /// A file that was copied or moved: its votes are discarded, the history is kept.
     Copied,
 }
 
@@ -61,26 +63,26 @@
     database: Database,
 }
 
-/// What tells a file from its copies: its number on the disk, and when it was made.
-pub fn place(path: &Path) -> io::Result<(u64, u64)> {
+/// Identity of a file, which differs for its copies: inode number and creation time.
+pub fn file_identity(path: &Path) -> io::Result<(u64, u64)> {
     let about = fs::metadata(path)?;
     let made = about.created().ok().and_then(|at| at.duration_since(UNIX_EPOCH).ok());
     Ok((about.ino(), made.map_or(0, |since| since.as_nanos() as u64)))
 }
 
 impl Store {
-    /// Opens the file, or begins it.
+    /// Opens the file, or creates it. A damaged file is set aside.
     ///
     /// # Errors
-    /// It is in use, of another form, or cannot be written. One that is damaged is set aside.
-    pub fn open(path: &Path) -> Result<(Store, Image, Found), StoreError> {
+    /// The file is in use, has another format, or cannot be written.
+    pub fn open(path: &Path) -> Result<(Store, Image, OpenOutcome), StoreError> {
         let existed = path.exists();
-        match unharmed(path, || Store::read(path)) {
+        match catch_panics(path, || Store::read(path)) {
             Ok((store, image, copied)) => {
                 let found = match (existed, copied) {
-                    (false, _) => Found::New,
-                    (true, true) => Found::Copied,
-                    (true, false) => Found::Whole,
+                    (false, _) => OpenOutcome::New,
+                    (true, true) => OpenOutcome::Copied,
+                    (true, false) => OpenOutcome::Intact,
                 };
                 Ok((store, image, found))
             }
@@ -88,7 +90,7 @@
                 let aside = path.with_extension("damaged");
                 fs::rename(path, &aside).map_err(|error| io_error(path, &error))?;
                 let (store, image, _) = Store::read(path)?;
-                Ok((store, image, Found::SetAside(aside, why)))
+                Ok((store, image, OpenOutcome::SetAside(aside, why)))
             }
             Err(error) => Err(error),
         }
@@ -98,13 +100,13 @@
         let name = path.display().to_string();
         let mut database = Database::create(path).map_err(|error| match error {
             redb::DatabaseError::DatabaseAlreadyOpen => StoreError::InUse(name.clone()),
-            redb::DatabaseError::Storage(error) => storage(path, &error),
+            redb::DatabaseError::Storage(error) => storage_error(path, &error),
             other => StoreError::Damaged(name.clone(), other.to_string()),
         })?;
-        // Danger: a page that has rotted is read as whatever it says, and votes.
+        // Danger: a damaged page would otherwise be read as valid state, and used to vote.
         match database.check_integrity() {
             Ok(_) => {}
-            Err(redb::DatabaseError::Storage(error)) => return Err(storage(path, &error)),
+            Err(redb::DatabaseError::Storage(error)) => return Err(storage_error(path, &error)),
             Err(other) => return Err(StoreError::Damaged(name, other.to_string())),
         }
         let store = Store { path: path.to_owned(), database };
@@ -124,7 +126,7 @@
     }
 
     fn load(&self) -> Result<(Image, bool), StoreError> {
-        let place = place(&self.path).map_err(|error| io_error(&self.path, &error))?;
+        let place = file_identity(&self.path).map_err(|error| io_error(&self.path, &error))?;
         let begun = self.database.begin_read().map_err(|error| self.failed(error))?;
         let head = match begun.open_table(HEAD) {
             Ok(head) => head,
@@ -136,18 +138,18 @@
             Err(error) => return Err(self.failed(error)),
         };
         let form: u32 = self.get(&head, "form")?.ok_or_else(|| self.damaged("no form"))?;
-        if form != FORM {
+        if form != STORE_FORMAT {
             return Err(StoreError::Form(self.path.display().to_string(), form));
         }
         let history = self.get(&head, "history")?;
         if self.get(&head, "place")? != Some(place) {
-            // Danger: the original may vote on, or has voted on since; a copy knows nothing of it.
+            // Danger: the original may still vote, or may have voted since; a copy does not know of it.
             drop((head, begun));
             self.begin(place)?;
             return Ok((Image { history, ..Image::default() }, true));
         }
         let identity = self.get(&head, "identity")?;
-        let vote: Option<Vote> = self.get(&head, "vote")?;
+        let vote: Option<VoterState> = self.get(&head, "vote")?;
         let vote = match vote {
             None => None,
             Some(vote) => {
@@ -160,7 +162,7 @@
                     }
                     entries.push(postcard::from_bytes(bytes.value()).map_err(|error| self.damaged(error))?);
                 }
-                Some(Vote {
+                Some(VoterState {
                     promise: self.get(&head, "promise")?,
                     accepted: self.get(&head, "accepted")?,
                     decided: self.get(&head, "decided")?.unwrap_or(0),
@@ -182,7 +184,7 @@
         value.map(|value| read(value.value())).transpose()
     }
 
-    /// A file that nothing is known from but, maybe, the history.
+    /// Initialises the file; an existing history is kept.
     fn begin(&self, place: (u64, u64)) -> Result<(), StoreError> {
         let write = self.database.begin_write().map_err(|error| self.failed(error))?;
         {
@@ -190,7 +192,7 @@
             for key in ["identity", "vote", "promise", "accepted", "decided"] {
                 head.remove(key).map_err(|error| self.failed(error))?;
             }
-            put(&mut head, "form", &FORM).map_err(|error| self.failed(error))?;
+            put(&mut head, "form", &STORE_FORMAT).map_err(|error| self.failed(error))?;
             put(&mut head, "place", &place).map_err(|error| self.failed(error))?;
             let mut log = write.open_table(LOG).map_err(|error| self.failed(error))?;
             log.retain(|_, _| false).map_err(|error| self.failed(error))?;
@@ -198,17 +200,17 @@
         write.commit().map_err(|error| self.failed(error))
     }
 
-    /// Writes all of these or none; flushed when this returns, if any of them promises something.
+    /// Writes all of these or none; flushed on return if any of them needs it.
     ///
     /// # Errors
-    /// The disk is full, read-only or broken: nothing that follows may be told.
+    /// The disk is full, read-only or broken: outputs that depend on the writes must not be carried out.
     pub fn write(&self, writes: &[Write]) -> Result<(), StoreError> {
-        unharmed(&self.path, || self.write_all(writes))
+        catch_panics(&self.path, || self.write_all(writes))
     }
 
     fn write_all(&self, writes: &[Write]) -> Result<(), StoreError> {
         let mut write = self.database.begin_write().map_err(|error| self.failed(error))?;
-        if !writes.iter().any(Write::promises) {
+        if !writes.iter().any(Write::needs_flush) {
             write.set_durability(Durability::None).map_err(|error| self.failed(error))?;
         }
         {
@@ -221,7 +223,7 @@
                     Write::Promise(ballot) => put(&mut head, "promise", ballot),
                     Write::Accepted(ballot) => put(&mut head, "accepted", ballot),
                     Write::Decided(decided) => put(&mut head, "decided", decided),
-                    Write::Vote(vote) => {
+                    Write::Voter(vote) => {
                         for key in ["promise", "accepted", "decided"] {
                             head.remove(key)?;
                         }
@@ -231,7 +233,7 @@
                     Write::Log(from, entries) => {
                         log.retain_in(*from as u64.., |_, _| false)?;
                         for (at, entry) in (*from as u64..).zip(entries) {
-                            log.insert(at, encoded(entry)?.as_slice())?;
+                            log.insert(at, encode(entry)?.as_slice())?;
                         }
                         Ok(())
                     }
@@ -243,17 +245,18 @@
     }
 }
 
-/// What the database does, kept from ending the process. Danger: it panics over some damage that its own look at the pages passes; found by a test that tears files.
-pub fn unharmed<T>(path: &Path, work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
+/// Runs database code and turns panics into errors. Danger: the database panics on some damage that its own
+/// integrity check accepts; found by a test that truncates files.
+pub fn catch_panics<T>(path: &Path, work: impl FnOnce() -> Result<T, StoreError>) -> Result<T, StoreError> {
     let damaged = |_| StoreError::Damaged(path.display().to_string(), "a page cannot be read".into());
     catch_unwind(AssertUnwindSafe(work)).unwrap_or_else(|panic| Err(damaged(panic)))
 }
 
-/// The form in which things are stored.
+/// Encodes a value for storage.
 ///
 /// # Errors
-/// It cannot be encoded.
-pub fn encoded<T: Serialize>(value: &T) -> Result<Vec<u8>, redb::StorageError> {
+/// The value cannot be encoded.
+pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, redb::StorageError> {
     postcard::to_allocvec(value).map_err(|error| redb::StorageError::Io(io::Error::other(error.to_string())))
 }
 
@@ -262,19 +265,19 @@
     key: &str,
     value: &T,
 ) -> Result<(), redb::StorageError> {
-    head.insert(key, encoded(value)?.as_slice())?;
+    head.insert(key, encode(value)?.as_slice())?;
     Ok(())
 }
 
-/// What the file system said of this file.
+/// Converts an error of the file system.
 pub fn io_error(path: &Path, error: &io::Error) -> StoreError {
     StoreError::Io(path.display().to_string(), error.to_string())
 }
 
-/// What the database said of this file.
-pub fn storage(path: &Path, error: &redb::StorageError) -> StoreError {
+/// Converts an error of the database.
+pub fn storage_error(path: &Path, error: &redb::StorageError) -> StoreError {
     match error {
-        // A file that is none of the database's is told as one that cannot be read.
+        // A file that is not of this database is reported as one that cannot be read.
         redb::StorageError::Corrupted(why) => StoreError::Damaged(path.display().to_string(), why.clone()),
         redb::StorageError::Io(error) if error.kind() == io::ErrorKind::InvalidData => {
             StoreError::Damaged(path.display().to_string(), error.to_string())
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -9,7 +9,7 @@
 
 use clap::{Parser, ValueEnum};
 use miette::Report;
-use salttally_accord::core::stand::Stand;
+use salttally_accord::core::coordination::CoordinationState;
 use salttally_accord::edge as accord;
 use salttally_accord::settings::Settings as Accord;
 use salttally_copies::edge as copies;
@@ -87,15 +87,18 @@
         Ok(signals) => signals,
         Err(error) => return exit_with_error(&format!("cannot install the signal handlers: {error}")),
     };
-    let copies_line = peer_settings.copies.is_some().then(copies::Line::default);
-    let front = match Front::start_replicated(settings, copies_line.as_ref().map(copies::Line::teller)) {
+    let pending_copies = peer_settings.copies.is_some().then(copies::PendingService::default);
+    let front = match Front::start_replicated(
+        settings,
+        pending_copies.as_ref().map(copies::PendingService::handle),
+    ) {
         Ok(front) => front,
         Err(error) => return exit_with_error(&error.to_string()),
     };
     tracing::info!(address = %front.address(), seed = front.seed(), "front is listening");
     // Supervisors wait for this line to know that the front accepts connections.
     println!("listening {}", front.address());
-    let peer_services = match peer_settings.start(Some(&front), copies_line) {
+    let peer_services = match peer_settings.start(Some(&front), pending_copies) {
         Ok(peer_services) => peer_services,
         Err(reason) => return exit_with_error(&reason),
     };
@@ -142,32 +145,33 @@
     fn start(
         &self,
         front: Option<&Front>,
-        copies_line: Option<copies::Line>,
+        pending_copies: Option<copies::PendingService>,
     ) -> Result<PeerServices, String> {
-        let copies_sender = copies_line.as_ref().map(copies::Line::teller);
-        let on_accord_state = front.map(|front| {
-            let (apply, copies) = (front.coordination_sink(), copies_sender.clone());
-            Box::new(move |stand: Stand| {
+        let copies_handle = pending_copies.as_ref().map(copies::PendingService::handle);
+        let on_coordination_change = front.map(|front| {
+            let (apply, copies) = (front.coordination_sink(), copies_handle.clone());
+            Box::new(move |state: CoordinationState| {
                 if let Some(copies) = &copies {
-                    copies.stands(&stand);
+                    copies.update_coordination(&state);
                 }
-                apply(stand);
+                apply(state);
             }) as accord::Listener
         });
-        let copies_transport = copies_sender.clone().map(|copies| {
-            let status_source = copies.clone();
-            let passed = Box::new(move |from, bytes| copies.passed(from, bytes));
-            accord::Beside { passed, shows: Box::new(move || status_source.shown()) }
+        let copies_companion = copies_handle.clone().map(|copies| {
+            let copies_status = copies.clone();
+            let on_message = Box::new(move |from, bytes| copies.receive(from, bytes));
+            accord::Companion { on_message, status: Box::new(move || copies_status.status()) }
         });
-        let start =
-            |settings: &Accord| accord::Running::start_beside(settings, on_accord_state, copies_transport);
+        let start = |settings: &Accord| {
+            accord::Running::start_with_companion(settings, on_coordination_change, copies_companion)
+        };
         let accord = self.accord.as_ref().map(start).transpose().map_err(|e| e.to_string())?;
-        let copies = match (copies_line, front, &accord, &self.copies) {
-            (Some(copies_line), Some(front), Some(accord), Some(settings)) => {
-                let started = copies_line.start(
+        let copies = match (pending_copies, front, &accord, &self.copies) {
+            (Some(pending_copies), Some(front), Some(accord), Some(settings)) => {
+                let started = pending_copies.start(
                     settings,
                     front.incarnation(),
-                    accord.teller(),
+                    accord.handle(),
                     Box::new(front.replication_sink()),
                 );
                 Some(started.map_err(|e| e.to_string())?)
@@ -176,15 +180,15 @@
         };
         let update_peers = front.map(Front::peers_sink);
         let listener = accord.as_ref().map(|running| {
-            let running = running.teller();
+            let running = running.handle();
             Box::new(move |known_members: Vec<KnownFront>| {
-                if let Some(copies) = &copies_sender {
-                    copies.known(known_members.clone());
+                if let Some(copies) = &copies_handle {
+                    copies.update_members(known_members.clone());
                 }
                 if let Some(update_peers) = &update_peers {
                     update_peers(&known_members);
                 }
-                running.known(known_members);
+                running.update_members(known_members);
             }) as ViewListener
         });
         let start = |members: &Members| Running::start_with_listener(members, listener);
@@ -207,7 +211,7 @@
         match PeerSettings::read(config) {
             Ok(PeerSettings { members: Some(members), .. }) => {
                 if let Some(accord) = &self.accord {
-                    accord.keys(members.keys.clone());
+                    accord.set_keys(members.keys.clone());
                 }
                 running.set_keys(members.keys);
                 tracing::info!("members: keys reloaded");
@@ -224,7 +228,7 @@
             copies.leave();
         }
         if let Some(accord) = self.accord {
-            accord.end();
+            accord.shut_down();
         }
         if let Some(members) = self.members {
             members.leave();
--- a/crates/daemon/tests/accord.rs
+++ b/crates/daemon/tests/accord.rs
@@ -15,12 +15,12 @@
 
 use rig::{script, script_head, wait_until};
 use rustix::process::{kill_process, Pid, Signal};
-use salttally_accord::ask::{ask, AskError};
-use salttally_accord::core::disk::{Image, Vote, Write as Change};
+use salttally_accord::core::disk::{Image, VoterState, Write as Change};
 use salttally_accord::core::history::{Entry, History, Proposal};
-use salttally_accord::core::rules::{Rules, Terms, Who};
+use salttally_accord::core::rules::{ClassTerms, RefusedParty, Rules};
+use salttally_accord::query::{ask, AskError};
 use salttally_accord::settings::Settings;
-use salttally_accord::store::{Found, Store, StoreError};
+use salttally_accord::store::{OpenOutcome, Store, StoreError};
 use salttally_accord::wire::Question;
 use salttally_judge::accord::judge;
 use salttally_settings::Document;
@@ -144,7 +144,7 @@
     }
 
     fn status(&self, front: usize) -> Value {
-        let answer = ask(&self.settings(front), Question::Show).unwrap_or_default();
+        let answer = ask(&self.settings(front), Question::Status).unwrap_or_default();
         serde_json::from_str(&answer).unwrap_or_default()
     }
 
@@ -194,7 +194,7 @@
 }
 
 fn refuse_viewer(viewer: &str) -> Rules {
-    Rules { refused: [Who::Viewer(viewer.to_owned())].into(), ..Rules::default() }
+    Rules { refused: [RefusedParty::Viewer(viewer.to_owned())].into(), ..Rules::default() }
 }
 
 #[test]
@@ -388,7 +388,8 @@
     fleet.start_command(0, Command::new("sh").args(["-c", script, DAEMON_PATH, "--config"]).arg(config));
     (0..3).for_each(|front| fleet.wait_until_status(front, "a lease", has_lease));
     let filler = |turn: usize| {
-        let refused = (0..1_000).map(|at| Who::Viewer(format!("a-viewer-with-a-long-name-{turn}-{at}")));
+        let refused =
+            (0..1_000).map(|at| RefusedParty::Viewer(format!("a-viewer-with-a-long-name-{turn}-{at}")));
         Rules { refused: refused.collect(), ..Rules::default() }
     };
     let begun = Instant::now();
@@ -446,7 +447,7 @@
 
 fn proposal_entry(id: u64) -> Entry {
     let rules = Rules {
-        classes: [("clip".into(), Terms { open: false, ..Terms::default() })].into(),
+        classes: [("clip".into(), ClassTerms { open: false, ..ClassTerms::default() })].into(),
         ..Rules::default()
     };
     Entry::Propose(Proposal { id, base: id, by: "test".into(), at: 7, rules: rules.into() })
@@ -455,10 +456,10 @@
 /// Batches of writes, as the core of a voter produces them.
 fn vote_writes() -> Vec<Vec<Change>> {
     let mut history = History::default();
-    history.take(&proposal_entry(0));
+    history.apply(&proposal_entry(0));
     vec![
         vec![Change::Identity(7, 1)],
-        vec![Change::History(history.clone().into()), Change::Vote(Box::new(Vote::begin(2, &history)))],
+        vec![Change::History(history.clone().into()), Change::Voter(Box::new(VoterState::new(2, &history)))],
         vec![Change::Log(0, vec![proposal_entry(1), proposal_entry(2), proposal_entry(3)])],
         vec![Change::Log(2, vec![proposal_entry(9)]), Change::Decided(2)],
         vec![Change::Identity(7, 2)],
@@ -474,7 +475,7 @@
         let (store, found, _) = Store::open(&path).unwrap();
         assert_eq!(found, image, "the state after the previous batches");
         store.write(&batch).unwrap();
-        batch.iter().for_each(|write| image.write(write));
+        batch.iter().for_each(|write| image.apply(write));
     }
     assert_eq!(Store::open(&path).unwrap().1, image);
     fs::remove_dir_all(folder).unwrap();
@@ -489,7 +490,7 @@
     for batch in vote_writes() {
         store.write(&batch).unwrap();
         let mut next = images.last().cloned().unwrap();
-        batch.iter().for_each(|write| next.write(write));
+        batch.iter().for_each(|write| next.apply(write));
         images.push(next);
     }
     drop(store);
@@ -509,7 +510,7 @@
         drop(file);
         let (store, image, found) = Store::open(&path).unwrap_or_else(|error| panic!("step {step}: {error}"));
         match found {
-            Found::SetAside(aside_at, _) => {
+            OpenOutcome::SetAside(aside_at, _) => {
                 assert_eq!(image, Image::default());
                 drop(store);
                 fs::rename(aside_at, &path).unwrap();
@@ -536,9 +537,9 @@
     let copy = folder.join("copy.redb");
     fs::copy(&path, &copy).unwrap();
     let (_, image, found) = Store::open(&copy).unwrap();
-    assert_eq!((found, image.identity, image.vote.is_none()), (Found::Copied, None, true));
+    assert_eq!((found, image.identity, image.vote.is_none()), (OpenOutcome::Copied, None, true));
     assert!(image.history.is_some(), "the agreed history is kept");
-    assert_eq!(Store::open(&path).unwrap().2, Found::Whole, "the original still votes");
+    assert_eq!(Store::open(&path).unwrap().2, OpenOutcome::Intact, "the original still votes");
     fs::remove_dir_all(folder).unwrap();
 }
 
--- a/crates/daemon/tests/copies.rs
+++ b/crates/daemon/tests/copies.rs
@@ -14,7 +14,7 @@
 
 use rig::{script, wait_until};
 use rustix::process::{kill_process, Pid, Signal};
-use salttally_accord::ask::ask;
+use salttally_accord::query::ask;
 use salttally_accord::settings::Settings;
 use salttally_accord::wire::Question;
 use salttally_judge::{judge, Rule};
@@ -171,10 +171,10 @@
         wait_until(
             30 * SECOND,
             || {
-                query(Question::Show)["acts_by"] == "lease"
-                    && holders(&query(Question::Beside)) >= wanted_holders
+                query(Question::Status)["acts_by"] == "lease"
+                    && holders(&query(Question::Copies)) >= wanted_holders
             },
-            || format!("{}\n{}\n{}", query(Question::Show), query(Question::Beside), self.log(front)),
+            || format!("{}\n{}\n{}", query(Question::Status), query(Question::Copies), self.log(front)),
         );
         let mut connection = self.connect(front);
         let mut count = 0;
--- a/crates/front/src/core/ledger/boxes.rs
+++ b/crates/front/src/core/ledger/boxes.rs
@@ -1,6 +1,6 @@
 //! Boxes: the list, the event streams, and the sessions that each box reports.
 
-use salttally_copies::core::{life_of, Life};
+use salttally_copies::core::{incarnation_of, Incarnation};
 
 use super::*;
 use crate::core::session_records::AttemptLocation;
@@ -177,7 +177,7 @@
         out: &mut Vec<Output>,
     ) {
         let Some(address) = self.streams.address(server) else { return };
-        let incarnation = life_of(&held.session.0).map(Life::from);
+        let incarnation = incarnation_of(&held.session.0).map(Incarnation::from);
         let taken_over = incarnation.filter(|incarnation| {
             self.replication
                 .as_ref()
--- a/crates/front/src/core/ledger/takeover.rs
+++ b/crates/front/src/core/ledger/takeover.rs
@@ -1,6 +1,6 @@
 //! Replication of session records, and takeover of sessions from other fronts.
 
-use salttally_copies::core::{life_of, of_life, Bytes, Key, Life, Name};
+use salttally_copies::core::{belongs_to, incarnation_of, Incarnation, Name, RecordBody, RecordKey};
 
 use super::*;
 use crate::core::session_records::{
@@ -39,8 +39,8 @@
     }
 
     /// The current incarnation of this front: the prefix of the ids of its own sessions.
-    pub fn incarnation(&self) -> Life {
-        Life::from(format!("{}-{:08x}", self.name, self.boot))
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation::from(format!("{}-{:08x}", self.name, self.boot))
     }
 
     /// The lease limit, by the lease clock, and the epoch under which a request is to be written.
@@ -59,7 +59,7 @@
                 // The rest of an ended incarnation at a box can be released only under its last epoch; the
                 // box rejects earlier ones.
                 let successors = self.rules.as_ref()?.successors();
-                successors.over.get(life_of(&session.0)?).map(|(_, epoch)| *epoch)
+                successors.ended.get(incarnation_of(&session.0)?).map(|(_, epoch)| *epoch)
             }),
             BoxRequest::Claim { epoch, .. } => Some(*epoch),
             BoxRequest::Probe => None,
@@ -70,10 +70,10 @@
     /// Whether this front may act for this session now. Always true without replication.
     pub(super) fn may_act_for(&self, id: &SessionId) -> bool {
         let (Some(replication), Some(rules)) = (&self.replication, &self.rules) else { return true };
-        let Some(incarnation) = life_of(&id.0) else { return false };
+        let Some(incarnation) = incarnation_of(&id.0) else { return false };
         // No other front has sessions of an ended incarnation of this front.
         let own_ended = incarnation.rsplit_once('-').is_some_and(|(name, _)| name == self.name)
-            && rules.successors().over.contains_key(incarnation);
+            && rules.successors().ended.contains_key(incarnation);
         rules.epoch(&replication.incarnation, incarnation).is_some() || self.has_lease() && own_ended
     }
 
@@ -84,12 +84,12 @@
     }
 
     /// Replicates a session record; `awaited` tells whether [`Input::RecordStored`] is awaited.
-    pub(super) fn store_record(&mut self, key: Key, record: &SessionRecord, awaited: bool) {
+    pub(super) fn store_record(&mut self, key: RecordKey, record: &SessionRecord, awaited: bool) {
         self.record_outputs.push(Output::StoreRecord(key, session_records::encode(record), awaited));
     }
 
     /// Deletes a session record, if records are replicated.
-    pub(super) fn delete_record(&mut self, key: Key) {
+    pub(super) fn delete_record(&mut self, key: RecordKey) {
         if self.replication.is_some() {
             self.record_outputs.push(Output::DeleteRecord(key));
         }
@@ -194,7 +194,7 @@
     }
 
     /// Handles the result of replicating a session record.
-    pub(super) fn record_stored(&mut self, key: &Key, stored: bool, out: &mut Vec<Output>) {
+    pub(super) fn record_stored(&mut self, key: &RecordKey, stored: bool, out: &mut Vec<Output>) {
         let id = session_records::session_of_key(key);
         let Some(work) =
             self.replication.as_mut().and_then(|replication| replication.awaiting_record.remove(&id))
@@ -278,17 +278,17 @@
     /// Takes over the sessions of another incarnation.
     pub(super) fn take_over(
         &mut self,
-        incarnation: &Life,
+        incarnation: &Incarnation,
         epoch: u64,
-        records: &[(Key, Bytes)],
+        records: &[(RecordKey, RecordBody)],
         out: &mut Vec<Output>,
     ) {
         if self.shutting_down {
             return;
         }
         let Some(replication) = &mut self.replication else { return };
-        replication.takeover_epochs.insert(Life::clone(incarnation), epoch);
-        replication.takeover_times.insert(Life::clone(incarnation), self.now);
+        replication.takeover_epochs.insert(Incarnation::clone(incarnation), epoch);
+        replication.takeover_times.insert(Incarnation::clone(incarnation), self.now);
         let mut boxes: BTreeMap<ServerId, SocketAddr> = self.boxes.clone();
         for (key, bytes) in records {
             let id = session_records::session_of_key(key);
@@ -397,19 +397,19 @@
     /// Asks a box which sessions of an incarnation it holds, and has it reject requests of earlier epochs.
     pub(super) fn claim_sessions(
         &mut self,
-        incarnation: &Life,
+        incarnation: &Incarnation,
         to: (ServerId, SocketAddr),
         out: &mut Vec<Output>,
     ) {
         let Some(replication) = &mut self.replication else { return };
         let Some(epoch) = replication.takeover_epochs.get(incarnation).copied() else { return };
-        replication.pending_claims.entry((Life::clone(incarnation), to.0)).or_insert(0);
-        self.send_request(to, BoxRequest::Claim { incarnation: Life::clone(incarnation), epoch }, out);
+        replication.pending_claims.entry((Incarnation::clone(incarnation), to.0)).or_insert(0);
+        self.send_request(to, BoxRequest::Claim { incarnation: Incarnation::clone(incarnation), epoch }, out);
     }
 
     /// Asks a newly listed box about all incarnations that this front has taken over.
     pub(super) fn claim_all_incarnations(&mut self, to: (ServerId, SocketAddr), out: &mut Vec<Output>) {
-        let incarnations: Vec<Life> = self
+        let incarnations: Vec<Incarnation> = self
             .replication
             .as_ref()
             .map(|replication| replication.takeover_epochs.keys().cloned().collect())
@@ -421,7 +421,7 @@
     pub(super) fn claim_ended(
         &mut self,
         server: ServerId,
-        incarnation: &Life,
+        incarnation: &Incarnation,
         epoch: u64,
         end: RequestEnd,
         out: &mut Vec<Output>,
@@ -430,7 +430,7 @@
         if replication.takeover_epochs.get(incarnation) != Some(&epoch) {
             return;
         }
-        let at = (Life::clone(incarnation), server);
+        let at = (Incarnation::clone(incarnation), server);
         match end {
             RequestEnd::Exchange(ExchangeEnd::Claimed { held, .. }) => {
                 replication.pending_claims.remove(&at);
@@ -451,19 +451,20 @@
                     return self.reconcile_incarnation(server, incarnation, Vec::new(), out);
                 }
                 let pause = CLAIM_RETRY_US << (*tries - 1).min(3);
-                self.timers.set(self.now + pause, Deadline::RetryClaim(server, Life::clone(incarnation)));
+                self.timers
+                    .set(self.now + pause, Deadline::RetryClaim(server, Incarnation::clone(incarnation)));
             }
         }
     }
 
     /// Asks a box again.
-    pub(super) fn retry_claim(&mut self, server: ServerId, incarnation: &Life, out: &mut Vec<Output>) {
+    pub(super) fn retry_claim(&mut self, server: ServerId, incarnation: &Incarnation, out: &mut Vec<Output>) {
         let known = self.boxes.get(&server).copied().or_else(|| self.streams.address(server));
         let recorded =
             self.sessions.values().filter_map(Session::current_attempt).find(|at| at.server == server);
         let address = known.or_else(|| recorded.map(|at| at.address));
         let is_waiting = self.replication.as_ref().is_some_and(|replication| {
-            replication.pending_claims.contains_key(&(Life::clone(incarnation), server))
+            replication.pending_claims.contains_key(&(Incarnation::clone(incarnation), server))
         });
         match address {
             Some(address) if is_waiting => self.claim_sessions(incarnation, (server, address), out),
@@ -484,7 +485,7 @@
     fn reconcile_incarnation(
         &mut self,
         server: ServerId,
-        incarnation: &Life,
+        incarnation: &Incarnation,
         held: Vec<HeldSession>,
         out: &mut Vec<Output>,
     ) {
@@ -492,7 +493,7 @@
             held.iter().map(|h| (h.session.clone(), h.attempt)).collect();
         let missing = |id: &SessionId, s: &Session| {
             let there = s.playing().filter(|p| p.attempt.server == server);
-            of_life(&id.0, incarnation)
+            belongs_to(&id.0, incarnation)
                 && there.is_some_and(|p| reported.get(id) != Some(&p.attempt.wire_number))
         };
         let lost: Vec<SessionId> =
@@ -516,7 +517,7 @@
         let open: Vec<SessionId> = replication
             .possible_set_ups
             .iter()
-            .filter(|(id, (location, _))| location.server == server.0 && of_life(&id.0, incarnation))
+            .filter(|(id, (location, _))| location.server == server.0 && belongs_to(&id.0, incarnation))
             .map(|(id, _)| id.clone())
             .collect();
         for id in open {
@@ -531,7 +532,7 @@
     pub(super) fn reconcile_held_session(
         &mut self,
         server: ServerId,
-        incarnation: &Life,
+        incarnation: &Incarnation,
         held: HeldSession,
         out: &mut Vec<Output>,
     ) {
@@ -540,7 +541,7 @@
             return;
         };
         let id = held.session.clone();
-        if !of_life(&id.0, incarnation) {
+        if !belongs_to(&id.0, incarnation) {
             return;
         }
         let location = AttemptLocation { server: server.0, address, attempt: held.attempt };
@@ -588,11 +589,11 @@
 
     /// Handles the takeover of this front by another: drops all its sessions, which the successor now has,
     /// and starts a new incarnation.
-    pub(super) fn taken_over(&mut self, incarnation: &Life, out: &mut Vec<Output>) {
+    pub(super) fn taken_over(&mut self, incarnation: &Incarnation, out: &mut Vec<Output>) {
         if self.replication.as_ref().is_none_or(|replication| replication.incarnation != *incarnation) {
             return;
         }
-        let incarnations: Vec<Life> = self
+        let incarnations: Vec<Incarnation> = self
             .replication
             .iter()
             .flat_map(|replication| replication.takeover_epochs.keys().cloned())
@@ -602,16 +603,16 @@
         self.boot = self.boot.wrapping_add(1);
         let new_incarnation = self.incarnation();
         if let Some(replication) = &mut self.replication {
-            replication.incarnation = Life::clone(&new_incarnation);
+            replication.incarnation = Incarnation::clone(&new_incarnation);
         }
         self.record_outputs.push(Output::IncarnationChanged(new_incarnation));
     }
 
     /// Drops all sessions of an incarnation that another front has taken over. Nothing is sent to their
     /// boxes.
-    pub(super) fn drop_incarnation(&mut self, incarnation: &Life, out: &mut Vec<Output>) {
+    pub(super) fn drop_incarnation(&mut self, incarnation: &Incarnation, out: &mut Vec<Output>) {
         let dropped: Vec<SessionId> =
-            self.sessions.keys().filter(|id| of_life(&id.0, incarnation)).cloned().collect();
+            self.sessions.keys().filter(|id| belongs_to(&id.0, incarnation)).cloned().collect();
         for id in dropped {
             let Some(session) = self.sessions.get(&id) else { continue };
             let (client, at, answer_pending) =
@@ -642,17 +643,17 @@
                 None => self.events.push_back(Event::ClientLeft(id)),
             }
         }
-        self.releases.retain(|(_, id, _), _| !of_life(&id.0, incarnation));
-        self.moved.retain(|id, _| !of_life(&id.0, incarnation));
+        self.releases.retain(|(_, id, _), _| !belongs_to(&id.0, incarnation));
+        self.moved.retain(|id, _| !belongs_to(&id.0, incarnation));
         if let Some(replication) = &mut self.replication {
             replication.takeover_epochs.remove(incarnation);
             replication.takeover_times.remove(incarnation);
-            replication.possible_set_ups.retain(|id, _| !of_life(&id.0, incarnation));
+            replication.possible_set_ups.retain(|id, _| !belongs_to(&id.0, incarnation));
             replication.pending_claims.retain(|(of, _), _| of != incarnation);
         }
         // The successor relies on these records: deleting them here would delete them there.
         self.record_outputs
-            .retain(|output| !matches!(output, Output::DeleteRecord(key) if of_life(key, incarnation)));
+            .retain(|output| !matches!(output, Output::DeleteRecord(key) if belongs_to(key, incarnation)));
     }
 
     /// Checks the lease. After a longer time without one, tells the players to look for the front that has
@@ -682,13 +683,13 @@
     /// Where to find a session that is not here.
     pub(super) fn locate_session(&self, id: &SessionId) -> Reply {
         let (Some(replication), Some(rules), Some(incarnation)) =
-            (&self.replication, &self.rules, life_of(&id.0))
+            (&self.replication, &self.rules, incarnation_of(&id.0))
         else {
             return Reply::Unknown;
         };
         let successors = rules.successors();
         let retry = Reply::RetryAfter(TAKEOVER_HOLD_OFF_US);
-        if let Some(successor) = successors.last(incarnation) {
+        if let Some(successor) = successors.current(incarnation) {
             let here = successor.name.as_ref() == self.name.as_str();
             // Danger: a replica resuming from a suspension may arrive a moment after the others, and until
             // then its session would be reported as unknown.
@@ -697,7 +698,7 @@
                 .get(incarnation)
                 .is_some_and(|at| at + MEMBERSHIP_SETTLE_US <= self.now);
             return match (here, settled) {
-                (false, _) => Reply::AtOtherFront(Name::clone(&successor.name), successor.serves),
+                (false, _) => Reply::AtOtherFront(Name::clone(&successor.name), successor.client_address),
                 // The session was here and is over. Without a lease it may already be at the next successor.
                 (true, true) if rules.epoch(&replication.incarnation, incarnation).is_some() => {
                     Reply::Unknown
@@ -710,7 +711,7 @@
             // without a lease it can't know.
             return retry;
         }
-        if successors.over.contains_key(incarnation) || *incarnation == *replication.incarnation {
+        if successors.ended.contains_key(incarnation) || *incarnation == *replication.incarnation {
             return Reply::Unknown;
         }
         let Some((name, _)) = incarnation.rsplit_once('-') else { return Reply::Unknown };
@@ -747,22 +748,24 @@
         out: &mut Vec<Output>,
     ) {
         let (Some(replication), Some(rules), Some(incarnation)) =
-            (&self.replication, &self.rules, life_of(&id.0))
+            (&self.replication, &self.rules, incarnation_of(&id.0))
         else {
             return;
         };
         let successors = rules.successors();
-        if successors.of.contains_key(incarnation) || replication.takeover_epochs.contains_key(incarnation) {
+        if successors.by_incarnation.contains_key(incarnation)
+            || replication.takeover_epochs.contains_key(incarnation)
+        {
             return;
         }
-        if successors.over.contains_key(incarnation) {
+        if successors.ended.contains_key(incarnation) {
             if let Some(address) = self.streams.address(server) {
                 self.release_unknown((server, address), id, wire_number, out);
             }
             return;
         }
         if self.has_lease() {
-            self.record_outputs.push(Output::OrphanFound(Life::from(incarnation)));
+            self.record_outputs.push(Output::OrphanFound(Incarnation::from(incarnation)));
         }
         let until = self.now + self.limits.claim_timeout;
         self.timers.set(until, Deadline::OrphanSession(server, id, wire_number));
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -30,8 +30,8 @@
 
 use salttally::controller::Controller;
 use salttally::interface::*;
-use salttally_accord::core::stand::Stand;
-use salttally_copies::core::{Bytes, Key, Life, Name};
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_copies::core::{Incarnation, Name, RecordBody, RecordKey};
 
 pub use ledger::{Counts, Ledger};
 
@@ -170,16 +170,16 @@
     /// Shut down: answer all pending requests and release all playing sessions.
     ShutDown,
     /// The agreed rules, lease and takeovers that apply to this front have changed.
-    Coordination(Box<Stand>),
+    Coordination(Box<CoordinationState>),
     /// A session record was replicated to enough fronts (true), or could not be (false).
-    RecordStored(Key, bool),
+    RecordStored(RecordKey, bool),
     /// This front takes over another incarnation's sessions under this epoch, given that incarnation's
     /// session records.
-    TakeOver(Life, u64, Vec<(Key, Bytes)>),
+    TakeOver(Incarnation, u64, Vec<(RecordKey, RecordBody)>),
     /// Another front has taken over this front's current incarnation.
-    TakenOver(Life),
+    TakenOver(Incarnation),
     /// Another front has taken over an incarnation that this front had taken over.
-    TakeoverSuperseded(Life),
+    TakeoverSuperseded(Incarnation),
     /// The other fronts that are or were in the membership view.
     Peers(BTreeMap<Name, session_records::PeerFront>),
     /// The process runs again after it was suspended.
@@ -306,7 +306,7 @@
     /// epochs for it from then on.
     Claim {
         /// The incarnation taken over.
-        incarnation: Life,
+        incarnation: Incarnation,
         /// Epoch of the takeover.
         epoch: u64,
     },
@@ -442,13 +442,13 @@
     /// Follow the box list.
     FollowList,
     /// Replicate this session record; the flag tells whether [`Input::RecordStored`] is awaited.
-    StoreRecord(Key, Vec<u8>, bool),
+    StoreRecord(RecordKey, Vec<u8>, bool),
     /// Delete the session record with this key.
-    DeleteRecord(Key),
+    DeleteRecord(RecordKey),
     /// A box holds sessions of this earlier incarnation of the front, which nobody has taken over.
-    OrphanFound(Life),
+    OrphanFound(Incarnation),
     /// The front has a new incarnation; ids of new sessions begin with it.
-    IncarnationChanged(Life),
+    IncarnationChanged(Incarnation),
     /// A line for the operational log.
     Log(Level, String),
     /// The shutdown is complete.
--- a/crates/front/src/core/tests/agreed_rules.rs
+++ b/crates/front/src/core/tests/agreed_rules.rs
@@ -1,8 +1,8 @@
 //! Tests of a ledger with agreed rules: what is refused, and that permissions are checked at the moment of
 //! writing.
 
-use salttally_accord::core::rules::{Order, Rules, Terms as ClassTerms, Who};
-use salttally_accord::core::stand::Stand;
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_accord::core::rules::{ClassTerms, Order, RefusedParty, Rules};
 
 use super::*;
 use crate::core::agreed_rules::{AgreedRules, SettingsNames};
@@ -18,16 +18,16 @@
 }
 
 fn coordination(rules: Rules, until: Micros, alone: Micros) -> Input {
-    let rules = std::sync::Arc::new(rules.normal());
+    let rules = std::sync::Arc::new(rules.normalized());
     let (agreed, meet) = (std::sync::Arc::clone(&rules), rules);
-    Input::Coordination(Box::new(Stand {
+    Input::Coordination(Box::new(CoordinationState {
         begun: 1,
         latest: 1,
-        until,
-        alone,
+        lease_until: until,
+        grace_until: alone,
         agreed,
         meet,
-        heirs: std::sync::Arc::default(),
+        successors: std::sync::Arc::default(),
     }))
 }
 
@@ -65,8 +65,8 @@
     let no_cells = Rules { titles: [("one".to_owned(), [].into())].into(), ..Rules::default() };
     for (rules, refused_expected) in [
         (Rules::default(), false),
-        (refused(Who::Viewer("1".into())), true),
-        (refused(Who::Viewer("2".into())), false),
+        (refused(RefusedParty::Viewer("1".into())), true),
+        (refused(RefusedParty::Viewer("2".into())), false),
         (closed_class("clip", false), true),
         (closed_class("paid", false), false),
         (no_cells, true),
@@ -81,7 +81,7 @@
             "{rules:?}: {answer:?}"
         );
     }
-    let mut bench = TestBench::with_rules(refused(Who::Firm("7".into())));
+    let mut bench = TestBench::with_rules(refused(RefusedParty::Tenant("7".into())));
     bench.world.opens.insert((VIEWER, Ticket(50)), None);
     let of_tenant = OpenRequest { tenant: Some(ViewerId(7)), ..open_request(1, CLIP) };
     bench.world.handle_input(Input::Open(VIEWER, Ticket(50), of_tenant));
--- a/crates/front/src/engine.rs
+++ b/crates/front/src/engine.rs
@@ -8,7 +8,7 @@
 use crossbeam_channel::{Receiver, RecvTimeoutError, Sender, TryRecvError};
 use salttally::controller::Controller;
 use salttally::interface::Micros;
-use salttally_copies::edge::Teller as Copies;
+use salttally_copies::edge::Handle as Copies;
 use salttally_members::core::pauses::PauseDetector;
 
 use crate::box_list::ListFollower;
@@ -211,22 +211,22 @@
                 Output::FollowList => self.box_list.follow(),
                 Output::StoreRecord(key, body, awaited) => {
                     if let Some(copies) = &self.copies {
-                        copies.keep(Arc::clone(key), body.clone(), *awaited);
+                        copies.put_record(Arc::clone(key), body.clone(), *awaited);
                     }
                 }
                 Output::DeleteRecord(key) => {
                     if let Some(copies) = &self.copies {
-                        copies.end(Arc::clone(key));
+                        copies.delete_record(Arc::clone(key));
                     }
                 }
                 Output::OrphanFound(incarnation) => {
                     if let Some(copies) = &self.copies {
-                        copies.found(Arc::clone(incarnation));
+                        copies.orphan_found(Arc::clone(incarnation));
                     }
                 }
                 Output::IncarnationChanged(incarnation) => {
                     if let Some(copies) = &self.copies {
-                        copies.lives(Arc::clone(incarnation));
+                        copies.incarnation_changed(Arc::clone(incarnation));
                     }
                 }
                 Output::Log(Level::Debug, text) => tracing::debug!("{text}"),
--- a/crates/front/src/front.rs
+++ b/crates/front/src/front.rs
@@ -11,9 +11,9 @@
 use crossbeam_channel::{Receiver, Sender};
 use salttally::controller::Controller;
 use salttally::interface::{ListKind, Micros, SessionId};
-use salttally_accord::core::stand::Stand;
-use salttally_copies::core::Life;
-use salttally_copies::edge::{Teller as Copies, Told};
+use salttally_accord::core::coordination::CoordinationState;
+use salttally_copies::core::Incarnation;
+use salttally_copies::edge::{Event as CopiesEvent, Handle as Copies};
 use salttally_members::core::pauses::PauseDetector;
 use salttally_members::edge::KnownFront;
 use thiserror::Error;
@@ -96,7 +96,7 @@
     thread: Option<thread::JoinHandle<()>>,
     recorder: Option<Recorder>,
     seed: u64,
-    incarnation: Life,
+    incarnation: Incarnation,
 }
 
 impl Front {
@@ -184,7 +184,7 @@
     }
 
     /// Returns the sink for changes of the agreed rules, the lease and takeovers; for settings with `accord`.
-    pub fn coordination_sink(&self) -> impl Fn(Stand) + Send + 'static {
+    pub fn coordination_sink(&self) -> impl Fn(CoordinationState) + Send + 'static {
         let engine = self.engine.clone();
         move |state| {
             let _ = engine.send(EngineMessage::Input(Input::Coordination(Box::new(state))));
@@ -192,19 +192,21 @@
     }
 
     /// The incarnation of the front at its start: the prefix of its session ids.
-    pub fn incarnation(&self) -> Life {
-        Life::clone(&self.incarnation)
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation::clone(&self.incarnation)
     }
 
     /// Returns the sink for replication results and takeovers; for settings with `copies`.
-    pub fn replication_sink(&self) -> impl Fn(Told) + Send + 'static {
+    pub fn replication_sink(&self) -> impl Fn(CopiesEvent) + Send + 'static {
         let engine = self.engine.clone();
         move |event| {
             let input = match event {
-                Told::Kept(key, stored) => Input::RecordStored(key, stored),
-                Told::Adopt(incarnation, epoch, records) => Input::TakeOver(incarnation, epoch, records),
-                Told::Replaced(incarnation, _) => Input::TakenOver(incarnation),
-                Told::Gone(incarnation) => Input::TakeoverSuperseded(incarnation),
+                CopiesEvent::RecordStored(key, stored) => Input::RecordStored(key, stored),
+                CopiesEvent::TakeOver(incarnation, epoch, records) => {
+                    Input::TakeOver(incarnation, epoch, records)
+                }
+                CopiesEvent::TakenOver(incarnation, _) => Input::TakenOver(incarnation),
+                CopiesEvent::TakeoverSuperseded(incarnation) => Input::TakeoverSuperseded(incarnation),
             };
             let _ = engine.send(EngineMessage::Input(input));
         }
