--- /dev/null
+++ b/crates/daemon/tests/node/scripted.rs
@@ -0,0 +1,248 @@
+//! Scripted media servers and a scripted coordinator. They accept, read and write only where a test tells them to, which
+//! forces the order of concurrent events.
+
+use std::fs;
+use std::io::{Read, Write};
+use std::net::{IpAddr, SocketAddr, TcpListener, TcpStream};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use rustix::process::Signal;
+use salttally_platform::wire::{code, kind, Message};
+use salttally_standin::platform::{unique_loopback_host, Platform, Viewer};
+use serde_json::{json, Value};
+use socket2::{Domain, SockRef, Socket, Type};
+
+use super::{Node, SECOND};
+
+/// Scripted media servers with one cell each, and their coordinator.
+pub struct ScriptedServers {
+    pub listeners: Vec<TcpListener>,
+    coordinator: TcpListener,
+    /// The connection on which the list is sent.
+    list_connection: Option<TcpStream>,
+    /// Number of the last list update.
+    list_number: u64,
+}
+
+impl ScriptedServers {
+    /// Listeners of this many media servers and of the coordinator.
+    pub fn new(servers: usize) -> ScriptedServers {
+        let host = unique_loopback_host();
+        let listener = |_| TcpListener::bind((host, 0)).unwrap();
+        let coordinator = listener(0);
+        ScriptedServers {
+            listeners: (0..servers).map(listener).collect(),
+            coordinator,
+            list_connection: None,
+            list_number: 1,
+        }
+    }
+
+    /// Address of a media server.
+    pub fn address(&self, at: usize) -> SocketAddr {
+        self.listeners[at].local_addr().unwrap()
+    }
+
+    /// The configuration of the platform's stand-in, with the addresses of the scripted servers.
+    pub fn config(&self, listen: SocketAddr, sockets: usize) -> Value {
+        let mut config = Platform::start(self.listeners.len()).unwrap().config(listen, sockets);
+        for at in 0..self.listeners.len() {
+            let host = &mut config["known"]["updates"][0]["endpoints"]["hosts"][at];
+            host["dial"] = json!(self.address(at).to_string());
+        }
+        config["coordinator"] = json!(self.coordinator.local_addr().unwrap().to_string());
+        config
+    }
+
+    /// Starts a node against these servers, with the configuration edited last by `edit_config`. Returns once the node is
+    /// ready and has received the list.
+    pub fn start_node(&mut self, name: &str, edit_config: impl FnOnce(&mut Value)) -> Node {
+        self.start_node_with_sockets(name, 256, edit_config)
+    }
+
+    /// Like `start_node`, with this limit of descriptors.
+    pub fn start_node_with_sockets(
+        &mut self,
+        name: &str,
+        sockets: usize,
+        edit_config: impl FnOnce(&mut Value),
+    ) -> Node {
+        let node = Node::start_with_config(name, sockets, |listen| {
+            let mut config = self.config(listen, sockets);
+            edit_config(&mut config);
+            config
+        });
+        let mut list_connection = accept_within(&self.coordinator, 10 * SECOND);
+        list_connection.read_exact(&mut [0; 8]).unwrap();
+        self.list_connection = Some(list_connection);
+        self.send_list_frame(0, &[]);
+        node.wait_ready();
+        node
+    }
+
+    /// The listener to which the front node connects for the list.
+    pub fn coordinator(&self) -> TcpListener {
+        self.coordinator.try_clone().unwrap()
+    }
+
+    /// Sends the list on this connection from now on.
+    pub fn use_list_connection(&mut self, list_connection: TcpStream) {
+        self.list_connection = Some(list_connection);
+    }
+
+    /// Closes the connection on which the list is sent.
+    pub fn drop_list_connection(&mut self) {
+        self.list_connection = None;
+    }
+
+    /// Writes a configuration with another coordinator and sends SIGHUP.
+    pub fn change_coordinator(&mut self, node: &Node, to: SocketAddr) {
+        let mut config: Value = serde_json::from_str(&fs::read_to_string(&node.config).unwrap()).unwrap();
+        config["coordinator"] = json!(to.to_string());
+        fs::write(&node.config, config.to_string()).unwrap();
+        node.signal(Signal::HUP);
+    }
+
+    /// The connection on which the list is sent.
+    pub fn list_connection(&self) -> TcpStream {
+        self.list_connection.as_ref().unwrap().try_clone().unwrap()
+    }
+
+    /// Sends a frame of the list. Kind 0 carries no news; the records name media servers and their states.
+    pub fn send_list_frame(&mut self, kind: u8, records: &[(usize, u8)]) {
+        self.list_number += u64::from(kind > 0);
+        let bytes = self.list_frame(self.list_number, kind, records);
+        self.list_connection().write_all(&bytes).unwrap();
+    }
+
+    /// Sends the last changes again, under the same number.
+    pub fn resend_changes(&mut self, records: &[(usize, u8)]) {
+        let bytes = self.list_frame(self.list_number, 2, records);
+        self.list_connection().write_all(&bytes).unwrap();
+    }
+
+    /// The bytes of a list frame with this number.
+    pub fn list_frame(&self, number: u64, kind: u8, records: &[(usize, u8)]) -> Vec<u8> {
+        let mut bytes = (9 + 27 * records.len() as u32).to_be_bytes().to_vec();
+        bytes.extend(number.to_be_bytes());
+        bytes.push(kind);
+        for (at, state) in records {
+            bytes.extend((*at as u32 + 1).to_be_bytes());
+            match self.address(*at).ip() {
+                IpAddr::V4(host) => bytes.extend(host.octets()),
+                IpAddr::V6(host) => panic!("{host} does not fit into a record"),
+            }
+            bytes.extend(self.address(*at).port().to_be_bytes());
+            bytes.extend([*state, 0, 0]);
+            bytes.extend((*at as u16).to_be_bytes());
+            bytes.extend(1000u32.to_be_bytes());
+            bytes.extend(0u64.to_be_bytes());
+        }
+        bytes
+    }
+
+    /// Accepts the next connection to a media server, which has to arrive within 10 s.
+    pub fn accept(&self, at: usize) -> Viewer {
+        let stream = accept_within(&self.listeners[at], 10 * SECOND);
+        stream.set_nodelay(true).unwrap();
+        Viewer::from_stream(stream)
+    }
+
+    /// Accepts all connections to a media server that wait in its queue now.
+    pub fn pending_connections(&self, at: usize) -> Vec<Viewer> {
+        self.listeners[at].set_nonblocking(true).unwrap();
+        let streams = std::iter::from_fn(|| self.listeners[at].accept().ok()).map(|(stream, _)| stream);
+        streams
+            .map(|stream| {
+                stream.set_nonblocking(false).unwrap();
+                Viewer::from_stream(stream)
+            })
+            .collect()
+    }
+
+    /// Fills the accept queue of a media server: while these sockets are held, dials to it succeed late or never.
+    pub fn fill_accept_queue(&self, at: usize) -> Vec<Socket> {
+        let address = self.address(at);
+        SockRef::from(&self.listeners[at]).listen(1).unwrap();
+        fill_listen_queue(address)
+    }
+}
+
+/// Opens connections that fill the queue of a listener with a backlog of one: while they are held, the kernel answers no
+/// further connection request.
+pub fn fill_listen_queue(address: SocketAddr) -> Vec<Socket> {
+    let fill = |_| {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+        socket.set_nonblocking(true).unwrap();
+        let _ = socket.connect(&address.into());
+        socket
+    };
+    (0..6).map(fill).collect()
+}
+
+/// Accepts the next connection, with a timeout: without one, a test whose process has exited would wait for a connection
+/// forever and report nothing.
+pub fn accept_within(listener: &TcpListener, timeout: Duration) -> TcpStream {
+    listener.set_nonblocking(true).unwrap();
+    let deadline = Instant::now() + timeout;
+    let stream = loop {
+        match listener.accept() {
+            Ok((stream, _)) => break stream,
+            Err(error) => assert!(Instant::now() < deadline, "no connection arrived: {error}"),
+        }
+        thread::sleep(Duration::from_millis(1));
+    };
+    stream.set_nonblocking(false).unwrap();
+    stream
+}
+
+/// Reserves an address at which connections are refused until the returned socket listens.
+pub fn refusing_address() -> (Socket, SocketAddr) {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
+    socket.bind(&SocketAddr::from((unique_loopback_host(), 0)).into()).unwrap();
+    let at = socket.local_addr().unwrap().as_socket().unwrap();
+    (socket, at)
+}
+
+/// Sends more health tests than the node reads from a socket at once, and a request behind them.
+pub fn send_request_behind_tests(viewer: &Viewer, id: u64) {
+    let mut bytes = Vec::new();
+    (0..10_000).for_each(|test| Message::new(kind::TEST, test).with(code::CAUSE, [0]).write(&mut bytes));
+    Viewer::request(id, "clip", 1).write(&mut bytes);
+    (&viewer.stream).write_all(&bytes).unwrap();
+}
+
+/// Reads until a message of this kind arrives for this session, and discards all others.
+pub fn wait_for_message(connection: &mut Viewer, kind: u8, id: u64) -> Message {
+    let deadline = Instant::now() + 5 * SECOND;
+    while Instant::now() < deadline {
+        match connection.next(SECOND) {
+            Some(message) if message.kind == kind && message.session == id => return message,
+            _ => {}
+        }
+    }
+    panic!("no message of kind {kind} for {id:x}");
+}
+
+/// Reads until nothing arrives for this long.
+pub fn read_until_silent(connection: &mut Viewer, timeout: Duration) -> Vec<Message> {
+    std::iter::from_fn(|| connection.next(timeout)).collect()
+}
+
+/// Answers a set-up: the session plays.
+pub fn answer_set_up(connection: &Viewer, id: u64) {
+    connection.send(&Message::new(kind::ANSWER, id).with(code::DESCRIPTION, "made by hand"));
+}
+
+/// Replaces the value of a parameter.
+pub fn with_parameter(mut message: Message, code: u8, value: impl Into<Vec<u8>>) -> Message {
+    message.parameters.retain(|(other, _)| *other != code);
+    message.with(code, value)
+}
+
+/// A request for a title that only this cell holds.
+pub fn request_for_cell(id: u64, class: &str, cell: usize) -> Message {
+    let figures = format!("home:{cell};copies:1;top:1;viewer:{id:016x}");
+    with_parameter(Viewer::request(id, class, 1), code::REQUEST_FIELDS, figures)
+}
