--- a/crates/front/src/box_list/core/damping.rs
+++ b/crates/front/src/box_list/core/damping.rs
@@ -2,14 +2,14 @@
 //! routes (RFC 2439).
 //!
 //! Danger: a list that flips a box between ready and gone makes the front open its event stream, close its
-//! connections and inform the decision module each time, which delays all answers. So each time a box leaves
-//! its place it gets a penalty, and the penalty halves over time. Above one threshold only changes for the
-//! worse are reported, until the penalty is below another.
+//! connections and inform the decision module each time, which delays all answers. So a box gets a
+//! penalty each time its ready entry is withdrawn or replaced, and the penalty halves over time. Above one
+//! threshold only changes for the worse are reported, until the penalty is below another.
 //!
-//! Danger: a drain that is delayed (rule 3). So a change for the worse is always reported at once: the
-//! reported state of a box is never better than the listed one. Danger: a box counts as warm if its start is
-//! reported late (rule 4). So a box that changes in place while it is suppressed is reported as draining, and
-//! nothing new is sent there.
+//! Danger: a drain that is delayed (rule 3: no new session at a box that drains). So a change for the worse
+//! is always reported at once: the reported state of a box is never better than the listed one. Danger: a box
+//! counts as warm if its start is reported late (rule 4: no overload of a cold box). So a ready box that is
+//! replaced or restarted while it is suppressed is reported as draining, and nothing new is sent there.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,7 +17,7 @@
 
 use crate::core::ListEntry;
 
-/// Penalty each time a box leaves its place (RFC 2439 section 4.2, in thousandths).
+/// Penalty each time a ready entry is withdrawn or replaced (RFC 2439 section 4.2, in thousandths).
 const PENALTY: u64 = 1_000;
 /// Above this penalty only changes for the worse are reported; that is after more than three changes in a
 /// row.
@@ -107,11 +107,11 @@
             let id = line.entry.server;
             // A box missing from a whole list counts as gone, so one that is only reported as draining has to
             // be named.
-            let draining = |boxes: &BTreeMap<ServerId, BoxState>| {
+            let last_reported = |boxes: &BTreeMap<ServerId, BoxState>| {
                 let reported = boxes.get(&id).map(|state| &state.reported);
                 reported.filter(|line| whole && line.entry.state != ServerState::Removed).cloned()
             };
-            self.filter_line(now, line, whole).or_else(|| draining(&self.boxes))
+            self.filter_line(now, line, whole).or_else(|| last_reported(&self.boxes))
         };
         lines.into_iter().filter_map(report).collect()
     }
@@ -132,10 +132,11 @@
         };
         state.decay(now);
         let (old, new) = (severity(state.reported.entry.state), severity(line.entry.state));
-        let same_place = with_state(&state.reported, line.entry.state) == line;
-        // The box leaves its place, or another box is in its place.
-        let leaves = old == 0 && (new > 0 || !same_place);
-        if leaves {
+        let only_state_differs = with_state(&state.reported, line.entry.state) == line;
+        // The box is no longer ready, or its entry has changed in more than the state (a restart, another
+        // address).
+        let is_withdrawn = old == 0 && (new > 0 || !only_state_differs);
+        if is_withdrawn {
             state.penalty = (state.penalty + PENALTY).min(MAX_PENALTY);
             state.suppressed |= state.penalty > SUPPRESS_ABOVE;
         }
@@ -144,7 +145,7 @@
             self.withheld.remove(&id);
             return None;
         }
-        let passes = !state.suppressed || new > old || new == old && same_place;
+        let passes = !state.suppressed || new > old || new == old && only_state_differs;
         if passes {
             (state.reported, state.withheld) = (line.clone(), None);
             self.withheld.remove(&id);
--- a/crates/front/src/box_list/core/mod.rs
+++ b/crates/front/src/box_list/core/mod.rs
@@ -1,9 +1,9 @@
 //! The box list as received. Changes are applied in the order of their revisions, and a message that cannot
 //! be applied as a whole is not applied at all.
 //!
-//! Danger: after a missed change, a drained box would count as ready, while rule 3 applies to what this front
-//! was told. So each message carries a revision, a gap counts as a loss of the list, and the decision module
-//! requests the whole list again.
+//! Danger: after a missed change, a drained box would count as ready, while rule 3 (no new session at a box
+//! that drains) applies to what this front was told. So each message carries a revision, a gap counts as a
+//! loss of the list, and the decision module requests the whole list again.
 //!
 //! Danger: a list lags, even a whole one. A front that starts together with boxes, for instance after the
 //! loss of a building, receives the state of these boxes before the loss: long running, and warm. So each
@@ -109,10 +109,10 @@
         lines: Vec<ListEntry>,
     ) -> Result<Option<ListUpdate>, ListError> {
         let mut positions = BTreeMap::new();
-        for (at, line) in lines.iter().enumerate() {
+        for (index, line) in lines.iter().enumerate() {
             let id = line.entry.server;
-            if let Some(first) = positions.insert(id, at) {
-                return Err(ListError::DuplicateBox(id.0, first + 1, at + 1));
+            if let Some(first) = positions.insert(id, index) {
+                return Err(ListError::DuplicateBox(id.0, first + 1, index + 1));
             }
             if !(line.entry.units > 0.0 && line.entry.units.is_finite()) {
                 return Err(ListError::InvalidUnits(id.0, line.entry.units));
--- a/crates/front/src/boxes/link.rs
+++ b/crates/front/src/boxes/link.rs
@@ -18,12 +18,13 @@
 use crate::core::{BoxRequest, ConnId, DialError, ExchangeEnd, Input, StreamEvent, WriteAuthority};
 use crate::settings::Settings;
 
-/// Reports that there was no thread for a connection. Nothing was sent, and it says nothing about the box.
+/// Reports that a connection was not made because no thread was free. Nothing was sent, and the failure tells
+/// nothing about the box.
 pub fn report_dial_without_thread(engine: &Sender<EngineMessage>, id: ConnId) {
     let _ = engine.send(EngineMessage::Input(Input::Dialed(id, Err(DialError::TimedOut))));
 }
 
-/// Reports that there was no thread for an event stream. It says nothing about the box, so this is no
+/// Reports that there was no thread for an event stream. That tells nothing about the box, so this is no
 /// refusal.
 pub fn report_stream_without_thread(engine: &Sender<EngineMessage>, server: ServerId, number: u64) {
     let event = StreamEvent::NoConnection(DialError::TimedOut);
--- a/crates/front/src/session_api/connections.rs
+++ b/crates/front/src/session_api/connections.rs
@@ -75,7 +75,7 @@
         self.lock().admission.set_in_use(self.clock.now(), id, in_use);
     }
 
-    /// Whether a player is in the reserve and has not returned to a session yet.
+    /// Whether a player was admitted only to return to an existing session, and has not done so yet.
     pub fn in_reserve(&self, id: ClientId) -> bool {
         self.lock().admission.in_reserve(id)
     }
--- a/crates/front/src/session_api/core/accept_backoff.rs
+++ b/crates/front/src/session_api/core/accept_backoff.rs
@@ -1,4 +1,4 @@
-//! Backoff of the accept loop while the process lacks files, memory or threads.
+//! Backoff of the accept loop while the process lacks file descriptors, memory or threads.
 //!
 //! Danger: an accept loop that retries at once during such a shortage occupies a whole core, which the
 //! running sessions need, and writes a log line per attempt. So each consecutive shortage doubles the pause,
--- a/crates/front/src/session_api/core/admission.rs
+++ b/crates/front/src/session_api/core/admission.rs
@@ -229,7 +229,7 @@
         });
     }
 
-    /// Whether a player is in the reserve and has not returned to a session yet.
+    /// Whether a player was admitted to the reserve and has not returned to a session yet.
     pub fn in_reserve(&self, id: ClientId) -> bool {
         self.connections.get(&id).is_some_and(|connection| matches!(connection.state, State::Reserve(_)))
     }
--- a/crates/front/src/session_api/core/calls.rs
+++ b/crates/front/src/session_api/core/calls.rs
@@ -1,9 +1,8 @@
 //! The pending calls of one player.
 //!
 //! A JSON-RPC client chooses its ids, may leave them out, and may send calls in batches that are answered as
-//! a whole. Here each call gets a ticket, and the engine answers tickets. From that follows what is written:
-//! one response per call with an id, none for a notification, and one array per batch once its last call is
-//! answered.
+//! a whole. Here each call gets a ticket, and the engine answers tickets. The player gets one response per
+//! call with an id, none for a notification, and one array per batch once its last call is answered.
 
 use std::collections::BTreeMap;
 
@@ -18,6 +17,7 @@
     client: ClientId,
     pending: BTreeMap<Ticket, PendingCall>,
     batches: BTreeMap<u64, Batch>,
+    /// Number of the last ticket or batch; both are numbered from one sequence.
     last_number: u64,
     /// Maximum number of unanswered opens.
     max_pending_opens: usize,
--- a/crates/front/src/session_api/core/mod.rs
+++ b/crates/front/src/session_api/core/mod.rs
@@ -7,7 +7,7 @@
 //! - [`rate_limit`]: how many calls a player may make.
 //! - [`thread_share`]: how much time of the engine thread its calls may take.
 //! - [`deferred`]: messages that wait until the engine thread is idle.
-//! - [`accept_backoff`]: how to go on accepting when files, memory or threads have run out.
+//! - [`accept_backoff`]: how to go on accepting when file descriptors, memory or threads have run out.
 
 pub mod accept_backoff;
 pub mod admission;
--- a/crates/front/src/session_api/core/pace.rs
+++ b/crates/front/src/session_api/core/pace.rs
@@ -40,9 +40,9 @@
     frame_is_control: bool,
     /// A fragmented message has begun and not ended.
     in_fragmented_message: bool,
-    /// Begin and received bytes of the current step.
+    /// Start time and number of received bytes of the current step.
     step: Option<(Micros, u64)>,
-    /// Complete control frames that were not asked for yet.
+    /// Complete control frames since the last [`FrameScanner::take_control_frames`].
     control_frames: u64,
 }
 
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Begin and received bytes of the current step: a message, or a control frame between messages.
+    /// Start time and number of received bytes of the current step: a message, or a control frame between
+    /// messages.
     pub fn in_progress(&self) -> Option<(Micros, u64)> {
         self.step
     }
--- a/crates/front/src/session_api/core/tests.rs
+++ b/crates/front/src/session_api/core/tests.rs
@@ -114,8 +114,8 @@
     assert_eq!(expensive.weights(), (0, OPEN_WEIGHT));
     let mut calls = PendingCalls::new(ClientId(1), 8, false);
     let accepted = calls.accept(message.reject_requests(1_500));
-    let frees = |input: &Input| matches!(input, Input::Close(..) | Input::Cancel(..));
-    assert!(accepted.inputs.len() == 2 && accepted.inputs.iter().all(frees), "{:?}", accepted.inputs);
+    let is_release = |input: &Input| matches!(input, Input::Close(..) | Input::Cancel(..));
+    assert!(accepted.inputs.len() == 2 && accepted.inputs.iter().all(is_release), "{:?}", accepted.inputs);
     let tickets = tickets(&accepted.inputs);
     assert_eq!(calls.answer(tickets[1], failed), None, "a notification");
     let responses = calls.answer(tickets[0], failed).expect("a batch is answered as a whole");
--- a/crates/front/src/session_api/core/thread_share.rs
+++ b/crates/front/src/session_api/core/thread_share.rs
@@ -21,7 +21,8 @@
 /// Initial credit of a connection, and the lower bound of its credit limit. As long as any credit is left, an
 /// open is handled at normal priority, even if it will cost more than that.
 const INITIAL_CREDIT_US: i64 = 200;
-/// Longest delay before the next read from a sender; it must not miss its pings.
+/// Longest delay before the next read from a player. Meanwhile no pings are sent to it, and its own go
+/// unanswered, so the delay must stay short.
 const MAX_PAUSE_US: Micros = 1_000_000;
 /// Upper bound of the time that one open is charged for: an open after a long pause is not charged all of the
 /// front's work since.
--- a/crates/front/src/session_api/core/watchdog.rs
+++ b/crates/front/src/session_api/core/watchdog.rs
@@ -48,7 +48,7 @@
     Continue,
     /// Send a ping.
     SendPing,
-    /// Disconnect: a step has passed its deadline.
+    /// Disconnect: the handshake or a message has passed its deadline.
     TooSlow,
     /// Disconnect: the player is unresponsive. Its sessions are kept for a while, in case it comes back.
     Unresponsive,
@@ -156,7 +156,7 @@
         self.step_deadline().min(self.ping_due).min(self.return_by.unwrap_or(Micros::MAX))
     }
 
-    /// Begin and received bytes of the handshake, while it is in progress.
+    /// Start time and number of received bytes of the handshake, while it is in progress.
     pub fn handshake_progress(&self) -> Option<(Micros, u64)> {
         match &self.phase {
             Phase::Handshake { begun, bytes } => Some((*begun, *bytes)),
@@ -187,7 +187,7 @@
             return Verdict::Unresponsive;
         }
         self.unanswered_pings += 1;
-        // The front asks for this pong itself.
+        // The pong that answers this ping must not count towards the limit of control frames.
         self.control_credit.0 = self.control_credit.0.saturating_add(SECOND_US);
         self.ping_due = now.saturating_add(self.limits.pong_timeout);
         Verdict::SendPing
--- a/crates/front/src/session_api/server.rs
+++ b/crates/front/src/session_api/server.rs
@@ -60,7 +60,7 @@
 pub struct ServerChannels {
     /// To the engine thread.
     pub engine: Sender<EngineMessage>,
-    /// Number of messages of players without credit that wait for the engine thread.
+    /// Number of deferred messages: their players have used up their share of the engine thread.
     pub deferred: Arc<AtomicUsize>,
     /// Outboxes that the socket did not empty, for the flusher thread.
     pub flusher: Sender<Arc<Outbox>>,
--- a/crates/front/src/settings/mod.rs
+++ b/crates/front/src/settings/mod.rs
@@ -89,7 +89,8 @@
     pub patience_ms: (u64, u64),
     /// Rate limit for the calls of one player.
     pub call_rate: RateLimits,
-    /// Maximum number of messages of players without credit that wait for the engine thread.
+    /// Maximum number of deferred messages: their players have used up their share of the engine thread, and
+    /// they wait until it is idle.
     pub max_deferred_calls: usize,
     /// Maximum number of pending opens of one player.
     pub max_pending_opens: usize,
--- a/crates/judge/src/accord.rs
+++ b/crates/judge/src/accord.rs
@@ -2,9 +2,9 @@
 //!
 //! Lines are as in [`crate::members`]. A front writes `took` (number of steps of the agreed history that it has applied,
 //! with `digest` and `latest`), `version` (with the viewers that it `refuses`), `acts` (a viewer that asked, whether it
-//! was `allowed`, `by` which authority: `lease`, `meet` or `none`, and the range of versions: `begun`, `latest`) and
-//! `told` (the outcome of a proposal). The trial's first line has `stated_us`, the longest time for which fronts may
-//! contradict each other.
+//! was `allowed`, `by` which authority: `lease`, `meet` (only what all rules known to it allow) or `none`, and the
+//! range of versions: `begun`, `latest`) and `told` (the outcome of a proposal). The trial's first line has
+//! `stated_us`, the longest time for which fronts may contradict each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -59,8 +59,8 @@
     pub broken: Vec<(Property, String)>,
     /// Number of checks of each property, by description.
     pub decided: BTreeMap<&'static str, u64>,
-    /// For each proposal that became a version: time until the last front that was up throughout acted on it, in
-    /// microseconds.
+    /// For each proposal that became a version, the time until all fronts that ran throughout had acted on it by a
+    /// lease, in microseconds.
     pub spread: Vec<u64>,
     /// The longest contradiction, in microseconds.
     pub contradiction: u64,
--- a/crates/judge/src/copies.rs
+++ b/crates/judge/src/copies.rs
@@ -3,10 +3,10 @@
 //!
 //! Lines are JSON objects with `at` in microseconds. Viewers write `plays` (the session was answered as playing, with
 //! `front`), `found`, `closed`, `moved` and `lost` (with `why`). Boxes write `set_up` (with `attempt`, `paid`, `took`),
-//! `begins`, `ends`, and at the end `holds`. Fronts write `acts` (a request sent for a session, with `epoch` and `what`),
-//! `answers` (an answer that the session plays), `adopts` (takeover of an incarnation, with `epoch`), `over` (an
-//! incarnation has no sessions left) and `copies_at` (the replicas). The trial writes `disk_lost` and `calm`. A session's
-//! id begins with the incarnation of the front that opened it.
+//! `begins`, `ends`, and at the end `holds` (the sessions that still have places). Fronts write `acts` (a request sent
+//! for a session, with `epoch` and `what`), `answers` (an answer that the session plays), `adopts` (takeover of an
+//! incarnation, with `epoch`), `over` (an incarnation has no sessions left) and `copies_at` (the replicas). The trial
+//! writes `disk_lost` and `calm`. A session's id begins with the incarnation of the front that opened it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/judge/src/rules.rs
+++ b/crates/judge/src/rules.rs
@@ -18,7 +18,7 @@
     Cold,
     /// Floors and seats of the classes are kept.
     Terms,
-    /// Further attempts stay within the budget.
+    /// Further attempts, all but the first of each session, stay within the budget.
     Budget,
 }
 
--- a/crates/judge/tests/rules.rs
+++ b/crates/judge/tests/rules.rs
@@ -185,8 +185,8 @@
 
 #[test]
 fn no_cold_box_is_overloaded() {
-    // Pace: 4 places per 2 s, half of that at the start. The multiple of 2 in a window of 1 s allows 2 set-ups, and 2
-    // more are allowed for chance.
+    // A warm box has a pace of 4 places per warm-up of 2 s, so 2 set-ups per second, and one that has just started has
+    // half of that. The fall multiple of 2 thus allows 2 set-ups in a window of 1 s, and 2 more are allowed for chance.
     let sent = |cold, count: u64| {
         let mut lines = vec![(10, Event::BoxStarted { server: 1, cold })];
         lines.extend((0..count).map(|n| (11 + n, set_up_read(1, &format!("s{n}"), 0, "clip", 0))));
@@ -195,9 +195,9 @@
     assert_kept(Rule::Cold, &sent(true, 4));
     assert_broken(Rule::Cold, "sent 5 set-ups", &sent(true, 5));
     assert_kept(Rule::Cold, &sent(false, 50));
-    let late: Vec<_> =
+    let after_warm_up: Vec<_> =
         sent(true, 50).into_iter().map(|(at, what)| (if at > 10 { at + 2_000 } else { at }, what)).collect();
-    assert_kept(Rule::Cold, &late);
+    assert_kept(Rule::Cold, &after_warm_up);
     assert_broken(Rule::Cold, "pushed over", &[(1, Event::BoxFell { server: 1 })]);
 }
 
--- a/crates/members/src/core/detector.rs
+++ b/crates/members/src/core/detector.rs
@@ -120,13 +120,13 @@
     }
 
     /// Sets the fronts to probe: `wanted`, `polled` (accused by others), and those still watched from before. Polled
-    /// fronts are pinged at short intervals at first and while `nearly_out` holds for them.
+    /// fronts are pinged at short intervals at first and while `majority_accuses` holds for them.
     pub fn set_targets(
         &mut self,
         now: Micros,
         wanted: &[&Fact],
         polled: &[&Fact],
-        nearly_out: impl Fn(&Fact) -> bool,
+        majority_accuses: impl Fn(&Fact) -> bool,
         times: &Times,
     ) {
         let current = |fact: &Fact, link: &Link| (fact.boot, fact.address) == (link.boot, link.address);
@@ -137,7 +137,7 @@
         }
         for fact in polled {
             if let Some(link) = self.links.get_mut(&fact.name) {
-                let since = link.polled.map(|(since, _)| since).filter(|_| !nearly_out(fact));
+                let since = link.polled.map(|(since, _)| since).filter(|_| !majority_accuses(fact));
                 let since = since.unwrap_or(now);
                 link.polled = Some((since, now + times.poll_duration));
             }
--- a/crates/members/src/core/gossip.rs
+++ b/crates/members/src/core/gossip.rs
@@ -112,22 +112,22 @@
     standalone_rounds_left: u32,
 }
 
-fn transmissions(members: usize) -> u32 {
-    3 * (usize::BITS - members.leading_zeros()) + 3
+fn transmissions(member_count: usize) -> u32 {
+    3 * (usize::BITS - member_count.leading_zeros()) + 3
 }
 
 impl Gossip {
     /// Queues a fact for dissemination.
-    pub fn queue_fact(&mut self, name: &Name, members: usize) {
-        self.facts.set(Name::clone(name), transmissions(members));
-        self.standalone_rounds_left = transmissions(members);
+    pub fn queue_fact(&mut self, name: &Name, member_count: usize) {
+        self.facts.set(Name::clone(name), transmissions(member_count));
+        self.standalone_rounds_left = transmissions(member_count);
     }
 
     /// Queues the row of an observer; `renewed` if it accuses the same fronts as its previous version.
-    pub fn queue_row(&mut self, by: u32, members: usize, renewed: bool) {
-        self.rows.set(by, transmissions(members));
+    pub fn queue_row(&mut self, by: u32, member_count: usize, renewed: bool) {
+        self.rows.set(by, transmissions(member_count));
         if !renewed {
-            self.standalone_rounds_left = transmissions(members);
+            self.standalone_rounds_left = transmissions(member_count);
         }
     }
 
--- a/crates/members/src/core/mod.rs
+++ b/crates/members/src/core/mod.rs
@@ -257,9 +257,12 @@
     next_outsider_contact: Micros,
     next_compare: Micros,
     next_seed: usize,
+    /// When the members to probe before joining were drawn, and their names.
     join_sample: (Micros, Vec<Name>),
+    /// Names and counts of the members in the last reported view.
     reported_members: BTreeMap<Name, u32>,
     reported_digest: u64,
+    /// Members removed by this front's own count since the last report.
     removed_here: Vec<Name>,
     /// When another process with this front's name was last reported.
     name_conflict_reported_at: Option<Micros>,
@@ -507,8 +510,8 @@
         } else {
             Vec::new()
         };
-        let nearly_out = |fact: &Fact| counts.get(&fact.short_id()).is_some_and(|count| *count >= high);
-        self.detector.set_targets(self.now, &wanted, &polled, nearly_out, &times);
+        let majority_accuses = |fact: &Fact| counts.get(&fact.short_id()).is_some_and(|count| *count >= high);
+        self.detector.set_targets(self.now, &wanted, &polled, majority_accuses, &times);
         let chance = 10f64.powf(CHANCE_MAJORITY_LOG10 / high as f64).clamp(1e-6, 1e-2);
         let nonce = &mut self.nonce;
         let pings = self.detector.due_pings(self.now, &times, chance, || {
@@ -544,13 +547,13 @@
         }
         let members: BTreeMap<u32, &Name> =
             self.view.members().map(|fact| (fact.short_id(), &fact.name)).collect();
-        let changed = |from: &[u32], to: &[u32], on: bool, out: &mut Vec<Output>| {
+        let report_changed = |from: &[u32], to: &[u32], is_accused: bool, out: &mut Vec<Output>| {
             for name in from.iter().filter(|id| !to.contains(id)).filter_map(|id| members.get(id)) {
-                out.push(Output::AccusationChanged(Name::clone(name), on));
+                out.push(Output::AccusationChanged(Name::clone(name), is_accused));
             }
         };
-        changed(&accused, &self.own_row.accused, true, out);
-        changed(&self.own_row.accused, &accused, false, out);
+        report_changed(&accused, &self.own_row.accused, true, out);
+        report_changed(&self.own_row.accused, &accused, false, out);
         self.own_row = Row { by, version: self.own_row.version + 1, accused };
         self.own_row_at = self.now;
         let novelty = self.observations.store(self.now, &self.own_row);
@@ -706,9 +709,9 @@
         if others == 0 {
             return None;
         }
-        let at = self.rng.next_u32() as usize % others;
+        let index = self.rng.next_u32() as usize % others;
         let name = &self.config.name;
-        self.view.members().filter(|fact| fact.name != *name).nth(at).map(|fact| fact.address)
+        self.view.members().filter(|fact| fact.name != *name).nth(index).map(|fact| fact.address)
     }
 
     fn take_updates(&mut self) -> Updates {
@@ -733,14 +736,15 @@
         if self.reported_digest == self.view.digest() {
             return;
         }
-        let now: BTreeMap<Name, u32> =
+        let members_now: BTreeMap<Name, u32> =
             self.view.members().map(|fact| (Name::clone(&fact.name), fact.count)).collect();
-        let joined = now.iter().filter(|(name, count)| self.reported_members.get(*name) != Some(count));
+        let joined =
+            members_now.iter().filter(|(name, count)| self.reported_members.get(*name) != Some(count));
         let joined = joined.map(|(name, _)| Name::clone(name)).collect();
         let gone = self
             .reported_members
             .iter()
-            .filter(|(name, count)| now.get(*name).is_none_or(|current| current > count));
+            .filter(|(name, count)| members_now.get(*name).is_none_or(|current| current > count));
         let reason = |name: &Name| {
             if self.removed_here.contains(name) {
                 RemovalReason::Unreached
@@ -750,9 +754,9 @@
         };
         let gone = gone.map(|(name, _)| (Name::clone(name), reason(name))).collect();
         let (number, digest) = (self.view.number(), self.view.digest());
-        let members = now.keys().cloned().collect();
+        let members = members_now.keys().cloned().collect();
         out.push(Output::View(Change { number, digest, members, joined, gone }));
-        (self.reported_members, self.reported_digest) = (now, digest);
+        (self.reported_members, self.reported_digest) = (members_now, digest);
         self.removed_here.clear();
     }
 
--- a/crates/members/src/core/observe.rs
+++ b/crates/members/src/core/observe.rs
@@ -51,10 +51,10 @@
     rows: BTreeMap<u32, StoredRow>,
 }
 
-/// The thresholds for a view of `members` members: low, at which all fronts probe the accused themselves, and high, at
-/// which it is removed.
-pub fn thresholds(members: usize) -> (usize, usize) {
-    let high = members / 2 + 1;
+/// The thresholds for a view of `member_count` members: low, at which all fronts probe the accused themselves, and
+/// high, at which it is removed.
+pub fn thresholds(member_count: usize) -> (usize, usize) {
+    let high = member_count / 2 + 1;
     (high.saturating_sub(1).clamp(1, 3), high)
 }
 
@@ -124,10 +124,10 @@
     }
 }
 
-/// Decides when members over the high threshold leave the view, several at once if possible.
+/// Decides when members that reach the high threshold leave the view, several at once if possible.
 #[derive(Clone, Debug, Default)]
 pub struct CutDetector {
-    over_high_since: BTreeMap<u32, Micros>,
+    at_high_since: BTreeMap<u32, Micros>,
 }
 
 /// Factor on the confirmation time while hardly more than half of all members accuse.
@@ -142,7 +142,7 @@
 /// Timing of removals.
 #[derive(Clone, Copy, Debug)]
 pub struct CutTimes {
-    /// A member is removed when it has been over the high threshold for this long without a break, or for
+    /// A member is removed when it has been at or above the high threshold for this long without a break, or for
     /// [`THIN_MAJORITY_FACTOR`] times as long while hardly more than half of all accuse it. Danger: where nearly half of
     /// all fronts permanently can't reach a member, a single accusation by chance completes the majority, and the next
     /// answer withdraws it.
@@ -157,18 +157,18 @@
         &mut self,
         now: Micros,
         counts: &BTreeMap<u32, usize>,
-        members: usize,
+        member_count: usize,
         times: CutTimes,
     ) -> Vec<u32> {
-        let (low, high) = thresholds(members);
-        self.over_high_since.retain(|id, _| counts.get(id).is_some_and(|count| *count >= high));
+        let (low, high) = thresholds(member_count);
+        self.at_high_since.retain(|id, _| counts.get(id).is_some_and(|count| *count >= high));
         for (id, _) in counts.iter().filter(|(_, count)| **count >= high) {
-            self.over_high_since.entry(*id).or_insert(now);
+            self.at_high_since.entry(*id).or_insert(now);
         }
-        let Some(first) = self.over_high_since.values().min().copied() else { return Vec::new() };
+        let Some(first) = self.at_high_since.values().min().copied() else { return Vec::new() };
         let factor = |count: usize| match count {
-            _ if count >= high + (members / 10).max(1) => 1,
-            _ if count + 1 >= members => ALL_OTHERS_FACTOR,
+            _ if count >= high + (member_count / 10).max(1) => 1,
+            _ if count + 1 >= member_count => ALL_OTHERS_FACTOR,
             _ => THIN_MAJORITY_FACTOR,
         };
         let is_confirmed = |(id, since): &(&u32, &Micros)| {
@@ -176,15 +176,15 @@
                 <= now
         };
         let between_thresholds = counts.values().any(|count| (low..high).contains(count));
-        let unsettled = between_thresholds || !self.over_high_since.iter().all(|entry| is_confirmed(&entry));
+        let unsettled = between_thresholds || !self.at_high_since.iter().all(|entry| is_confirmed(&entry));
         if unsettled && now < first + times.settle_time {
             return Vec::new();
         }
-        self.over_high_since.iter().filter(is_confirmed).map(|(id, _)| *id).collect()
+        self.at_high_since.iter().filter(is_confirmed).map(|(id, _)| *id).collect()
     }
 
     /// Restarts all confirmation times after this process was not running.
     pub fn reset_after_pause(&mut self) {
-        self.over_high_since.clear();
+        self.at_high_since.clear();
     }
 }
--- a/crates/members/src/core/view.rs
+++ b/crates/members/src/core/view.rs
@@ -80,7 +80,7 @@
     facts: BTreeMap<Name, Fact>,
     number: u64,
     digest: u64,
-    members: usize,
+    member_count: usize,
     /// Short ids of the members, with the number of members that have each.
     short_ids: BTreeMap<u32, u32>,
 }
@@ -98,12 +98,12 @@
 
     /// Number of members.
     pub fn len(&self) -> usize {
-        self.members
+        self.member_count
     }
 
     /// Whether it has no members.
     pub fn is_empty(&self) -> bool {
-        self.members == 0
+        self.member_count == 0
     }
 
     /// The members, ordered by name.
@@ -123,7 +123,7 @@
 
     /// Whether two members have the same short id.
     pub fn has_short_id_collision(&self) -> bool {
-        self.short_ids.len() < self.members
+        self.short_ids.len() < self.member_count
     }
 
     /// The fact known about a name.
@@ -143,7 +143,7 @@
             self.number -= u64::from(known.count);
             self.digest ^= known.hash();
             if known.is_member() {
-                self.members -= 1;
+                self.member_count -= 1;
                 let short_id = known.short_id();
                 let remaining = self.short_ids.get_mut(&short_id).map(|count| {
                     *count -= 1;
@@ -157,7 +157,7 @@
         self.number += u64::from(fact.count);
         self.digest ^= fact.hash();
         if fact.is_member() {
-            self.members += 1;
+            self.member_count += 1;
             *self.short_ids.entry(fact.short_id()).or_default() += 1;
         }
         self.facts.insert(Arc::clone(&fact.name), fact.clone());
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -45,8 +45,9 @@
     class: usize,
     patience: Micros,
     was_served: bool,
-    /// Server where it plays, and the process of its front node that holds it.
+    /// Server at which its session plays.
     server: Option<u32>,
+    /// Which process of its front node, counted over restarts, holds it.
     process: u32,
 }
 
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -11,10 +11,13 @@
 const SECOND: Micros = 1_000_000;
 /// Number of the first event, which is the full list.
 const FIRST_EVENT: u64 = 40;
-/// When discovery is down or silent, an event counts as announced this long after the start of the outage,
+/// While discovery is down, an event counts as announced this long after the start of the outage.
 const ANNOUNCED_AFTER_BREAK: Micros = 2 * SECOND;
+/// While discovery is silent, an event counts as announced this long after the start of the silence, and while it sends
+/// slowly, this long after the event.
 const ANNOUNCED_AFTER_SILENCE: Micros = 4 * SECOND;
-/// and, if discovery is unreachable for longer, this long after the end of the outage.
+/// If the outage or silence lasts longer than these limits, an event counts as announced this long after its end, and
+/// without an outage, this long after the event if no follower is connected.
 const ANNOUNCED_AFTER_REACHABLE: Micros = 6 * SECOND;
 /// An event counts as announced no earlier than this long after a reload.
 const ANNOUNCED_AFTER_RELOAD: Micros = 4 * SECOND;
@@ -28,7 +31,9 @@
     Normal,
     /// Start and end of the outage.
     Down(Micros, Micros),
+    /// Start and end of the silence.
     Silent(Micros, Micros),
+    /// End of the slow mode.
     Slow(Micros),
 }
 
@@ -175,8 +180,8 @@
                 until + ANNOUNCED_AFTER_REACHABLE
             }
         };
-        let after_reload = self.discovery.addresses.get(&node).and_then(|(_, since)| *since);
-        let after_reload = after_reload.map_or(0, |since| since + ANNOUNCED_AFTER_RELOAD);
+        let reloaded_at = self.discovery.addresses.get(&node).and_then(|(_, reloaded_at)| *reloaded_at);
+        let after_reload = reloaded_at.map_or(0, |reloaded_at| reloaded_at + ANNOUNCED_AFTER_RELOAD);
         let address_index = self.discovery.address_index(node);
         let is_current = |token: &u64| {
             self.endpoints
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -15,9 +15,11 @@
 const FORWARDING_SLACK: Micros = 300_000;
 /// A request sent at most this long before its connection was closed may be sent again.
 const CLOSE_RACE: Micros = 50_000;
-/// Time limit for the end of a session to reach its client, if the front node was notified of it,
+/// Time limit for the notice that a session has ended to reach its client, if the front node was notified of the end
+/// and the client's connection is open.
 const END_NOTICE_LIMIT: Micros = 1_000_000;
-/// and if it could not be notified.
+/// Time limit for that notice if the front node was not notified, the connection is closed, or the session was handed
+/// over after its end or less than `HAND_OVER_DELAY` before.
 const DELAYED_END_NOTICE_LIMIT: Micros = 8_000_000;
 /// A handed-over session counts as known to the front node this long after the hand-over.
 const HAND_OVER_DELAY: Micros = 200_000;
@@ -29,7 +31,7 @@
     Lost,
     /// No two concurrent attempts; no second effect and no refusal of a request that may have run.
     Duplicate,
-    /// No new session at a server that leaves.
+    /// No new session at a server that was announced as leaving, after a grace period.
     Drain,
     /// No overload of a cold server.
     Cold,
@@ -96,9 +98,11 @@
 struct Evaluation<'a> {
     record: &'a Record,
     requests: BTreeMap<u64, Request>,
+    /// Connections that their front nodes closed, with the time.
     closed_by_node: BTreeMap<u64, Micros>,
     /// Connections that their clients closed.
     closed_by_client: BTreeSet<u64>,
+    /// Times of the requested shutdowns of each front node; `kills` and `exits` are by front node as well.
     shutdowns: BTreeMap<usize, Vec<Micros>>,
     kills: BTreeMap<usize, Vec<Micros>>,
     exits: BTreeMap<usize, Vec<Micros>>,
@@ -123,7 +127,7 @@
         unresponsive: BTreeMap::new(),
         violations: Vec::new(),
     };
-    evaluation.index();
+    evaluation.index_events();
     evaluation.check_answers();
     evaluation.check_unreadable();
     evaluation.check_late_forwarding();
@@ -143,7 +147,7 @@
         self.violations.push(Violation { rule, at, description });
     }
 
-    fn index(&mut self) {
+    fn index_events(&mut self) {
         let mut attempt_of: BTreeMap<u64, (u64, usize)> = BTreeMap::new();
         for (at, event) in &self.record.events {
             match event {
@@ -270,8 +274,8 @@
     fn missing_answer(&self, id: u64, request: &Request, deadline: Micros) -> Option<(Micros, String)> {
         let due_until = request.gave_up.unwrap_or(Micros::MAX);
         let closed = self.closed_by_node.get(&request.conn).copied();
-        let crosses = closed.is_some_and(|closed| request.sent + CLOSE_RACE >= closed);
-        if request.resent && crosses {
+        let sent_as_it_closed = closed.is_some_and(|closed| request.sent + CLOSE_RACE >= closed);
+        if request.resent && sent_as_it_closed {
             return None;
         }
         if let Some(killed) = self.killed_by_fault(request) {
@@ -279,10 +283,10 @@
                 .then(|| (deadline, format!("{id:016x} was not answered")));
         }
         if let Some(closed) = closed.filter(|closed| *closed < due_until) {
-            let after = (closed - request.sent.min(closed)) / 1000;
+            let elapsed_ms = (closed - request.sent.min(closed)) / 1000;
             return Some((
                 closed,
-                format!("{id:016x} was not answered: its connection ended {after} ms after the request"),
+                format!("{id:016x} was not answered: its connection ended {elapsed_ms} ms after the request"),
             ));
         }
         (due_until > deadline && self.record.ended_at > deadline)
@@ -309,8 +313,8 @@
             let answered = request.answers.first().map(|(at, _)| *at);
             let ended = request.gave_up.into_iter().chain(answered).min().unwrap_or(Micros::MAX);
             if *at > ended.saturating_add(FORWARDING_SLACK) {
-                let late = (at - ended) / 1000;
-                let description = format!("{id:016x} was sent to s-{server:08x} {late} ms after its end");
+                let late_ms = (at - ended) / 1000;
+                let description = format!("{id:016x} was sent to s-{server:08x} {late_ms} ms after its end");
                 self.violations.push(Violation { rule: Rule::Lost, at: *at, description });
             }
         }
@@ -395,17 +399,19 @@
             if self.record.terms.classes.get(request.class).is_none_or(|class| class.effect == Effect::Safe) {
                 continue;
             }
-            let ran = |before: Micros| {
+            let possible_run_before = |before: Micros| {
                 request
                     .attempts
                     .iter()
                     .find(move |attempt| attempt.received < before && attempt.may_have_run())
             };
-            for attempt in request.attempts.iter().filter(|attempt| ran(attempt.received).is_some()) {
+            for attempt in
+                request.attempts.iter().filter(|attempt| possible_run_before(attempt.received).is_some())
+            {
                 found.push((attempt.received, format!("{id:016x} was sent again although it may have run")));
             }
             if let Some((at, Answer::Refused)) = request.answers.first() {
-                if ran(*at).is_some() {
+                if possible_run_before(*at).is_some() {
                     found.push((*at, format!("{id:016x} was refused although it may have run")));
                 }
             }
@@ -432,9 +438,9 @@
                     else {
                         continue;
                     };
-                    let late = (at - announced) / 1000;
+                    let late_ms = (at - announced) / 1000;
                     let description = format!(
-                        "{id:016x} was sent to s-{server:08x} {late} ms after it was announced as leaving"
+                        "{id:016x} was sent to s-{server:08x} {late_ms} ms after it was announced as leaving"
                     );
                     self.violations.push(Violation { rule: Rule::Drain, at: *at, description });
                 }
--- a/crates/soak/src/nodes.rs
+++ b/crates/soak/src/nodes.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Running,
-    /// Since when.
+    /// When the shutdown was requested.
     ShuttingDown(Micros),
     Down,
 }
--- a/crates/soak/src/rig.rs
+++ b/crates/soak/src/rig.rs
@@ -22,7 +22,7 @@
 use crate::trial::Program;
 use crate::wire::{Decoder, Message};
 
-/// Smallest delay of a timer that is recorded.
+/// A timer that fires later than planned by more than this is recorded as a delay of the test rig.
 const RIG_LATE_FROM: Micros = 20_000;
 const LISTEN_PORT: u16 = 3_868;
 /// Number of servers in one address range.
--- a/crates/soak/src/wire.rs
+++ b/crates/soak/src/wire.rs
@@ -15,9 +15,9 @@
     pub const NOTE: u8 = 44;
     /// Request to move a session.
     pub const MOVE: u8 = 51;
-    /// Test.
+    /// Readiness test or probe.
     pub const TEST: u8 = 52;
-    /// Result of a test.
+    /// Result of a readiness test or probe.
     pub const TEST_RESULT: u8 = 53;
 }
 
--- a/crates/standin/src/boxes.rs
+++ b/crates/standin/src/boxes.rs
@@ -33,7 +33,7 @@
 pub struct NoteSettings {
     /// Interval of the notes about a link, us; 0 disables them.
     pub interval: u64,
-    /// Age of a note when it is sent, us.
+    /// Delay between an observation and the note about it, us.
     pub age: u64,
     /// Probability per second that a viewer leaves who receives less than three quarters of the rate.
     pub leave_probability: f64,
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -40,7 +40,7 @@
     pub state: ListState,
     /// Size of the box, in units of the usual link.
     pub size_units: f64,
-    /// Time of the latest start, us of the day; `None` if the box ran before the day.
+    /// Time of the latest start, us since the day began; `None` if the box ran before the day.
     pub started: Option<u64>,
 }
 
--- a/crates/standin/src/script.rs
+++ b/crates/standin/src/script.rs
@@ -118,7 +118,7 @@
 /// A fault and its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// Start, us of the day.
+    /// Start, us since the day began.
     pub at: u64,
     /// Length, us.
     pub length: u64,
--- a/crates/standin/src/workload.rs
+++ b/crates/standin/src/workload.rs
@@ -10,7 +10,7 @@
 /// A viewer that arrives.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// Arrival time, us of the day.
+    /// Arrival time, us since the day began.
     pub at: u64,
     /// Name of the viewer.
     pub viewer: String,
@@ -34,8 +34,8 @@
 }
 
 /// A uniform draw around a mean, up to the given relative deviation.
-fn vary(rng: &mut Pcg32, (mean, part): (f64, f64)) -> f64 {
-    mean * (1.0 + part * (2.0 * uniform(rng) - 1.0))
+fn vary(rng: &mut Pcg32, (mean, relative_deviation): (f64, f64)) -> f64 {
+    mean * (1.0 + relative_deviation * (2.0 * uniform(rng) - 1.0))
 }
 
 /// Name of a title.
@@ -69,11 +69,11 @@
 }
 
 /// Boxes that a fault affects: a share of the available boxes, drawn separately for each fault.
-pub fn affected_boxes(script: &Script, fault: usize, part: f64, available: &[u32]) -> Vec<u32> {
+pub fn affected_boxes(script: &Script, fault: usize, share: f64, available: &[u32]) -> Vec<u32> {
     let mut rng = Pcg32::seed_from_u64(script.seed ^ ((fault as u64 + 1) << 32));
     let mut ranked: Vec<(u32, u32)> = available.iter().map(|id| (rng.next_u32(), *id)).collect();
     ranked.sort_unstable();
-    let count = (available.len() as f64 * part).round() as usize;
+    let count = (available.len() as f64 * share).round() as usize;
     ranked.into_iter().take(count).map(|(_, id)| id).collect()
 }
 
