--- a/crates/front/src/core/ledger/actions.rs
+++ b/crates/front/src/core/ledger/actions.rs
@@ -118,7 +118,7 @@
             return;
         }
         let Some(session) = self.sessions.get_mut(id) else { return };
-        // A timeout of 0 from the decision module means until the viewer gives up; no timeout extends past
+        // A timeout of 0 from the decider means until the viewer gives up; no timeout extends past
         // that.
         let time_left = session.deadline - self.now;
         let time_out = if time_out == 0 { time_left } else { time_out.min(time_left) };
@@ -171,8 +171,8 @@
     pub(super) fn move_session(&mut self, id: &SessionId, out: &mut Vec<Output>) {
         let playing = self.sessions.get(id).filter(|session| session.playing().is_some());
         let Some((client, viewer)) = playing.map(|s| (s.client, s.open_request.viewer)) else {
-            // One input may end several sessions, and the decision module receives their ends one by one: it
-            // may choose to move a session whose end is still queued. That is not an error of the module.
+            // One input may end several sessions, and the decider receives their ends one by one: it
+            // may choose to move a session whose end is still queued. That is not an error of the decider.
             let ends =
                 |event: &Event| matches!(event, Event::Ended { session, last: true, .. } if session == id);
             if self.events.iter().any(ends) {
--- a/crates/front/src/core/ledger/mod.rs
+++ b/crates/front/src/core/ledger/mod.rs
@@ -27,19 +27,19 @@
 use super::timers::{Deadline, Timers};
 use super::*;
 
-/// Tries of one release. After that, the next list of sessions that the box reports shows whether it still
-/// holds the session.
+/// Maximum number of tries of one release. After that, the next list of sessions that the box reports shows
+/// whether it still holds the session.
 const MAX_RELEASE_TRIES: u32 = 4;
-/// Concurrent releases at one box of sessions that the box reports and nobody knows.
+/// Number of pending releases at one box from which further sessions that only the box knows are queued.
 const MAX_CONCURRENT_RELEASES: usize = 32;
-/// With replication: a connection that ends this soon after a viewer reclaimed its session over it doesn't
-/// count as a close by the viewer, us.
+/// Only with replication: if a connection ends this soon after a viewer reclaimed its session over it, the
+/// viewer has not closed the session, us.
 const RECLAIM_GRACE_US: Micros = 3_000_000;
-/// Pause before a release is retried that may not be written without a lease, us.
+/// Pause before the next try of a release that could not be written because this front has no lease, us.
 const WITHHELD_RETRY_US: Micros = 300_000;
 /// Pause before the second try of a release, us; doubles with each try.
 const RELEASE_RETRY_US: Micros = 100_000;
-/// Consecutive rung changes that may fail before the decision module is told the rung in force.
+/// Consecutive rung changes that may fail before the decider is told the rung in force.
 const MAX_FAILED_RUNG_CHANGES: u32 = 2;
 
 /// Counters since the start of the front.
@@ -100,12 +100,16 @@
     deadlines_paused_until: Micros,
     sessions: BTreeMap<SessionId, Session>,
     by_client: BTreeMap<ClientId, BTreeSet<SessionId>>,
+    /// Number of sessions of each viewer.
     by_viewer: BTreeMap<ViewerId, usize>,
+    /// Addresses of the listed boxes.
     boxes: BTreeMap<ServerId, SocketAddr>,
     /// Sessions that this front moved and that have not been reopened.
     moved: BTreeMap<SessionId, ViewerId>,
+    /// Releases that their boxes have not confirmed: box, session and attempt number at the box, with the
+    /// number of failed tries.
     releases: BTreeMap<(ServerId, SessionId, u32), u32>,
-    /// Sessions reported by boxes and known to nobody, queued for release.
+    /// Sessions that only their boxes know, with the attempt number at the box, queued for release.
     unknown_sessions: BTreeMap<ServerId, BTreeSet<(SessionId, u32)>>,
     pool: Pool,
     streams: Streams,
@@ -115,6 +119,7 @@
     list_is_current: bool,
     shutting_down: bool,
     finished: bool,
+    /// Events that wait for the decider.
     events: VecDeque<Event>,
     counts: Counts,
     /// The agreed rules; `None` where the front acts on its own settings only.
@@ -163,7 +168,8 @@
 /// would be withdrawn, and boxes whose heartbeats wait there would be lost.
 const RESUME_GRACE_US: Micros = 50_000;
 
-/// The clone is independent. It has no tap, since what it does has not happened.
+/// The clone is independent of the original. It has no tap: its inputs are hypothetical, and do not belong in
+/// the decision record.
 impl<D: Clone> Clone for Ledger<D> {
     fn clone(&self) -> Self {
         Ledger {
--- a/crates/front/src/core/ledger/requests.rs
+++ b/crates/front/src/core/ledger/requests.rs
@@ -199,7 +199,7 @@
         } else {
             playing.failed_rung_changes += 1;
             if playing.failed_rung_changes > MAX_FAILED_RUNG_CHANGES {
-                // The decision module must not account for a rung that the box was never set to.
+                // The decider must not account for a rung that the box was never set to.
                 (playing.failed_rung_changes, session.target_rung) = (0, current_rung);
                 let note = Note::Rung(current_rung);
                 self.events.push_back(Event::Note { session: id.clone(), server, note });
--- a/crates/front/src/core/ledger/rule_checks.rs
+++ b/crates/front/src/core/ledger/rule_checks.rs
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Passes the box list to the decision module, with operator orders applied.
+    /// Passes the box list to the decider, with operator orders applied.
     pub(super) fn send_box_list(&mut self, kind: ListKind, lines: Vec<ListEntry>) {
         if let Some(rules) = &self.rules {
             if matches!(kind, ListKind::Complete) {
--- a/crates/front/src/core/ledger/takeover.rs
+++ b/crates/front/src/core/ledger/takeover.rs
@@ -9,7 +9,7 @@
 
 /// Pause before a box is asked again for the sessions of an incarnation, us; doubles three times at most.
 const CLAIM_RETRY_US: Micros = 200_000;
-/// Tries of this request at a box that is not in the list.
+/// Number of failed tries after which a box that is not in the list is not asked again: it counts as gone.
 const MAX_UNLISTED_CLAIMS: u32 = 6;
 /// Hold-off for a viewer whose session is being taken over, us.
 pub(super) const TAKEOVER_HOLD_OFF_US: Micros = 500_000;
@@ -56,8 +56,8 @@
             BoxRequest::SetUp { session, .. }
             | BoxRequest::SetRung { session, .. }
             | BoxRequest::Release { session, .. } => replication.epoch_of(session).or_else(|| {
-                // The rest of an ended incarnation at a box can be released only under its last epoch; the
-                // box rejects earlier ones.
+                // Sessions of an ended incarnation that a box still holds can be released only under the last
+                // epoch of the incarnation; the box rejects earlier ones.
                 let successors = self.rules.as_ref()?.successors();
                 successors.ended.get(incarnation_of(&session.0)?).map(|(_, epoch)| *epoch)
             }),
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Stores the record of a playing session whose rung or box state has changed.
+    /// Stores the record of a playing session again, with its current box, attempt and rung.
     pub(super) fn store_playing_record(&mut self, id: &SessionId) {
         let Some(replication) = &self.replication else { return };
         let Some(session) = self.sessions.get(id) else { return };
@@ -362,14 +362,14 @@
         }
     }
 
-    /// Resumes a playing session, which waits this long for its viewer.
+    /// Resumes a playing session, which waits for its viewer until `claim_timeout` has passed.
     pub(super) fn resume_playing(
         &mut self,
         id: SessionId,
         location: AttemptLocation,
         rung: usize,
         open_request: OpenRequest,
-        within: Micros,
+        claim_timeout: Micros,
     ) {
         let (server, address) = (ServerId(location.server), location.address);
         self.counts.resumed += 1;
@@ -386,7 +386,7 @@
             expires_at: now,
             rung,
         });
-        let until = now + within;
+        let until = now + claim_timeout;
         session.claim_by = Some(until);
         self.insert_session(id.clone(), session);
         self.timers.set(until, Deadline::ClaimTimeout(id.clone()));
@@ -457,7 +457,8 @@
         }
     }
 
-    /// Asks a box again.
+    /// Asks a box again for its sessions of an incarnation, if the previous request failed. A box without a
+    /// known address counts as gone.
     pub(super) fn retry_claim(&mut self, server: ServerId, incarnation: &Incarnation, out: &mut Vec<Output>) {
         let known = self.boxes.get(&server).copied().or_else(|| self.streams.address(server));
         let recorded =
--- a/crates/front/src/core/mod.rs
+++ b/crates/front/src/core/mod.rs
@@ -35,7 +35,7 @@
 
 pub use ledger::{Counts, Ledger};
 
-/// Makes the decisions: receives an event and returns actions. See [`salttally::interface`].
+/// The decision module of a front: receives an event and returns actions. See [`salttally::interface`].
 pub trait Decider {
     /// Handles one event at time `now` and appends the resulting actions to `out`.
     fn handle(&mut self, now: Micros, event: &Event, out: &mut Vec<Action>);
@@ -87,7 +87,7 @@
 }
 
 impl OpenRequest {
-    /// Converts to the decision module's request type.
+    /// Converts to the decider's request type.
     pub fn to_request(&self, session: &SessionId, moved: bool) -> Request {
         Request {
             session: session.clone(),
@@ -108,7 +108,7 @@
 /// An entry of the box list, with the address of the box.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListEntry {
-    /// The entry as passed to the decision module.
+    /// The entry as passed to the decider.
     pub entry: ServerEntry,
     /// Address on which the box listens.
     pub address: SocketAddr,
@@ -326,7 +326,7 @@
 /// Why a session could not be played.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailReason {
-    /// The decision module gave the session up; a set-up may have been executed.
+    /// The decider gave the session up; a set-up may have been executed.
     GivenUp,
     /// The viewer gave up before the answer.
     Cancelled,
@@ -412,7 +412,7 @@
     Box,
     /// The box is lost.
     Lost,
-    /// The front ends.
+    /// The front is shutting down.
     ShuttingDown,
     /// The agreed rules no longer permit it.
     Rules,
--- a/crates/front/src/core/session.rs
+++ b/crates/front/src/core/session.rs
@@ -9,7 +9,7 @@
 /// An attempt to set up a session; also the attempt by which a session plays.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Attempt {
-    /// Attempt number at the decision module, from 0.
+    /// Attempt number at the decider, from 0.
     pub number: u32,
     /// Attempt number at the box. Differs from `number` only after a restart of the front or a takeover.
     pub wire_number: u32,
--- a/crates/front/src/core/streams.rs
+++ b/crates/front/src/core/streams.rs
@@ -80,8 +80,9 @@
         Streams { silence_timeout, ..Streams::default() }
     }
 
-    /// The process was suspended. Danger: input missed during the suspension would be taken for silence of
-    /// the boxes, and all their sessions for lost.
+    /// The process resumes after a suspension: silence is measured from now at the earliest. Danger:
+    /// otherwise, the time of the suspension would be taken for silence of the boxes, and all their sessions
+    /// for lost.
     pub fn process_resumed(&mut self, now: Micros) {
         self.resumed_at = now;
     }
--- a/crates/front/src/core/tests.rs
+++ b/crates/front/src/core/tests.rs
@@ -1,5 +1,5 @@
 //! Tests of the core in virtual time: boxes and clients take every possible action in random order, once with
-//! a decider that requests random actions, once with the decision module.
+//! a decider that requests random actions, once with the [`Controller`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -130,8 +130,8 @@
             finished: false,
         };
         world.handle_input(Input::List(ListKind::Cached, Vec::new()));
-        let whole = (0..4).map(|id| listed(id, ServerState::Ready, None)).collect();
-        world.handle_input(Input::List(ListKind::Complete, whole));
+        let entries = (0..4).map(|id| listed(id, ServerState::Ready, None)).collect();
+        world.handle_input(Input::List(ListKind::Complete, entries));
         world
     }
 
@@ -734,7 +734,7 @@
     let session = SessionId("f0-00000000-0000000001".into());
     let held = HeldSession { session, attempt: 0, rung: 1, open_request: Some(open_request(7, CLIP)) };
     ledger.handle(2, Input::Stream(server, number, StreamEvent::Up(vec![held])), &mut out);
-    // The decision module takes a resumed session as a sign that its list is current; one found under an old
+    // The decider takes a resumed session as a sign that its list is current; one found under an old
     // list must not count as that.
     assert!(!events.borrow().iter().any(|event| matches!(event, Event::Resumed(..))));
     ledger.handle(3, Input::List(ListKind::Complete, list), &mut out);
--- a/crates/front/src/core/tests/agreed_rules.rs
+++ b/crates/front/src/core/tests/agreed_rules.rs
@@ -116,7 +116,7 @@
     let mut bench = TestBench::with_rules(Rules::default());
     let id = SessionId("f0-00000001-0000000001".into());
     bench.world.open(VIEWER, PAID);
-    // The decision module decides only now, after the process was suspended for longer than its lease.
+    // The decider decides only now, after the process was suspended for longer than its lease.
     bench.world.ledger.set_lease_time(|| LEASE + 1);
     *bench.actions.borrow_mut() =
         vec![Action::SetRung(id.clone(), 1), Action::SetUp(id.clone(), ServerId(0), 300 * MS)];
--- a/crates/front/src/core/timers.rs
+++ b/crates/front/src/core/timers.rs
@@ -13,7 +13,7 @@
 pub enum Deadline {
     /// An attempt times out.
     AttemptTimeout(SessionId, u32),
-    /// The decision module asked to be woken with this tag.
+    /// The decider asked to be woken with this tag.
     Wake(u64),
     /// A session's answer is overdue.
     AnswerOverdue(SessionId),
--- a/crates/platform/src/core/admission.rs
+++ b/crates/platform/src/core/admission.rs
@@ -1,6 +1,7 @@
 //! Decides which client connections are kept. Hundreds of silent connections would take the place of clients,
-//! and a partial request would hold a connection for ever. A connection is closed only if no set-up is open
-//! on it, and those that have never sent a message are closed first.
+//! and a partial request would hold a connection for ever. A connection is closed for silence, or to make
+//! room, only if neither an open request nor a playing session belongs to it; those that have never sent a
+//! message are closed first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/platform/src/core/health.rs
+++ b/crates/platform/src/core/health.rs
@@ -1,5 +1,6 @@
 //! Liveness checks of media servers that hold sessions. A media server that dies or vanishes cannot report
-//! it, and its sessions are cut: their clients must be released within seconds, to come again.
+//! it, and its sessions are lost: their clients must be sent a release within seconds, so that they ask
+//! again.
 //!
 //! Anything received from a server shows that it is alive. After some silence, and when its last connection
 //! is gone, a new connection is opened. If it is established, the media server is alive, and reports on it
@@ -95,8 +96,9 @@
         }
     }
 
-    /// Performs a scheduled check, or one because the server is `disconnected`: its last connection is gone, or
-    /// there was none. A connection that was closed here to make room proves nothing about the media server.
+    /// Performs a scheduled check, or one at once because the server is `disconnected`: no usable connection
+    /// to it is established. It is not called when this node closes a connection to make room, which proves nothing
+    /// about the media server.
     pub fn check(&mut self, now: Micros, server: ServerId, disconnected: bool) -> Check {
         let Some(health) = self.servers.get_mut(&server) else { return Check::default() };
         let is_silent = health.last_heard + CHECK_AFTER_SILENCE <= now;
--- a/crates/platform/src/core/list_watch.rs
+++ b/crates/platform/src/core/list_watch.rs
@@ -27,9 +27,8 @@
 /// The longest interval between the starts of two connection attempts is the drain grace divided by this: the
 /// rest of the grace is for the connection, the event and whatever is under way to the server.
 const GRACE_DIVISOR: Micros = 5;
-/// Bounds of that interval, minimum and maximum. From the beginning of a silence to the third attempt it
-/// takes 2.2 + 0.4 + 0.4 = 3.0 s at most, of the 4 s after which an event that a silent coordinator would
-/// have sent takes effect.
+/// Bounds of that interval, minimum and maximum. The third attempt after the beginning of a silence begins
+/// within 2.2 + 0.4 + 0.4 = 3.0 s; an event that the silent coordinator did not send takes effect after 4 s.
 const RECONNECT_INTERVAL_BOUNDS: (Micros, Micros) = (25_000, 400_000);
 /// Maximum number of concurrent connection attempts, each with a descriptor. The oldest is kept until it
 /// times out, to get through a network in which establishing a connection takes longer than the interval
@@ -70,8 +69,8 @@
 
 impl ListWatch {
     /// Follows no coordinator yet. While no connection is established, attempts begin no further apart than a
-    /// part of `drain_grace`. All nodes lose their coordinator at once, and the random numbers drawn by
-    /// `seed` keep them from reconnecting in step.
+    /// part of `drain_grace`. All nodes lose their coordinator at once; random pauses, drawn with `seed`,
+    /// keep them from reconnecting at the same moments.
     pub fn new(drain_grace: Micros, seed: u64) -> ListWatch {
         ListWatch {
             coordinator: None,
--- a/crates/platform/src/core/mod.rs
+++ b/crates/platform/src/core/mod.rs
@@ -260,12 +260,15 @@
     pool: Pool,
     health: Health,
     list_watch: ListWatch,
+    /// Addresses of the listed servers.
     servers: BTreeMap<ServerId, SocketAddr>,
     /// Clients that this node moved and that have not come back, and until when they are expected.
     moved_clients: BTreeMap<ViewerId, Micros>,
+    /// Probes without a result yet, by number: the server, and the connection on which the probe was sent.
     probes: BTreeMap<u64, (ServerId, ConnId)>,
     last_probe_id: u64,
     timers: Timers<Timer>,
+    /// Events that wait for the decider.
     events: VecDeque<Event>,
     /// Events of the list and ends of sessions caused by it; the decider gets them before all others.
     list_events: VecDeque<Event>,
@@ -318,22 +321,23 @@
         }
     }
 
-    /// Takes the known list, which may be old, and follows the coordinator from the event `index` on.
+    /// Takes the known list, which may be old, and follows the coordinator; `last_event` is the number of the
+    /// last event that the known list contains.
     pub fn start(
         &mut self,
         now: Micros,
         known: Vec<ListEntry>,
-        index: u64,
-        at: SocketAddr,
+        last_event: u64,
+        coordinator: SocketAddr,
         out: &mut Vec<Command>,
     ) {
         self.now = self.now.max(now);
         self.apply_list_update(ListKind::Cached, known, out);
-        self.list_watch.start(self.now, index, at, &mut self.timers, out);
+        self.list_watch.start(self.now, last_event, coordinator, &mut self.timers, out);
         self.deliver_events(out);
     }
 
-    /// The decider.
+    /// The decider that makes this node's decisions.
     pub fn decider(&self) -> &D {
         &self.decider
     }
--- a/crates/platform/src/core/pool.rs
+++ b/crates/platform/src/core/pool.rs
@@ -271,9 +271,9 @@
         Some(id)
     }
 
-    /// Finishes the connection that has been idle for the longest, where few more can be opened. Closed only
-    /// when its place is needed, a connection would be closed over unread bytes, which resets it: the peer
-    /// would lose what it has not read either, and what the peer sent would be lost here.
+    /// Finishes the connection that has been idle for the longest, where few more can be opened. If it were
+    /// closed only when its place is needed, unread bytes might lie on it, and closing would then reset it:
+    /// what the peer sent would be lost here, and the peer would lose what it has not read yet.
     fn reserve_room(&mut self, out: &mut Vec<Command>) {
         let reserved = (self.max_connections * RESERVED_FRACTION.0 / RESERVED_FRACTION.1).max(1);
         let in_use = self.connections.values().filter(|conn| conn.state != State::Finishing).count();
@@ -288,9 +288,10 @@
         }
     }
 
-    /// Closes the connection that was finished first among those that the peer has not closed yet, else the
-    /// one that has been idle for the longest; returns whether there was one. Otherwise, with more servers
-    /// than connections, servers that were never dialled would be taken for dead.
+    /// Closes one connection, and returns whether there was one to close: a finishing one before an idle one,
+    /// then one without a release sent on it before others, then the one unused for the longest. Danger:
+    /// without this, with more servers than connections, servers that were never dialled would be taken for
+    /// dead.
     fn make_room(&mut self, out: &mut Vec<Command>) -> bool {
         let is_closable = |conn: &Connection| conn.state == State::Finishing || conn.is_idle();
         let closable = self.connections.iter().filter(|(_, conn)| is_closable(conn));
--- a/crates/platform/src/core/servers.rs
+++ b/crates/platform/src/core/servers.rs
@@ -55,7 +55,7 @@
             self.mark_attempts_in_doubt(server, &ended, out);
         }
         self.end_attempts_on(ended, Outcome::Broken);
-        // Sessions that play there go on, unless the server's process has died: a health check finds out.
+        // Sessions that play there go on, unless the server's process has died; a health check shows which.
         let disconnected = !self.pool.is_up(server);
         self.check_health(server, disconnected, out);
     }
@@ -313,19 +313,19 @@
         }
     }
 
-    /// Ends the playing sessions for which `is_cut` holds: those lost with their media servers.
+    /// Ends the playing sessions for which `is_lost` holds: those lost with their media servers.
     pub(super) fn end_lost_sessions(
         &mut self,
-        is_cut: impl Fn(ServerId, &SessionEntry) -> bool,
+        is_lost: impl Fn(ServerId, &SessionEntry) -> bool,
         out: &mut Vec<Command>,
     ) {
-        let cut_at = |entry: &SessionEntry| {
+        let lost_at = |entry: &SessionEntry| {
             let at = entry.session.playing()?.attempt.server;
-            is_cut(at, entry).then_some(at)
+            is_lost(at, entry).then_some(at)
         };
         let mut lost: BTreeMap<ServerId, Vec<u64>> = BTreeMap::new();
         for (id, entry) in &self.sessions {
-            if let Some(server) = cut_at(entry) {
+            if let Some(server) = lost_at(entry) {
                 lost.entry(server).or_default().push(*id);
             }
         }
--- a/crates/platform/src/core/shutdown.rs
+++ b/crates/platform/src/core/shutdown.rs
@@ -1,8 +1,8 @@
 //! The orderly end of the process, between SIGTERM and the kill.
 //!
-//! Requests are served as before while the protocol lets them come, and refused at once after that, since
-//! clients may go on using open connections until the kill. When every request has been answered, or the kill
-//! is near, all sessions are released.
+//! The protocol lets clients send requests for some time after SIGTERM: these are served as before. Later
+//! ones are refused at once, since clients may go on using open connections until the kill. When every
+//! request has been answered, or the kill is near, all sessions are released.
 
 use super::*;
 
@@ -46,7 +46,7 @@
     }
 
     /// Advances the shutdown: once no more requests are served and every request is answered, all sessions
-    /// are released, and when the releases have been sent the process exits. Called by ticks alone, after the
+    /// are released, and when the releases have been sent the process exits. Called only by ticks, after the
     /// sockets have been read. If the process exited sooner, a request waiting in a socket would be lost, or
     /// a session would play on for no client; if later, the kill would interrupt it.
     pub(super) fn check_shutdown(&mut self, now: Micros, out: &mut Vec<Command>) {
@@ -76,9 +76,11 @@
         let deadline = self.earliest_kill(since) - FLUSH_MARGIN;
         self.releasing_until = Some(deadline);
         self.timers.set(deadline, Timer::Shutdown);
-        let owed = self.sessions.values().filter(|entry| entry.session.answer_pending()).count();
-        let text =
-            format!("shutdown: {owed} requests failed, {} sessions released", self.sessions.len() - owed);
+        let unanswered = self.sessions.values().filter(|entry| entry.session.answer_pending()).count();
+        let text = format!(
+            "shutdown: {unanswered} requests failed, {} sessions released",
+            self.sessions.len() - unanswered
+        );
         out.push(Command::Log(Level::Info, text));
         out.push(Command::StopListening);
     }
--- a/crates/platform/src/core/tests/crossings.rs
+++ b/crates/platform/src/core/tests/crossings.rs
@@ -511,16 +511,16 @@
 fn session_that_ended_before_its_answer_was_sent_is_failed() {
     let (mut node, conn) = written_set_up("paid");
     let note = Message::new(kind::NOTE, 9).with(code::NOTE_KIND, "port").with(code::NOTE_VALUE, "0.5");
-    let end = |cause| Message::release(9, cause);
-    let out =
-        node.handle(NodeEvent::ServerMessages(conn, vec![answer_message(9), note, end(cause::ON_PURPOSE)]));
+    let release = |cause| Message::release(9, cause);
+    let out = node
+        .handle(NodeEvent::ServerMessages(conn, vec![answer_message(9), note, release(cause::ON_PURPOSE)]));
     let causes: Vec<Option<u8>> = sent_to_client(&out).map(Message::cause).collect();
     assert_eq!(causes, [Some(FAILED_CAUSE)], "one answer, and a correct one");
     assert_eq!(outcomes(&node), [Outcome::Withdrawn], "the server is not blamed");
     assert!(node.core.sessions.is_empty() && node.core.pool.in_flight_set_ups().is_empty());
     // After any other end, the client gets the answer and the release.
     let (mut node, conn) = written_set_up("paid");
-    let out = node.handle(NodeEvent::ServerMessages(conn, vec![answer_message(9), end(cause::NORMAL)]));
+    let out = node.handle(NodeEvent::ServerMessages(conn, vec![answer_message(9), release(cause::NORMAL)]));
     assert_eq!(sent_to_client(&out).map(|m| m.kind).collect::<Vec<_>>(), [kind::ANSWER, kind::RELEASE]);
 }
 
--- a/crates/platform/src/node/accept.rs
+++ b/crates/platform/src/node/accept.rs
@@ -48,7 +48,7 @@
             let token = CLIENT | client.0;
             if epoll::add(&self.epoll_fd, &stream, EventData::new_u64(token), connection::READ_EVENTS).is_ok()
             {
-                self.connections.insert(token, Connection::client(stream, self.client_backlog));
+                self.connections.insert(token, Connection::client(stream, self.max_client_backlog));
                 self.incoming_events.push_back(NodeEvent::ClientConnected(client));
                 self.may_have_unread = true;
                 room -= 1;
--- a/crates/platform/src/node/mod.rs
+++ b/crates/platform/src/node/mod.rs
@@ -124,9 +124,10 @@
     listener: Option<TcpListener>,
     /// Accepting is paused until this time.
     accept_paused_until: Option<Micros>,
-    /// Maximum number of bytes that may wait for one client, and of closed connections that may be kept.
-    client_backlog: usize,
-    max_lingering: usize,
+    /// Maximum number of unsent bytes for one client.
+    max_client_backlog: usize,
+    /// Maximum number of closed client connections that are kept until their peers close them too.
+    max_lingering_clients: usize,
     /// Maximum number of client connections, including the closed ones that wait for their peers.
     max_clients: usize,
     signals: Signals,
@@ -183,7 +184,7 @@
     let reset_timeout = config.platform_settings.connect_timeout;
     let mut core = Core::new(controller, config.platform_settings, sockets, now);
     let backlog_memory = config.limits.memory_mb.max(1.0) * 1_048_576.0 * BACKLOG_MEMORY_FRACTION;
-    let client_backlog =
+    let max_client_backlog =
         (backlog_memory as usize / sockets).clamp(CLIENT_BACKLOG_BYTES.0, CLIENT_BACKLOG_BYTES.1);
     let mut out = Vec::new();
     core.start(now, config.known_servers, config.last_event, config.coordinator, &mut out);
@@ -194,8 +195,8 @@
         reload: Reload::new(path.into()),
         listener: Some(listener),
         accept_paused_until: None,
-        client_backlog,
-        max_lingering: (sockets / 12).max(4),
+        max_client_backlog,
+        max_lingering_clients: (sockets / 12).max(4),
         max_clients: sockets / 2 + (sockets / 12).max(4),
         signals,
         connections: BTreeMap::new(),
@@ -489,7 +490,7 @@
     fn close_lingering(&mut self) {
         let now = self.clock.now();
         while let Some((due, token)) = self.lingering.first().copied() {
-            if due > now && self.lingering.len() <= self.max_lingering {
+            if due > now && self.lingering.len() <= self.max_lingering_clients {
                 break;
             }
             self.lingering.pop_first();
@@ -508,7 +509,8 @@
         }
     }
 
-    /// Closes the lingering connection that was closed first; returns whether there was one.
+    /// Closes the connection that has lingered for the longest, else a client's stalled connection that is
+    /// closing; returns whether there was one.
     fn evict_lingering(&mut self) -> bool {
         while let Some((_, token)) = self.lingering.pop_first() {
             if self.connections.contains_key(&token) {
--- a/crates/platform/src/wire/mod.rs
+++ b/crates/platform/src/wire/mod.rs
@@ -141,7 +141,7 @@
         std::str::from_utf8(self.get(code)?).ok()
     }
 
-    /// The cause, if present with one byte.
+    /// The cause, if its parameter is present and exactly one byte long.
     pub fn cause(&self) -> Option<u8> {
         match self.get(code::CAUSE)? {
             [cause] => Some(*cause),
--- a/crates/platform/src/wire/tests.rs
+++ b/crates/platform/src/wire/tests.rs
@@ -72,16 +72,16 @@
 #[test]
 fn rejects_truncated_duplicate_and_unknown_parameters() {
     let valid = encode(&Message::new(kind::ANSWER, 7).with(code::TITLE, "x"));
-    let with = |at: usize, byte: u8| {
+    let decode_with_byte = |at: usize, byte: u8| {
         let mut bytes = valid.clone();
         bytes[at] = byte;
         decode(&bytes)
     };
     assert!(matches!(decode(&valid), Ok(Some(_))));
-    assert_eq!(with(13, 9), Err(DecodeError::TruncatedParameter));
-    assert_eq!(with(11, 4), Err(DecodeError::Code(4)));
-    assert_eq!(with(11, 51), Err(DecodeError::Code(51)));
-    assert_eq!(with(2, 200), Err(DecodeError::Kind(200)));
+    assert_eq!(decode_with_byte(13, 9), Err(DecodeError::TruncatedParameter));
+    assert_eq!(decode_with_byte(11, 4), Err(DecodeError::Code(4)));
+    assert_eq!(decode_with_byte(11, 51), Err(DecodeError::Code(51)));
+    assert_eq!(decode_with_byte(2, 200), Err(DecodeError::Kind(200)));
     let twice = Message::new(kind::ANSWER, 7).with(3, "a").with(3, "b");
     assert_eq!(decode(&encode(&twice)), Err(DecodeError::DuplicateParameter(3)));
 }
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -15,15 +15,15 @@
 const SECOND: Micros = 1_000_000; // us
 
 // REM. A load is the demand on a link, an uplink or the places of a server as a share of its capacity.
-const MIN_TH: f64 = 0.8; // Min.th; above the load that rungs lead to, so that moves answer a lasting crowd
+const MIN_TH: f64 = 0.8; // Min.th; above the load that rungs alone lead to: only lasting crowds cause moves
 const MAX_TH: f64 = 1.0; // Max.th; just past the load at which delivery starts to fall short
 const P_MAX: f64 = 0.8; // probability of a move at Max.th if moves cost nothing; the move price lowers it
-const SERVER_MOVE_INTERVAL: Micros = 5 * SECOND; // per server: the load must show the last move first
-const VIEWER_MOVE_INTERVAL: Micros = 30 * SECOND; // per viewer: none is passed from server to server
+const SERVER_MOVE_INTERVAL: Micros = 5 * SECOND; // per server: the load must reflect the previous move first
+const VIEWER_MOVE_INTERVAL: Micros = 30 * SECOND; // per viewer: none is moved again and again
 const MOVE_MIN_REMAINING_S: f64 = 12.0; // s; sessions expected to end sooner are not moved
-const SHED_MIN_LOAD: f64 = 1.05; // plus the move price; a server with all rungs down then moves a session
+const SHED_MIN_LOAD: f64 = 1.05; // plus the move price; a load above it with all rungs down moves a session
 const LOAD_JITTER: f64 = 0.05; // random addition to a load, so that fronts do not all choose the same server
-const CROSS_ZONE_FACTOR: f64 = 2.5; // cross prices added to the load of other zones: a cut ends sessions
+const CROSS_ZONE_FACTOR: f64 = 2.5; // cross prices added to other zones' loads: a partition ends sessions
 
 // Probes.
 const MAX_PROBES: usize = 2; // per set-up
@@ -38,29 +38,29 @@
 const STEP_UP_MAX_LOAD: f64 = 0.72; // load up to which sessions are stepped up; the gap is hysteresis
 const STEP_UP_TARGET: f64 = 0.93; // load up to which steps up may fill a server
 const STEP_UP_MIN_RETURN: f64 = 5.0; // worth that a step up must earn, in multiples of its cost
-const STEP_UP_DWELL: Micros = 15 * SECOND; // after another change of rung, as each swing costs twice
+const STEP_UP_DWELL: Micros = 15 * SECOND; // since the last change of rung: up and down again costs twice
 const DEFAULT_LENGTH_S: f64 = 30.0; // s; expected session length until sessions have ended
 
 // Load measurement.
 const FULL_DELIVERY_SHARE: f64 = 0.98; // a link or uplink that delivers less of the demand is short
 const SHORT_NOTE_TTL: Micros = 3 * SECOND / 2; // notes of it come once a second; older ones no longer count
-const LONE_LINK_MAX_SHARE: f64 = 0.85; // of the overload; a link measured below it means a short uplink
+const LONE_LINK_MAX_SHARE: f64 = 0.85; // of the overload; a lone link below it means that the uplink is short
 const UPLINK_GROWTH_MIN_LOAD: f64 = 0.90; // an uplink that delivers in full above this load may carry more
 const UPLINK_GROWTH_PER_TICK: f64 = 0.01; // growth of the estimated uplink capacity, of the configured mean
 const UPLINK_GROWTH_QUIET: Micros = 3 * SECOND; // without short delivery before the estimate grows
 const MIN_UPLINK_SCALE: f64 = 0.4; // bounds of the estimated uplink capacity, in configured means;
 const MAX_UPLINK_SCALE: f64 = 1.5; // racks differ by less
-const MIN_OWN_DEMAND_SHARE: f64 = 0.7; // of own demand is taken to be present: true rates may be lower
+const MIN_OWN_DEMAND_SHARE: f64 = 0.7; // of own demand counts at least in a load: true rates may be lower
 const LOAD_FADE_TIME: Micros = 30 * SECOND; // a measurement gives way to the usual load: sessions end
 const USUAL_LOAD_WEIGHT: f64 = 0.05; // weight of each new measurement in the usual load
-const MAX_USUAL_LOAD: f64 = 0.95; // the usual load alone never makes a server full: it has refused nothing
+const MAX_USUAL_LOAD: f64 = 0.95; // usual load alone never makes a server full: the server refused nothing
 const REPORT_AGE: Micros = SECOND / 2; // of a load report in an answer: refresh interval and transit time
 
 // Health and attempts.
 const MIN_BACKOFF: Micros = 2 * SECOND; // after the first failure; doubles with each further one
 const MAX_BACKOFF: Micros = 8 * SECOND; // a recovered server is used again within this time
 const DISTRUST_TIME: Micros = 15 * SECOND; // after a failure, in which a server is ranked last
-const ZONE_MAX_FAILURES: u32 = 3; // in a row, that find a zone's servers down: all there are distrusted
+const ZONE_MAX_FAILURES: u32 = 3; // in a row that find servers down; the whole zone is then distrusted
 const FULL_BACKOFF: Micros = SECOND; // a server that turned a set-up away counts as full for this long
 const ATTEMPT_TIMEOUT_SHARE: f64 = 0.45; // of the aim, so that another attempt fits within it
 const TICK_INTERVAL: Micros = SECOND / 10; // a waiting session is answered this long before its deadline
@@ -84,10 +84,10 @@
     racks: Vec<Rack>,
     /// Moving means of the loads reported of links and of uplinks; the estimate for servers without a report.
     usual_load: [Option<f64>; 2],
-    /// By zone, the servers found down since one there last worked, and the time of the latest.
+    /// By zone: failures that found a server down since one there last worked, and the time of the latest.
     zone_failures: BTreeMap<u32, (u32, Micros)>,
     sessions: BTreeMap<SessionId, Session>,
-    /// By moved viewer, the server to use when it comes back, and the time of the move.
+    /// By viewer whose session was moved: the server for its next session, and the time of the move.
     planned_moves: BTreeMap<ViewerId, (ServerId, Micros)>,
     /// Mean session length of each class, in s.
     mean_lengths: Vec<f64>,
@@ -102,8 +102,8 @@
     changed_rungs: BTreeSet<SessionId>,
 }
 
-/// Shows the state without settings and random generator: controllers that show the same decide the same on
-/// the same random numbers.
+/// Prints the state without the settings and the random generator: controllers with the same output decide
+/// the same, given the same random numbers.
 impl std::fmt::Debug for Controller {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let load = (&self.servers, &self.racks, &self.usual_load, &self.zone_failures, &self.mean_lengths);
@@ -271,12 +271,12 @@
     }
 
     /// Handles the end of a probe: sessions that wait for no other probe are placed.
-    fn probe_ended(&mut self, at: ServerId, outcome: Outcome, out: &mut Vec<Action>) {
+    fn probe_ended(&mut self, id: ServerId, outcome: Outcome, out: &mut Vec<Action>) {
         if matches!(outcome, Outcome::TimedOut | Outcome::NoConnection | Outcome::Broken) {
-            self.record_failure(at, true);
+            self.record_failure(id, true);
         }
-        for session in self.sessions.values_mut().filter(|s| s.pending_probes.contains(&at)) {
-            session.pending_probes.retain(|server| *server != at);
+        for session in self.sessions.values_mut().filter(|s| s.pending_probes.contains(&id)) {
+            session.pending_probes.retain(|server| *server != id);
             if session.pending_probes.is_empty() {
                 session.wait_until = session.wait_until.map(|_| self.now);
             }
@@ -350,8 +350,8 @@
         let class = &session.class;
         let until_aim = (session.requested_at + class.aim).saturating_sub(now);
         let until_deadline = session.deadline.saturating_sub(now);
-        // The time-out of a repeatable attempt leaves time for another within the aim. One that cannot be
-        // repeated ends with the aim, since a later start earns nothing and a later failure costs.
+        // The time-out leaves time for another attempt within the aim. One that no other may follow ends with
+        // the aim, as a later start earns nothing and a later failure costs. Below a fifth, it is a whole aim.
         let time_out = match class.effect {
             Effect::Once => until_aim,
             _ if session.attempts + 1 >= self.settings.max_attempts => until_aim,
@@ -370,7 +370,7 @@
         out.push(Action::SetUp(id.clone(), to, time_out));
     }
 
-    /// No holder may be sent the session now: it waits until one may, within half its aim, or is refused.
+    /// Lets a session wait until it may go to a holder, for half its aim or its doubt; else refuses it.
     fn wait_or_refuse(&mut self, id: &SessionId, out: &mut Vec<Action>) {
         let Some(session) = self.sessions.get(id) else { return };
         let aim = session.class.aim;
@@ -441,7 +441,7 @@
             + (1.0 - weight) * (self.others_link_load(server) + own_load)
     }
 
-    /// Weight of a measurement by its age. Danger: the last one before a loss keeps the replacement empty.
+    /// Weight of a measurement; falls with age, or the last one before a loss keeps the replacement empty.
     fn measurement_weight(&self, measurement: Measurement) -> f64 {
         measurement.map_or(0.0, |(_, at)| {
             (1.0 - self.seconds_since(at) * SECOND as f64 / LOAD_FADE_TIME as f64).max(0.0)
@@ -452,7 +452,7 @@
         self.now.saturating_sub(at) as f64 / SECOND as f64
     }
 
-    /// Estimated load of a link by other fronts: their share of the usual load, from 0 on a new process.
+    /// Estimated load of a link by other fronts: their share of the usual load, growing from 0 after a start.
     /// Danger: an unknown server taken for empty attracts all newcomers; taken for full, it stays empty.
     fn others_link_load(&self, server: &Server) -> f64 {
         let own = self.servers.own_kb();
@@ -534,9 +534,9 @@
     }
 
     /// Records the share of demand that a server delivered. A full uplink makes all servers of its rack
-    /// short, a full link its own. A single server that stays short is overloaded, whatever its reports say:
-    /// they may be late, frozen or wrong. Danger: one slow link taken for a full uplink starves the rack; the
-    /// opposite error costs one server.
+    /// short, a full link only its own server. A single server that stays short is overloaded, whatever its
+    /// reports say: they may be late, frozen or wrong. Danger: one slow link taken for a full uplink starves
+    /// the rack; the opposite error costs one server.
     fn record_delivered(&mut self, id: ServerId, share: f64) {
         let (at, now) = (self.now.saturating_sub(self.settings.note_age), self.now);
         let Some(server) = self.servers.get_mut(id) else { return };
@@ -587,7 +587,7 @@
         }
     }
 
-    /// Load that rungs are fitted to; falls with the share of other fronts, whose changes are known too late.
+    /// Load that rungs are fitted to: lower with more fronts, whose changes become known too late.
     fn target_load(&self) -> f64 {
         1.0 - LOAD_MARGIN * (1.0 - 1.0 / f64::from(self.settings.fronts)).powi(3)
     }
@@ -601,11 +601,11 @@
     }
 
     /// Demand at a server that steps down could free, if all sessions there have rungs like this front's own.
-    fn freeable_demand(&self, at: ServerId, load: f64) -> f64 {
+    fn freeable_demand(&self, id: ServerId, load: f64) -> f64 {
         let playing = self.sessions.values().filter(|s| s.playing_since.is_some());
         let (total, lowest) =
             playing.fold((1.0, 1.0), |sum, s| (sum.0 + s.rate(s.rung), sum.1 + s.rate(s.class.floor)));
-        self.servers.get(at).map_or(0.0, |s| (1.0 - lowest / total) * load * self.link_capacity(s))
+        self.servers.get(id).map_or(0.0, |s| (1.0 - lowest / total) * load * self.link_capacity(s))
     }
 
     /// The playing session whose step down loses the least worth per kB.
@@ -653,16 +653,16 @@
     }
 
     /// Lowers own demand on an overloaded link or uplink, once per measurement.
-    fn relieve_overload(&mut self, at: ServerId, out: &mut Vec<Action>) {
-        let load = self.link_load(at);
-        let Some(server) = self.servers.get(at) else { return };
+    fn relieve_overload(&mut self, id: ServerId, out: &mut Vec<Action>) {
+        let load = self.link_load(id);
+        let Some(server) = self.servers.get(id) else { return };
         if load > self.target_load() + STEP_DOWN_EXCESS
             && server.measured_load.is_some_and(|measured| measured.1 > server.stepped_down_at)
         {
-            self.reduce_own_demand(load, &[at], out);
-            self.servers.modify(at, |server| server.stepped_down_at = self.now);
+            self.reduce_own_demand(load, &[id], out);
+            self.servers.modify(id, |server| server.stepped_down_at = self.now);
         }
-        let Some(rack) = self.rack_of(at) else { return };
+        let Some(rack) = self.rack_of(id) else { return };
         let (load, note_lag) = (self.uplink_load(rack), self.settings.note_interval + self.settings.note_age);
         let Some(state) = self.racks.get(rack) else { return };
         let measured_at = state
@@ -761,16 +761,16 @@
         }
     }
 
-    /// Records errors of one request at the servers in `at`. If two servers fail it, the request is at fault:
-    /// the first failure is undone and the next not counted; nor is an error among many good answers.
+    /// Records errors of one request at these servers, in order. If two servers fail it, the request is at
+    /// fault: the first failure is undone and the next not counted; nor is an error among many good answers.
     /// Danger: one client's invalid requests would put all holders of a title out of use.
-    fn record_errors(&mut self, at: &[ServerId]) {
-        match at {
+    fn record_errors(&mut self, servers: &[ServerId]) {
+        match servers {
             [first, second] if first != second => {
                 let Some(server) = self.servers.get_mut(*first) else { return };
                 (server.failures, server.backoff_until) = (server.failures.saturating_sub(1), 0);
             }
-            [.., last] if at.iter().all(|other| other == last) => {
+            [.., last] if servers.iter().all(|other| other == last) => {
                 self.record_answer(*last, true);
                 let answers = self.servers.get(*last).map(|server| &server.answers).into_iter().flatten();
                 let (total, errors) =
@@ -798,8 +798,8 @@
         self.zone_failures.remove(&server.entry.zone);
     }
 
-    /// A note on a session shows that its server has run since that session began, even if it was found down.
-    /// Danger: one broken connection would empty a server and mark it cold while its other sessions play on.
+    /// Records a note on a session that plays since `since`: its server has run since, even if found down.
+    /// Danger: otherwise one broken connection empties a server and marks it cold, though its sessions play.
     fn record_sign_of_life(&mut self, id: ServerId, since: Micros) {
         let noted_at = self.now.saturating_sub(self.settings.note_age);
         let Some(server) = self.servers.get_mut(id) else { return };
@@ -819,8 +819,8 @@
 
     /// Until when the pace of a server that may be cold blocks a session. Each front keeps to the pace and,
     /// in a window, to its share of the set-ups that overload the server. If that is less than one, it admits
-    /// a random part of its sessions: its share of the pace over its own rate, so that all fronts stay below.
-    /// Danger: a wave of returning viewers overloads it; the wave raises the own rate and so lowers the part.
+    /// a random part of its sessions: its share of the pace over its request rate, so that all stay below it.
+    /// Danger: a wave of returning viewers overloads it; the wave raises the rate and so lowers the part.
     /// The cost is idle capacity.
     fn cold_pace_block(&self, session: &Session, id: ServerId) -> Option<Micros> {
         let server = self.servers.get(id)?;
@@ -1050,6 +1050,7 @@
         }
     }
 
+    /// Handles a wake-up by its tag: 0 for a tick, 1 for waiting sessions, 2 for the list.
     fn wake(&mut self, tag: u64, out: &mut Vec<Action>) {
         if tag == 2 {
             out.push(Action::FollowList);
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -24,7 +24,7 @@
     rack_count: u32,
 }
 
-/// Shows the servers alone: the indices follow from them.
+/// Prints only the servers: the indices can be derived from them.
 impl fmt::Debug for Fleet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.servers.fmt(f)
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -101,8 +101,8 @@
     harness.send(Event::Servers(ListKind::Changes, vec![far(0), far(1), far(2), far(3)]));
     let mut actions = harness.request(request("s", 0, 0, 3));
     for attempt in 0..3 {
-        let at = set_up_server(&actions).expect("another holder");
-        actions = harness.end("s", attempt, at, Outcome::NoConnection, false);
+        let server = set_up_server(&actions).expect("another holder");
+        actions = harness.end("s", attempt, server, Outcome::NoConnection, false);
     }
     // Server 3 was never tried and 4 is fuller, but 3 is in the zone where all others were down.
     harness.add_playing_each(&[4], 0, Note::Link(0.7));
