--- a/src/controller.rs
+++ b/src/controller.rs
@@ -351,7 +351,7 @@
         let until_aim = (session.requested_at + class.aim).saturating_sub(now);
         let until_deadline = session.deadline.saturating_sub(now);
         // The time-out leaves time for another attempt within the aim. One that no other may follow ends with
-        // the aim, as a later start earns nothing and a later failure costs. Below a fifth, it is a whole aim.
+        // the aim, as a later start earns nothing and a later failure costs. Below a fifth, it is the aim.
         let time_out = match class.effect {
             Effect::Once => until_aim,
             _ if session.attempts + 1 >= self.settings.max_attempts => until_aim,
